--- a/onyxpost/__main__.py
+++ b/onyxpost/__main__.py
@@ -13,7 +13,7 @@
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
         signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
     if sys.argv[1:] == ["serve"]:
-        from onyxpost.edge.serve import serve
+        from onyxpost.node.serve import serve
 
         sys.exit(serve())
     from onyxpost import cli
--- a/onyxpost/cli.py
+++ b/onyxpost/cli.py
@@ -55,7 +55,7 @@
     Exit 0: told to stop, and all requests answered. Exit 1: an address cannot be bound. Exit 2: the file
     cannot be used.
     """
-    from onyxpost.edge.serve import serve as run_node
+    from onyxpost.node.serve import serve as run_node
 
     sys.exit(run_node())
 
@@ -107,7 +107,7 @@
 
 def _node_summary(file: str | None) -> str:
     """Describes a node's file. Raises InvalidInputError."""
-    from onyxpost.edge import config
+    from onyxpost.node import config
 
     node = config.read({"EDGE_CONFIG": file} if file else os.environ)
     rules = "" if node.routing_rules is None else f", rules of version {node.routing_rules.version}"
--- a/onyxpost/cluster/connections.py
+++ b/onyxpost/cluster/connections.py
@@ -29,8 +29,9 @@
 
     from onyxpost.cluster.failure_detector import PeerState
     from onyxpost.cluster.incarnation import Incarnation
-    from onyxpost.edge import messages as m
-    from onyxpost.edge.transport import Transport
+    from onyxpost.config.address import Address
+    from onyxpost.runtime.log_event import LogEvent
+    from onyxpost.runtime.transport import Transport
 
 LEAVE_TIMEOUT_SECONDS = 0.2  # for the peers to read what was sent to them and end their side
 LEAVE_POLL_SECONDS = 0.01
@@ -50,7 +51,7 @@
         incarnation: Incarnation,
         membership: Membership,
         on_message: Callable[[str, str, bytes], None],
-        log: Callable[[m.LogEvent], None],
+        log: Callable[[LogEvent], None],
     ) -> None:
         self.name = name
         self.incarnation = incarnation
@@ -75,7 +76,7 @@
         """The membership in force."""
         return self.handshake.membership
 
-    async def listen(self, address: m.Address) -> None:
+    async def listen(self, address: Address) -> None:
         """Binds the address. Raises OSError or ListenError if that fails."""
         await self.listener.listen(address)
 
--- a/onyxpost/cluster/dialer.py
+++ b/onyxpost/cluster/dialer.py
@@ -10,13 +10,13 @@
 from onyxpost.cluster.errors import MemberNameMismatchError
 from onyxpost.cluster.failure_detector import DISCONNECT_TIMEOUT_MS
 from onyxpost.cluster.reconnect import ReconnectBackoff, keep_connected
-from onyxpost.edge.http1 import limit_read_size
+from onyxpost.runtime.http1 import limit_read_size
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Container
 
     from onyxpost.cluster.handshake import Handshake
-    from onyxpost.edge.transport import Transport
+    from onyxpost.runtime.transport import Transport
 
 CONNECT_TIMEOUT_SECONDS = 1.0
 
--- a/onyxpost/cluster/heartbeats.py
+++ b/onyxpost/cluster/heartbeats.py
@@ -15,7 +15,7 @@
     from onyxpost.cluster.peer_log import PeerLog
     from onyxpost.cluster.peer_monitor import PeerMonitor
     from onyxpost.cluster.statistics import ConnectionStatistics
-    from onyxpost.edge.transport import Transport
+    from onyxpost.runtime.transport import Transport
 
 CHECK_INTERVAL_SECONDS = 0.1  # a fifth of a heartbeat interval
 STATISTICS_INTERVAL_MS = 10_000.0
--- a/onyxpost/cluster/listener.py
+++ b/onyxpost/cluster/listener.py
@@ -9,14 +9,14 @@
 from onyxpost.cluster.connection import READ_BUFFER_BYTES, RunConnection
 from onyxpost.cluster.errors import ClusterError, WrongDialerError
 from onyxpost.cluster.unidentified import UnidentifiedConnections
-from onyxpost.edge.http1 import limit_read_size
+from onyxpost.runtime.http1 import limit_read_size
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from onyxpost.cluster.handshake import Handshake
-    from onyxpost.edge import messages as m
-    from onyxpost.edge.transport import Listener, Transport
+    from onyxpost.config.address import Address
+    from onyxpost.runtime.transport import Listener, Transport
 
 ACCEPTS_PER_TURN = 128  # connections that are accepted in one turn of the event loop
 MAX_UNIDENTIFIED = 64  # connections without a hello; one more aborts the oldest
@@ -40,7 +40,7 @@
         self.server: Listener | None = None
         self.unidentified = UnidentifiedConnections()
 
-    async def listen(self, address: m.Address) -> None:
+    async def listen(self, address: Address) -> None:
         """Binds the address. Raises OSError or ListenError if that fails."""
         self.server = await self._network.listen(self._serve, address, READ_BUFFER_BYTES, ACCEPTS_PER_TURN)
 
--- a/onyxpost/cluster/peer_log.py
+++ b/onyxpost/cluster/peer_log.py
@@ -7,7 +7,7 @@
 
 from onyxpost.cluster.failure_detector import PeerState, PeerStateChange
 from onyxpost.cluster.log_rate_limit import LogRateLimiter
-from onyxpost.edge import messages as m
+from onyxpost.runtime.log_event import LogEvent, fault_event
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -22,7 +22,7 @@
 class PeerLog:
     """Writes one line for each state change, and a limited number for what any remote host can cause."""
 
-    def __init__(self, log: Callable[[m.LogEvent], None]) -> None:
+    def __init__(self, log: Callable[[LogEvent], None]) -> None:
         self._log = log
         self._rate_limiter = LogRateLimiter()
         self._suppresses_state_changes = False
@@ -43,29 +43,29 @@
             "cause": change.reason[:MAX_REASON_CHARS],
         }
         level = logging.WARNING if change.current in WARNING_STATES else logging.INFO
-        self._log(m.LogEvent(f"cluster peer {change.current.value}", fields, level))
+        self._log(LogEvent(f"cluster peer {change.current.value}", fields, level))
 
     def log_rejected_connection(self, now_ms: float, err: ClusterError) -> None:
         """Logs why a connection was rejected or ended. Any host can cause this, so lines are limited."""
         kind = type(err).__name__
         if occurrences := self._rate_limiter.allow(now_ms, kind):
             fields = {"kind": kind, **err.fields(), "times": occurrences}
-            self._log(m.LogEvent("cluster connection rejected", fields, logging.WARNING))
+            self._log(LogEvent("cluster connection rejected", fields, logging.WARNING))
 
     def log_membership_change(self, membership: Membership) -> None:
         """Logs that a later membership is in force."""
         fields = {"version": membership.version, "members": len(membership.members)}
-        self._log(m.LogEvent("cluster membership changed", fields))
+        self._log(LogEvent("cluster membership changed", fields))
 
     def log_rejected_membership(self, err: ClusterError) -> None:
         """Logs why a membership was not applied."""
         fields = {"kind": type(err).__name__, **err.fields()}
-        self._log(m.LogEvent("cluster membership rejected", fields, logging.WARNING))
+        self._log(LogEvent("cluster membership rejected", fields, logging.WARNING))
 
     def log_statistics(self, fields: dict[str, int]) -> None:
         """Logs the periodic statistics."""
-        self._log(m.LogEvent("cluster statistics", dict(fields)))
+        self._log(LogEvent("cluster statistics", dict(fields)))
 
     def log_handler_fault(self, topic: str, err: Exception) -> None:
         """Logs an error that a component raised for a message."""
-        self._log(m.fault_event(f"cluster topic {topic}", err))
+        self._log(fault_event(f"cluster topic {topic}", err))
--- a/onyxpost/edge/client_connection.py
+++ b/onyxpost/edge/client_connection.py
@@ -7,14 +7,14 @@
 
 import h11
 
-from onyxpost.edge.transport import Unread
+from onyxpost.runtime.transport import Unread
 
 if TYPE_CHECKING:
     import asyncio
     from collections.abc import Collection, Iterable
 
-    from onyxpost.edge import messages as m
-    from onyxpost.edge.transport import CountingReader, Transport
+    from onyxpost.edge.messages import ClientRequest
+    from onyxpost.runtime.transport import CountingReader, Transport
 
 # For a new connection to send its first request, and for a request that has started to be complete.
 REQUEST_TIMEOUT_MS = 2_500.0
@@ -60,7 +60,7 @@
         self.has_pipelined = False
         self.grace_given = False
         self.request: h11.Request | None = None
-        self.client_request: m.ClientRequest | None = None
+        self.client_request: ClientRequest | None = None
         self.body = bytearray()
 
     def is_idle(self) -> bool:
--- a/onyxpost/edge/client_http.py
+++ b/onyxpost/edge/client_http.py
@@ -7,9 +7,16 @@
 
 import h11
 
-from onyxpost.edge import messages as m
 from onyxpost.edge.errors import RequestRejectedError
-from onyxpost.edge.http1 import encode_message, start_next_cycle
+from onyxpost.edge.messages import (
+    MAX_BODY_BYTES,
+    EdgeEvent,
+    Headers,
+    SendAnswer,
+    decode_request,
+    encode_answer,
+)
+from onyxpost.runtime.http1 import encode_message, start_next_cycle
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -39,7 +46,7 @@
         self,
         deployment: Deployment,
         clock: Callable[[], float],
-        post: Callable[[m.Event], None],
+        post: Callable[[EdgeEvent], None],
         is_ready: Callable[[], bool],
         begin_closing: Callable[[ClientConnection], None],
     ) -> None:
@@ -77,11 +84,11 @@
         connection.http.receive_data(b"")
         self._decode(connection)
 
-    def send_answer(self, connection: ClientConnection, answer: m.SendAnswer) -> None:
+    def send_answer(self, connection: ClientConnection, answer: SendAnswer) -> None:
         """Sends the final answer to the request in flight."""
         connection.awaits_answer = False
         try:
-            self._respond(connection, *m.encode_answer(answer), close=connection.has_pipelined)
+            self._respond(connection, *encode_answer(answer), close=connection.has_pipelined)
         except h11.LocalProtocolError:  # the answer cannot be encoded; do not keep its client waiting
             self._begin_closing(connection)
             raise
@@ -119,7 +126,7 @@
                     self._handle_head(connection, event)
                 case h11.Data(data=data):
                     connection.body += data
-                    if len(connection.body) > m.MAX_BODY_BYTES:
+                    if len(connection.body) > MAX_BODY_BYTES:
                         raise RequestRejectedError(PAYLOAD_TOO_LARGE, "body over 64 KiB")
                 case h11.EndOfMessage():
                     self._handle_complete_request(connection)
@@ -133,7 +140,7 @@
         connection.on_request_head(head)
         if head.target != HEALTH_CHECK_TARGET or head.method not in HEALTH_CHECK_METHODS:
             # The client's timeout began when it sent the request, so it counts from the first byte received.
-            connection.client_request = m.decode_request(
+            connection.client_request = decode_request(
                 connection.connection_id, connection.waiting_since, head, self._deployment
             )
 
@@ -153,7 +160,7 @@
         self,
         connection: ClientConnection,
         status: int,
-        headers: m.Headers,
+        headers: Headers,
         body: bytes,
         close: bool = False,
     ) -> None:
--- a/onyxpost/edge/client_listener.py
+++ b/onyxpost/edge/client_listener.py
@@ -6,17 +6,18 @@
 import math
 from typing import TYPE_CHECKING
 
-from onyxpost.edge import messages as m
 from onyxpost.edge.client_connection import ClientConnection, eviction_candidates, idle_connections
 from onyxpost.edge.client_http import ClientHttp
-from onyxpost.edge.http1 import limit_read_size
-from onyxpost.edge.transport import Unread, stop_accepting
+from onyxpost.edge.messages import ClientDisconnected, EdgeEvent, SendAnswer
+from onyxpost.runtime.http1 import limit_read_size
+from onyxpost.runtime.transport import Unread, stop_accepting
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from onyxpost.config.address import Address
     from onyxpost.config.deployment import Deployment
-    from onyxpost.edge.transport import CountingReader, Listener, Transport
+    from onyxpost.runtime.transport import CountingReader, Listener, Transport
 
 READ_BUFFER_BYTES = 16384  # read from a client's stream at once, and the limit of what is buffered of it
 # Turns of the event loop that an accepted connection is given to reach its first read: the transport, its
@@ -45,7 +46,7 @@
         self,
         deployment: Deployment,
         transport: Transport,
-        post: Callable[[m.Event], None],
+        post: Callable[[EdgeEvent], None],
         is_ready: Callable[[], bool],
         has_capacity: Callable[[], bool],
         report_fault: Callable[[str, BaseException], None],
@@ -63,7 +64,7 @@
         self._over_capacity_count = 0
         self._reject_incomplete_at = math.inf  # ms, from when on incomplete requests are rejected
 
-    async def listen(self, address: m.Address) -> None:
+    async def listen(self, address: Address) -> None:
         """Starts to accept connections. Raises ListenError."""
         self.server = await self._transport.listen(
             self._serve, address, READ_BUFFER_BYTES, MAX_ACCEPTS_PER_TURN
@@ -103,7 +104,7 @@
             return False
         return self._transport.unread(connection.writer.transport) is not Unread.END
 
-    def send_answer(self, answer: m.SendAnswer) -> None:
+    def send_answer(self, answer: SendAnswer) -> None:
         """Sends an answer, unless its client has disconnected."""
         connection = self.open_connections.get(answer.connection_id)
         if connection is not None and connection.awaits_answer:
@@ -222,7 +223,7 @@
         connection.on_closing(self._clock(), LINGER_MS)
         if connection.awaits_answer:
             connection.awaits_answer = False
-            self.post(m.ClientDisconnected(connection.connection_id))
+            self.post(ClientDisconnected(connection.connection_id))
         try:
             connection.writer.write_eof()
         except OSError:  # reset in the meantime
--- a/onyxpost/edge/discovery_client.py
+++ b/onyxpost/edge/discovery_client.py
@@ -8,16 +8,18 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from onyxpost.edge import messages as m
 from onyxpost.edge.discovery_watch import DiscoveryWatch
+from onyxpost.edge.messages import EdgeEvent, EndpointUpdate, EndpointUpdateFailed
 from onyxpost.edge.staleness import PollFailure, StalenessTracker
 from onyxpost.errors import InvalidInputError
+from onyxpost.runtime.log_event import LogEvent
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from onyxpost.config.address import Address
     from onyxpost.edge.discovery_poll import OpenPoll
-    from onyxpost.edge.transport import Transport
+    from onyxpost.runtime.transport import Transport
 
 # Between log lines about outages: an agent that answers and resets in turn would cause ten lines a second.
 OUTAGE_LOG_INTERVAL_MS = 1000.0
@@ -43,10 +45,10 @@
     def __init__(
         self,
         transport: Transport,
-        address: m.Address,
+        address: Address,
         generation: int,
-        post: Callable[[m.Event], None],
-        log: Callable[[m.LogEvent], None],
+        post: Callable[[EdgeEvent], None],
+        log: Callable[[LogEvent], None],
         seed: int = 0,
         shared: bool = False,
     ) -> None:
@@ -63,7 +65,7 @@
         """
         self.transport = transport
         self.address = address
-        self.alternative_address: m.Address | None = None
+        self.alternative_address: Address | None = None
         self.generation = generation
         self.is_down = False
         self.is_stale = False
@@ -88,7 +90,7 @@
             async with asyncio.timeout(timeout_ms / MS_PER_SECOND):
                 await self._first_poll_finished.wait()
 
-    def change_address(self, address: m.Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Watches another address.
 
         The old watch goes on until the new address has answered, so no change is missed in between. A watch
@@ -103,7 +105,7 @@
         self.address = address
         self.alternative_address = None
 
-    def start_watch(self, address: m.Address, moved: bool = False) -> None:
+    def start_watch(self, address: Address, moved: bool = False) -> None:
         """Starts a watch; `moved`: a reload has just named its address."""
         tracker = StalenessTracker(self._rng, self._shared)
         watch = DiscoveryWatch(self, address, tracker, moved)
@@ -146,7 +148,7 @@
         self._schedule_staleness()
         return pause_ms
 
-    def on_update(self, update: m.EndpointUpdate, moved: bool, address: m.Address) -> None:
+    def on_update(self, update: EndpointUpdate, moved: bool, address: Address) -> None:
         """Applies the answer of `address` to the current task's watch, and ends older watches.
 
         `moved`: it is the first answer after a reload has named the address.
@@ -154,16 +156,16 @@
         self._cancel_older_watches()
         if self.is_down and address == self.address:  # an answer of the old address does not end an outage
             if self._outage_logged:
-                self._log(m.LogEvent("discovery up", {"generation": update.generation}))
+                self._log(LogEvent("discovery up", {"generation": update.generation}))
             self.is_down = False
             self._outage_logged = False
         if moved:
             fields = {"generation": update.generation, "held": self.generation}
-            self._log(m.LogEvent("discovery moved", fields))
+            self._log(LogEvent("discovery moved", fields))
         if update.generation < self.generation and (moved or not update.complete):
             # Older than the list that this node has: the newer changes are still to come. A complete list
             # that was not requested is accepted, as discovery has restarted.
-            update = m.EndpointUpdate(self.generation, False, [], {})
+            update = EndpointUpdate(self.generation, False, [], {})
         self.generation = update.generation
         self.alternative_address = None
         was_stale = self.is_stale
@@ -173,7 +175,7 @@
         if update.endpoints or update.complete or was_stale != self.is_stale:
             self._post(update)
             if self.is_stale:
-                self._post(m.EndpointUpdateFailed(stale=True))  # an update alone would end the staleness
+                self._post(EndpointUpdateFailed(stale=True))  # an update alone would end the staleness
 
     def _cancel_older_watches(self) -> None:
         current = asyncio.current_task()
@@ -186,14 +188,14 @@
     def _report_outage(self, now: float, cause: Exception) -> None:
         if not self.is_down:
             self.is_down = True
-            self._post(m.EndpointUpdateFailed())
+            self._post(EndpointUpdateFailed())
         if not self._outage_logged and now >= self._next_outage_log_at:
             self._outage_logged = True
             self._next_outage_log_at = now + OUTAGE_LOG_INTERVAL_MS
             fields: dict[str, Any] = {"cause": f"{type(cause).__name__}: {cause}"[:MAX_LOGGED_CAUSE_CHARS]}
             if isinstance(cause, InvalidInputError):
                 fields["remedy"] = cause.remedy
-            self._log(m.LogEvent("discovery down", fields, logging.WARNING))
+            self._log(LogEvent("discovery down", fields, logging.WARNING))
 
     def _stale_in_ms(self) -> float | None:
         """Returns the shortest time of any watch until the list may be stale; None if it cannot be."""
@@ -213,5 +215,5 @@
 
     def _on_stale(self) -> None:
         self.is_stale = True
-        self._log(m.LogEvent("endpoints may be stale", {"generation": self.generation}, logging.WARNING))
-        self._post(m.EndpointUpdateFailed(stale=True))
+        self._log(LogEvent("endpoints may be stale", {"generation": self.generation}, logging.WARNING))
+        self._post(EndpointUpdateFailed(stale=True))
--- a/onyxpost/edge/discovery_poll.py
+++ b/onyxpost/edge/discovery_poll.py
@@ -4,16 +4,19 @@
 
 import asyncio
 from functools import partial
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 import h11
 
-from onyxpost.edge import messages as m
 from onyxpost.edge.errors import DiscoveryOverloadedError
-from onyxpost.edge.http1 import READ_CHUNK_BYTES, encode_message, read_response, start_next_cycle
+from onyxpost.edge.messages import EndpointUpdate, decode_endpoint_update
 from onyxpost.edge.staleness import PollFailure
-from onyxpost.edge.transport import LOCAL_RESOURCE_ERRNOS, CountingReader, Transport
 from onyxpost.errors import InvalidInputError
+from onyxpost.runtime.http1 import READ_CHUNK_BYTES, encode_message, read_response, start_next_cycle
+from onyxpost.runtime.transport import LOCAL_RESOURCE_ERRNOS, CountingReader, Transport
+
+if TYPE_CHECKING:
+    from onyxpost.config.address import Address
 
 CONNECT_TIMEOUT_MS = 2000.0
 LATE_ANSWER_TIMEOUT_MS = 4000.0  # how long the oldest poll is kept open beside newer ones
@@ -38,7 +41,7 @@
     """The answer to a poll, and its connection if that can be used again."""
 
     connection: DiscoveryConnection | None
-    update: m.EndpointUpdate
+    update: EndpointUpdate
 
 
 class PollFailedError(Exception):
@@ -59,13 +62,13 @@
     """A poll that was sent and is not answered yet. Times are of the node's clock, in ms."""
 
     task: asyncio.Task[PollAnswer]
-    address: m.Address
+    address: Address
     started_at: float
     long_poll_ms: float
 
 
 async def poll_endpoints(
-    transport: Transport, address: m.Address, connection: DiscoveryConnection | None, query: str
+    transport: Transport, address: Address, connection: DiscoveryConnection | None, query: str
 ) -> PollAnswer:
     """Sends one poll, on a new connection if none is given, and returns its answer.
 
@@ -119,13 +122,13 @@
     del polls[first:end]
 
 
-async def _connect(transport: Transport, address: m.Address) -> DiscoveryConnection:
+async def _connect(transport: Transport, address: Address) -> DiscoveryConnection:
     async with asyncio.timeout(CONNECT_TIMEOUT_MS / MS_PER_SECOND):
         reader, writer, *_ = await transport.dial(address, READ_CHUNK_BYTES)
     return DiscoveryConnection(reader, writer, h11.Connection(h11.CLIENT))
 
 
-async def _exchange(connection: DiscoveryConnection, address: m.Address, query: str) -> m.EndpointUpdate:
+async def _exchange(connection: DiscoveryConnection, address: Address, query: str) -> EndpointUpdate:
     host = [("Host", "{}:{}".format(*address))]
     request = h11.Request(method="GET", target=f"/v1/servers{query}", headers=host)
     connection.writer.write(encode_message(connection.http, request))
@@ -133,7 +136,7 @@
     response, body = await read_response(connection.http, read, MAX_ANSWER_BYTES)
     if response.status_code != STATUS_OK:
         raise DiscoveryOverloadedError(f"status {response.status_code}")
-    return m.decode_endpoint_update(body)
+    return decode_endpoint_update(body)
 
 
 def _classify(err: Exception, connected: bool, answer_started: bool) -> PollFailure:
--- a/onyxpost/edge/discovery_watch.py
+++ b/onyxpost/edge/discovery_watch.py
@@ -16,8 +16,9 @@
 from onyxpost.edge.staleness import RETRY_PAUSE_MS, PollFailure, StalenessTracker
 
 if TYPE_CHECKING:
-    from onyxpost.edge import messages as m
+    from onyxpost.config.address import Address
     from onyxpost.edge.discovery_client import DiscoveryClient
+    from onyxpost.edge.messages import EndpointUpdate
 
 TIMER_RESOLUTION_SECONDS = 1e-4  # a shorter wait may end before the loop's clock has advanced
 MS_PER_SECOND = 1000.0
@@ -34,7 +35,7 @@
     """
 
     def __init__(
-        self, client: DiscoveryClient, address: m.Address, tracker: StalenessTracker, moved: bool
+        self, client: DiscoveryClient, address: Address, tracker: StalenessTracker, moved: bool
     ) -> None:
         """Creates a watch; `moved`: a reload has named its address, and it first requests all endpoints."""
         self.address = address
@@ -96,7 +97,7 @@
         if self._open_polls and self._open_polls[-1].task is newest.task:
             await self._handle_timeout()
 
-    async def _handle_answer(self, newest: OpenPoll, answered: OpenPoll, update: m.EndpointUpdate) -> None:
+    async def _handle_answer(self, newest: OpenPoll, answered: OpenPoll, update: EndpointUpdate) -> None:
         close_polls(self._open_polls)
         if self.address == self._client.address:
             self._client.address = answered.address
--- a/onyxpost/edge/effect_sink.py
+++ b/onyxpost/edge/effect_sink.py
@@ -4,7 +4,6 @@
 
 from onyxpost.edge.messages import (
     Effect,
-    LogEvent,
     ReportUnitsSpent,
     ReturnLease,
     SendPeerMessage,
@@ -12,6 +11,7 @@
     WatchEndpoints,
     encode_datagram,
 )
+from onyxpost.runtime.log_event import LogEvent
 
 
 class EffectSink:
--- a/onyxpost/edge/errors.py
+++ b/onyxpost/edge/errors.py
@@ -35,7 +35,3 @@
         super().__init__(reason)
         self.status = status
         self.framing_unknown = framing_unknown
-
-
-class TruncatedResponseError(OSError):
-    """The connection ended before a complete response was received, or the response has no known end."""
--- a/onyxpost/edge/event_processor.py
+++ b/onyxpost/edge/event_processor.py
@@ -5,7 +5,8 @@
 import asyncio
 from typing import TYPE_CHECKING, Any
 
-from onyxpost.edge import messages as m
+from onyxpost.core.events import TimerFired
+from onyxpost.edge.messages import EdgeEvent, StartTimer
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -31,11 +32,11 @@
         self.state_machine = state_machine
         self.clock = clock
         self.report_fault = report_fault
-        self.effect_handlers: dict[type, Callable[[Any], None]] = {m.StartTimer: self.start_timer}
-        self.inbox: list[m.Event] = []
+        self.effect_handlers: dict[type, Callable[[Any], None]] = {StartTimer: self.start_timer}
+        self.inbox: list[EdgeEvent] = []
         self._is_round_scheduled = False
 
-    def post(self, event: m.Event) -> None:
+    def post(self, event: EdgeEvent) -> None:
         """Queues an event for the next round."""
         self.inbox.append(event)
         self._schedule_round()
@@ -53,10 +54,10 @@
         if self.state_machine.deferred_events:
             self._schedule_round()
 
-    def start_timer(self, effect: m.StartTimer) -> None:
+    def start_timer(self, effect: StartTimer) -> None:
         """Posts `TimerFired` after the delay of the effect."""
         loop = asyncio.get_running_loop()
-        loop.call_later(effect.delay_ms / MS_PER_SECOND, self.post, m.TimerFired(effect.token))
+        loop.call_later(effect.delay_ms / MS_PER_SECOND, self.post, TimerFired(effect.token))
 
     def _schedule_round(self) -> None:
         if not self._is_round_scheduled:
--- a/onyxpost/edge/messages/__init__.py
+++ b/onyxpost/edge/messages/__init__.py
@@ -1,20 +1,11 @@
 """Events and effects of the edge node's state machine, with their encoding on the network."""
 
-from onyxpost.config.address import Address, parse_address
-from onyxpost.core.events import (
-    LeaseGranted,
-    LeaseRevoked,
-    PeerMessageReceived,
-    RoutingRulesChanged,
-    TimerFired,
-)
 from onyxpost.edge.messages.datagrams import MAX_DATAGRAM_BYTES, decode_datagram, encode_datagram
 from onyxpost.edge.messages.effects import (
     CloseAttempt,
     Effect,
     Endpoint,
     FinalAnswer,
-    LogEvent,
     ReportUnitsSpent,
     RetireEndpoint,
     ReturnLease,
@@ -24,7 +15,6 @@
     StartTimer,
     WatchEndpoints,
     WithdrawAttempt,
-    fault_event,
 )
 from onyxpost.edge.messages.endpoint_updates import (
     LIFECYCLE_STATES,
@@ -37,9 +27,9 @@
     AttemptEnded,
     ClientDisconnected,
     ClientRequest,
+    EdgeEvent,
     EndpointUpdate,
     EndpointUpdateFailed,
-    Event,
     Headers,
     UpstreamResponse,
 )
@@ -50,31 +40,24 @@
     "LIFECYCLE_STATES",
     "MAX_BODY_BYTES",
     "MAX_DATAGRAM_BYTES",
-    "Address",
     "AttemptEnded",
     "ClientDisconnected",
     "ClientRequest",
     "CloseAttempt",
+    "EdgeEvent",
     "Effect",
     "Endpoint",
     "EndpointUpdate",
     "EndpointUpdateFailed",
-    "Event",
     "FinalAnswer",
     "Headers",
-    "LeaseGranted",
-    "LeaseRevoked",
-    "LogEvent",
-    "PeerMessageReceived",
     "ReportUnitsSpent",
     "RetireEndpoint",
     "ReturnLease",
-    "RoutingRulesChanged",
     "SendAnswer",
     "SendAttempt",
     "SendPeerMessage",
     "StartTimer",
-    "TimerFired",
     "UpstreamResponse",
     "WatchEndpoints",
     "WireEndpoint",
@@ -87,7 +70,5 @@
     "decode_request",
     "encode_answer",
     "encode_datagram",
-    "fault_event",
     "forwarded_request",
-    "parse_address",
 ]
--- a/onyxpost/edge/messages/effects.py
+++ b/onyxpost/edge/messages/effects.py
@@ -5,18 +5,16 @@
 
 from __future__ import annotations
 
-import logging
-import traceback
 from enum import Enum
 from math import inf
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
+
+from onyxpost.runtime.log_event import LogEvent
 
 if TYPE_CHECKING:
     from onyxpost.config.address import Address
     from onyxpost.edge.messages.events import ClientRequest, UpstreamResponse
 
-MAX_CAUSE_CHARS = 4000  # of a traceback, whose end names the exception
-
 
 class Endpoint(NamedTuple):
     """A server at an address; another server may get the same address later."""
@@ -120,20 +118,6 @@
     """Starts the watch on discovery."""
 
 
-class LogEvent(NamedTuple):
-    """Writes an event to the log."""
-
-    event: str
-    fields: dict[str, Any]
-    level: int = logging.INFO
-
-
-def fault_event(where: str, error: BaseException | None) -> LogEvent:
-    """Returns the log event of an unexpected exception, with its traceback."""
-    cause = "".join(traceback.format_exception(error)) if error is not None else ""
-    return LogEvent("fault", {"where": where, "cause": cause[-MAX_CAUSE_CHARS:]}, logging.ERROR)
-
-
 Effect = (
     SendAttempt
     | CloseAttempt
--- a/onyxpost/edge/messages/events.py
+++ b/onyxpost/edge/messages/events.py
@@ -99,7 +99,7 @@
     stale: bool = False
 
 
-Event = (
+EdgeEvent = (
     ClientRequest
     | ClientDisconnected
     | AttemptEnded
--- a/onyxpost/edge/peers.py
+++ b/onyxpost/edge/peers.py
@@ -5,19 +5,20 @@
 import asyncio
 from typing import TYPE_CHECKING, Any, cast
 
-from onyxpost.edge.messages import Address, Event, SendPeerMessage, decode_datagram
+from onyxpost.edge.messages import EdgeEvent, SendPeerMessage, decode_datagram
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from onyxpost.edge.transport import Transport
+    from onyxpost.config.address import Address
+    from onyxpost.runtime.transport import Transport
 
 
 class PeerSocket(asyncio.DatagramProtocol):
     """Sends and receives the messages of edge nodes. Later ones make up for a lost one."""
 
     def __init__(
-        self, net: Transport, peers: list[Address], own_index: int, post: Callable[[Event], None]
+        self, net: Transport, peers: list[Address], own_index: int, post: Callable[[EdgeEvent], None]
     ) -> None:
         """Creates a socket that is not open yet.
 
--- a/onyxpost/edge/state_machine.py
+++ b/onyxpost/edge/state_machine.py
@@ -12,6 +12,7 @@
     EndpointsUpdated,
     RequestArrived,
     RequestCancelled,
+    TimerFired,
 )
 from onyxpost.core.events import Event as DecisionEvent
 from onyxpost.core.types import AttemptResult
@@ -22,20 +23,18 @@
     ClientDisconnected,
     ClientRequest,
     CloseAttempt,
+    EdgeEvent,
     Effect,
     EndpointUpdate,
     EndpointUpdateFailed,
-    Event,
     FinalAnswer,
-    LogEvent,
     RetireEndpoint,
     SendAnswer,
     SendAttempt,
-    TimerFired,
     WithdrawAttempt,
-    fault_event,
 )
 from onyxpost.edge.pending_requests import PendingRequest, PendingRequests
+from onyxpost.runtime.log_event import LogEvent, fault_event
 
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
@@ -70,7 +69,7 @@
         """The number of requests that are owed an answer."""
         return len(self.requests.by_connection)
 
-    def step(self, now: float, events: Sequence[Event]) -> list[Effect]:
+    def step(self, now: float, events: Sequence[EdgeEvent]) -> list[Effect]:
         """Handles all events of one round; returns the effects in the order of the decisions."""
         self._now = now
         self.effects = []
@@ -130,7 +129,7 @@
 
     # Events
 
-    def _handle(self, event: Event) -> DecisionEvent | None:
+    def _handle(self, event: EdgeEvent) -> DecisionEvent | None:
         """Applies an event to the state; returns the event for the decision maker, if there is one."""
         match event:
             case ClientRequest():
--- a/onyxpost/edge/upstream_connection.py
+++ b/onyxpost/edge/upstream_connection.py
@@ -7,12 +7,12 @@
 import h11
 
 from onyxpost.core.types import AttemptResult
-from onyxpost.edge import messages as m
-from onyxpost.edge.errors import TruncatedResponseError
-from onyxpost.edge.http1 import READ_CHUNK_BYTES, encode_message, read_response, start_next_cycle
+from onyxpost.edge.messages import MAX_BODY_BYTES, Endpoint, UpstreamResponse, attempt_result
+from onyxpost.runtime.errors import TruncatedResponseError
+from onyxpost.runtime.http1 import READ_CHUNK_BYTES, encode_message, read_response, start_next_cycle
 
 if TYPE_CHECKING:
-    from onyxpost.edge.transport import DialedConnection
+    from onyxpost.runtime.transport import DialedConnection
 
 
 class UpstreamConnection:
@@ -25,7 +25,7 @@
         idle_since: when it became idle, in ms of the node's clock.
     """
 
-    def __init__(self, endpoint: m.Endpoint, connection: DialedConnection) -> None:
+    def __init__(self, endpoint: Endpoint, connection: DialedConnection) -> None:
         self.endpoint = endpoint
         self.reader = connection.reader
         self.writer = connection.writer
@@ -57,7 +57,7 @@
 
     async def exchange(
         self, request: h11.Request, body: bytes
-    ) -> tuple[AttemptResult, m.UpstreamResponse | None]:
+    ) -> tuple[AttemptResult, UpstreamResponse | None]:
         """Sends a request and returns its result, and the response if that is to be forwarded.
 
         Raises OSError or h11.RemoteProtocolError if there is no complete, valid response.
@@ -67,11 +67,11 @@
         await self.writer.drain()
         if self.reader.bytes_received > self._bytes_read:
             raise TruncatedResponseError("it spoke before the request's last byte had left")
-        response, response_body = await read_response(self._http, self._read, m.MAX_BODY_BYTES)
-        result = m.attempt_result(response)
+        response, response_body = await read_response(self._http, self._read, MAX_BODY_BYTES)
+        result = attempt_result(response)
         if result is not AttemptResult.OK:
             return result, None
-        return result, m.UpstreamResponse(list(response.headers), response_body)
+        return result, UpstreamResponse(list(response.headers), response_body)
 
     def prepare_reuse(self) -> bool:
         """Prepares the connection for the next attempt; returns False if it cannot be used again."""
--- a/onyxpost/edge/upstream_pool.py
+++ b/onyxpost/edge/upstream_pool.py
@@ -11,15 +11,22 @@
 import h11
 
 from onyxpost.core.types import AttemptResult
-from onyxpost.edge import messages as m
-from onyxpost.edge.http1 import READ_CHUNK_BYTES, limit_read_size
-from onyxpost.edge.transport import LOCAL_RESOURCE_ERRNOS
+from onyxpost.edge.messages import (
+    AttemptEnded,
+    EdgeEvent,
+    Endpoint,
+    SendAttempt,
+    UpstreamResponse,
+    forwarded_request,
+)
 from onyxpost.edge.upstream_connection import UpstreamConnection
+from onyxpost.runtime.http1 import READ_CHUNK_BYTES, limit_read_size
+from onyxpost.runtime.transport import LOCAL_RESOURCE_ERRNOS
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from onyxpost.edge.transport import Transport
+    from onyxpost.runtime.transport import Transport
 
 IDLE_SHARE_OF_KEEP_ALIVE = 0.75  # of the servers' keep-alive; closed here before servers do
 # An idle connection is reused no sooner than this after its last response: surplus bytes behind a response
@@ -45,8 +52,8 @@
     connect_timeout_ms: float
     keep_alive_ms: float
     has_capacity: Callable[[], bool]
-    accepts_requests: Callable[[m.Endpoint], bool]
-    may_start: Callable[[m.SendAttempt, float], bool]
+    accepts_requests: Callable[[Endpoint], bool]
+    may_start: Callable[[SendAttempt, float], bool]
     report_fault: Callable[[str, BaseException], None]
 
 
@@ -63,7 +70,7 @@
     """
 
     def __init__(
-        self, transport: Transport, post: Callable[[m.Event], None], options: UpstreamPoolOptions
+        self, transport: Transport, post: Callable[[EdgeEvent], None], options: UpstreamPoolOptions
     ) -> None:
         self.transport = transport
         self.clock = transport.clock
@@ -71,13 +78,13 @@
         self.has_capacity = options.has_capacity
         self.may_start = options.may_start
         self.connection_count = 0
-        self.idle_connections: dict[m.Endpoint, list[UpstreamConnection]] = {}
+        self.idle_connections: dict[Endpoint, list[UpstreamConnection]] = {}
         self.tasks: dict[int, asyncio.Task[None]] = {}
         self._options = options
         self._idle_timeout_ms = IDLE_SHARE_OF_KEEP_ALIVE * options.keep_alive_ms
         self._withdrawn: set[int] = set()
 
-    def send(self, send: m.SendAttempt) -> None:
+    def send(self, send: SendAttempt) -> None:
         """Starts an attempt; its end is posted as `AttemptEnded`."""
         loop = asyncio.get_running_loop()
         self.tasks[send.attempt_id] = loop.create_task(self._run(send, self.clock()))
@@ -89,7 +96,7 @@
             # A task that is cancelled before its first step would never post the attempt's end.
             del self.tasks[attempt]
             self._withdrawn.discard(attempt)
-            self.post(m.AttemptEnded(attempt, AttemptResult.UNUSED, 0.0))
+            self.post(AttemptEnded(attempt, AttemptResult.UNUSED, 0.0))
         if task is not None:
             task.cancel()
 
@@ -98,7 +105,7 @@
         if attempt in self.tasks:
             self._withdrawn.add(attempt)
 
-    def retire_endpoint(self, endpoint: m.Endpoint) -> None:
+    def retire_endpoint(self, endpoint: Endpoint) -> None:
         """Closes the idle connections to a server that drains, is gone or has moved; busy ones once released.
 
         Another server may get its address.
@@ -106,7 +113,7 @@
         for connection in self.idle_connections.pop(endpoint, []):
             self.close_connection(connection)
 
-    async def connect(self, endpoint: m.Endpoint) -> UpstreamConnection:
+    async def connect(self, endpoint: Endpoint) -> UpstreamConnection:
         """Opens a connection. Raises OSError."""
         if not self.has_capacity():
             raise OSError(errno.EMFILE, "no descriptor left")
@@ -125,7 +132,7 @@
                 raise OSError("never came up") from err
             raise
 
-    async def open_connection(self, endpoint: m.Endpoint) -> UpstreamConnection:
+    async def open_connection(self, endpoint: Endpoint) -> UpstreamConnection:
         """Dials an endpoint, without a timeout."""
         dialed = await self.transport.dial(endpoint.address, READ_CHUNK_BYTES)
         limit_read_size(dialed.writer, READ_CHUNK_BYTES)
@@ -166,11 +173,11 @@
         while self.evict_oldest_idle():
             pass
 
-    async def _run(self, send: m.SendAttempt, started_at: float) -> None:
+    async def _run(self, send: SendAttempt, started_at: float) -> None:
         """Runs one attempt and posts its end, whatever happens."""
         connection: UpstreamConnection | None = None
         result = AttemptResult.NO_CONNECTION
-        response: m.UpstreamResponse | None = None
+        response: UpstreamResponse | None = None
         try:
             async with asyncio.timeout(send.timeout_ms / MS_PER_SECOND):
                 connection = self._take_idle(send.endpoint) or await self.connect(send.endpoint)
@@ -178,7 +185,7 @@
                 if send.attempt_id in self._withdrawn or not self.may_start(send, left_ms):
                     result = AttemptResult.UNUSED
                     return
-                result, response = await connection.exchange(*m.forwarded_request(send.request, left_ms))
+                result, response = await connection.exchange(*forwarded_request(send.request, left_ms))
         except TimeoutError:
             result = _result_if_sent(connection, AttemptResult.EXPIRED)
         except asyncio.CancelledError:
@@ -190,7 +197,7 @@
             self._withdrawn.discard(send.attempt_id)
             if connection is not None:
                 self._release(connection, response is not None or result in COMPLETE_RESPONSES)
-            self.post(m.AttemptEnded(send.attempt_id, result, self.clock() - started_at, response))
+            self.post(AttemptEnded(send.attempt_id, result, self.clock() - started_at, response))
 
     def _handle_error(self, connection: UpstreamConnection | None, err: Exception) -> AttemptResult:
         if not isinstance(err, OSError | EOFError | h11.RemoteProtocolError):
@@ -199,7 +206,7 @@
             return AttemptResult.UNUSED  # a shortage of this node: the server must not be ejected for it
         return _result_if_sent(connection, AttemptResult.LOST)
 
-    def _take_idle(self, endpoint: m.Endpoint) -> UpstreamConnection | None:
+    def _take_idle(self, endpoint: Endpoint) -> UpstreamConnection | None:
         """Takes the most recently used connection past `MIN_IDLE_MS`, so that the others can expire."""
         connections = self.idle_connections.get(endpoint, [])
         latest_release = self.clock() - MIN_IDLE_MS
--- a/onyxpost/forwarder/lease_cache.py
+++ b/onyxpost/forwarder/lease_cache.py
@@ -13,7 +13,7 @@
 from dataclasses import asdict, dataclass
 from typing import TYPE_CHECKING, NamedTuple
 
-from onyxpost.edge.messages import LeaseGranted, LeaseRevoked
+from onyxpost.core.events import LeaseGranted, LeaseRevoked
 from onyxpost.forwarder.cached_lease import NEVER_SEEN, NOT_ACCEPTED, CachedLease, LeaseKey, SeenLease
 from onyxpost.forwarder.lease_requests import LeaseRequester
 from onyxpost.forwarder.planner_sessions import PlannerSessions
--- a/onyxpost/forwarder/planner_client.py
+++ b/onyxpost/forwarder/planner_client.py
@@ -11,19 +11,21 @@
 from onyxpost.cluster.errors import MalformedFrameError
 from onyxpost.cluster.frames import has_buffer_space
 from onyxpost.cluster.reconnect import keep_connected
-from onyxpost.edge import messages as m
-from onyxpost.edge.http1 import READ_CHUNK_BYTES
 from onyxpost.forwarder.errors import PlannerUnavailableError
 from onyxpost.forwarder.lease_cache import LeaseCache
 from onyxpost.forwarder.lease_requests import ANSWER_TIMEOUT_MS
 from onyxpost.planner import protocol
 from onyxpost.planner.errors import SlowReaderError
+from onyxpost.runtime.http1 import READ_CHUNK_BYTES
+from onyxpost.runtime.log_event import LogEvent
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from onyxpost.edge.transport import Transport
+    from onyxpost.config.address import Address
+    from onyxpost.edge.messages import EdgeEvent, ReportUnitsSpent, ReturnLease
     from onyxpost.errors import OperatorError
+    from onyxpost.runtime.transport import Transport
 
 TICK_SECONDS = 0.05
 RECONNECT_DELAY_SECONDS = 0.2
@@ -41,10 +43,10 @@
         self,
         net: Transport,
         forwarder: str,
-        members: dict[str, m.Address],
+        members: dict[str, Address],
         membership_version: int,
-        post: Callable[[m.Event], None],
-        log: Callable[[m.LogEvent], None],
+        post: Callable[[EdgeEvent], None],
+        log: Callable[[LogEvent], None],
     ) -> None:
         self.net = net
         self.members = dict(members)
@@ -72,14 +74,14 @@
             if planner not in self._connection_tasks:  # a reload during the start has begun some
                 self._connection_tasks[planner] = self._keep_connected(planner)
 
-    def report_units_spent(self, effect: m.ReportUnitsSpent) -> None:
+    def report_units_spent(self, effect: ReportUnitsSpent) -> None:
         """The policy spent units of a lease, or lacked them; may send a lease request."""
         self.cache.report_units_spent(
             self.net.clock(), effect.customer, effect.plan, effect.units, effect.lease_id
         )
         self._deliver()
 
-    def return_lease(self, effect: m.ReturnLease) -> None:
+    def return_lease(self, effect: ReturnLease) -> None:
         """The policy uses a lease no more."""
         self.cache.return_lease(effect.lease_id, effect.units)
         self._deliver()
@@ -99,7 +101,7 @@
 
     def _abort_connection(self, planner: str, error: OperatorError) -> None:
         fields = {"planner": planner, **error.fields()}
-        self.log(m.LogEvent("planner connection aborted", fields, logging.WARNING))
+        self.log(LogEvent("planner connection aborted", fields, logging.WARNING))
         writer = self.writers.pop(planner, None)
         if writer is not None:
             writer.transport.abort()
@@ -116,7 +118,7 @@
                 self._abort_connection(planner, error)
             if now - logged_at >= STATISTICS_INTERVAL_MS:
                 logged_at = now
-                self.log(m.LogEvent("lease statistics", dict(self.cache.statistics())))
+                self.log(LogEvent("lease statistics", dict(self.cache.statistics())))
 
     # Connections
 
@@ -139,7 +141,7 @@
     def _log_disconnect(self, planner: str, error: Exception) -> None:
         if not isinstance(error, MalformedFrameError):
             error = PlannerUnavailableError(f"{type(error).__name__}: {error}")
-        self.log(m.LogEvent("planner disconnected", {"planner": planner, **error.fields()}, logging.WARNING))
+        self.log(LogEvent("planner disconnected", {"planner": planner, **error.fields()}, logging.WARNING))
 
     async def _run_connection(self, planner: str) -> None:
         """Connects and handles messages until the connection ends."""
@@ -156,7 +158,7 @@
             self.writers[planner] = writer
             self.cache.handle_connected(self.net.clock(), planner, welcome)
             fields = {"planner": planner, "epoch": welcome.epoch, "version": welcome.membership_version}
-            self.log(m.LogEvent("planner connected", fields))
+            self.log(LogEvent("planner connected", fields))
             while True:
                 message = await protocol.read_planner_message(reader)
                 self.cache.handle_message(self.net.clock(), planner, message)
@@ -164,7 +166,7 @@
         finally:
             writer.transport.abort()
 
-    def update_membership(self, members: dict[str, m.Address], membership_version: int) -> bool:
+    def update_membership(self, members: dict[str, Address], membership_version: int) -> bool:
         """Follows a membership from a reloaded file; returns False for one that is not later."""
         if membership_version <= self.cache.membership_version or self._is_stopping:
             return False
--- a/onyxpost/leadership/effect_runner.py
+++ b/onyxpost/leadership/effect_runner.py
@@ -6,7 +6,6 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from onyxpost.edge.messages import LogEvent, fault_event
 from onyxpost.leadership import protocol
 from onyxpost.leadership.effects import (
     Diagnostic,
@@ -20,16 +19,17 @@
 )
 from onyxpost.leadership.errors import AcceptorLogError
 from onyxpost.leadership.service_log import ACCEPTOR_LOG_FAILED
+from onyxpost.runtime.log_event import LogEvent, fault_event
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from onyxpost.cluster.connections import PeerConnections
-    from onyxpost.edge.transport import Transport
     from onyxpost.leadership.acceptor_log import AcceptorLog
     from onyxpost.leadership.acceptor_state import AcceptorState
     from onyxpost.leadership.registry import RoleRegistry
     from onyxpost.leadership.service_log import ServiceLog
+    from onyxpost.runtime.transport import Transport
 
 
 @dataclass(frozen=True, slots=True)
--- a/onyxpost/leadership/fenced_call.py
+++ b/onyxpost/leadership/fenced_call.py
@@ -13,14 +13,14 @@
 
 import h11
 
-from onyxpost.edge.http1 import READ_CHUNK_BYTES, encode_message, limit_read_size, read_response
 from onyxpost.leadership.errors import FencedCallError, HigherFencingTokenError, NotLeaderError
+from onyxpost.runtime.http1 import READ_CHUNK_BYTES, encode_message, limit_read_size, read_response
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from onyxpost.edge import messages as m
-    from onyxpost.edge.transport import Transport
+    from onyxpost.config.address import Address
+    from onyxpost.runtime.transport import Transport
 
 RESPONSE_LIMIT_BYTES = 65536
 CAUSE_LIMIT_CHARACTERS = 200  # of an error's text in a log line
@@ -31,7 +31,7 @@
 class FencedCall:
     """One call; `timeout_ms` bounds all of it."""
 
-    address: m.Address
+    address: Address
     role: str
     fencing_token: int
     leader: str
--- a/onyxpost/leadership/service.py
+++ b/onyxpost/leadership/service.py
@@ -9,7 +9,6 @@
 from typing import TYPE_CHECKING, Any
 
 from onyxpost.cluster.failure_detector import PeerState
-from onyxpost.edge.messages import LogEvent
 from onyxpost.leadership import fenced_call
 from onyxpost.leadership.acceptor_log import AcceptorLog
 from onyxpost.leadership.ballots import NodeIdentity
@@ -30,15 +29,16 @@
     Counters,
     ServiceLog,
 )
+from onyxpost.runtime.log_event import LogEvent
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
 
     from onyxpost.cluster.connections import PeerConnections
-    from onyxpost.edge.messages import Address
-    from onyxpost.edge.transport import Transport
+    from onyxpost.config.address import Address
     from onyxpost.leadership.config import LeadershipConfig
     from onyxpost.leadership.effects import LeadershipChange
+    from onyxpost.runtime.transport import Transport
 
 TICK_SECONDS = 0.05  # a quarter of the shortest lease that the file may set
 STATISTICS_INTERVAL_MS = 10_000.0
--- a/onyxpost/leadership/service_log.py
+++ b/onyxpost/leadership/service_log.py
@@ -6,14 +6,14 @@
 from dataclasses import asdict, dataclass
 from typing import TYPE_CHECKING
 
-from onyxpost.edge.messages import LogEvent
 from onyxpost.leadership.effects import Diagnostic, DiagnosticKind, LeaseAcquired, LeaseLost
+from onyxpost.runtime.log_event import LogEvent
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from onyxpost.edge.transport import Transport
     from onyxpost.leadership.protocol import Record
+    from onyxpost.runtime.transport import Transport
 
 RATE_LIMIT_MS = 1000.0  # between two lines of one kind
 RATE_LIMITED_KINDS_LIMIT = 256  # above this all kinds are forgotten, which bounds the memory
--- a/onyxpost/edge/components.py
+++ b/onyxpost/node/components.py
@@ -5,19 +5,31 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
-from onyxpost.edge import messages as m
 from onyxpost.edge.client_listener import ClientListener
 from onyxpost.edge.descriptor_budget import DescriptorBudget
 from onyxpost.edge.discovery_client import DiscoveryClient
 from onyxpost.edge.event_processor import EventProcessor
-from onyxpost.edge.extensions import Extension, build_extensions
+from onyxpost.edge.messages import (
+    CloseAttempt,
+    Effect,
+    ReportUnitsSpent,
+    RetireEndpoint,
+    ReturnLease,
+    SendAnswer,
+    SendAttempt,
+    SendPeerMessage,
+    WatchEndpoints,
+    WithdrawAttempt,
+)
 from onyxpost.edge.peers import PeerSocket
 from onyxpost.edge.state_machine import EdgeStateMachine
 from onyxpost.edge.upstream_pool import UpstreamPool, UpstreamPoolOptions
+from onyxpost.node.extensions import Extension, build_extensions
+from onyxpost.runtime.log_event import LogEvent
 
 if TYPE_CHECKING:
-    from onyxpost.edge.config import NodeConfig
-    from onyxpost.edge.transport import Transport
+    from onyxpost.node.config import NodeConfig
+    from onyxpost.runtime.transport import Transport
 
 
 class NodeCallbacks(Protocol):
@@ -26,13 +38,13 @@
     def is_ready(self) -> bool:
         """Returns whether the node serves."""
 
-    def may_start_attempt(self, effect: m.SendAttempt, remaining_ms: float) -> bool:
+    def may_start_attempt(self, effect: SendAttempt, remaining_ms: float) -> bool:
         """Returns whether an attempt may still be written to its connection."""
 
     def descriptor_limit(self) -> int:
         """Returns how many file descriptors the node may have open."""
 
-    def log(self, event: m.LogEvent) -> None:
+    def log(self, event: LogEvent) -> None:
         """Writes to the node's log."""
 
     def report_fault(self, where: str, error: BaseException | None) -> None:
@@ -116,21 +128,21 @@
     handlers = components.events.effect_handlers
     handlers.update(
         {
-            m.SendAttempt: servers.send,
-            m.CloseAttempt: lambda effect: servers.cancel(effect.attempt_id),
-            m.WithdrawAttempt: lambda effect: servers.withdraw(effect.attempt_id),
-            m.RetireEndpoint: lambda effect: servers.retire_endpoint(effect.endpoint),
-            m.SendAnswer: clients.send_answer,
-            m.SendPeerMessage: components.peers.send,
-            m.ReportUnitsSpent: _ignore,
-            m.ReturnLease: _ignore,
-            m.WatchEndpoints: lambda _effect: discovery.start(),
-            m.LogEvent: node.log,
+            SendAttempt: servers.send,
+            CloseAttempt: lambda effect: servers.cancel(effect.attempt_id),
+            WithdrawAttempt: lambda effect: servers.withdraw(effect.attempt_id),
+            RetireEndpoint: lambda effect: servers.retire_endpoint(effect.endpoint),
+            SendAnswer: clients.send_answer,
+            SendPeerMessage: components.peers.send,
+            ReportUnitsSpent: _ignore,
+            ReturnLease: _ignore,
+            WatchEndpoints: lambda _effect: discovery.start(),
+            LogEvent: node.log,
         }
     )
     for extension in components.extensions:
         handlers.update(extension.effect_handlers())
 
 
-def _ignore(effect: m.Effect) -> None:
+def _ignore(effect: Effect) -> None:
     """Discards an effect that only an extension carries out: this node has none for it."""
--- a/onyxpost/edge/config.py
+++ b/onyxpost/node/config.py
@@ -9,12 +9,13 @@
 import msgspec
 from msgspec import Meta
 
+from onyxpost.config.address import Address, parse_address
 from onyxpost.config.cluster import ClusterSettings
 from onyxpost.config.decoding import JsonObject, Settings, decode_as, read_json_file
 from onyxpost.config.deployment import Deployment, build_deployment
 from onyxpost.config.planners import PlannerSettings
 from onyxpost.config.settings import DeploymentSettings
-from onyxpost.edge import messages as m
+from onyxpost.edge.messages import EndpointUpdate, WireEndpointUpdate, build_endpoint_update
 from onyxpost.errors import (
     ConflictingValuesError,
     InvalidAddressError,
@@ -45,7 +46,7 @@
     """
 
     membership_version: int
-    members: dict[str, m.Address]
+    members: dict[str, Address]
     safe_share: float
 
 
@@ -54,14 +55,14 @@
     """The configuration of one edge node; None for each optional part that its file does not name."""
 
     name: str
-    listen: m.Address
-    discovery: m.Address
-    alternate_discovery: m.Address | None  # the one in the file, if EDGE_DISCOVERY gives another
+    listen: Address
+    discovery: Address
+    alternate_discovery: Address | None  # the one in the file, if EDGE_DISCOVERY gives another
     seed: int
     max_descriptors: int
-    peer_listen: m.Address | None
-    peers: list[m.Address]
-    known_endpoints: m.EndpointUpdate
+    peer_listen: Address | None
+    peers: list[Address]
+    known_endpoints: EndpointUpdate
     log_level: str
     deployment: Deployment
     planners: PlannerClientConfig | None = None
@@ -88,7 +89,7 @@
     listen: str
     discovery: str
     seed: str
-    known: m.WireEndpointUpdate
+    known: WireEndpointUpdate
     settings: DeploymentSettings
     limits: LimitSettings = msgspec.field(default_factory=LimitSettings)
     peer_listen: str | None = None
@@ -182,7 +183,7 @@
         max_descriptors=file.limits.sockets,
         peer_listen=_parse_optional_address("peer_listen", file.peer_listen),
         peers=[_parse_address(f"peers[{index}]", peer) for index, peer in enumerate(file.peers)],
-        known_endpoints=m.build_endpoint_update(file.known, "$.known")._replace(complete=True),
+        known_endpoints=build_endpoint_update(file.known, "$.known")._replace(complete=True),
         log_level=file.log_level,
         zone=file.zone,
     )
@@ -227,12 +228,12 @@
     return read_section(file.leadership, tuple(sorted(cluster.membership.members)))
 
 
-def _parse_address(key: str, text: str) -> m.Address:
+def _parse_address(key: str, text: str) -> Address:
     try:
-        return m.parse_address(text)
+        return parse_address(text)
     except InvalidAddressError as error:
         raise InvalidAddressError(f"{error.what} - at `$.{key}`") from error
 
 
-def _parse_optional_address(key: str, text: str | None) -> m.Address | None:
+def _parse_optional_address(key: str, text: str | None) -> Address | None:
     return _parse_address(key, text) if text else None
--- a/onyxpost/edge/node.py
+++ b/onyxpost/node/edge_node.py
@@ -7,19 +7,21 @@
 from enum import Enum
 from typing import TYPE_CHECKING, Any
 
-from onyxpost.edge import messages as m
-from onyxpost.edge.components import build_components
-from onyxpost.edge.reload import compare_configs
-from onyxpost.edge.shutdown import wait_unless_stopped
-from onyxpost.edge.socket_transport import SocketTransport
+from onyxpost.core.events import RoutingRulesChanged
+from onyxpost.edge.messages import ClientDisconnected, SendAttempt
 from onyxpost.errors import InvalidInputError
+from onyxpost.node.components import build_components
+from onyxpost.node.reload import compare_configs
+from onyxpost.node.shutdown import wait_unless_stopped
+from onyxpost.runtime.log_event import LogEvent, fault_event
+from onyxpost.runtime.socket_transport import SocketTransport
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from onyxpost.edge.config import NodeConfig
-    from onyxpost.edge.structured_log import StructuredLog
-    from onyxpost.edge.transport import Transport
+    from onyxpost.node.config import NodeConfig
+    from onyxpost.runtime.structured_log import StructuredLog
+    from onyxpost.runtime.transport import Transport
 
 SWEEP_INTERVAL_SECONDS = 0.25  # between searches for connections that exceed a timeout
 INITIAL_ENDPOINTS_TIMEOUT_MS = 500.0
@@ -109,8 +111,8 @@
             await self.peers.listen(self.config.peer_listen)
         self.events.inbox.append(self.config.known_endpoints)
         if self.routing_rules is not None:
-            self.events.inbox.append(m.RoutingRulesChanged(self.routing_rules))
-            self.log(m.LogEvent("routing rules applied", self.routing_rules.log_fields()))
+            self.events.inbox.append(RoutingRulesChanged(self.routing_rules))
+            self.log(LogEvent("routing rules applied", self.routing_rules.log_fields()))
         self.events.run_round()
         if not self.config.deployment.polls_endpoints:
             self.discovery.start()
@@ -157,7 +159,7 @@
 
     def _enter(self, phase: Phase) -> None:
         self.phase = phase
-        self.log(m.LogEvent("phase", {"phase": phase.value, "owed": self.state_machine.unanswered_count}))
+        self.log(LogEvent("phase", {"phase": phase.value, "owed": self.state_machine.unanswered_count}))
 
     # Reload
 
@@ -172,7 +174,7 @@
             for extension in self.extensions:
                 extension.validate_reload(new)
         except InvalidInputError as error:
-            self.log(m.LogEvent("reload refused", dict(error.fields()), logging.WARNING))
+            self.log(LogEvent("reload refused", dict(error.fields()), logging.WARNING))
             return
         change = compare_configs(self.config, new, self.routing_rules is not None)
         self._reload_routing_rules(new)
@@ -182,21 +184,21 @@
         for extension in self.extensions:
             restart_keys += extension.apply_reload(new)
         address = "{}:{}".format(*new.discovery)
-        self.log(m.LogEvent("reloaded", {"discovery": address, "after restart": restart_keys}))
+        self.log(LogEvent("reloaded", {"discovery": address, "after restart": restart_keys}))
 
     def _reload_routing_rules(self, new: NodeConfig) -> None:
         if new.routing_rules_path is None:
             return
-        from onyxpost.edge.rules_reload import reload_rules  # imported only by nodes that have rules
+        from onyxpost.node.rules_reload import reload_rules  # imported only by nodes that have rules
 
         rules = reload_rules(new, self.config, self.routing_rules, self.log)
         if rules is not None:
             self.routing_rules = rules
-            self.events.post(m.RoutingRulesChanged(rules))
+            self.events.post(RoutingRulesChanged(rules))
 
     # Callbacks of the components
 
-    def may_start_attempt(self, effect: m.SendAttempt, remaining_ms: float) -> bool:
+    def may_start_attempt(self, effect: SendAttempt, remaining_ms: float) -> bool:
         """Returns whether an attempt may still be written; checked just before its first byte.
 
         While the attempt waited for its connection, the client may have disconnected, the server may have
@@ -204,7 +206,7 @@
         attempt would reach the server after its request was answered.
         """
         if not self.clients.is_waiting(effect.request.connection_id):
-            self.events.post(m.ClientDisconnected(effect.request.connection_id))
+            self.events.post(ClientDisconnected(effect.request.connection_id))
             return False
         is_in_time = remaining_ms > self.config.deployment.tick_ms and self.clock() < effect.begin_before
         return is_in_time and self.state_machine.endpoints.accepts_attempts(effect.endpoint)
@@ -221,13 +223,13 @@
 
     # Log
 
-    def log(self, event: m.LogEvent) -> None:
+    def log(self, event: LogEvent) -> None:
         """Writes to the node's log."""
         self.event_log.write(self.clock(), event.event, event.fields, event.level)
 
     def report_fault(self, where: str, error: BaseException | None) -> None:
         """Logs an unexpected exception."""
-        self.log(m.fault_event(where, error))
+        self.log(fault_event(where, error))
 
     def _handle_loop_error(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
--- a/onyxpost/edge/extensions.py
+++ b/onyxpost/node/extensions.py
@@ -8,16 +8,17 @@
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING, Any, TypeVar
 
-from onyxpost.edge import messages as m
+from onyxpost.edge.messages import EdgeEvent, ReportUnitsSpent, ReturnLease
 from onyxpost.errors import StaleVersionError
 
 if TYPE_CHECKING:
     from onyxpost.cluster.connections import PeerConnections
     from onyxpost.cluster.membership import ClusterConfig
-    from onyxpost.edge.config import NodeConfig, PlannerClientConfig
-    from onyxpost.edge.transport import Transport
     from onyxpost.forwarder.planner_client import PlannerClient
     from onyxpost.leadership.service import LeadershipService
+    from onyxpost.node.config import NodeConfig, PlannerClientConfig
+    from onyxpost.runtime.log_event import LogEvent
+    from onyxpost.runtime.transport import Transport
 
 MessageHandler = Callable[[str, bytes], None]
 """Called with a message's sender and body; must not block."""
@@ -77,8 +78,8 @@
     def effect_handlers(self) -> dict[type, Callable[[Any], None]]:
         """Returns the client's functions that report spent units and return leases."""
         return {
-            m.ReportUnitsSpent: self.client.report_units_spent,
-            m.ReturnLease: self.client.return_lease,
+            ReportUnitsSpent: self.client.report_units_spent,
+            ReturnLease: self.client.return_lease,
         }
 
     async def start(self) -> None:
@@ -119,7 +120,7 @@
         net: Transport,
         name: str,
         config: ClusterConfig,
-        log: Callable[[m.LogEvent], None],
+        log: Callable[[LogEvent], None],
     ) -> None:
         from onyxpost.cluster.connections import PeerConnections
         from onyxpost.cluster.incarnation import Incarnation
@@ -188,8 +189,8 @@
 def build_extensions(
     config: NodeConfig,
     net: Transport,
-    post: Callable[[m.Event], None],
-    log: Callable[[m.LogEvent], None],
+    post: Callable[[EdgeEvent], None],
+    log: Callable[[LogEvent], None],
 ) -> list[Extension]:
     """Builds the optional parts that `config` names, in the order in which they start."""
     extensions: list[Extension] = []
@@ -210,8 +211,8 @@
     name: str,
     config: PlannerClientConfig,
     net: Transport,
-    post: Callable[[m.Event], None],
-    log: Callable[[m.LogEvent], None],
+    post: Callable[[EdgeEvent], None],
+    log: Callable[[LogEvent], None],
 ) -> PlannerExtension:
     from onyxpost.forwarder.planner_client import PlannerClient
 
--- a/onyxpost/edge/rules_reload.py
+++ b/onyxpost/node/rules_reload.py
@@ -5,15 +5,15 @@
 import logging
 from typing import TYPE_CHECKING
 
-from onyxpost.edge.messages import LogEvent
 from onyxpost.errors import InvalidInputError
 from onyxpost.rollout.routing_rules.context import RoutingContext
 from onyxpost.rollout.routing_rules.file import read_newer_rules
+from onyxpost.runtime.log_event import LogEvent
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from onyxpost.edge.config import NodeConfig
+    from onyxpost.node.config import NodeConfig
     from onyxpost.rollout.routing_rules.compiled import CompiledRules
 
 
--- a/onyxpost/edge/serve.py
+++ b/onyxpost/node/serve.py
@@ -7,13 +7,13 @@
 from typing import TYPE_CHECKING, Any
 
 from onyxpost import process
-from onyxpost.edge import config
-from onyxpost.edge.node import EdgeNode
+from onyxpost.node import config
+from onyxpost.node.edge_node import EdgeNode
 
 if TYPE_CHECKING:
     from collections.abc import Coroutine
 
-    from onyxpost.edge.structured_log import StructuredLog
+    from onyxpost.runtime.structured_log import StructuredLog
 
 
 def serve() -> int:
--- a/onyxpost/planner/planner.py
+++ b/onyxpost/planner/planner.py
@@ -11,18 +11,18 @@
 from onyxpost.cluster.errors import MalformedFrameError
 from onyxpost.cluster.frames import has_buffer_space
 from onyxpost.cluster.unidentified import UnidentifiedConnections
-from onyxpost.edge.socket_transport import SocketTransport
 from onyxpost.errors import InvalidInputError
 from onyxpost.planner import protocol
 from onyxpost.planner.errors import SlowReaderError
 from onyxpost.planner.lease_coordinator import LeaseCoordinator
+from onyxpost.runtime.socket_transport import SocketTransport
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from onyxpost.edge.structured_log import StructuredLog
-    from onyxpost.edge.transport import Listener, Transport
     from onyxpost.planner.config import PlannerConfig
+    from onyxpost.runtime.structured_log import StructuredLog
+    from onyxpost.runtime.transport import Listener, Transport
 
 TICK_SECONDS = 0.05
 STATISTICS_INTERVAL_MS = 10_000.0
--- a/onyxpost/process.py
+++ b/onyxpost/process.py
@@ -8,8 +8,8 @@
 from enum import IntEnum
 from typing import TYPE_CHECKING, Any, Protocol, TypeVar
 
-from onyxpost.edge.structured_log import StructuredLog
 from onyxpost.errors import InvalidInputError, ListenError, OperatingSystemError, OperatorError
+from onyxpost.runtime.structured_log import StructuredLog
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
--- a/onyxpost/edge/http1.py
+++ b/onyxpost/runtime/http1.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from onyxpost.edge.errors import TruncatedResponseError
+from onyxpost.runtime.errors import TruncatedResponseError
 
 if TYPE_CHECKING:
     import asyncio
--- a/onyxpost/edge/socket_transport.py
+++ b/onyxpost/runtime/socket_transport.py
@@ -12,14 +12,14 @@
 import time
 from typing import TYPE_CHECKING
 
-from onyxpost.edge.transport import CountingReader, DialedConnection, FlowControlProtocol, Unread
 from onyxpost.errors import ListenError
+from onyxpost.runtime.transport import CountingReader, DialedConnection, FlowControlProtocol, Unread
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from onyxpost.config.address import Address
-    from onyxpost.edge.transport import ConnectionHandler
+    from onyxpost.runtime.transport import ConnectionHandler
 
 # Descriptors that are not sockets of the node: standard streams, the event loop's and the interpreter's.
 RESERVED_DESCRIPTORS = 16
--- a/onyxpost/edge/structured_log.py
+++ b/onyxpost/runtime/structured_log.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-MAX_CAUSE_CHARS = 4000  # of a traceback, whose end names the exception
+from onyxpost.runtime.log_event import MAX_CAUSE_CHARS
 
 
 class _Entry(NamedTuple):
--- a/onyxpost/simulation/cli_sockets.py
+++ b/onyxpost/simulation/cli_sockets.py
@@ -35,11 +35,12 @@
     out: Path | None,
 ) -> None:
     """Send open-loop load to the node at ADDRESS, on loopback only."""
-    from onyxpost.edge import config, messages
+    from onyxpost.config.address import parse_address
+    from onyxpost.node import config
     from onyxpost.simulation import load as sending
 
     wanted = sending.bounded(sending.Load(rate, seconds, customers, connections, seed))
-    where = sending.loopback(messages.parse_address(address))
+    where = sending.loopback(parse_address(address))
     known = config.read({"EDGE_CONFIG": str(file)}).deployment
     counts = sending.send(where, known, wanted)
     click.echo(sending.text(counts))
@@ -70,12 +71,12 @@
     """Stand-in app servers and discovery for one node, whose file is written to OUT."""
     import asyncio
 
-    from onyxpost.edge import messages
+    from onyxpost.config.address import parse_address
     from onyxpost.simulation import stub_upstreams as standing
     from onyxpost.simulation.load import loopback
 
     told_faults = standing.script(faults, servers) if faults is not None else standing.Script()
-    at = loopback(messages.parse_address(discovery))
+    at = loopback(parse_address(discovery))
     place = standing.Stand(servers, delay, port, at)
 
     def ready() -> None:
--- a/onyxpost/simulation/demo.py
+++ b/onyxpost/simulation/demo.py
@@ -23,7 +23,7 @@
 import h11
 import msgspec
 
-from onyxpost.edge.http1 import READ_CHUNK_BYTES, encode_message
+from onyxpost.runtime.http1 import READ_CHUNK_BYTES, encode_message
 from onyxpost.simulation.errors import NotStarted
 from onyxpost.simulation.stub_upstreams import Stand, write_node
 
--- a/onyxpost/simulation/deterministic/cluster.py
+++ b/onyxpost/simulation/deterministic/cluster.py
@@ -14,10 +14,10 @@
 import h11
 
 from onyxpost.core.types import Idempotency
-from onyxpost.edge import config as nodes
-from onyxpost.edge import messages as m
-from onyxpost.edge.http1 import encode_message
-from onyxpost.edge.node import EdgeNode
+from onyxpost.edge.messages import LIFECYCLE_STATES
+from onyxpost.node import config as nodes
+from onyxpost.node.edge_node import EdgeNode
+from onyxpost.runtime.http1 import encode_message
 from onyxpost.simulation.deterministic.discovery_agent import FailingAgent
 from onyxpost.simulation.invariants import ANSWERS, Rules
 from onyxpost.simulation.invariants.endpoint_knowledge import COUNTS
@@ -197,7 +197,7 @@
     def list_told(self, number: int, rows: list[dict[str, Any]]) -> None:
         for row in rows:
             self.rules.list_told(
-                self.now(), f"n{number}", row["instanceId"], m.LIFECYCLE_STATES[row["lifecycle"]]
+                self.now(), f"n{number}", row["instanceId"], LIFECYCLE_STATES[row["lifecycle"]]
             )
 
     def held(self, agent: FailingAgent, rows: list[dict[str, Any]]) -> None:
@@ -211,7 +211,7 @@
             self.list_told(agent.number, rows)
             return
         for row in rows:
-            standing = m.LIFECYCLE_STATES[row["lifecycle"]]
+            standing = LIFECYCLE_STATES[row["lifecycle"]]
             self.rules.discovery_has(now, edge.name, row["instanceId"], standing, within)
 
     def server_started(self, server: AppServer) -> None:
--- a/onyxpost/simulation/deterministic/discovery_agent.py
+++ b/onyxpost/simulation/deterministic/discovery_agent.py
@@ -6,8 +6,8 @@
 import contextlib
 from typing import Any, Protocol
 
-from onyxpost.edge import messages as m
-from onyxpost.edge.transport import Transport
+from onyxpost.config.address import Address
+from onyxpost.runtime.transport import Transport
 from onyxpost.simulation.stubs import Agent, Watching
 
 LIFE = ("up", "draining", "removed")
@@ -28,7 +28,7 @@
     the last whole answer, and what it holds does not count as told at once.
     """
 
-    def __init__(self, net: Transport, watching: Holding, number: int, address: m.Address) -> None:
+    def __init__(self, net: Transport, watching: Holding, number: int, address: Address) -> None:
         super().__init__(net, watching, number, address)
         self.holding = watching
         self.how = ""
--- a/onyxpost/simulation/deterministic/seed_run.py
+++ b/onyxpost/simulation/deterministic/seed_run.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from onyxpost.edge.node import EdgeNode
+from onyxpost.node.edge_node import EdgeNode
 from onyxpost.simulation import virtual_time
 from onyxpost.simulation.deterministic.cluster import PATIENT, SETTINGS, Cluster
 from onyxpost.simulation.deterministic.fault_script import EDGES, SERVERS, Fault, ends, script
--- a/onyxpost/simulation/load.py
+++ b/onyxpost/simulation/load.py
@@ -15,10 +15,10 @@
 import h11
 from hdrh.histogram import HdrHistogram
 
+from onyxpost.config.address import Address
 from onyxpost.config.deployment import Deployment
 from onyxpost.core.types import Frontend, Idempotency
-from onyxpost.edge import messages as m
-from onyxpost.edge.http1 import READ_CHUNK_BYTES, encode_message
+from onyxpost.runtime.http1 import READ_CHUNK_BYTES, encode_message
 from onyxpost.simulation.errors import BadOption, NotLoopback
 
 REQS_MOST, SECONDS_MOST, OPEN_MOST = 1_000_000, 3600.0, 20_000
@@ -35,7 +35,7 @@
     seed: int
 
 
-def loopback(address: m.Address) -> m.Address:
+def loopback(address: Address) -> Address:
     try:
         if ipaddress.ip_address(address[0]).is_loopback:
             return address
@@ -111,7 +111,7 @@
 
 
 class Sender:
-    def __init__(self, address: m.Address, told: Deployment, load: Load) -> None:
+    def __init__(self, address: Address, told: Deployment, load: Load) -> None:
         self.address, self.told, self.load = loopback(address), told, bounded(load)
         self.chance, self.counts = Random(load.seed), Counts()
         self.idle: list[Client] = []
@@ -195,7 +195,7 @@
         return Client(*streams)
 
 
-def send(address: m.Address, told: Deployment, load: Load) -> Counts:
+def send(address: Address, told: Deployment, load: Load) -> Counts:
     return asyncio.run(Sender(address, told, load).run())
 
 
--- a/onyxpost/simulation/model_checking/virtual_nodes.py
+++ b/onyxpost/simulation/model_checking/virtual_nodes.py
@@ -10,12 +10,13 @@
 from onyxpost.cluster.connections import PeerConnections
 from onyxpost.cluster.incarnation import Incarnation
 from onyxpost.cluster.membership import Membership
-from onyxpost.edge import messages as m
+from onyxpost.config.address import Address
 from onyxpost.leadership.config import LeadershipConfig
 from onyxpost.leadership.lease_timing import LeaseTiming
 from onyxpost.leadership.membership import AcceptorSet
 from onyxpost.leadership.service import LeadershipService
 from onyxpost.leadership.service_log import LEASE_ACQUIRED
+from onyxpost.runtime.log_event import LogEvent
 from onyxpost.simulation import virtual_time
 
 ACTS = ("10.9.0.1", 80)
@@ -38,7 +39,7 @@
         else:
             self.leadership.handle_message(sender, body)
 
-    def log(self, log: m.LogEvent) -> None:
+    def log(self, log: LogEvent) -> None:
         self.town.logs.append((self.town.now(), self.name, log))
 
     async def start(self) -> None:
@@ -57,7 +58,7 @@
         duties: int = 1,
         voters: int = 3,
         terms: LeaseTiming | None = None,
-        acts: m.Address | None = None,
+        acts: Address | None = None,
     ) -> None:
         self.net, self.lives = virtual_time.Network(Random(f"{seed}/net")), 0
         names = [f"n{i:02d}" for i in range(size)]
@@ -68,7 +69,7 @@
             chosen, called, tuple(names), {}, terms or LeaseTiming(), None, acts, 250.0
         )
         self.nodes: dict[str, Node] = {}
-        self.logs: list[tuple[float, str, m.LogEvent]] = []
+        self.logs: list[tuple[float, str, LogEvent]] = []
         self.cut: set[tuple[str, str]] = set()
         self.net.silent = lambda here, there: (here, there) in self.cut  # type: ignore[method-assign]
         self.overlaps = 0
--- a/onyxpost/simulation/multiprocess/edge_environment.py
+++ b/onyxpost/simulation/multiprocess/edge_environment.py
@@ -14,7 +14,7 @@
 
 from onyxpost.config import deployment
 from onyxpost.core.types import EndpointState
-from onyxpost.edge.socket_transport import SocketTransport
+from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.simulation.deterministic.cluster import LARGEST, SETTINGS, ZONES
 from onyxpost.simulation.multiprocess.checker import Event, Judge, faults
 from onyxpost.simulation.multiprocess.edge_invariants import Edge
--- a/onyxpost/simulation/multiprocess/fenced_resource.py
+++ b/onyxpost/simulation/multiprocess/fenced_resource.py
@@ -13,7 +13,7 @@
 
 import h11
 
-from onyxpost.edge.http1 import encode_message
+from onyxpost.runtime.http1 import encode_message
 from onyxpost.simulation.stubs import whole
 
 DUTY = re.compile(rb"/acts/([A-Za-z0-9_.-]{1,100})")
--- a/onyxpost/simulation/multiprocess/leadership_environment.py
+++ b/onyxpost/simulation/multiprocess/leadership_environment.py
@@ -7,8 +7,8 @@
 from collections.abc import Sequence
 from typing import Any
 
-from onyxpost.edge.socket_transport import SocketTransport
 from onyxpost.leadership.service_log import LEASE_ACQUIRED, RECORD_COMMITTED
+from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.simulation.deterministic.cluster import SETTINGS
 from onyxpost.simulation.multiprocess import leadership_invariants
 from onyxpost.simulation.multiprocess.checker import Event, Judge, faults
--- a/onyxpost/simulation/multiprocess/leadership_mutations.py
+++ b/onyxpost/simulation/multiprocess/leadership_mutations.py
@@ -7,12 +7,12 @@
 
 from msgspec.structs import replace
 
-from onyxpost.edge.extensions import ClusterExtension, find_extension
-from onyxpost.edge.node import EdgeNode
 from onyxpost.leadership.ballots import NO_BALLOT
 from onyxpost.leadership.candidate import Candidate
 from onyxpost.leadership.leader import Leader
 from onyxpost.leadership.protocol import EMPTY_RECORD
+from onyxpost.node.edge_node import EdgeNode
+from onyxpost.node.extensions import ClusterExtension, find_extension
 
 CARELESS = "careless"  # the taker's: fences are not looked at
 
--- a/onyxpost/simulation/multiprocess/load_generator.py
+++ b/onyxpost/simulation/multiprocess/load_generator.py
@@ -8,7 +8,7 @@
 import h11
 
 from onyxpost.core.types import Frontend, Idempotency
-from onyxpost.edge.http1 import READ_CHUNK_BYTES, encode_message, read_response
+from onyxpost.runtime.http1 import READ_CHUNK_BYTES, encode_message, read_response
 from onyxpost.simulation.multiprocess.scenario_environment import Ground
 
 CROSSING = 250.0  # ms past its time in which an answer is still heard
--- a/onyxpost/simulation/multiprocess/mutated_program.py
+++ b/onyxpost/simulation/multiprocess/mutated_program.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from onyxpost.edge import serve
-from onyxpost.edge.node import EdgeNode
+from onyxpost.node import serve
+from onyxpost.node.edge_node import EdgeNode
 from onyxpost.simulation.multiprocess import leadership_mutations
 from onyxpost.simulation.mutations import PLANTS as OF_REQS
 
--- a/onyxpost/simulation/mutations.py
+++ b/onyxpost/simulation/mutations.py
@@ -8,8 +8,8 @@
 
 from onyxpost.core.events import RequestArrived
 from onyxpost.core.types import AttemptResult, EndpointState
-from onyxpost.edge import messages as m
-from onyxpost.edge.node import EdgeNode
+from onyxpost.edge.messages import ClientDisconnected, SendAnswer
+from onyxpost.node.edge_node import EdgeNode
 
 
 def _resends_all(program: EdgeNode) -> None:
@@ -48,8 +48,8 @@
 
     def careless(now: float, values: Any) -> Any:
         effects = step(now, values)
-        if any(isinstance(value, m.ClientDisconnected) for value in values):
-            effects = [effect for effect in effects if not isinstance(effect, m.SendAnswer)]
+        if any(isinstance(value, ClientDisconnected) for value in values):
+            effects = [effect for effect in effects if not isinstance(effect, SendAnswer)]
         return effects
 
     state_machine.step = careless  # type: ignore[assignment, method-assign]
@@ -78,7 +78,7 @@
     post = program.clients.post
 
     def careless(value: Any) -> None:
-        if not isinstance(value, m.ClientDisconnected):
+        if not isinstance(value, ClientDisconnected):
             post(value)
 
     program.clients.post = careless
--- a/onyxpost/simulation/planner_cluster/files.py
+++ b/onyxpost/simulation/planner_cluster/files.py
@@ -11,7 +11,7 @@
 )
 
 if TYPE_CHECKING:
-    from onyxpost.edge import messages as m
+    from onyxpost.config.address import Address
     from onyxpost.simulation.planner_cluster.options import ClusterOptions
 
 PLAN = "p"
@@ -49,7 +49,7 @@
 
 
 def node_file(
-    options: ClusterOptions, ports: ClusterPorts, index: int, discovery: m.Address, known: dict[str, Any]
+    options: ClusterOptions, ports: ClusterPorts, index: int, discovery: Address, known: dict[str, Any]
 ) -> dict[str, Any]:
     """Content of a forwarder's file; `known` are the servers that it knows at its start."""
     fields = {
--- a/onyxpost/simulation/planner_cluster/runner.py
+++ b/onyxpost/simulation/planner_cluster/runner.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from onyxpost.edge.socket_transport import SocketTransport
+from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.simulation.errors import NotStarted
 from onyxpost.simulation.planner_cluster.files import (
     ClusterPorts,
@@ -28,8 +28,8 @@
 from onyxpost.simulation.stubs import Agent, AppServer, Nobody
 
 if TYPE_CHECKING:
-    from onyxpost.edge import messages as m
-    from onyxpost.edge.transport import Listener
+    from onyxpost.config.address import Address
+    from onyxpost.runtime.transport import Listener
 
 APP_SERVERS = 4
 APP_SERVER_DELAY_MS = 5.0
@@ -161,8 +161,8 @@
                 await self._start_planner(index)
 
 
-def _bound_address(listener: Listener | None) -> m.Address:
+def _bound_address(listener: Listener | None) -> Address:
     if listener is None:
         raise ValueError("not listening")
-    address: m.Address = listener.sockets[0].getsockname()
+    address: Address = listener.sockets[0].getsockname()
     return address
--- a/onyxpost/simulation/stub_upstreams.py
+++ b/onyxpost/simulation/stub_upstreams.py
@@ -12,10 +12,10 @@
 import msgspec
 from msgspec import Meta
 
+from onyxpost.config.address import Address
 from onyxpost.config.decoding import read_json_file
 from onyxpost.core.types import EndpointState
-from onyxpost.edge import messages as m
-from onyxpost.edge.socket_transport import SocketTransport
+from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.simulation.errors import BadScript, NoSuchFile, NotWritten
 from onyxpost.simulation.stubs import Agent, AppServer, Nobody
 
@@ -51,7 +51,7 @@
 class Stand:
     """What one node speaks to, on addresses of 127.0.0.1."""
 
-    def __init__(self, servers: int, delay: float, first_port: int, discovery: m.Address) -> None:
+    def __init__(self, servers: int, delay: float, first_port: int, discovery: Address) -> None:
         self.net, self.first_port = SocketTransport(), first_port
         self.agent = Agent(self.net, Nobody(), 0, discovery)
         self.servers = [self.server(number, 0, delay) for number in range(servers)]
--- a/onyxpost/simulation/stubs.py
+++ b/onyxpost/simulation/stubs.py
@@ -11,10 +11,10 @@
 import h11
 import msgspec
 
+from onyxpost.config.address import Address
 from onyxpost.core.types import EndpointState
-from onyxpost.edge import messages as m
-from onyxpost.edge.http1 import READ_CHUNK_BYTES, encode_message
-from onyxpost.edge.transport import Listener, Transport
+from onyxpost.runtime.http1 import READ_CHUNK_BYTES, encode_message
+from onyxpost.runtime.transport import Listener, Transport
 
 LIFECYCLES = {EndpointState.READY: "up", EndpointState.DRAINING: "draining", EndpointState.GONE: "removed"}
 LIMIT, ACCEPTS = 65536, 16
@@ -66,7 +66,7 @@
     """A stand-in with a mind of its own about what to answer."""
 
     def __init__(
-        self, net: Transport, watching: Watching, number: int, life: int, address: m.Address, zone: str
+        self, net: Transport, watching: Watching, number: int, life: int, address: Address, zone: str
     ) -> None:
         self.host = f"s{number}.{life}"
         self.net, self.watching, self.number, self.life = net, watching, number, life
@@ -149,7 +149,7 @@
 class Agent:
     """One node's discovery agent."""
 
-    def __init__(self, net: Transport, watching: Watching, number: int, address: m.Address) -> None:
+    def __init__(self, net: Transport, watching: Watching, number: int, address: Address) -> None:
         self.net, self.watching, self.number, self.address = net, watching, number, address
         self.generation = 1
         self.changed = asyncio.Event()
--- a/onyxpost/simulation/virtual_time/__init__.py
+++ b/onyxpost/simulation/virtual_time/__init__.py
@@ -1,6 +1,6 @@
 """An asyncio event loop whose time jumps to what is due next, and a network in memory that can fail.
 
-The edge node's own code runs on it unchanged: only `onyxpost.edge.transport.Transport` is
+The edge node's own code runs on it unchanged: only `onyxpost.runtime.transport.Transport` is
 implemented anew.
 """
 
--- a/onyxpost/simulation/virtual_time/network.py
+++ b/onyxpost/simulation/virtual_time/network.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import Any
 
-from onyxpost.edge import messages as m
-from onyxpost.edge.transport import ConnectionHandler, CountingReader, DialedConnection, Unread
+from onyxpost.config.address import Address
+from onyxpost.runtime.transport import ConnectionHandler, CountingReader, DialedConnection, Unread
 from onyxpost.simulation.virtual_time.wires import End, Wire
 
 EPOCH = 1_000_000_000_000.0  # Unix ms at a run's start
@@ -18,7 +18,7 @@
 class Listening:
     """A listener in memory, with `asyncio.Server`'s way of being closed."""
 
-    def __init__(self, net: Network, address: m.Address, serve: ConnectionHandler, limit: int) -> None:
+    def __init__(self, net: Network, address: Address, serve: ConnectionHandler, limit: int) -> None:
         self.net, self.address, self.serve, self.limit = net, address, serve, limit
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -37,9 +37,9 @@
     def __init__(self, chance: Random) -> None:
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
         self.chance = chance
-        self.listeners: dict[m.Address, Listening] = {}
-        self.hosts: dict[m.Address, str] = {}
-        self.datagram: dict[m.Address, tuple[str, asyncio.DatagramProtocol]] = {}
+        self.listeners: dict[Address, Listening] = {}
+        self.hosts: dict[Address, str] = {}
+        self.datagram: dict[Address, tuple[str, asyncio.DatagramProtocol]] = {}
         self.cut_off: set[str] = set()  # hosts that are not heard and hear nobody
         self.loses = 0.0  # share of datagrams lost
         self.late: dict[str, float] = {}  # s by which connections to a host come up late
@@ -56,7 +56,7 @@
     def host(self, name: str) -> Hosted:
         return Hosted(self, name)
 
-    async def dial(self, name: str, address: m.Address, limit: int) -> DialedConnection:
+    async def dial(self, name: str, address: Address, limit: int) -> DialedConnection:
         await asyncio.sleep(2.0 * self.delay(name, str(address)))
         there = self.hosts.get(address, "")
         if there in self.late:
@@ -106,19 +106,19 @@
             if not wire.broken and not wire.ends[0].lost:
                 wire.snap(self.loop.time())
 
-    def sendto(self, name: str, source: m.Address, data: bytes, address: m.Address) -> None:
+    def sendto(self, name: str, source: Address, data: bytes, address: Address) -> None:
         there = self.hosts.get(address, "")
         if self.silent(name, there) or self.chance.random() < self.loses:
             return
         self.loop.call_later(self.delay(name, there), self.arrive, source, data, address)
 
-    def arrive(self, source: m.Address, data: bytes, address: m.Address) -> None:
+    def arrive(self, source: Address, data: bytes, address: Address) -> None:
         if address in self.datagram:
             self.datagram[address][1].datagram_received(data, source)
 
 
 class _Datagrams(asyncio.DatagramTransport):
-    def __init__(self, net: Network, name: str, address: m.Address) -> None:
+    def __init__(self, net: Network, name: str, address: Address) -> None:
         super().__init__()
         self.net, self.name, self.address = net, name, address
 
@@ -130,7 +130,7 @@
 
 
 class Hosted:
-    """The network as one host has it: `onyxpost.edge.transport.Transport`."""
+    """The network as one host has it: `onyxpost.runtime.transport.Transport`."""
 
     def __init__(self, net: Network, name: str) -> None:
         self.net, self.name = net, name
@@ -143,16 +143,14 @@
     def monotonic(self) -> float:
         return self.net.loop.time() * 1000.0
 
-    async def listen(
-        self, serve: ConnectionHandler, address: m.Address, limit: int, accepts: int
-    ) -> Listening:
+    async def listen(self, serve: ConnectionHandler, address: Address, limit: int, accepts: int) -> Listening:
         if address in self.net.listeners:
             raise OSError(f"{address} is taken")
         self.net.hosts[address] = self.name
         listener = self.net.listeners[address] = Listening(self.net, address, serve, limit)
         return listener
 
-    async def dial(self, address: m.Address, limit: int) -> DialedConnection:
+    async def dial(self, address: Address, limit: int) -> DialedConnection:
         return await self.net.dial(self.name, address, limit)
 
     def unread(self, transport: asyncio.BaseTransport) -> Unread:
@@ -161,7 +159,7 @@
             return Unread.END
         return Unread.BYTES if transport.waiting else Unread.NOTHING
 
-    async def open_datagram_endpoint(self, protocol: asyncio.DatagramProtocol, address: m.Address) -> None:
+    async def open_datagram_endpoint(self, protocol: asyncio.DatagramProtocol, address: Address) -> None:
         self.net.hosts[address] = self.name
         self.net.datagram[address] = self.name, protocol
         protocol.connection_made(_Datagrams(self.net, self.name, address))
--- a/tests/cluster/test_loopback.py
+++ b/tests/cluster/test_loopback.py
@@ -17,9 +17,10 @@
 from onyxpost.cluster.listener import MAX_UNIDENTIFIED
 from onyxpost.cluster.membership import Membership
 from onyxpost.cluster.protocol import Hello, Payload, Ping, read_message
-from onyxpost.edge import messages as m
-from onyxpost.edge.extensions import ClusterExtension, find_extension
-from onyxpost.edge.socket_transport import SocketTransport
+from onyxpost.config.address import Address
+from onyxpost.node.extensions import ClusterExtension, find_extension
+from onyxpost.runtime.log_event import LogEvent
+from onyxpost.runtime.socket_transport import SocketTransport
 from tests.edge.harness import RunningNode, StubAppServer, node_fields
 
 TOPIC = "t"
@@ -33,9 +34,9 @@
 
 def peer_connections(
     name: str,
-    members: dict[str, m.Address],
+    members: dict[str, Address],
     on_message: Callable[[str, str, bytes], None] = discard,
-    log: Callable[[m.LogEvent], None] = discard,
+    log: Callable[[LogEvent], None] = discard,
 ) -> PeerConnections:
     member = PeerConnections(
         SocketTransport(), name, Incarnation(1, "x"), Membership(1, members), on_message, log
@@ -44,7 +45,7 @@
     return member
 
 
-async def listen(member: PeerConnections) -> m.Address:
+async def listen(member: PeerConnections) -> Address:
     """Listens at any free port and returns the address."""
     await member.listen(("127.0.0.1", 0))
     assert member.listener.server is not None
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -11,8 +11,8 @@
     members_to_disconnect,
     supersedes,
 )
-from onyxpost.edge import config
 from onyxpost.errors import InvalidInputError
+from onyxpost.node import config
 from tests.edge.harness import node_fields
 
 MEMBERS = {"n0": "10.0.0.1:7", "n1": "10.0.0.2:7"}
--- a/tests/cluster/virtual_cluster.py
+++ b/tests/cluster/virtual_cluster.py
@@ -13,8 +13,9 @@
 from onyxpost.cluster.incarnation import Incarnation
 from onyxpost.cluster.membership import Membership
 from onyxpost.cluster.protocol import Hello
-from onyxpost.edge import messages as m
-from onyxpost.edge.transport import DialedConnection
+from onyxpost.config.address import Address
+from onyxpost.runtime.log_event import LogEvent
+from onyxpost.runtime.transport import DialedConnection
 from onyxpost.simulation import virtual_time
 
 TOPIC = "t"
@@ -32,7 +33,7 @@
     body: bytes
 
 
-def address_of(name: str) -> m.Address:
+def address_of(name: str) -> Address:
     return f"10.8.0.{name[1:]}", 7100
 
 
@@ -62,7 +63,7 @@
         self.membership = membership_of(1, *self.names)
         self.members: dict[str, PeerConnections] = {}
         self.received: list[Received] = []
-        self.logs: dict[str, list[m.LogEvent]] = {name: [] for name in self.names}
+        self.logs: dict[str, list[LogEvent]] = {name: [] for name in self.names}
         self.start_count = 0
         self.blocked: set[tuple[str, str]] = set()  # pairs of a host and one that does not hear it
         self.network.silent = lambda here, there: (here, there) in self.blocked  # type: ignore[method-assign]
--- a/tests/compatibility/meanings.py
+++ b/tests/compatibility/meanings.py
@@ -14,7 +14,6 @@
 
 from onyxpost import cli
 from onyxpost.core import types
-from onyxpost.edge import config as edge_node
 from onyxpost.errors import OperatorError
 from onyxpost.leadership.acceptor_log import AcceptorLog
 from onyxpost.leadership.acceptor_state import AcceptorState
@@ -22,6 +21,7 @@
 from onyxpost.leadership.config import LeadershipConfig
 from onyxpost.leadership.errors import AcceptorLogError
 from onyxpost.leadership.protocol import Record
+from onyxpost.node import config as edge_node
 from onyxpost.planner import config as planner_file
 from onyxpost.rollout.routing_rules import schema
 from onyxpost.simulation import report, results
--- a/tests/compatibility/record_simulation_digests.py
+++ b/tests/compatibility/record_simulation_digests.py
@@ -24,9 +24,9 @@
 from random import Random
 from typing import Any
 
-from onyxpost.edge.node import EdgeNode
 from onyxpost.leadership import effects
 from onyxpost.leadership.effect_runner import EffectRunner
+from onyxpost.node.edge_node import EdgeNode
 from onyxpost.rollout.analysis.decision import Outcome
 from onyxpost.simulation import virtual_time
 from onyxpost.simulation.deterministic.fault_script import script
--- a/tests/compatibility/test_http_bytes.py
+++ b/tests/compatibility/test_http_bytes.py
@@ -66,9 +66,9 @@
 
     The only place of this module that uses names of the product.
     """
-    from onyxpost.edge import config
-    from onyxpost.edge.node import EdgeNode
-    from onyxpost.edge.structured_log import StructuredLog
+    from onyxpost.node import config
+    from onyxpost.node.edge_node import EdgeNode
+    from onyxpost.runtime.structured_log import StructuredLog
     from onyxpost.simulation import virtual_time
 
     async def main() -> dict[str, Any]:
--- a/tests/compatibility/values.py
+++ b/tests/compatibility/values.py
@@ -26,7 +26,7 @@
 from onyxpost.core.customer_table import CustomerTable
 from onyxpost.core.options import GatewayOptions
 from onyxpost.core.usage_reports import Placement, UsageReport
-from onyxpost.edge import messages as edge_messages
+from onyxpost.edge.messages import decode_datagram, encode_datagram
 from onyxpost.leadership import errors as duty_errors
 from onyxpost.leadership import protocol as duty_messages
 from onyxpost.leadership.ballots import Ballot
@@ -470,14 +470,14 @@
     """What a node sends in one round: pairs of a peer's number and a datagram in hexadecimal digits."""
     sent: list[list[Any]] = []
     gossip(gossip_senders()[case]).send(
-        0.0, lambda peer, body: sent.append([peer, edge_messages.encode_datagram(body).hex()])
+        0.0, lambda peer, body: sent.append([peer, encode_datagram(body).hex()])
     )
     return sent
 
 
 def gossip_received(data: bytes, peer: int | None) -> JsonObject | None:
     """What a node makes of a datagram; None: it is from a stranger or no text."""
-    told = edge_messages.decode_datagram(data, peer)
+    told = decode_datagram(data, peer)
     if told is None:
         return None
     customers: dict[int, CustomerQuota] = {}
--- a/tests/config/test_deployment.py
+++ b/tests/config/test_deployment.py
@@ -8,8 +8,8 @@
 
 from onyxpost.config.deployment import Deployment, decode_deployment
 from onyxpost.core.types import DeduplicationScope, Idempotency
-from onyxpost.edge import config as node_config
 from onyxpost.errors import ConflictingValuesError, InvalidInputError, InvalidValueError
+from onyxpost.node import config as node_config
 from tests.edge.harness import SETTINGS, node_fields
 
 
--- a/tests/edge/harness.py
+++ b/tests/edge/harness.py
@@ -7,12 +7,12 @@
 import io
 from typing import TYPE_CHECKING, Any
 
-from onyxpost.edge import config
-from onyxpost.edge import messages as m
-from onyxpost.edge.node import EdgeNode
-from onyxpost.edge.socket_transport import SocketTransport
-from onyxpost.edge.structured_log import StructuredLog
+from onyxpost.edge.messages import ClientRequest, EdgeEvent, Endpoint, SendAttempt
 from onyxpost.edge.upstream_pool import UpstreamPool, UpstreamPoolOptions
+from onyxpost.node import config
+from onyxpost.node.edge_node import EdgeNode
+from onyxpost.runtime.socket_transport import SocketTransport
+from onyxpost.runtime.structured_log import StructuredLog
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -88,7 +88,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
 
-CLIENT_REQUEST = m.ClientRequest(
+CLIENT_REQUEST = ClientRequest(
     1, 0.0, "t", b"GET", b"/check", [(b"host", b"b")], b"", "check", "c", "basic", 1, 1, 0, 900.0
 )
 UPSTREAM_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Type: text/x\r\nX-Mark: 1\r\n\r\nhello"
@@ -102,13 +102,13 @@
 
 
 def upstream_pool(
-    post: Callable[[m.Event], None],
+    post: Callable[[EdgeEvent], None],
     connect: float = 250.0,
-    wanted: Callable[[m.Endpoint], bool] = lambda _endpoint: True,
+    wanted: Callable[[Endpoint], bool] = lambda _endpoint: True,
 ) -> UpstreamPool:
     """Returns a pool outside of a node, which posts the ends of its attempts with `post`."""
 
-    def may_start(attempt: m.SendAttempt, remaining_ms: float) -> bool:
+    def may_start(attempt: SendAttempt, remaining_ms: float) -> bool:
         return remaining_ms > 0.0 and wanted(attempt.endpoint)
 
     transport = transport_with_stopped_clock()
--- a/tests/edge/test_attempt_start.py
+++ b/tests/edge/test_attempt_start.py
@@ -10,10 +10,11 @@
 
 import pytest
 
+from onyxpost.config.address import Address
 from onyxpost.core.types import AttemptResult, Idempotency
-from onyxpost.edge import messages as m
 from onyxpost.edge import upstream_pool
-from onyxpost.edge.transport import DialedConnection, FlowControlProtocol
+from onyxpost.edge.messages import MAX_BODY_BYTES, AttemptEnded, EdgeEvent, Endpoint, SendAttempt
+from onyxpost.runtime.transport import DialedConnection, FlowControlProtocol
 from tests.edge.event_loop import in_event_loop
 from tests.edge.harness import (
     CLIENT_REQUEST,
@@ -32,7 +33,7 @@
         self.dial, self.asked, self.up = net.dial, asyncio.Event(), asyncio.Event()
         net.dial = self.later
 
-    async def later(self, address: m.Address, limit: int) -> DialedConnection:
+    async def later(self, address: Address, limit: int) -> DialedConnection:
         self.asked.set()
         await self.up.wait()
         line: DialedConnection = await self.dial(address, limit)
@@ -55,15 +56,15 @@
         ended = asyncio.Event()
         post = edge.program.servers.post
 
-        def seen(value: m.Event) -> None:
+        def seen(value: EdgeEvent) -> None:
             post(value)
-            if isinstance(value, m.AttemptEnded):
+            if isinstance(value, AttemptEnded):
                 ended.set()
 
         edge.program.servers.post = seen
         may_begin = edge.program.servers.may_start
 
-        def crossing(send: m.SendAttempt, left: float) -> bool:
+        def crossing(send: SendAttempt, left: float) -> bool:
             # Its end comes in the very turn in which the connection is up: the loop has not read it.
             if how == "reset":
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
@@ -95,8 +96,8 @@
         program = edge.program
         now = [program.clock()]
         monkeypatch.setattr(program, "clock", lambda: now[0])
-        send = m.SendAttempt(
-            7, m.Endpoint("s0", server.address), CLIENT_REQUEST, 900.0, begin_before=now[0] + 100.0
+        send = SendAttempt(
+            7, Endpoint("s0", server.address), CLIENT_REQUEST, 900.0, begin_before=now[0] + 100.0
         )
         with mock.patch.object(program.clients, "is_waiting", lambda client: True):
             assert program.may_start_attempt(send, 900.0)
@@ -108,7 +109,7 @@
 async def test_no_attempt_starts_with_a_tick_or_less_left() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         program = edge.program
-        send = m.SendAttempt(7, m.Endpoint("s0", server.address), CLIENT_REQUEST, 900.0)
+        send = SendAttempt(7, Endpoint("s0", server.address), CLIENT_REQUEST, 900.0)
         with mock.patch.object(program.clients, "is_waiting", lambda client: True):
             tick = program.config.deployment.tick_ms
             looks = [program.may_start_attempt(send, left) for left in (tick + 0.1, tick)]
@@ -117,23 +118,23 @@
 
 @in_event_loop
 async def test_no_attempt_starts_when_connecting_took_all_its_time() -> None:
-    ends: asyncio.Queue[m.Event] = asyncio.Queue()
+    ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
     async with StubAppServer() as server:
         pool = create_pool(ends.put_nowait)
         late = Late(pool.transport)
-        pool.send(m.SendAttempt(7, m.Endpoint("s", server.address), CLIENT_REQUEST, 900.0))
+        pool.send(SendAttempt(7, Endpoint("s", server.address), CLIENT_REQUEST, 900.0))
         await late.asked.wait()
         pool.clock = lambda: 900.0
         late.up.set()
         end = await asyncio.wait_for(ends.get(), 5.0)
-        assert isinstance(end, m.AttemptEnded)
+        assert isinstance(end, AttemptEnded)
         assert (end.result, server.got) == (AttemptResult.UNUSED, [])
 
 
 @in_event_loop
 async def test_a_timeout_in_the_turn_in_which_the_last_byte_leaves_counts_as_possibly_executed() -> None:
     """Taken for never begun, a req that must not be repeated would run twice."""
-    ends: asyncio.Queue[m.Event] = asyncio.Queue()
+    ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
     outer: list[asyncio.Timeout] = []
     timeout = asyncio.timeout
 
@@ -152,26 +153,26 @@
         pool = create_pool(ends.put_nowait)
         open_ = pool.open_connection
 
-        async def narrow(to: m.Endpoint) -> upstream_pool.UpstreamConnection:
+        async def narrow(to: Endpoint) -> upstream_pool.UpstreamConnection:
             link = await open_(to)
             link.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             return link
 
         pool.open_connection = narrow  # type: ignore[method-assign]
-        asked = CLIENT_REQUEST._replace(method=b"POST", body=b"x" * m.MAX_BODY_BYTES)
+        asked = CLIENT_REQUEST._replace(method=b"POST", body=b"x" * MAX_BODY_BYTES)
         with mock.patch.object(upstream_pool.asyncio, "timeout", kept):
-            pool.send(m.SendAttempt(7, m.Endpoint("s", listener.getsockname()), asked, 60_000.0))
+            pool.send(SendAttempt(7, Endpoint("s", listener.getsockname()), asked, 60_000.0))
             far = (await asyncio.to_thread(listener.accept))[0]
             with far, mock.patch.object(FlowControlProtocol, "resume_writing", in_one_turn):
                 await asyncio.to_thread(all_of, far)
                 end = await asyncio.wait_for(ends.get(), 5.0)
-        assert isinstance(end, m.AttemptEnded)
+        assert isinstance(end, AttemptEnded)
         assert end.result is AttemptResult.EXPIRED
 
 
 def all_of(far: socket.socket) -> None:
     got = b""
-    while len(got) < m.MAX_BODY_BYTES or not got.endswith(b"x" * 1000) or got.count(b"x") < m.MAX_BODY_BYTES:
+    while len(got) < MAX_BODY_BYTES or not got.endswith(b"x" * 1000) or got.count(b"x") < MAX_BODY_BYTES:
         got += far.recv(65536)
 
 
--- a/tests/edge/test_client_connections.py
+++ b/tests/edge/test_client_connections.py
@@ -11,8 +11,8 @@
 import pytest
 
 from onyxpost.edge import client_http, client_listener
-from onyxpost.edge import messages as m
 from onyxpost.edge.client_listener import ClientListener
+from onyxpost.edge.messages import EdgeEvent
 from onyxpost.simulation import virtual_time
 from tests.edge.event_loop import in_event_loop, wait_until
 from tests.edge.harness import (
@@ -87,7 +87,7 @@
         deployment: Any = RunningNode(("127.0.0.1", 9)).program.config.deployment
         host = net.host("edge")
 
-        def post(value: m.Event) -> None:
+        def post(value: EdgeEvent) -> None:
             asked.set()
 
         clients = ClientListener(deployment, host, post, lambda: True, lambda: True, print)
--- a/tests/edge/test_descriptor_budget.py
+++ b/tests/edge/test_descriptor_budget.py
@@ -22,7 +22,7 @@
     from collections.abc import AsyncIterator
     from pathlib import Path
 
-    from onyxpost.edge.transport import DialedConnection
+    from onyxpost.runtime.transport import DialedConnection
 
 HEALTH_CHECK = b"GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n"
 PROCESS_DESCRIPTORS = 16  # beside sockets: the standard streams, the event loop's and the interpreter's
--- a/tests/edge/test_discovery_faults.py
+++ b/tests/edge/test_discovery_faults.py
@@ -10,8 +10,9 @@
 
 import pytest
 
-from onyxpost.edge import messages as m
+from onyxpost.config.address import Address
 from onyxpost.edge.discovery_client import DiscoveryClient
+from onyxpost.edge.messages import EndpointUpdate, EndpointUpdateFailed
 from onyxpost.edge.staleness import (
     AGENT_ANSWER_MARGIN_MS,
     AGENT_BACKOFF_MAX_MS,
@@ -121,7 +122,7 @@
         host, dial = net.host("n"), net.host("n").dial
         listener = net.listeners[last]
 
-        async def troubled(address: m.Address, limit: int) -> Any:
+        async def troubled(address: Address, limit: int) -> Any:
             if address == last and agent.begins <= agent.now() < agent.ends:
                 if trouble == "refusal":
                     raise ConnectionRefusedError("nobody there")
@@ -154,8 +155,8 @@
             node.change_address(("a1", 1))
         await asyncio.sleep((ends + 9000.0) / 1000.0 - loop.time())
         node.close()
-        here = [at for at, v in got if isinstance(v, m.EndpointUpdate) and v.endpoints]
-        stale = [at for at, v in got if isinstance(v, m.EndpointUpdateFailed) and v.stale]
+        here = [at for at, v in got if isinstance(v, EndpointUpdate) and v.endpoints]
+        stale = [at for at, v in got if isinstance(v, EndpointUpdateFailed) and v.stale]
         return agent.struck or trouble == "refusal", here, stale, max(ends, agent.over)
 
     return run(play())  # type: ignore[no-any-return]
--- a/tests/edge/test_discovery_over_sockets.py
+++ b/tests/edge/test_discovery_over_sockets.py
@@ -6,8 +6,8 @@
 from unittest import mock
 
 from onyxpost.core.types import EndpointState
-from onyxpost.edge import messages as m
 from onyxpost.edge.discovery_client import DiscoveryClient
+from onyxpost.edge.messages import EdgeEvent, EndpointUpdate, EndpointUpdateFailed
 from onyxpost.edge.staleness import StalenessTracker
 from tests.edge.event_loop import in_event_loop
 from tests.edge.harness import (
@@ -25,8 +25,8 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(text), text)
 
 
-async def watch(agent: StubAppServer, until: int) -> tuple[list[m.Event], list[str]]:
-    heard: list[m.Event] = []
+async def watch(agent: StubAppServer, until: int) -> tuple[list[EdgeEvent], list[str]]:
+    heard: list[EdgeEvent] = []
     events: list[str] = []
     discovery = DiscoveryClient(
         transport_with_stopped_clock(), agent.address, 4, heard.append, lambda log: events.append(log.event)
@@ -45,7 +45,7 @@
     async with StubAppServer((told(5, "draining"), False), None) as agent:
         heard, events = await watch(agent, 2)
     assert [b"since=4" in agent.got[0], b"since=5" in agent.got[1]] == [True, True]
-    assert isinstance(heard[0], m.EndpointUpdate)
+    assert isinstance(heard[0], EndpointUpdate)
     assert (heard[0].endpoints[0].state, heard[0].complete) == (EndpointState.DRAINING, False)
     assert (len(heard), events, agent.opened) == (1, [], 1)
 
@@ -129,7 +129,7 @@
         began = asyncio.get_running_loop().time()
         async with StubAppServer(trouble, (whole, False), *[None] * 9) as agent:
             heard, _ = await watch(agent, 3)
-        assert [h.generation for h in heard if isinstance(h, m.EndpointUpdate)] == [5], trouble
+        assert [h.generation for h in heard if isinstance(h, EndpointUpdate)] == [5], trouble
         assert b"since=4&timeout_ms=1 " in agent.got[1]  # to be told at once
         assert asyncio.get_running_loop().time() - began < 2.0
 
@@ -142,5 +142,5 @@
     ):
         async with StubAppServer((nonsense, False), None, (told(5, "up"), False), None) as agent:
             heard, events = await watch(agent, 4)
-    assert [type(h) for h in heard] == [m.EndpointUpdateFailed, m.EndpointUpdate]
+    assert [type(h) for h in heard] == [EndpointUpdateFailed, EndpointUpdate]
     assert events[:2] == ["discovery down", "discovery up"]
--- a/tests/edge/test_node_over_sockets.py
+++ b/tests/edge/test_node_over_sockets.py
@@ -9,7 +9,7 @@
 
 from onyxpost.core.types import AttemptResult
 from onyxpost.edge import client_connection, client_listener, upstream_pool
-from onyxpost.edge import messages as m
+from onyxpost.edge.messages import AttemptEnded, EdgeEvent, Endpoint, SendAttempt, SendPeerMessage
 from tests.edge.event_loop import in_event_loop
 from tests.edge.harness import (
     CLIENT_REQUEST,
@@ -89,7 +89,7 @@
 async def test_bytes_that_the_loop_has_not_read_are_seen_before_a_request_is_written() -> None:
     pool = create_pool(print)
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        link = await pool.connect(m.Endpoint("s", listener.getsockname()))
+        link = await pool.connect(Endpoint("s", listener.getsockname()))
         with listener.accept()[0] as far:
             assert link.has_no_unread_input()
             far.send(UPSTREAM_ANSWER)
@@ -99,12 +99,12 @@
 
 @in_event_loop
 async def test_a_response_that_is_too_long_ends_its_attempt_at_its_head() -> None:
-    ends: asyncio.Queue[m.Event] = asyncio.Queue()
+    ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
     pool = create_pool(ends.put_nowait)
     async with StubAppServer((UPSTREAM_ANSWER.replace(b": 5", b": 3000000000"), False)) as server:
-        pool.send(m.SendAttempt(7, m.Endpoint("s", server.address), CLIENT_REQUEST, 4000.0))
+        pool.send(SendAttempt(7, Endpoint("s", server.address), CLIENT_REQUEST, 4000.0))
         end = await asyncio.wait_for(ends.get(), 5.0)
-        assert isinstance(end, m.AttemptEnded)
+        assert isinstance(end, AttemptEnded)
         assert end.result is AttemptResult.LOST
 
 
@@ -118,14 +118,14 @@
 @in_event_loop
 async def test_a_new_server_at_an_old_address_inherits_no_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream_pool, "MIN_IDLE_MS", 0.0)
-    ends: asyncio.Queue[m.Event] = asyncio.Queue()
+    ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
     pool = create_pool(ends.put_nowait)
     async with StubAppServer() as server:
         for number, name in enumerate(("old", "old", "new")):
-            pool.send(m.SendAttempt(number, m.Endpoint(name, server.address), CLIENT_REQUEST, 900.0))
+            pool.send(SendAttempt(number, Endpoint(name, server.address), CLIENT_REQUEST, 900.0))
             await asyncio.wait_for(ends.get(), 5.0)
         assert (server.opened, pool.connection_count) == (2, 2)
-        pool.retire_endpoint(m.Endpoint("old", server.address))
+        pool.retire_endpoint(Endpoint("old", server.address))
         assert pool.connection_count == 1
         pool.close()
 
@@ -156,51 +156,51 @@
 
 @in_event_loop
 async def test_an_attempt_cancelled_before_its_first_step_still_reports_its_end() -> None:
-    ends: list[m.Event] = []
+    ends: list[EdgeEvent] = []
     servers = create_pool(ends.append)
-    servers.send(m.SendAttempt(7, m.Endpoint("s", ("127.0.0.1", 9)), CLIENT_REQUEST, 900.0))
+    servers.send(SendAttempt(7, Endpoint("s", ("127.0.0.1", 9)), CLIENT_REQUEST, 900.0))
     servers.cancel(7)
     await asyncio.sleep(0.01)
-    assert ends == [m.AttemptEnded(7, AttemptResult.UNUSED, 0.0)]
+    assert ends == [AttemptEnded(7, AttemptResult.UNUSED, 0.0)]
 
 
 @in_event_loop
 async def test_an_attempt_that_is_connecting_is_not_written_once_its_request_is_answered() -> None:
-    ends: asyncio.Queue[m.Event] = asyncio.Queue()
+    ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
     servers = create_pool(ends.put_nowait)
     async with StubAppServer() as server:
-        servers.send(m.SendAttempt(7, m.Endpoint("s", server.address), CLIENT_REQUEST, 900.0))
+        servers.send(SendAttempt(7, Endpoint("s", server.address), CLIENT_REQUEST, 900.0))
         await asyncio.sleep(0)  # it connects
         servers.withdraw(7)
-        assert await asyncio.wait_for(ends.get(), 5.0) == m.AttemptEnded(7, AttemptResult.UNUSED, 0.0)
+        assert await asyncio.wait_for(ends.get(), 5.0) == AttemptEnded(7, AttemptResult.UNUSED, 0.0)
         assert server.got == []
 
 
 @in_event_loop
 async def test_a_server_that_drains_while_an_attempt_connects_receives_no_byte_of_it() -> None:
-    ends: asyncio.Queue[m.Event] = asyncio.Queue()
-    drains: set[m.Endpoint] = set()
+    ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
+    drains: set[Endpoint] = set()
     servers = create_pool(ends.put_nowait, wanted=lambda place: place not in drains)
     async with StubAppServer() as server:
-        servers.send(m.SendAttempt(7, m.Endpoint("s", server.address), CLIENT_REQUEST, 900.0))
+        servers.send(SendAttempt(7, Endpoint("s", server.address), CLIENT_REQUEST, 900.0))
         await asyncio.sleep(0)  # it connects
-        drains.add(m.Endpoint("s", server.address))
-        assert await asyncio.wait_for(ends.get(), 5.0) == m.AttemptEnded(7, AttemptResult.UNUSED, 0.0)
+        drains.add(Endpoint("s", server.address))
+        assert await asyncio.wait_for(ends.get(), 5.0) == AttemptEnded(7, AttemptResult.UNUSED, 0.0)
         assert (server.got, servers.connection_count) == ([], 0)
 
 
 @in_event_loop
 async def test_a_server_that_cannot_be_connected_never_executed_the_request() -> None:
-    ends: asyncio.Queue[m.Event] = asyncio.Queue()
+    ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
     servers = create_pool(ends.put_nowait, connect=20.0)
     with socket.socket() as silent:  # its one place in the queue is taken: a further one never comes up
         silent.bind(("127.0.0.1", 0))
         silent.listen(0)
         with socket.create_connection(silent.getsockname()):
             for address in (silent.getsockname(), ("127.0.0.1", 9)):
-                servers.send(m.SendAttempt(7, m.Endpoint("s", address), CLIENT_REQUEST, 900.0))
+                servers.send(SendAttempt(7, Endpoint("s", address), CLIENT_REQUEST, 900.0))
                 end = await asyncio.wait_for(ends.get(), 5.0)
-                assert isinstance(end, m.AttemptEnded)
+                assert isinstance(end, AttemptEnded)
                 assert end.result is AttemptResult.NO_CONNECTION
 
 
@@ -393,7 +393,7 @@
         turn[0] += 1
 
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        with mock.patch("onyxpost.edge.node.asyncio.sleep", until_accepted):
+        with mock.patch("onyxpost.node.edge_node.asyncio.sleep", until_accepted):
             signal.raise_signal(signal.SIGTERM)
             assert await asyncio.wait_for(edge.running, 5.0) == 0
         assert (turn, len(server.got)) == ([1.0], 1)
@@ -406,14 +406,14 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         edge.program.close()
         await asyncio.sleep(0.01)
-        edge.program.peers.send(m.SendPeerMessage(1, b"x"))
+        edge.program.peers.send(SendPeerMessage(1, b"x"))
 
 
 @in_event_loop
 async def test_a_node_told_to_stop_still_reads_a_request_of_a_new_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("onyxpost.edge.node.ACCEPT_AFTER_STOP_SECONDS", 0.0)
+    monkeypatch.setattr("onyxpost.node.edge_node.ACCEPT_AFTER_STOP_SECONDS", 0.0)
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         reader, writer = await asyncio.open_connection(*edge.address)
         while len(edge.program.clients.open_connections) < 2:
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -3,7 +3,8 @@
 import asyncio
 import socket
 
-from onyxpost.edge import messages as m
+from onyxpost.core.events import PeerMessageReceived
+from onyxpost.edge.messages import EdgeEvent, SendPeerMessage
 from onyxpost.edge.peers import PeerSocket
 from tests.edge.event_loop import in_event_loop
 from tests.edge.harness import (
@@ -13,7 +14,7 @@
 
 @in_event_loop
 async def test_two_nodes_receive_each_others_datagrams_and_no_strangers() -> None:
-    heard: asyncio.Queue[m.Event] = asyncio.Queue()
+    heard: asyncio.Queue[EdgeEvent] = asyncio.Queue()
     free = []
     for _ in range(2):
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one:
@@ -26,11 +27,11 @@
     for peers, address in zip(nodes, [*free, ("127.0.0.1", 0)], strict=True):
         await peers.listen(address)
         assert peers.transport is not None
-    nodes[2].send(m.SendPeerMessage(1, b"stranger"))
-    nodes[0].send(m.SendPeerMessage(1, "caf\u00e9".encode()))
-    nodes[0].send(m.SendPeerMessage(1, b"x" * 257))
-    nodes[0].send(m.SendPeerMessage(1, b"7 1:2:3"))
-    assert await asyncio.wait_for(heard.get(), 5.0) == m.PeerMessageReceived(0, "7 1:2:3")
+    nodes[2].send(SendPeerMessage(1, b"stranger"))
+    nodes[0].send(SendPeerMessage(1, "caf\u00e9".encode()))
+    nodes[0].send(SendPeerMessage(1, b"x" * 257))
+    nodes[0].send(SendPeerMessage(1, b"7 1:2:3"))
+    assert await asyncio.wait_for(heard.get(), 5.0) == PeerMessageReceived(0, "7 1:2:3")
     assert heard.empty()
     for peers in nodes:
         peers.close()
--- a/tests/edge/test_readiness.py
+++ b/tests/edge/test_readiness.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from onyxpost.edge import config
-from onyxpost.edge.node import INITIAL_ENDPOINTS_TIMEOUT_MS, EdgeNode, Phase
-from onyxpost.edge.structured_log import StructuredLog
+from onyxpost.node import config
+from onyxpost.node.edge_node import INITIAL_ENDPOINTS_TIMEOUT_MS, EdgeNode, Phase
+from onyxpost.runtime.structured_log import StructuredLog
 from onyxpost.simulation.virtual_time import Network, run
 from tests.edge.harness import SETTINGS, node_fields
 from tests.edge.test_overloaded_discovery import NODE_COUNT, OverloadedDiscovery
--- a/tests/edge/test_reload.py
+++ b/tests/edge/test_reload.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from onyxpost.edge import config
-from onyxpost.edge.reload import ConfigChange, compare_configs
+from onyxpost.node import config
+from onyxpost.node.reload import ConfigChange, compare_configs
 from tests.edge.harness import node_fields
 
 CLUSTER = {"version": 1, "listen": "10.0.0.1:7", "members": {"n0": "10.0.0.1:7", "n1": "10.0.0.2:7"}}
--- a/tests/edge/test_request_headers.py
+++ b/tests/edge/test_request_headers.py
@@ -6,9 +6,16 @@
 import pytest
 
 from onyxpost.config import deployment
+from onyxpost.core.events import PeerMessageReceived
 from onyxpost.core.types import AttemptResult
-from onyxpost.edge import messages
 from onyxpost.edge.errors import RequestRejectedError
+from onyxpost.edge.messages import (
+    ClientRequest,
+    attempt_result,
+    decode_datagram,
+    decode_request,
+    forwarded_request,
+)
 from tests.edge.harness import SETTINGS
 
 DEPLOYMENT = deployment.decode_deployment(SETTINGS)
@@ -23,11 +30,11 @@
 }
 
 
-def decode(*changed: tuple[str, str], target: str = "/check/7?a=b") -> messages.ClientRequest:
+def decode(*changed: tuple[str, str], target: str = "/check/7?a=b") -> ClientRequest:
     """Decodes a request with some headers changed; an empty value leaves the header out."""
     headers = [(name, value) for name, value in (HEADERS | dict(changed)).items() if value]
     request = h11.Request(method="GET", target=target, headers=headers)
-    return messages.decode_request(1, 0.0, request, DEPLOYMENT)
+    return decode_request(1, 0.0, request, DEPLOYMENT)
 
 
 def test_a_request_is_decoded_from_its_headers() -> None:
@@ -82,7 +89,7 @@
 
 
 def test_a_forwarded_request_tells_how_long_this_node_waits() -> None:
-    request, _ = messages.forwarded_request(decode(("idempotency-key", "k")), 250.5)
+    request, _ = forwarded_request(decode(("idempotency-key", "k")), 250.5)
     headers = dict(request.headers)
     assert (request.method, request.target) == (b"GET", b"/check/7?a=b")
     assert (headers[b"x-trace-id"], headers[b"idempotency-key"]) == (b"t", b"k")
@@ -106,13 +113,13 @@
     status: int, headers: list[tuple[str, str]], result: AttemptResult
 ) -> None:
     response = h11.Response(status_code=status, headers=headers)
-    assert messages.attempt_result(response) == result
+    assert attempt_result(response) == result
 
 
 @pytest.mark.parametrize(("data", "peer"), [(b"ok", None), (b"\xff", 1), (b"", 1), (b"x" * 257, 1)], ids=str)
 def test_datagrams_of_unknown_senders_and_malformed_ones_are_ignored(data: bytes, peer: int | None) -> None:
-    assert messages.decode_datagram(data, peer) is None
+    assert decode_datagram(data, peer) is None
 
 
 def test_a_datagram_of_a_peer_is_decoded() -> None:
-    assert messages.decode_datagram(b"ok", 1) == messages.PeerMessageReceived(1, "ok")
+    assert decode_datagram(b"ok", 1) == PeerMessageReceived(1, "ok")
--- a/tests/edge/test_shutdown.py
+++ b/tests/edge/test_shutdown.py
@@ -14,11 +14,11 @@
 import pytest
 
 from onyxpost.edge import client_connection, client_listener
-from onyxpost.edge import messages as m
-from onyxpost.edge import node as edge_node
 from onyxpost.edge.discovery_client import DiscoveryClient
-from onyxpost.edge.node import Phase
+from onyxpost.edge.messages import SendAttempt
 from onyxpost.edge.upstream_pool import UpstreamPool
+from onyxpost.node import edge_node
+from onyxpost.node.edge_node import Phase
 from tests.edge.event_loop import in_event_loop, wait_until
 from tests.edge.harness import UPSTREAM_ANSWER, RunningNode, StubAppServer, encode_request, node_fields
 
@@ -32,7 +32,7 @@
 
 SIGNALS_AFTER_THE_LOOP = """
 import asyncio, signal
-from onyxpost.edge.socket_transport import SocketTransport
+from onyxpost.runtime.socket_transport import SocketTransport
 
 async def main():
     net = SocketTransport()
@@ -125,8 +125,8 @@
 @in_event_loop
 async def test_a_request_that_is_not_forwarded_yet_is_answered() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        attempts: list[m.SendAttempt] = []
-        edge.program.events.effect_handlers[m.SendAttempt] = attempts.append
+        attempts: list[SendAttempt] = []
+        edge.program.events.effect_handlers[SendAttempt] = attempts.append
         edge.writer.write(encode_request())
         await wait_until(lambda: attempts)
         await stop_node(edge)
@@ -329,7 +329,7 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         edge.writer.close()
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("onyxpost.edge.node.asyncio.sleep", connect_at_the_end_of_accepting)
+            patch.setattr("onyxpost.node.edge_node.asyncio.sleep", connect_at_the_end_of_accepting)
             send_sigterm()
             assert await exit_code(edge) == 0
         for client in clients:
--- a/tests/edge/test_silent_discovery.py
+++ b/tests/edge/test_silent_discovery.py
@@ -11,10 +11,9 @@
 
 import pytest
 
-from onyxpost.edge import messages
 from onyxpost.edge.discovery_client import DiscoveryClient
 from onyxpost.edge.errors import InvalidEndpointUpdateError
-from onyxpost.edge.messages import EndpointUpdate, EndpointUpdateFailed
+from onyxpost.edge.messages import EdgeEvent, EndpointUpdate, EndpointUpdateFailed, decode_endpoint_update
 from onyxpost.edge.staleness import (
     ANSWER_TIMEOUT_MS,
     RETRY_PAUSE_MS,
@@ -41,7 +40,7 @@
     """What the node's state machine was told."""
 
     at: float  # ms
-    event: messages.Event
+    event: EdgeEvent
 
 
 class Agent:
@@ -254,7 +253,7 @@
 def test_a_list_nested_too_deeply_is_rejected() -> None:
     nested = b'{"generation":1,"reset":false,"instances":[],"x":' + b"[" * 100_000
     with pytest.raises(InvalidEndpointUpdateError):
-        messages.decode_endpoint_update(nested)
+        decode_endpoint_update(nested)
 
 
 def test_polls_of_an_overloaded_shared_discovery_do_not_postpone_staleness() -> None:
--- a/tests/edge/test_state_machine.py
+++ b/tests/edge/test_state_machine.py
@@ -10,17 +10,33 @@
 import pytest
 
 from onyxpost.config import deployment
-from onyxpost.core.events import AttemptFinished, Event, RequestArrived, RequestCancelled
+from onyxpost.core.events import AttemptFinished, Event, RequestArrived, RequestCancelled, TimerFired
 from onyxpost.core.types import AttemptResult
-from onyxpost.edge import messages
-from onyxpost.edge.messages import AttemptEnded, ClientDisconnected, SendAttempt, TimerFired
+from onyxpost.edge.messages import (
+    AttemptEnded,
+    ClientDisconnected,
+    ClientRequest,
+    CloseAttempt,
+    EdgeEvent,
+    Effect,
+    Endpoint,
+    EndpointUpdate,
+    FinalAnswer,
+    RetireEndpoint,
+    SendAnswer,
+    SendAttempt,
+    UpstreamResponse,
+    WithdrawAttempt,
+    decode_endpoint_update,
+)
 from onyxpost.edge.state_machine import EdgeStateMachine
+from onyxpost.runtime.log_event import LogEvent
 from tests.edge.harness import CLIENT_REQUEST, SETTINGS, node_fields
 
 DEPLOYMENT = deployment.decode_deployment(SETTINGS)
 ENDPOINT_FIELDS = {"instanceId": "s0", "hostPort": "127.0.0.1:9", "lifecycle": "up"}
-ENDPOINT = messages.Endpoint("s0", ("127.0.0.1", 9))
-RESPONSE = messages.UpstreamResponse([], b"x")
+ENDPOINT = Endpoint("s0", ("127.0.0.1", 9))
+RESPONSE = UpstreamResponse([], b"x")
 
 
 class ScriptedDecisionMaker:
@@ -47,16 +63,16 @@
         self.now = 1000.0
         self.decisions = ScriptedDecisionMaker()
         self.machine = EdgeStateMachine(DEPLOYMENT, self.decisions)
-        self.step(messages.decode_endpoint_update(node_fields(("127.0.0.1", 9))["known"]))
+        self.step(decode_endpoint_update(node_fields(("127.0.0.1", 9))["known"]))
         self.decisions.reactions[RequestArrived] = self.send_to_s0
 
     def send_to_s0(self, sink: Any, request_id: str, deadline: float, *_: Any) -> None:
         sink.start_attempt(request_id, "s0", deadline - self.now, inf)
 
-    def step(self, *events: messages.Event) -> list[messages.Effect]:
+    def step(self, *events: EdgeEvent) -> list[Effect]:
         return self.machine.step(self.now, events)
 
-    def request(self, connection_id: int = 1, trace_id: str = "t") -> messages.ClientRequest:
+    def request(self, connection_id: int = 1, trace_id: str = "t") -> ClientRequest:
         return CLIENT_REQUEST._replace(connection_id=connection_id, received_at=self.now, trace_id=trace_id)
 
     def send_request(self) -> SendAttempt:
@@ -66,17 +82,15 @@
         return attempt
 
 
-def kinds(effects: list[messages.Effect]) -> list[str]:
+def kinds(effects: list[Effect]) -> list[str]:
     return [
-        effect.outcome.value if isinstance(effect, messages.SendAnswer) else type(effect).__name__
+        effect.outcome.value if isinstance(effect, SendAnswer) else type(effect).__name__
         for effect in effects
     ]
 
 
-def update(generation: int, **changed: str) -> messages.EndpointUpdate:
-    return messages.decode_endpoint_update(
-        {"generation": generation, "instances": [ENDPOINT_FIELDS | changed]}
-    )
+def update(generation: int, **changed: str) -> EndpointUpdate:
+    return decode_endpoint_update({"generation": generation, "instances": [ENDPOINT_FIELDS | changed]})
 
 
 @pytest.fixture
@@ -95,7 +109,7 @@
             sink.start_attempt(request_id, "s0", 500.0, inf)
 
     node.decisions.reactions[AttemptFinished] = retry_unless_settled
-    events: list[messages.Event] = [
+    events: list[EdgeEvent] = [
         AttemptEnded(attempt.attempt_id, AttemptResult.LOST, 5.0),
         ClientDisconnected(1),
     ]
@@ -134,7 +148,7 @@
     attempt_id = node.send_request().attempt_id
     node.decisions.reactions[RequestCancelled] = lambda sink, request_id: sink.cancel_attempt(request_id, 0)
     effects = node.step(ClientDisconnected(1))
-    assert effects == [messages.WithdrawAttempt(attempt_id), messages.CloseAttempt(attempt_id)]
+    assert effects == [WithdrawAttempt(attempt_id), CloseAttempt(attempt_id)]
     assert node.step(AttemptEnded(attempt_id, AttemptResult.OK, 5.0, RESPONSE)) == []
 
 
@@ -155,9 +169,9 @@
 
 
 def test_a_server_that_has_moved_or_is_removed_is_retired(node: Node) -> None:
-    assert node.step(update(5, hostPort="127.0.0.1:8")) == [messages.RetireEndpoint(ENDPOINT)]
-    moved = messages.Endpoint("s0", ("127.0.0.1", 8))
-    assert node.step(update(6, lifecycle="removed")) == [messages.RetireEndpoint(moved)]
+    assert node.step(update(5, hostPort="127.0.0.1:8")) == [RetireEndpoint(ENDPOINT)]
+    moved = Endpoint("s0", ("127.0.0.1", 8))
+    assert node.step(update(6, lifecycle="removed")) == [RetireEndpoint(moved)]
     assert node.machine.endpoints.by_server == {}
     assert node.step(node.request()) == []  # an attempt to it is unused
     node.step()
@@ -167,7 +181,7 @@
 
 
 def test_a_draining_server_accepts_no_attempts_until_it_is_back(node: Node) -> None:
-    assert node.step(update(5, lifecycle="draining")) == [messages.RetireEndpoint(ENDPOINT)]
+    assert node.step(update(5, lifecycle="draining")) == [RetireEndpoint(ENDPOINT)]
     assert not node.machine.endpoints.accepts_attempts(ENDPOINT)
     node.step(update(6))
     assert node.machine.endpoints.accepts_attempts(ENDPOINT)
@@ -175,7 +189,7 @@
 
 def test_a_second_request_with_a_pending_trace_id_is_aborted_unsent(node: Node) -> None:
     node.step(node.request())
-    aborted = messages.SendAnswer(2, messages.FinalAnswer.ABORTED)
+    aborted = SendAnswer(2, FinalAnswer.ABORTED)
     assert node.step(node.request(connection_id=2)) == [aborted]
 
 
@@ -188,7 +202,7 @@
     node.decisions.reactions[RequestArrived] = fail_for_the_first
     effects = node.step(node.request(), node.request(connection_id=2, trace_id="u"))
     assert kinds(effects) == ["LogEvent", "aborted", "denied"]
-    assert isinstance(effects[0], messages.LogEvent)
+    assert isinstance(effects[0], LogEvent)
     assert "ZeroDivisionError: here" in effects[0].fields["cause"]
 
 
--- a/tests/forwarder/test_lease_cache.py
+++ b/tests/forwarder/test_lease_cache.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from onyxpost.edge.messages import LeaseGranted, LeaseRevoked
+from onyxpost.core.events import LeaseGranted, LeaseRevoked
 from onyxpost.forwarder.lease_cache import EXPIRY_MARGIN_MS, LeaseCache
 from onyxpost.planner import protocol
 
--- a/tests/forwarder/test_planner_client.py
+++ b/tests/forwarder/test_planner_client.py
@@ -9,11 +9,12 @@
 
 import pytest
 
-from onyxpost.edge import messages as m
-from onyxpost.edge.socket_transport import SocketTransport
+from onyxpost.edge.messages import ReportUnitsSpent, ReturnLease
 from onyxpost.forwarder.cached_lease import CachedLease
 from onyxpost.forwarder.planner_client import PlannerClient
 from onyxpost.planner import protocol
+from onyxpost.runtime.log_event import LogEvent
+from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.simulation import virtual_time
 from tests.planner.cluster import PLAN, VirtualCluster
 from tests.planner.scripted_forwarder import START_SECONDS, run_planner
@@ -24,7 +25,7 @@
     from onyxpost.planner.planner import Planner
 
 
-def make_client(cluster: VirtualCluster, log: Callable[[m.LogEvent], None] = lambda _: None) -> PlannerClient:
+def make_client(cluster: VirtualCluster, log: Callable[[LogEvent], None] = lambda _: None) -> PlannerClient:
     return PlannerClient(cluster.net.host("f0"), "f0", cluster.members(), 1, lambda _: None, log)
 
 
@@ -92,7 +93,7 @@
             )
 
             def give_up(item: Any) -> None:
-                client.return_lease(m.ReturnLease(item.lease_id, 1))
+                client.return_lease(ReturnLease(item.lease_id, 1))
 
             client.start()
             sock, _ = await loop.sock_accept(listening)
@@ -156,7 +157,7 @@
     """As behind a path that loses all packets, where the system itself gives up after minutes."""
 
     async def scenario(cluster: VirtualCluster, planner: Planner) -> None:
-        logs: list[m.LogEvent] = []
+        logs: list[LogEvent] = []
         client = make_client(cluster, logs.append)
 
         def aborted_connections() -> list[Any]:
@@ -167,7 +168,7 @@
         cluster.net.silent = lambda here, there: True  # type: ignore[method-assign]
         await asyncio.sleep(6.0)
         assert aborted_connections() == []
-        client.report_units_spent(m.ReportUnitsSpent(7, "p", 3, 0))
+        client.report_units_spent(ReportUnitsSpent(7, "p", 3, 0))
         await asyncio.sleep(3.2)
         assert aborted_connections() == ["p0"]
         cluster.net.silent = lambda here, there: False  # type: ignore[method-assign]
--- a/tests/leadership/cluster.py
+++ b/tests/leadership/cluster.py
@@ -6,7 +6,7 @@
 
 import h11
 
-from onyxpost.edge.http1 import encode_message
+from onyxpost.runtime.http1 import encode_message
 from onyxpost.simulation import virtual_time
 from onyxpost.simulation.model_checking.virtual_nodes import ACTS, Town
 
--- a/tests/leadership/test_config.py
+++ b/tests/leadership/test_config.py
@@ -8,16 +8,16 @@
 
 import pytest
 
-from onyxpost.edge import config
-from onyxpost.edge.extensions import ClusterExtension, find_extension
 from onyxpost.errors import InvalidInputError
 from onyxpost.leadership.config import read_section
 from onyxpost.leadership.errors import LeadershipError
+from onyxpost.node import config
+from onyxpost.node.extensions import ClusterExtension, find_extension
 from tests.edge.harness import RunningNode, StubAppServer, node_fields
 
 SECTION: dict[str, Any] = {"version": 1, "voters": ["n0", "n1", "n2"], "names": ["a", "b"]}
 NODES = ("n0", "n1", "n2", "n3")
-LOADED_MODULES = "import sys, onyxpost.edge.serve; print([n for n in sys.modules if 'leadership' in n])"
+LOADED_MODULES = "import sys, onyxpost.node.serve; print([n for n in sys.modules if 'leadership' in n])"
 
 
 @pytest.mark.parametrize(
@@ -76,7 +76,7 @@
     [
         pytest.param("", id="no file"),
         pytest.param(
-            "from onyxpost.edge import config; config.read({'EDGE_CONFIG': 'deploy/example-node.json'}); ",
+            "from onyxpost.node import config; config.read({'EDGE_CONFIG': 'deploy/example-node.json'}); ",
             id="file without the section",
         ),
     ],
--- a/tests/planner/cluster.py
+++ b/tests/planner/cluster.py
@@ -8,6 +8,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
+from onyxpost.config.address import Address
 from onyxpost.core.events import (
     AttemptFinished,
     EndpointsUpdated,
@@ -28,13 +29,13 @@
     Plan,
     SlowStartPolicy,
 )
-from onyxpost.edge import messages as m
-from onyxpost.edge.structured_log import StructuredLog
+from onyxpost.edge.messages import EdgeEvent, ReportUnitsSpent, ReturnLease
 from onyxpost.forwarder.planner_client import PlannerClient
 from onyxpost.planner.config import PlannerConfig
 from onyxpost.planner.lease_terms import LeaseTerms
 from onyxpost.planner.planner import Planner
 from onyxpost.policy.gateway import Gateway
+from onyxpost.runtime.structured_log import StructuredLog
 from onyxpost.simulation import virtual_time
 from onyxpost.simulation.invariants import Bucket
 from onyxpost.simulation.virtual_time import EPOCH, Network
@@ -98,10 +99,10 @@
             self.kill()
             self.start()
 
-    def post(self, value: m.Event) -> None:
-        if isinstance(value, m.LeaseGranted):
+    def post(self, value: EdgeEvent) -> None:
+        if isinstance(value, LeaseGranted):
             self.handle(LeaseGranted(*value))
-        elif isinstance(value, m.LeaseRevoked):
+        elif isinstance(value, LeaseRevoked):
             self.handle(LeaseRevoked(*value))
 
     def handle(self, *events: Event) -> None:
@@ -133,10 +134,10 @@
         self.final += "aborted"
 
     def report_units_spent(self, customer: int, plan: str, units: int, lease: int) -> None:
-        self.client.report_units_spent(m.ReportUnitsSpent(customer, plan, units, lease))
+        self.client.report_units_spent(ReportUnitsSpent(customer, plan, units, lease))
 
     def return_lease(self, lease: int, units: int) -> None:
-        self.client.return_lease(m.ReturnLease(lease, units))
+        self.client.return_lease(ReturnLease(lease, units))
 
     def cancel_attempt(self, req: str, number: int) -> None: ...
     def send_peer_message(self, peer: int, body: str) -> None: ...
@@ -164,7 +165,7 @@
         self.violations: list[str] = []
         self.units_sent: Counter[str] = Counter()
 
-    def members(self) -> dict[str, m.Address]:
+    def members(self) -> dict[str, Address]:
         return {name: planner_address(name) for name in self.planner_names}
 
     def config(self, name: str) -> PlannerConfig:
@@ -247,7 +248,7 @@
                 forwarder.request(customer, rng.randint(1, 3))
 
 
-def planner_address(name: str) -> m.Address:
+def planner_address(name: str) -> Address:
     return f"10.9.0.{name[1:]}", PORT
 
 
--- a/tests/planner/test_config.py
+++ b/tests/planner/test_config.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from onyxpost.edge import config as node_config
 from onyxpost.errors import InvalidInputError
+from onyxpost.node import config as node_config
 from onyxpost.planner.config import decode_config
 from tests.edge.harness import node_fields
 
--- a/tests/planner/test_connections.py
+++ b/tests/planner/test_connections.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from onyxpost.edge.socket_transport import SocketTransport
-from onyxpost.edge.structured_log import StructuredLog
 from onyxpost.planner import protocol
 from onyxpost.planner.planner import MAX_EXTRA_UNIDENTIFIED, Planner
+from onyxpost.runtime.socket_transport import SocketTransport
+from onyxpost.runtime.structured_log import StructuredLog
 from tests.planner.cluster import PLAN, VirtualCluster
 from tests.planner.scripted_forwarder import ScriptedForwarder, lease_request, run_planner
 
--- a/tests/process/test_command_line.py
+++ b/tests/process/test_command_line.py
@@ -23,12 +23,18 @@
     "onyxpost.rollout",
     "onyxpost.cli",
 )
-NODE_MODULES = ("node", "client_listener", "upstream_pool", "state_machine", "discovery_client", "serve")
+NODE_MODULES = (
+    "onyxpost.node",
+    "onyxpost.edge.client_listener",
+    "onyxpost.edge.upstream_pool",
+    "onyxpost.edge.state_machine",
+    "onyxpost.edge.discovery_client",
+)
 PROBE = """
 import sys, onyxpost.{0}.serve
-if "{0}" == "edge":
-    from onyxpost.edge import config, node
-    node.EdgeNode(config.read({{"EDGE_CONFIG": "deploy/example-node.json"}}), None, None)
+if "{0}" == "node":
+    from onyxpost.node import config, edge_node
+    edge_node.EdgeNode(config.read({{"EDGE_CONFIG": "deploy/example-node.json"}}), None, None)
 print(*sorted(name for name in sys.modules if name.split(".")[0] in {1} or name in {1}))
 """
 
@@ -40,12 +46,12 @@
 
 
 def test_a_serving_node_imports_no_optional_package() -> None:
-    assert imported_modules("edge", OPTIONAL_MODULES) == []
-    assert "onyxpost.process" in imported_modules("edge", ("onyxpost.process", "none"))
+    assert imported_modules("node", OPTIONAL_MODULES) == []
+    assert "onyxpost.process" in imported_modules("node", ("onyxpost.process", "none"))
 
 
 def test_a_planner_does_not_import_a_node() -> None:
-    assert imported_modules("planner", tuple(f"onyxpost.edge.{name}" for name in NODE_MODULES)) == []
+    assert imported_modules("planner", NODE_MODULES) == []
 
 
 @pytest.mark.parametrize("arguments", [["serve"], ["check"], ["check", "/no/such"]])
--- a/tests/process/test_node_file.py
+++ b/tests/process/test_node_file.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from onyxpost.edge import config
-from onyxpost.edge import messages as m
+from onyxpost.edge.messages import decode_endpoint_update
 from onyxpost.errors import InvalidInputError
+from onyxpost.node import config
 from tests.edge.harness import SETTINGS, node_fields
 
 FRONTEND: dict[str, Any] = SETTINGS["grades"][0]
@@ -47,7 +47,7 @@
 
 
 def test_an_endpoint_without_optional_values_has_defaults() -> None:
-    row = m.decode_endpoint_update({"generation": 1, "instances": [ENDPOINT]}).endpoints[0]
+    row = decode_endpoint_update({"generation": 1, "instances": [ENDPOINT]}).endpoints[0]
     assert (row.zone, row.cell, row.weight, row.started_at) == ("", 0, 2.0, 0.0)
 
 
@@ -56,4 +56,4 @@
 )
 def test_an_endpoint_update_with_one_invalid_endpoint_is_rejected_as_a_whole(invalid: object) -> None:
     with pytest.raises(InvalidInputError):
-        m.decode_endpoint_update({"generation": 1, "instances": [ENDPOINT, invalid]})
+        decode_endpoint_update({"generation": 1, "instances": [ENDPOINT, invalid]})
--- a/tests/process/test_operator_errors.py
+++ b/tests/process/test_operator_errors.py
@@ -22,12 +22,12 @@
 import onyxpost
 from onyxpost import errors, process
 from onyxpost.cli import main
-from onyxpost.edge.serve import serve
-from onyxpost.edge.structured_log import StructuredLog
 from onyxpost.errors import OperatorError
+from onyxpost.node.serve import serve
 from onyxpost.planner import config
 from onyxpost.planner.errors import RestartRequiredError
 from onyxpost.planner.planner import Planner
+from onyxpost.runtime.structured_log import StructuredLog
 from onyxpost.simulation.errors import BadOption, BadResults, BadScript, NoSuchFile, NotLoopback, Stuck
 from tests.edge.harness import SETTINGS, RunningNode, node_fields
 
--- a/tests/process/test_structured_log.py
+++ b/tests/process/test_structured_log.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from onyxpost.edge.structured_log import StructuredLog
+from onyxpost.runtime.structured_log import StructuredLog
 
 
 def written_lines(level: str, write: Callable[[StructuredLog], None]) -> list[dict[str, Any]]:
--- a/tests/rollout/test_routing_rules_reload.py
+++ b/tests/rollout/test_routing_rules_reload.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from onyxpost.edge.serve import serve
 from onyxpost.errors import OperatorError
+from onyxpost.node.serve import serve
 from onyxpost.rollout.routing_rules.errors import (
     ConflictingRulesError,
     InvalidRulesError,
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from onyxpost.edge import config
-from onyxpost.edge.node import EdgeNode
-from onyxpost.edge.structured_log import StructuredLog
+from onyxpost.node import config
+from onyxpost.node.edge_node import EdgeNode
+from onyxpost.runtime.structured_log import StructuredLog
 from onyxpost.simulation import load, stub_upstreams
 from onyxpost.simulation.errors import Unusable
 from tests.edge.harness import UPSTREAM_ANSWER, StubAppServer, node_fields
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -17,8 +17,8 @@
 import pytest
 
 from onyxpost.config import deployment
-from onyxpost.edge.http1 import encode_message, read_response
 from onyxpost.leadership.service_log import LEASE_ACQUIRED, LEASE_LOST, RECORD_COMMITTED
+from onyxpost.runtime.http1 import encode_message, read_response
 from onyxpost.simulation.deterministic.cluster import LARGEST, SETTINGS
 from onyxpost.simulation.invariants import ANSWERS, CEILINGS, COLD, COLD_SUM, DRAINS, EFFECTS, GONE
 from onyxpost.simulation.multiprocess import fault_script, leadership_invariants, runner, scenario
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -8,24 +8,26 @@
 from random import Random
 from typing import Any
 
-from onyxpost.edge import messages as m
+from onyxpost.config.address import Address
 from onyxpost.edge.discovery_client import DiscoveryClient
 from onyxpost.edge.discovery_poll import CONNECT_TIMEOUT_MS
+from onyxpost.edge.messages import EndpointUpdate, EndpointUpdateFailed, decode_endpoint_update
 from onyxpost.edge.staleness import (
     AGENT_BACKOFF_MIN_MS,
     RETRY_PAUSE_MS,
     PollFailure,
     StalenessTracker,
 )
+from onyxpost.runtime.log_event import LogEvent
 from onyxpost.simulation.virtual_time import Network, run
 from tests.edge.test_silent_discovery import Agent, Poll, now_ms
 
 EVER = float("inf")
 
 
-def play(agents: list[Agent], story: Any) -> tuple[DiscoveryClient, list[Any], list[m.LogEvent]]:
-    async def main() -> tuple[DiscoveryClient, list[Any], list[m.LogEvent]]:
-        net, got, logs = Network(Random(1)), list[Any](), list[m.LogEvent]()
+def play(agents: list[Agent], story: Any) -> tuple[DiscoveryClient, list[Any], list[LogEvent]]:
+    async def main() -> tuple[DiscoveryClient, list[Any], list[LogEvent]]:
+        net, got, logs = Network(Random(1)), list[Any](), list[LogEvent]()
         for n, agent in enumerate(agents):
             await net.host(f"agent{n}").listen(agent.serve, (f"a{n}", 1), 65536, 16)
         node = DiscoveryClient(net.host("n"), ("a0", 1), 1, got.append, logs.append, 7)
@@ -192,7 +194,7 @@
 
         old = Agent(EVER)
         old.status = 503
-        self.assertNotIn(m.EndpointUpdateFailed(stale=True), play([old], story)[1])
+        self.assertNotIn(EndpointUpdateFailed(stale=True), play([old], story)[1])
 
     def test_the_other_address_is_forgotten_once_one_has_answered(self) -> None:
         async def story(node: DiscoveryClient, net: Network) -> None:
@@ -232,14 +234,14 @@
             agent = Agent(EVER)
             agent.change_at = news
             node, got, _ = play([agent], story)
-            self.assertEqual((node.generation, [v for v in got if isinstance(v, m.EndpointUpdate)]), (5, []))
+            self.assertEqual((node.generation, [v for v in got if isinstance(v, EndpointUpdate)]), (5, []))
             self.assertLess(len(agent.polls), 40)  # it answers at once, and is not asked without end
 
     def test_connections_that_come_up_late_and_answers_that_come_late_are_heard(self) -> None:
         async def story(node: DiscoveryClient, net: Network) -> None:
             dial = net.dial
 
-            async def late(name: str, address: m.Address, limit: int) -> Any:
+            async def late(name: str, address: Address, limit: int) -> Any:
                 await asyncio.sleep(self.up)
                 return await dial(name, address, limit)
 
@@ -258,7 +260,7 @@
 
         for said in (b"HTTP/1.1 200 x\r\nContent-Length: 9\r\n\r\n{", b"HTTP/1.1 2", b""):
             _, got, _ = play([Cut(said)], story)
-            self.assertEqual(m.EndpointUpdateFailed(stale=True) in got, said != b"")
+            self.assertEqual(EndpointUpdateFailed(stale=True) in got, said != b"")
 
     def test_a_whole_list_of_a_discovery_that_has_begun_anew_is_taken(self) -> None:
         async def story(node: DiscoveryClient, net: Network) -> None:
@@ -268,7 +270,7 @@
 
         agent = Whole(EVER)
         node, got, _ = play([agent], story)
-        whole = [v.complete for v in got if isinstance(v, m.EndpointUpdate)]
+        whole = [v.complete for v in got if isinstance(v, EndpointUpdate)]
         self.assertEqual((node.generation, whole[:1]), (3, [True]))
 
     def test_an_indented_list_is_one(self) -> None:
@@ -276,8 +278,8 @@
         text = json.dumps(whole, indent=4).replace("\n", "\r\n").encode()
         self.assertEqual(
             (
-                m.decode_endpoint_update(text).generation,
-                len(m.decode_endpoint_update(text + b"\n\n").endpoints),
+                decode_endpoint_update(text).generation,
+                len(decode_endpoint_update(text + b"\n\n").endpoints),
             ),
             (9, 1),
         )
@@ -291,7 +293,7 @@
 
         agent = Agent(EVER)
         agent.status = 503
-        self.assertNotIn(m.EndpointUpdateFailed(stale=True), play([agent], story)[1])
+        self.assertNotIn(EndpointUpdateFailed(stale=True), play([agent], story)[1])
 
     def test_a_spoilt_answer_is_asked_for_again_at_once_and_an_answer_begins_the_pauses_anew(self) -> None:
         clock = StalenessTracker(Random(1))
