--- a/onyxpost/simulation/cli.py
+++ b/onyxpost/simulation/cli.py
@@ -14,7 +14,7 @@
 from onyxpost.simulation.cli_errors import told
 from onyxpost.simulation.cli_sockets import load, stand, town
 from onyxpost.simulation.discrete_event import scenario as scenarios
-from onyxpost.simulation.errors import BadOption
+from onyxpost.simulation.errors import InvalidOptionError
 from onyxpost.simulation.multiprocess.cli import rig
 
 JOBS = min(8, os.cpu_count() or 1)
@@ -130,7 +130,7 @@
 
     if plant not in PLANTS:
         what = f"no bug {plant!r}; there are: {', '.join(filter(None, PLANTS))}"
-        raise BadOption(what, "--plant")
+        raise InvalidOptionError(what, "--plant")
     chosen, began = batch.seeds(wanted), time.perf_counter()
     outcomes: list[virtual.Outcome] = []
     interrupted = False
@@ -147,7 +147,7 @@
         click.echo(f"seed {outcome.seed}: {len(outcome.faults)} faults, {len(least.faults)} of them needed")
         for fault in least.faults:
             click.echo(f"  at {fault.at:.4f} s  {fault.kind} {fault.whom} for {fault.lasts} s ({fault.more})")
-        for b in least.breaches[:3]:
+        for b in least.violations[:3]:
             where = f"node {b.node}, req {b.req}, server {b.server}"
             click.echo(f"  {b.rule} broken at {b.at:.3f} ms: {where}: {b.what}")
     took = time.perf_counter() - began
--- a/onyxpost/simulation/cli_errors.py
+++ b/onyxpost/simulation/cli_errors.py
@@ -10,7 +10,7 @@
 import click
 
 from onyxpost.errors import OperatorError
-from onyxpost.simulation.errors import Stuck
+from onyxpost.simulation.errors import SimulationStalledError
 
 
 def told(call: Callable[..., Any]) -> Callable[..., Any]:
@@ -22,6 +22,6 @@
             return call(*args, **kwargs)
         except OperatorError as err:
             click.echo(f"onyxpost: {err.to_line()}", err=True)
-            sys.exit(1 if isinstance(err, Stuck) else 2)
+            sys.exit(1 if isinstance(err, SimulationStalledError) else 2)
 
     return wrapped
--- a/onyxpost/simulation/demo.py
+++ b/onyxpost/simulation/demo.py
@@ -24,7 +24,7 @@
 import msgspec
 
 from onyxpost.runtime.http1 import READ_CHUNK_BYTES, encode_message
-from onyxpost.simulation.errors import NotStarted
+from onyxpost.simulation.errors import ProcessNotStartedError
 from onyxpost.simulation.stub_upstreams import Stand, write_node
 
 EXAMPLE = Path(__file__).parents[2] / "deploy" / "example-node.json"
@@ -71,7 +71,10 @@
 
 @contextlib.asynccontextmanager
 async def node(place: Stand, fields: dict[str, Any], folder: Path) -> AsyncIterator[int]:
-    """A node as a process before what stands at `place`; its port, once it serves. NotStarted: it did not."""
+    """Runs a node as a process before the stubs at `place`; yields its port.
+
+    Raises ProcessNotStartedError if it does not serve in time.
+    """
     port, own = free_port(socket.SOCK_STREAM), f"127.0.0.1:{free_port(socket.SOCK_DGRAM)}"
     example, file = folder / "example.json", folder / "node.json"
     fields = fields | {"listen": f"127.0.0.1:{port}", "peer_listen": own, "peers": [own]}
@@ -98,7 +101,7 @@
                     break
             if process.returncode is not None or time.monotonic() > until:
                 last = log.read_text().strip().rsplit("\n", 1)[-1]
-                raise NotStarted(f"the node at 127.0.0.1:{port} does not serve: {last}")
+                raise ProcessNotStartedError(f"the node at 127.0.0.1:{port} does not serve: {last}")
             await asyncio.sleep(0.02)
         yield port
     finally:
@@ -154,7 +157,7 @@
 
 
 async def play(place: Stand, say: Callable[[str], None]) -> bool:
-    """Whether each req came out as it must. NotStarted: the node did not serve."""
+    """Whether each req came out as it must. ProcessNotStartedError: the node did not serve."""
     fields = msgspec.json.decode(EXAMPLE.read_bytes())
     await place.open()
     try:
@@ -182,7 +185,7 @@
     loop.add_signal_handler(signal.SIGTERM, task.cancel)
     try:
         return 0 if await play(Stand(SERVERS, DELAY, 0, ("127.0.0.1", 0)), say) else 1
-    except (NotStarted, OSError, h11.ProtocolError) as err:
+    except (ProcessNotStartedError, OSError, h11.ProtocolError) as err:
         print(f"onyxpost: {err or type(err).__name__}", file=sys.stderr)
         return 1
     except asyncio.CancelledError:
--- a/onyxpost/simulation/deterministic/cluster.py
+++ b/onyxpost/simulation/deterministic/cluster.py
@@ -19,7 +19,7 @@
 from onyxpost.node.edge_node import EdgeNode
 from onyxpost.runtime.http1 import encode_message
 from onyxpost.simulation.deterministic.discovery_agent import FailingAgent
-from onyxpost.simulation.invariants import ANSWERS, Rules
+from onyxpost.simulation.invariants import ANSWERS, InvariantChecker
 from onyxpost.simulation.invariants.endpoint_knowledge import COUNTS
 from onyxpost.simulation.settings import PATIENT as PATIENT
 from onyxpost.simulation.settings import SETTINGS as SETTINGS
@@ -44,7 +44,7 @@
         self.cluster.logged.append((round(at - EPOCH, 3), self.name, event))
         if event in ("fault", "overdue"):
             cause = str(fields.get("cause", fields.get("request", "")))[-300:]
-            self.cluster.rules.breach(ANSWERS, at - EPOCH, self.name, "", "", f"{event}: {cause}")
+            self.cluster.checker.record_violation(ANSWERS, at - EPOCH, self.name, "", "", f"{event}: {cause}")
 
 
 class Edge:
@@ -88,7 +88,7 @@
         """SIGHUP: the file names the other agent, whose news counts from a while later on."""
         self.agent = 1 - self.agent
         self.named.counts_from = self.cluster.now() + MOVED
-        self.cluster.rules.discovery_moved(self.name)
+        self.cluster.checker.on_discovery_replaced(self.name)
         self.cluster.held(self.named, list(self.named.held.values()))
         self.net.reread()
 
@@ -117,13 +117,15 @@
         if self.task is task:
             if not task.done():
                 at = self.cluster.now()
-                self.cluster.rules.breach(ANSWERS, at, self.name, "", "", "still there 3 s after SIGTERM")
+                self.cluster.checker.record_violation(
+                    ANSWERS, at, self.name, "", "", "still there 3 s after SIGTERM"
+                )
             self.kill()
             self.start()
 
     def kill(self) -> None:
         """Outright: what it held is no longer its duty."""
-        self.cluster.rules.node_died(self.cluster.now(), self.name)
+        self.cluster.checker.on_node_killed(self.cluster.now(), self.name)
         if self.task is not None:
             self.task.cancel()
         if self.program is not None:
@@ -143,7 +145,7 @@
     ) -> None:
         self.seed, self.plant, self.settings = seed, plant, settings
         self.net = Network(Random(f"{seed}/net"))
-        self.rules: Rules
+        self.checker: InvariantChecker
         self.logged: list[tuple[float, str, str]] = []
         self.edges: list[Edge] = []
         self.edges += [Edge(self, number) for number in range(edges)]
@@ -153,7 +155,7 @@
         told = self.edges[0].told().deployment
         self.frontends = {f.name: f for f in told.frontends}
         self.plans = told.plans
-        self.rules = Rules(
+        self.checker = InvariantChecker(
             grace=settings["rules"]["drain_grace_us"] / 1000.0,
             cold=told.slow_start,
             plans=told.plans,
@@ -186,17 +188,19 @@
     def reached(self, writer: asyncio.StreamWriter, trace: str, server: AppServer) -> tuple[str, int]:
         node = str(writer.transport.other.name).split(".")[0]  # type: ignore[attr-defined]
         plan = self.meta.get(trace, ("", ""))[0]
-        self.rules.sent(self.now(), node, trace, server.id, server.zone, server.number % 2, plan, self.now())
-        self.rules.call_came(self.now(), server.id, node, trace)
-        taken = self.rules.reqs.get((node, trace))
+        self.checker.on_attempt_sent(
+            self.now(), node, trace, server.id, server.zone, server.number % 2, plan, self.now()
+        )
+        self.checker.on_call_received(self.now(), server.id, node, trace)
+        taken = self.checker.requests.get((node, trace))
         return node, len(taken.sent) - 1 if taken is not None else 0
 
     def never_ran(self, node: str, trace: str, number: int) -> None:
-        self.rules.ended(self.now(), node, trace, number, True)
+        self.checker.on_attempt_ended(self.now(), node, trace, number, True)
 
     def list_told(self, number: int, rows: list[dict[str, Any]]) -> None:
         for row in rows:
-            self.rules.list_told(
+            self.checker.on_endpoint_notified(
                 self.now(), f"n{number}", row["instanceId"], LIFECYCLE_STATES[row["lifecycle"]]
             )
 
@@ -212,10 +216,10 @@
             return
         for row in rows:
             standing = LIFECYCLE_STATES[row["lifecycle"]]
-            self.rules.discovery_has(now, edge.name, row["instanceId"], standing, within)
+            self.checker.on_discovery_updated(now, edge.name, row["instanceId"], standing, within)
 
     def server_started(self, server: AppServer) -> None:
-        self.rules.server_started(self.now(), server.id, CAPACITY, CALL)
+        self.checker.on_server_started(self.now(), server.id, CAPACITY, CALL)
 
     def change(self, server: AppServer) -> None:
         """Each node's agents hear of it in their time."""
@@ -252,7 +256,9 @@
         began, life = self.now(), edge.life
         self.asked += 1
         self.meta[trace] = plan, edge.name
-        self.rules.taken(began, edge.name, trace, f, f"{customer:x}", units, began + f.client_timeout_ms)
+        self.checker.on_request_received(
+            began, edge.name, trace, f, f"{customer:x}", units, began + f.client_timeout_ms
+        )
         writer.write(request)
         try:
             async with asyncio.timeout(patience / 1000.0):
@@ -260,15 +266,17 @@
         except TimeoutError:
             writer.transport.abort()
             self.left += 1
-            self.rules.client_left(self.now(), edge.name, trace)
+            self.checker.on_client_disconnected(self.now(), edge.name, trace)
             return "left"
         except (OSError, h11.ProtocolError) as err:
             if edge.life == life and edge.program is not None:
-                self.rules.breach(ANSWERS, self.now(), edge.name, trace, "", f"no whole answer: {err!r}")
+                self.checker.record_violation(
+                    ANSWERS, self.now(), edge.name, trace, "", f"no whole answer: {err!r}"
+                )
             return "cut"
         writer.close()
         if edge.life == life and edge.program is not None:
-            self.rules.answered(self.now(), edge.name, trace, final)
+            self.checker.on_final_answer(self.now(), edge.name, trace, final)
         setattr(self, final, getattr(self, final) + 1)
         return final
 
--- a/onyxpost/simulation/deterministic/seed_run.py
+++ b/onyxpost/simulation/deterministic/seed_run.py
@@ -14,13 +14,13 @@
 from onyxpost.simulation.deterministic.cluster import PATIENT, SETTINGS, Cluster
 from onyxpost.simulation.deterministic.fault_script import EDGES, SERVERS, Fault, ends, script
 from onyxpost.simulation.deterministic.faults import Faults
-from onyxpost.simulation.invariants import Breach
+from onyxpost.simulation.invariants import Violation
 from onyxpost.simulation.mutations import PLANTS
 
 
 class Outcome(NamedTuple):
     seed: int
-    breaches: list[Breach]
+    violations: list[Violation]
     faults: list[Fault]
     asked: int
     passed: int
@@ -29,7 +29,7 @@
 
     @property
     def failed(self) -> bool:
-        return bool(self.breaches)
+        return bool(self.violations)
 
 
 class Play:
@@ -64,12 +64,12 @@
         while any(not task.done() for task in self.tasks):
             await asyncio.sleep(0.1)
         await asyncio.sleep(1.5)
-        c.rules.finish(c.now())
+        c.checker.finish(c.now())
         for edge in c.edges:
             edge.kill()
         digest = _digest(self.history, c)
         return Outcome(
-            self.seed, list(c.rules.breaches), self.faults, c.asked, c.passed, c.rules.steps, digest
+            self.seed, list(c.checker.violations), self.faults, c.asked, c.passed, c.checker.steps, digest
         )
 
     def client(self, chance: Random, edge: Any, patience: float | None = None) -> None:
@@ -83,7 +83,7 @@
 
     async def ask(self, trace: str, edge: Any, *what: Any) -> None:
         final = await self.cluster.ask(trace, edge, *what)
-        self.cluster.rules.check(self.cluster.now())
+        self.cluster.checker.check_deadlines(self.cluster.now())
         self.history.append(f"{self.cluster.now():.3f} {trace} {final}")
 
     def begin(self, faults: Faults, fault: Fault) -> None:
@@ -92,7 +92,7 @@
 
 
 def _digest(history: list[str], cluster: Cluster) -> str:
-    told = [*history, *map(str, cluster.logged), *map(str, cluster.rules.breaches)]
+    told = [*history, *map(str, cluster.logged), *map(str, cluster.checker.violations)]
     return hashlib.sha256("\n".join(told).encode()).hexdigest()[:16]
 
 
--- a/onyxpost/simulation/discrete_event/batch.py
+++ b/onyxpost/simulation/discrete_event/batch.py
@@ -21,7 +21,7 @@
 from onyxpost.policy.slow_start import SlowStart
 from onyxpost.simulation.discrete_event.scenario import Scenario, packed, unpacked
 from onyxpost.simulation.discrete_event.world import World, lines
-from onyxpost.simulation.errors import BadOption
+from onyxpost.simulation.errors import InvalidOptionError
 from onyxpost.simulation.results import encode
 
 SEED_MOST = 2**32 - 1
@@ -87,7 +87,7 @@
             found += range(first, last + 1)
     except ValueError:
         what = f"{text!r}: numbers from 0 to {SEED_MOST}, as in 1-20 or 1,4,9-12"
-        raise BadOption(what, "seeds") from None
+        raise InvalidOptionError(what, "seeds") from None
     return list(dict.fromkeys(found))
 
 
@@ -106,7 +106,7 @@
                 raise TypeError(name)
         except (ValueError, AttributeError, TypeError):
             why = "a constant of the module and a number, as in Theta.PERIOD=250"
-            raise BadOption(f"{word!r}: {why}", "--with") from None
+            raise InvalidOptionError(f"{word!r}: {why}", "--with") from None
     return found
 
 
--- a/onyxpost/simulation/discrete_event/node_model.py
+++ b/onyxpost/simulation/discrete_event/node_model.py
@@ -189,7 +189,7 @@
         self.gateway = Gateway(self.now(), options)
         self.handle(EndpointsUpdated(True, list(self.rows.values())))
         for server, row in self.rows.items():
-            w.rules.list_told(self.clock.now, self.name, server, row.state)
+            w.checker.on_endpoint_notified(self.clock.now, self.name, server, row.state)
 
     def kill(self) -> None:
         self.alive = False
@@ -202,7 +202,7 @@
             if (known := self.known.get(server)) is not None and known.alive:
                 known.connections -= len(links)
         self.idle = {}
-        self.world.rules.node_died(self.clock.now, self.name)
+        self.world.checker.on_node_killed(self.clock.now, self.name)
         holding, self.held = list(self.held.values()), {}
         for held in holding:
             if not held.done:
@@ -224,7 +224,7 @@
         rid = f"{self.life}.{self.taken}"
         held = self.held[rid] = Held(rid, ask, self.clock.now + patience - TICK, final)
         customer = ask.customer
-        self.world.rules.taken(
+        self.world.checker.on_request_received(
             self.clock.now, self.name, rid, frontend, customer.key, ask.units, self.clock.now + patience
         )
         self.handle(
@@ -245,7 +245,7 @@
         held = self.held.get(rid)
         if held is not None and not held.done and self.alive:
             held.done = True
-            self.world.rules.client_left(self.clock.now, self.name, rid)
+            self.world.checker.on_client_disconnected(self.clock.now, self.name, rid)
             self.handle(RequestCancelled(rid))
             self.forget(held)
 
@@ -254,7 +254,9 @@
         held.flights[flight.number] = None
         settled = held.done
         if flight.place >= 0:
-            self.world.rules.ended(self.clock.now, self.name, held.rid, flight.place, result.never_executed)
+            self.world.checker.on_attempt_ended(
+                self.clock.now, self.name, held.rid, flight.place, result.never_executed
+            )
         if result is AttemptResult.OK and not settled:
             settled = True
             self.answer(held, "passed", 0.0)
@@ -266,7 +268,9 @@
         held = flight.held
         held.flights[flight.number] = None
         if flight.place >= 0:
-            self.world.rules.ended(self.clock.now, self.name, held.rid, flight.place, result.never_executed)
+            self.world.checker.on_attempt_ended(
+                self.clock.now, self.name, held.rid, flight.place, result.never_executed
+            )
         waited = self.clock.now - flight.began
         self.after_round.append(AttemptFinished(held.rid, flight.number, result, waited, held.done, 0))
 
@@ -300,7 +304,7 @@
         for server in servers:
             row = server.row(self.world.epoch)
             rows.append(row)
-            self.world.rules.list_told(self.clock.now, self.name, server.id, row.state)
+            self.world.checker.on_endpoint_notified(self.clock.now, self.name, server.id, row.state)
             if row.state.value == "gone":
                 self.rows.pop(server.id, None)
                 self.known.pop(server.id, None)
@@ -361,7 +365,7 @@
     def answer(self, held: Held, final: str, retry_after: float) -> None:
         if not held.done:
             held.done = True
-            self.world.rules.answered(self.clock.now, self.name, held.rid, final)
+            self.world.checker.on_final_answer(self.clock.now, self.name, held.rid, final)
             held.final(final, retry_after)
 
     def reject(self, req: str, retry_after: float) -> None:
@@ -377,7 +381,7 @@
     def forget(self, held: Held) -> None:
         if held.done and all(flight is None for flight in held.flights):
             if self.held.pop(held.rid, None) is not None:
-                self.world.rules.forget(self.name, held.rid)
+                self.world.checker.forget_request(self.name, held.rid)
 
     def cancel_attempt(self, req: str, number: int) -> None:
         held = self.held.get(req)
--- a/onyxpost/simulation/discrete_event/scenario.py
+++ b/onyxpost/simulation/discrete_event/scenario.py
@@ -12,7 +12,7 @@
 from msgspec import Meta
 
 from onyxpost.core.types import DeduplicationScope, Frontend, GatewayLimits, Idempotency, SlowStartPolicy
-from onyxpost.simulation.errors import BadScript, NoSuchFile
+from onyxpost.simulation.errors import InvalidFaultScriptError, SimulationFileError
 
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
 Positive = Annotated[float, Meta(gt=0.0)]
@@ -243,7 +243,7 @@
     try:
         scenario = decode()
     except msgspec.DecodeError as err:  # of its form, or of a value: msgspec names the place
-        raise BadScript(str(err), where) from err
+        raise InvalidFaultScriptError(str(err), where) from err
     _consistent(scenario, where)
     return scenario
 
@@ -257,7 +257,7 @@
         return read(path.read_text(), name)
     except (OSError, UnicodeDecodeError) as err:
         why = getattr(err, "strerror", None) or err
-        raise NoSuchFile(f"{why}; shipped are: {', '.join(shipped())}", name) from err
+        raise SimulationFileError(f"{why}; shipped are: {', '.join(shipped())}", name) from err
 
 
 def shipped() -> list[str]:
@@ -299,7 +299,7 @@
 
 def _consistent(s: Scenario, where: str) -> None:
     def refuse(place: str, why: str) -> None:
-        raise BadScript(f"{why} - at `$.{place}`", where)
+        raise InvalidFaultScriptError(f"{why} - at `$.{place}`", where)
 
     for part, names in RANGES.items():
         for name in names:
--- a/onyxpost/simulation/discrete_event/server_model.py
+++ b/onyxpost/simulation/discrete_event/server_model.py
@@ -10,7 +10,7 @@
 from onyxpost.core.types import AttemptResult, EndpointState, EndpointStatus, SlowStartPolicy
 from onyxpost.simulation.discrete_event.event_queue import Clockwork
 from onyxpost.simulation.discrete_event.scenario import Fleet
-from onyxpost.simulation.invariants import Rules
+from onyxpost.simulation.invariants import InvariantChecker
 
 QUICK = 2.0  # ms in which a server fails a req or turns it away
 
@@ -29,7 +29,7 @@
     def __init__(
         self,
         clock: Clockwork,
-        rules: Rules,
+        checker: InvariantChecker,
         fleet: Fleet,
         cold: SlowStartPolicy,
         chance: Random,
@@ -39,7 +39,7 @@
         speed: float,
         started: float,
     ) -> None:
-        self.clock, self.rules, self.fleet, self.cold, self.chance = clock, rules, fleet, cold, chance
+        self.clock, self.checker, self.fleet, self.cold, self.chance = clock, checker, fleet, cold, chance
         self.id, self.zone, self.cell, self.speed, self.started = sid, zone, cell, speed, started
         self.standing, self.alive, self.fell = EndpointState.READY, True, False
         self.slow, self.fails, self.loses, self.hung = 1.0, 0.0, 0.0, False
@@ -48,7 +48,7 @@
         self.running = self.connections = self.handshakes = self.refused = 0
         self.on_death: list[Callable[[Server], None]] = []
         if started > 0.0:
-            rules.server_started(started, sid, fleet.cores * speed)
+            checker.on_server_started(started, sid, fleet.cores * speed)
 
     def row(self, epoch: float) -> EndpointStatus:
         started = epoch + self.started if self.started > 0.0 else 0.0
@@ -74,7 +74,7 @@
             self.clock.after(QUICK, flight.back, AttemptResult.FULL)
             return
         node, req = flight.name()
-        if not self.rules.work_came(self.clock.now, self.id, flight.work, node, req):
+        if not self.checker.on_work_received(self.clock.now, self.id, flight.work, node, req):
             self.fell = True
             self.die()
             flight.back(AttemptResult.LOST)
@@ -120,7 +120,7 @@
         if not self.alive:
             return
         self.alive = False
-        self.rules.server_gone(self.id)
+        self.checker.on_server_removed(self.id)
         held, self.holds = list(self.holds), {}
         self.waiting.clear()
         self.connections = self.running = 0
--- a/onyxpost/simulation/discrete_event/world.py
+++ b/onyxpost/simulation/discrete_event/world.py
@@ -13,7 +13,7 @@
 from onyxpost.simulation.discrete_event.node_model import Held, Node
 from onyxpost.simulation.discrete_event.planner_model import PlannerModel
 from onyxpost.simulation.discrete_event.server_model import Server
-from onyxpost.simulation.invariants import Rules
+from onyxpost.simulation.invariants import InvariantChecker
 from onyxpost.simulation.virtual_time import EPOCH
 
 SLACK = 50.0  # ms that the checker allows beside each limit
@@ -67,7 +67,7 @@
         self.frontends = [work.frontend() for work in scenario.work]
         self.works = {work.name: work for work in scenario.work}
         self.plans = self._plans()
-        self.rules = Rules(
+        self.checker = InvariantChecker(
             grace=scenario.drain_grace_ms,
             cold=self.cold,
             plans=self.plans,
@@ -145,7 +145,7 @@
             self.clock.at(event.at_s * 1000.0, getattr(self, "begin_" + type(event).__name__.lower()), event)
         self.clock.at(100.0, self.look)
         self.clock.run(until)
-        self.rules.finish(self.clock.now)
+        self.checker.finish(self.clock.now)
 
     def second(self) -> Counter[str]:
         return self.seconds[min(len(self.seconds) - 1, int(self.clock.now // 1000.0))]
@@ -155,7 +155,7 @@
 
     def look(self) -> None:
         """Ten times a second: the rules that time alone can break, and what is held."""
-        self.rules.check(self.clock.now)
+        self.checker.check_deadlines(self.clock.now)
         now = self.second()
         out = sum(len(server.holds) for server in self.servers.values())
         now["held_most"] = max(now["held_most"], out)
@@ -166,7 +166,7 @@
         self.clock.after(100.0, self.look)
 
     def _coldest(self) -> int:
-        loads = [self.rules.cold_load(server) for server in self.rules.starting]
+        loads = [self.checker.slow_start_load(server) for server in self.checker.warming_servers]
         return round(1000.0 * max(loads, default=0.0))
 
     def sweep(self, node: Node) -> None:
@@ -292,7 +292,7 @@
             beyond = ask.customer.quota.draw(now, ask.units)
             ask.within = not beyond
             self.count("units_beyond", beyond)
-        self.rules.sent(
+        self.checker.on_attempt_sent(
             now, node.name, held.rid, server.id, f"h{server.zone}", server.cell, ask.customer.plan.name, now
         )
 
@@ -304,7 +304,7 @@
         chance = Random(f"{self.seed}/server/{self.lives}")
         server = Server(
             self.clock,
-            self.rules,
+            self.checker,
             self.scenario.fleet,
             self.cold,
             chance,
@@ -442,7 +442,7 @@
     yield {"kind": "run", **head, "seconds": sc.seconds}
     for t, second in enumerate(world.seconds[: int(sc.seconds)]):
         yield {"kind": "second", "t": t, **{k: round(v, 3) for k, v in sorted(second.items())}}
-    for b in world.rules.breaches:
+    for b in world.checker.violations:
         yield {"kind": "breach", **b._asdict()}
     yield {"kind": "total", **head, **totals(world)}
 
@@ -468,7 +468,7 @@
         "servers_fell": whole["servers_fell"],
         "cold_load_most": max(s["cold_permille"] for s in world.seconds) / 1000.0,
         "modes": dict(sorted(world.modes.items())),
-        "breaches": len(world.rules.breaches),
+        "breaches": len(world.checker.violations),
         "tries": whole["tries"],
         "events": world.clock.done,
     }
--- a/onyxpost/simulation/invariants/__init__.py
+++ b/onyxpost/simulation/invariants/__init__.py
@@ -1,6 +1,6 @@
 """The rules' one checker, for emulator, virtual clock and rig."""
 
-from onyxpost.simulation.invariants.checker import Rules as Rules
+from onyxpost.simulation.invariants.checker import InvariantChecker as InvariantChecker
 from onyxpost.simulation.invariants.records import ANSWERS as ANSWERS
 from onyxpost.simulation.invariants.records import CEILINGS as CEILINGS
 from onyxpost.simulation.invariants.records import COLD as COLD
@@ -12,5 +12,5 @@
 from onyxpost.simulation.invariants.records import GONE_FIRSTS as GONE_FIRSTS
 from onyxpost.simulation.invariants.records import RULES as RULES
 from onyxpost.simulation.invariants.records import TOLD as TOLD
-from onyxpost.simulation.invariants.records import Breach as Breach
 from onyxpost.simulation.invariants.records import Bucket as Bucket
+from onyxpost.simulation.invariants.records import Violation as Violation
--- a/onyxpost/simulation/invariants/disconnected_clients.py
+++ b/onyxpost/simulation/invariants/disconnected_clients.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from onyxpost.simulation.invariants.records import Breach, Taken
+from onyxpost.simulation.invariants.records import RequestRecord, Violation
 
 BEGUN = 100.0  # an attempt that begins so much later is counted
 BORNE = 2  # such attempts in a run; with the next one the rule is broken
@@ -10,30 +10,30 @@
 SHARE, LEAST = 0.25, 5  # many: over this share of those that waited when their client went, and so many
 
 
-class Gone:
+class DisconnectedClients:
     def __init__(self, slack: float) -> None:
         self.slack = slack
         self.attempts = 0  # begun too late, first or further
         self.waited = 0  # reqs that still waited for their first attempt when their client went
-        self.firsts: list[Breach] = []  # what was sent on of those, far too late
+        self.firsts: list[Violation] = []  # what was sent on of those, far too late
 
-    def left(self, taken: Taken) -> None:
+    def left(self, taken: RequestRecord) -> None:
         self.waited += not taken.sent
 
-    def sent(self, taken: Taken, first_byte: float, server: str) -> str:
-        """What is broken by it, if anything is. Told before it is counted among what the req has sent."""
+    def sent(self, taken: RequestRecord, first_byte: float, server: str) -> str:
+        """Returns the violation, if any; called before the attempt is added to the request."""
         if taken.left_at is None:
             return ""
         after = first_byte - taken.left_at
         if not taken.sent and after > WAITED + self.slack:
             what = f"first sent on {after:.0f} ms after its client went"
-            self.firsts.append(Breach("", first_byte, taken.node, taken.req, server, what))
+            self.firsts.append(Violation("", first_byte, taken.node, taken.req, server, what))
         if after <= BEGUN + self.slack:
             return ""
         self.attempts += 1
         return f"begun {after:.0f} ms after its client went" if self.attempts > BORNE else ""
 
-    def many_firsts(self) -> Breach | None:
+    def many_firsts(self) -> Violation | None:
         """The last one of them, where they are too many for the run."""
         late = len(self.firsts)
         if late < LEAST or late <= SHARE * self.waited:
--- a/onyxpost/simulation/invariants/endpoint_knowledge.py
+++ b/onyxpost/simulation/invariants/endpoint_knowledge.py
@@ -15,12 +15,12 @@
 Key = tuple[str, str]  # node, server
 
 
-class Told(NamedTuple):
+class EndpointNotification(NamedTuple):
     at: float
     heard: bool  # else it only counts
 
 
-class Telling:
+class EndpointKnowledge:
     def __init__(self) -> None:
         self.unwanted: dict[Key, float] = {}  # heard: nothing more to that server
         self.counted: dict[Key, float] = {}  # when the same counts as told
@@ -53,12 +53,12 @@
             for key in [key for key in told if key[0] == node]:
                 del told[key]
 
-    def not_to_send(self, node: str, server: str) -> Told | None:
+    def not_to_send(self, node: str, server: str) -> EndpointNotification | None:
         """From when on the node was told to send no more there."""
         heard, counted = self.unwanted.get((node, server)), self.counted.get((node, server))
         if heard is not None and (counted is None or heard <= counted):
-            return Told(heard, True)
-        return None if counted is None else Told(counted, False)
+            return EndpointNotification(heard, True)
+        return None if counted is None else EndpointNotification(counted, False)
 
     def of_start(self, at: float, node: str, server: str) -> bool:
         return self.started.get((node, server), float("inf")) <= at
--- a/onyxpost/simulation/invariants/records.py
+++ b/onyxpost/simulation/invariants/records.py
@@ -15,7 +15,7 @@
 FINALS = ("passed", "denied", "aborted")
 
 
-class Breach(NamedTuple):
+class Violation(NamedTuple):
     rule: str
     at: float
     node: str
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Sent:
+class AttemptRecord:
     server: str
     zone: str
     cell: int
@@ -34,14 +34,14 @@
 
 
 @dataclass(slots=True)
-class Taken:
+class RequestRecord:
     node: str
     req: str
     frontend: Frontend
     customer: str
     units: int
     leaves: float
-    sent: list[Sent] = field(default_factory=list)
+    sent: list[AttemptRecord] = field(default_factory=list)
     final: str = ""
     left: bool = False  # the client has gone, or the node died: no answer is owed any more
     left_at: float | None = None  # the client closed or cancelled
--- a/onyxpost/simulation/invariants/slow_start.py
+++ b/onyxpost/simulation/invariants/slow_start.py
@@ -15,7 +15,7 @@
     return n + 2.0 * sqrt(n) + 2.0
 
 
-class Starting:
+class WarmingServer:
     """One server's life while it is cold."""
 
     def __init__(self, started: float, capacity: float, call: float) -> None:
--- a/onyxpost/simulation/load.py
+++ b/onyxpost/simulation/load.py
@@ -19,7 +19,7 @@
 from onyxpost.config.deployment import Deployment
 from onyxpost.core.types import Frontend, Idempotency
 from onyxpost.runtime.http1 import READ_CHUNK_BYTES, encode_message
-from onyxpost.simulation.errors import BadOption, NotLoopback
+from onyxpost.simulation.errors import InvalidOptionError, NotLoopbackError
 
 REQS_MOST, SECONDS_MOST, OPEN_MOST = 1_000_000, 3600.0, 20_000
 HIGHEST = 60_000_000  # us: what takes longer counts as this
@@ -41,16 +41,18 @@
             return address
     except ValueError:
         pass
-    raise NotLoopback("only addresses on loopback are sent load", "{}:{}".format(*address))
+    raise NotLoopbackError("only addresses on loopback are sent load", "{}:{}".format(*address))
 
 
 def bounded(load: Load) -> Load:
     if not 0.0 < load.seconds <= SECONDS_MOST:
-        raise BadOption(f"{load.seconds:g} s: from above 0 to {SECONDS_MOST:.0f}")
+        raise InvalidOptionError(f"{load.seconds:g} s: from above 0 to {SECONDS_MOST:.0f}")
     if not 0.0 < load.rate * load.seconds <= REQS_MOST:
-        raise BadOption(f"{load.rate:g} reqs a second for {load.seconds:g} s: at most {REQS_MOST} reqs")
+        raise InvalidOptionError(
+            f"{load.rate:g} reqs a second for {load.seconds:g} s: at most {REQS_MOST} reqs"
+        )
     if not 0 < load.connections <= OPEN_MOST:
-        raise BadOption(f"{load.connections} connections: from 1 to {OPEN_MOST}")
+        raise InvalidOptionError(f"{load.connections} connections: from 1 to {OPEN_MOST}")
     return load
 
 
--- a/onyxpost/simulation/multiprocess/checker.py
+++ b/onyxpost/simulation/multiprocess/checker.py
@@ -15,7 +15,7 @@
 WAKE = 100.0  # ms after SIGCONT in which a process finds out that time has passed
 
 
-class Breach(NamedTuple):
+class Violation(NamedTuple):
     rule: str
     seed: int
     at: float  # ms
@@ -30,9 +30,11 @@
 Judge = Callable[[Sequence[Event]], Found]
 
 
-def check(events: Iterable[Event], judges: Iterable[Judge], seed: int) -> list[Breach]:
+def check(events: Iterable[Event], judges: Iterable[Judge], seed: int) -> list[Violation]:
     ordered = sorted(events, key=lambda event: float(event["t"]))
-    found = [Breach(rule, seed, at, who, what) for judge in judges for rule, at, who, what in judge(ordered)]
+    found = [
+        Violation(rule, seed, at, who, what) for judge in judges for rule, at, who, what in judge(ordered)
+    ]
     return sorted(found, key=lambda breach: breach.at)
 
 
--- a/onyxpost/simulation/multiprocess/cli.py
+++ b/onyxpost/simulation/multiprocess/cli.py
@@ -41,27 +41,31 @@
     from onyxpost.simulation.discrete_event.batch import seeds as numbers
     from onyxpost.simulation.multiprocess import leadership_mutations, runner
     from onyxpost.simulation.multiprocess import scenario as scenarios
-    from onyxpost.simulation.multiprocess.errors import RigUnusable
+    from onyxpost.simulation.multiprocess.errors import InvalidScenarioError
     from onyxpost.simulation.multiprocess.fault_script import Script, decode
     from onyxpost.simulation.multiprocess.mutated_program import PLANTS
 
     if plant not in PLANTS:
-        raise RigUnusable(f"no plant {plant!r}; there are {', '.join(name for name in PLANTS if name)}")
+        raise InvalidScenarioError(
+            f"no plant {plant!r}; there are {', '.join(name for name in PLANTS if name)}"
+        )
     scripts: list[Script]
     if replay is not None:
         try:
             scripts = [decode(replay.read_bytes(), str(replay))]
         except OSError as err:
-            raise RigUnusable(str(err.strerror), str(replay)) from err
+            raise InvalidScenarioError(str(err.strerror), str(replay)) from err
         first = scripts[0]
         one = scenarios.sized(scenarios.load(scenario or first.scenario), first.nodes, first.seconds)
     elif scenario is None:
-        raise RigUnusable(f"no scenario; shipped are {', '.join(scenarios.shipped())}")
+        raise InvalidScenarioError(f"no scenario; shipped are {', '.join(scenarios.shipped())}")
     else:
         one = scenarios.sized(scenarios.load(scenario), nodes, seconds)
         scripts = [scenarios.scripted(one, seed, plant) for seed in numbers(seeds)]
     if one.stage != "duties" and any(script.plant in leadership_mutations.PLANTS for script in scripts):
-        raise RigUnusable(f"the bug {scripts[0].plant!r} is of duties, not of stage {one.stage!r}", one.name)
+        raise InvalidScenarioError(
+            f"the bug {scripts[0].plant!r} is of duties, not of stage {one.stage!r}", one.name
+        )
     lines: list[dict[str, Any]] = []
     broken, interrupted = 0, False
     try:
@@ -69,15 +73,15 @@
             began = time.perf_counter()
             outcome = runner.play(one, script, kept)
             lines.append(outcome.line())
-            broken += bool(outcome.breaches)
+            broken += bool(outcome.violations)
             counts = "  ".join(f"{name} {count}" for name, count in outcome.counts.items())
             click.echo(
                 f"{one.name:16} seed {script.seed:<6} {counts}  faults {sum(outcome.faults.values())}"
-                f"  broken rules {len(outcome.breaches)}  {time.perf_counter() - began:.1f} s"
+                f"  broken rules {len(outcome.violations)}  {time.perf_counter() - began:.1f} s"
             )
-            for breach in outcome.breaches[:5]:
+            for breach in outcome.violations[:5]:
                 click.echo(f"  {breach.line()}")
-            if outcome.breaches and kept is not None:
+            if outcome.violations and kept is not None:
                 click.echo(f"  kept: {kept / f'{script.scenario}-{script.seed}' / 'script.json'}")
     except KeyboardInterrupt:
         interrupted = True
--- a/onyxpost/simulation/multiprocess/edge_invariants.py
+++ b/onyxpost/simulation/multiprocess/edge_invariants.py
@@ -16,7 +16,7 @@
     Plan,
     SlowStartPolicy,
 )
-from onyxpost.simulation.invariants import ANSWERS, EFFECTS, Rules
+from onyxpost.simulation.invariants import ANSWERS, EFFECTS, InvariantChecker
 from onyxpost.simulation.multiprocess.checker import Away, Event, Found, Late
 
 SLACK = 50.0  # ms past a client timeout
@@ -41,20 +41,22 @@
     def __call__(self, events: Sequence[Event]) -> Found:
         away, late = Away(events), Late(events)
         lag = late.slack
-        rules = Rules(
+        checker = InvariantChecker(
             grace=self.grace, cold=self.cold, plans=self.plans, slack=SLACK + lag, largest=self.largest
         )
         told: dict[str, Event] = {}
         play: dict[str, Callable[[Event], None]] = {
-            "asked": lambda e: self.asked(rules, told, away, late, e),
-            "answered": lambda e: self.answered(rules, told, e),
-            "sent": lambda e: self.sent(rules, told, e),
-            "never ran": lambda e: self.never_ran(rules, told, e),
-            "told": lambda e: rules.list_told(e["t"], e["node"], e["server"], EndpointState(e["standing"])),
-            "process": lambda e: self.process(rules, e),
-            "gone": lambda e: self.gone(rules, told, e),
-            "server": lambda e: rules.server_started(e["t"], e["server"], e["capacity"], e["call"]),
-            "reached": lambda e: self.reached(rules, told, e),
+            "asked": lambda e: self.asked(checker, told, away, late, e),
+            "answered": lambda e: self.answered(checker, told, e),
+            "sent": lambda e: self.sent(checker, told, e),
+            "never ran": lambda e: self.never_ran(checker, told, e),
+            "told": lambda e: checker.on_endpoint_notified(
+                e["t"], e["node"], e["server"], EndpointState(e["standing"])
+            ),
+            "process": lambda e: self.process(checker, e),
+            "gone": lambda e: self.gone(checker, told, e),
+            "server": lambda e: checker.on_server_started(e["t"], e["server"], e["capacity"], e["call"]),
+            "reached": lambda e: self.reached(checker, told, e),
         }
         moved = [
             (self.moment(e, away, late), i, e)
@@ -62,12 +64,12 @@
             if e["event"] in play and not (e["event"] == "told" and self.unheard(e, away))
         ]
         for t, _, event in sorted(moved, key=lambda one: one[:2]):
-            rules.check(t - CROSSING - lag)  # answers are read that much later
+            checker.check_deadlines(t - CROSSING - lag)  # answers are read that much later
             play[event["event"]](event | {"t": t} if event["event"] == "told" else event)
-        rules.finish(float("inf"))
+        checker.finish(float("inf"))
         last = float(events[-1]["t"]) if events else 0.0
         found = [
-            (b.rule, min(b.at, last), b.node, f"req {b.req} {b.server}: {b.what}") for b in rules.breaches
+            (b.rule, min(b.at, last), b.node, f"req {b.req} {b.server}: {b.what}") for b in checker.violations
         ]
         return found + self.outside(events, told, away, late) + self.ran(events, told)
 
@@ -78,48 +80,54 @@
             return t + late.within(event["node"], t, t + self.grace + SLACK)
         return t + CROSSING + late.slack if event["event"] in ("answered", "gone") else t
 
-    def asked(self, rules: Rules, told: dict[str, Event], away: Away, late: Late, e: Event) -> None:
+    def asked(
+        self, checker: InvariantChecker, told: dict[str, Event], away: Away, late: Late, e: Event
+    ) -> None:
         told[e["trace"]] = e
         f = self.frontends[e["frontend"]]
         leaves = e["t"] + f.client_timeout_ms
-        rules.taken(e["t"], e["node"], e["trace"], f, e["customer"], e["units"], leaves)
+        checker.on_request_received(e["t"], e["node"], e["trace"], f, e["customer"], e["units"], leaves)
         if away.within(e["node"], e["t"], leaves + SLACK) or late.within(e["node"], e["t"], leaves + SLACK):
-            rules.excused(e["node"], e["trace"])  # nothing is owed in time by who does not run
+            checker.excuse_answer(e["node"], e["trace"])  # nothing is owed in time by who does not run
 
-    def answered(self, rules: Rules, told: dict[str, Event], e: Event) -> None:
+    def answered(self, checker: InvariantChecker, told: dict[str, Event], e: Event) -> None:
         asked = told[e["trace"]]
-        rules.answered(e["t"], asked["node"], e["trace"], e["final"])
+        checker.on_final_answer(e["t"], asked["node"], e["trace"], e["final"])
 
-    def sent(self, rules: Rules, told: dict[str, Event], e: Event) -> None:
+    def sent(self, checker: InvariantChecker, told: dict[str, Event], e: Event) -> None:
         asked = told.get(e["trace"])
         if asked is not None:  # else of an earlier run
             zone, cell = e["zone"], e["cell"]
-            rules.sent(e["t"], e["node"], e["trace"], e["server"], zone, cell, asked["plan"], e["t"])
+            checker.on_attempt_sent(
+                e["t"], e["node"], e["trace"], e["server"], zone, cell, asked["plan"], e["t"]
+            )
 
-    def never_ran(self, rules: Rules, told: dict[str, Event], e: Event) -> None:
+    def never_ran(self, checker: InvariantChecker, told: dict[str, Event], e: Event) -> None:
         asked = told.get(e["trace"])
-        taken = rules.reqs.get((asked["node"], e["trace"])) if asked is not None else None
+        taken = checker.requests.get((asked["node"], e["trace"])) if asked is not None else None
         for number, sent in enumerate(taken.sent if taken is not None else ()):
             if sent.server == e["server"] and sent.may_have_run:
-                rules.ended(e["t"], taken.node if taken is not None else "", e["trace"], number, True)
+                checker.on_attempt_ended(
+                    e["t"], taken.node if taken is not None else "", e["trace"], number, True
+                )
                 return
 
-    def process(self, rules: Rules, e: Event) -> None:
+    def process(self, checker: InvariantChecker, e: Event) -> None:
         if e["what"] in ("killed", "crashed", "left"):
-            rules.node_died(e["t"], e["node"])
+            checker.on_node_killed(e["t"], e["node"])
 
-    def gone(self, rules: Rules, told: dict[str, Event], e: Event) -> None:
+    def gone(self, checker: InvariantChecker, told: dict[str, Event], e: Event) -> None:
         """Cut or timed out: judged in `outside`, and by the client timeout. One that left is gone."""
         if e["how"] == "left":
-            rules.client_left(e["t"], told[e["trace"]]["node"], e["trace"])
+            checker.on_client_disconnected(e["t"], told[e["trace"]]["node"], e["trace"])
         elif e["how"] != "timed out":
-            rules.excused(told[e["trace"]]["node"], e["trace"])
+            checker.excuse_answer(told[e["trace"]]["node"], e["trace"])
 
-    def reached(self, rules: Rules, told: dict[str, Event], e: Event) -> None:
+    def reached(self, checker: InvariantChecker, told: dict[str, Event], e: Event) -> None:
         asked = told.get(e["trace"])
         node = asked["node"] if asked else ""
-        rules.work_came(e["t"], e["server"], e["work"], node, e["trace"])
-        rules.call_came(e["t"], e["server"], node, e["trace"])
+        checker.on_work_received(e["t"], e["server"], e["work"], node, e["trace"])
+        checker.on_call_received(e["t"], e["server"], node, e["trace"])
 
     def unheard(self, e: Event, away: Away) -> bool:
         return any(a <= e["t"] <= b for a, b in away.dead.get(e["node"], ()))
--- a/onyxpost/simulation/multiprocess/environments.py
+++ b/onyxpost/simulation/multiprocess/environments.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from onyxpost.simulation.multiprocess.errors import RigUnusable
+from onyxpost.simulation.multiprocess.errors import InvalidScenarioError
 from onyxpost.simulation.multiprocess.scenario_environment import Ground, Stage
 
 NAMES = ("edge", "duties")
@@ -18,4 +18,4 @@
 
         return DutyStage(ground)
     why = f"no stage {ground.scenario.stage!r}; there are {', '.join(NAMES)} - at `$.stage`"
-    raise RigUnusable(why, ground.scenario.name)
+    raise InvalidScenarioError(why, ground.scenario.name)
--- a/onyxpost/simulation/multiprocess/fault_script.py
+++ b/onyxpost/simulation/multiprocess/fault_script.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from onyxpost.simulation.multiprocess.errors import RigUnusable
+from onyxpost.simulation.multiprocess.errors import InvalidScenarioError
 
 VERSION = 1
 QUIET = 1.0  # s at the start without faults, and a third of it at the end
@@ -161,13 +161,13 @@
     try:
         script: Script = msgspec.json.decode(data, type=Script)
     except (msgspec.DecodeError, UnicodeDecodeError) as err:
-        raise RigUnusable(str(err), where) from err
+        raise InvalidScenarioError(str(err), where) from err
     if script.version != VERSION:
-        raise RigUnusable(f"a script of version {script.version}, not {VERSION}", where)
+        raise InvalidScenarioError(f"a script of version {script.version}, not {VERSION}", where)
     for i, fault in enumerate(script.faults):
         ends = fault.whom.split(">")
         for end in [*ends, *(name for group in fault.groups for name in group)]:
             known = end == "all" or (end[:1] in ("n", "s", "d", "h") and end[1:].isdigit())
             if not known or (end[0] in "nd" and end != "all" and int(end[1:]) >= script.nodes):
-                raise RigUnusable(f"no place {end!r} - at `$.faults[{i}]`", where)
+                raise InvalidScenarioError(f"no place {end!r} - at `$.faults[{i}]`", where)
     return script
--- a/onyxpost/simulation/multiprocess/runner.py
+++ b/onyxpost/simulation/multiprocess/runner.py
@@ -14,8 +14,8 @@
 import msgspec
 
 from onyxpost.simulation.multiprocess import environments
-from onyxpost.simulation.multiprocess.checker import Breach, check
-from onyxpost.simulation.multiprocess.errors import NotReady
+from onyxpost.simulation.multiprocess.checker import Violation, check
+from onyxpost.simulation.multiprocess.errors import ProcessNotReadyError
 from onyxpost.simulation.multiprocess.fault_script import Fault, Script, encode
 from onyxpost.simulation.multiprocess.link_faults import of, ways
 from onyxpost.simulation.multiprocess.process_logs import written
@@ -33,13 +33,13 @@
 
 class Outcome(NamedTuple):
     script: Script
-    breaches: list[Breach]
+    violations: list[Violation]
     counts: Counts
     faults: dict[str, int]  # that were played, by kind
     lag: float  # ms, the worst
 
     def line(self) -> dict[str, Any]:
-        found = [breach._asdict() for breach in self.breaches]
+        found = [breach._asdict() for breach in self.violations]
         told = {"kind": "seed", "scenario": self.script.scenario, "seed": self.script.seed}
         size = {"nodes": self.script.nodes, "seconds": self.script.seconds, "plant": self.script.plant}
         rest = {"faults": self.faults, "lag_ms": round(self.lag, 1), "breaches": found}
@@ -89,7 +89,7 @@
                     left -= 0.02
                 await asyncio.sleep(0.02)
             if name not in self.serving and self.state[name] != "killed":
-                raise NotReady(f"{name} does not listen", str(self.folder))
+                raise ProcessNotReadyError(f"{name} does not listen", str(self.folder))
 
     async def run(self) -> Outcome:
         tasks: list[asyncio.Task[None]] = []
@@ -225,12 +225,12 @@
         folder = Path(place)
         try:
             outcome = asyncio.run(_played(scenario, script, folder))
-        except NotReady:
+        except ProcessNotReadyError:
             _keep(folder, kept, script)
             raise
         if outcome is None:
             raise KeyboardInterrupt
-        if outcome.breaches:
+        if outcome.violations:
             _keep(folder, kept, script)
         return outcome
 
--- a/onyxpost/simulation/multiprocess/scenario.py
+++ b/onyxpost/simulation/multiprocess/scenario.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta
 
-from onyxpost.simulation.multiprocess.errors import RigUnusable
+from onyxpost.simulation.multiprocess.errors import InvalidScenarioError
 from onyxpost.simulation.multiprocess.fault_script import KINDS, Script, Some, draw
 
 NODES_MOST, SECONDS_MOST, RATE_MOST = 64, 600.0, 500.0
@@ -49,24 +49,26 @@
         elif name in shipped():
             text = (importlib.resources.files(__package__) / "scenarios" / f"{name}.toml").read_bytes()
         else:
-            raise RigUnusable(f"no scenario; shipped are {', '.join(shipped())}", name)
+            raise InvalidScenarioError(f"no scenario; shipped are {', '.join(shipped())}", name)
         found = msgspec.toml.decode(text, type=Scenario)
     except msgspec.DecodeError as err:
-        raise RigUnusable(str(err), name) from err
+        raise InvalidScenarioError(str(err), name) from err
     except OSError as err:
-        raise RigUnusable(str(err.strerror), name) from err
+        raise InvalidScenarioError(str(err.strerror), name) from err
     for kind in found.faults:
         if kind not in KINDS:
-            raise RigUnusable(f"no fault {kind!r}; there are {', '.join(KINDS)} - at `$.faults`", name)
+            raise InvalidScenarioError(
+                f"no fault {kind!r}; there are {', '.join(KINDS)} - at `$.faults`", name
+            )
     return msgspec.structs.replace(found, name=path.stem)
 
 
 def sized(one: Scenario, nodes: int | None, seconds: float | None) -> Scenario:
     nodes, seconds = one.nodes if nodes is None else nodes, one.seconds if seconds is None else seconds
     if not 1 <= nodes <= NODES_MOST:
-        raise RigUnusable(f"{nodes} nodes: 1 to {NODES_MOST}")
+        raise InvalidScenarioError(f"{nodes} nodes: 1 to {NODES_MOST}")
     if not 0.0 < seconds <= SECONDS_MOST:
-        raise RigUnusable(f"{seconds:g} s: above 0, up to {SECONDS_MOST:.0f}")
+        raise InvalidScenarioError(f"{seconds:g} s: above 0, up to {SECONDS_MOST:.0f}")
     return msgspec.structs.replace(one, nodes=nodes, seconds=seconds)
 
 
--- a/onyxpost/simulation/multiprocess/scenario_environment.py
+++ b/onyxpost/simulation/multiprocess/scenario_environment.py
@@ -11,7 +11,7 @@
 from typing import Any, Protocol
 
 from onyxpost.simulation.multiprocess.checker import Event, Judge
-from onyxpost.simulation.multiprocess.errors import RigUnusable
+from onyxpost.simulation.multiprocess.errors import InvalidScenarioError
 from onyxpost.simulation.multiprocess.fault_proxy import Address, Heard, Relays
 from onyxpost.simulation.multiprocess.fault_script import Fault
 from onyxpost.simulation.multiprocess.processes import Processes
@@ -36,7 +36,7 @@
         found.append(port)
         if len(found) == count:
             return found
-    raise RigUnusable(f"no {count} free ports from {PORTS[0]} to {PORTS[1]} on 127.0.0.1")
+    raise InvalidScenarioError(f"no {count} free ports from {PORTS[0]} to {PORTS[1]} on 127.0.0.1")
 
 
 Counts = dict[str, int | list[int]]
--- a/onyxpost/simulation/planner_cluster/options.py
+++ b/onyxpost/simulation/planner_cluster/options.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from onyxpost.simulation.errors import BadOption
+from onyxpost.simulation.errors import InvalidOptionError
 
 MAX_SECONDS = 600.0
 MAX_FORWARDERS = 64
@@ -33,16 +33,16 @@
 
 
 def check_options(options: ClusterOptions) -> ClusterOptions:
-    """Returns the options. Raises BadOption for one that is out of bounds."""
+    """Returns the options. Raises InvalidOptionError for one that is out of bounds."""
     if not 0.0 < options.seconds <= MAX_SECONDS:
-        raise BadOption(f"{options.seconds:g} s: up to {MAX_SECONDS:.0f}")
+        raise InvalidOptionError(f"{options.seconds:g} s: up to {MAX_SECONDS:.0f}")
     if not 0 < options.forwarders <= MAX_FORWARDERS or not 0 < options.planners <= MAX_PLANNERS:
-        raise BadOption(
+        raise InvalidOptionError(
             f"{options.forwarders} forwarders, {options.planners} planners:"
             f" 1 to {MAX_FORWARDERS}, 1 to {MAX_PLANNERS}"
         )
     if not 0.0 < options.request_rate <= MAX_REQUEST_RATE or options.customers < 1:
-        raise BadOption(
+        raise InvalidOptionError(
             f"{options.request_rate:g} requests a second:"
             f" up to {MAX_REQUEST_RATE:.0f}, of at least one customer"
         )
--- a/onyxpost/simulation/planner_cluster/runner.py
+++ b/onyxpost/simulation/planner_cluster/runner.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from onyxpost.runtime.socket_transport import SocketTransport
-from onyxpost.simulation.errors import NotStarted
+from onyxpost.simulation.errors import ProcessNotStartedError
 from onyxpost.simulation.planner_cluster.files import (
     ClusterPorts,
     forwarder_name,
@@ -50,7 +50,8 @@
 def run(options: ClusterOptions, folder: Path | None = None) -> ClusterReport:
     """Runs a cluster; its files and logs stay in `folder`, or are deleted if there is none.
 
-    Raises BadOption for options out of bounds, NotStarted if a forwarder does not listen in time.
+    Raises InvalidOptionError for options out of bounds, ProcessNotStartedError if a forwarder does not listen
+    in time.
     """
     with contextlib.ExitStack() as stack:
         if folder is None:
@@ -148,7 +149,9 @@
                     break
                 await asyncio.sleep(CONNECT_INTERVAL_SECONDS)
             else:
-                raise NotStarted(f"no node listens; its log is in {self.folder}", f"127.0.0.1:{port}")
+                raise ProcessNotStartedError(
+                    f"no node listens; its log is in {self.folder}", f"127.0.0.1:{port}"
+                )
 
     async def _kill_planners(self) -> None:
         rng = Random(f"{self.options.seed}/kills")
--- a/onyxpost/simulation/report.py
+++ b/onyxpost/simulation/report.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from onyxpost.simulation.errors import NothingInCommon
+from onyxpost.simulation.errors import NoCommonScenarioError
 from onyxpost.simulation.results import read
 
 COLUMNS = {
@@ -78,7 +78,7 @@
 def compare(a: Runs, b: Runs) -> list[Row]:
     both = [name for name in a if name in b]
     if not both:
-        raise NothingInCommon(f"no scenario is in both: {', '.join(a)} / {', '.join(b)}")
+        raise NoCommonScenarioError(f"no scenario is in both: {', '.join(a)} / {', '.join(b)}")
     return [
         Row(name, column, spread(a[name], column), spread(b[name], column))
         for name in both
--- a/onyxpost/simulation/results.py
+++ b/onyxpost/simulation/results.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from onyxpost.simulation.errors import BadResults, NoSuchFile, NotWritten
+from onyxpost.simulation.errors import InvalidResultsError, ResultsNotWrittenError, SimulationFileError
 
 VERSION = 1
 
@@ -25,7 +25,7 @@
         beside.write_bytes(data)
         beside.replace(path)
     except OSError as err:
-        raise NotWritten(str(err.strerror), str(path)) from err
+        raise ResultsNotWrittenError(str(err.strerror), str(path)) from err
     finally:
         beside.unlink(missing_ok=True)
 
@@ -34,19 +34,19 @@
     try:
         data = path.read_bytes()
     except OSError as err:
-        raise NoSuchFile(str(err.strerror), str(path)) from err
+        raise SimulationFileError(str(err.strerror), str(path)) from err
     lines = []
     for number, text in enumerate(data.splitlines(), 1):
         try:
             line: dict[str, Any] = msgspec.json.decode(text, type=dict[str, Any])
         except msgspec.DecodeError as err:
-            raise BadResults(f"line {number}: {err}", str(path)) from err
+            raise InvalidResultsError(f"line {number}: {err}", str(path)) from err
         if line.get("version") != VERSION:
             what = f"line {number}: results of version {line.get('version')}, not {VERSION}"
-            raise BadResults(what, str(path))
+            raise InvalidResultsError(what, str(path))
         lines.append(line)
     if not any(line.get("kind") == "total" for line in lines):
-        raise BadResults("no run's totals in it", str(path))
+        raise InvalidResultsError("no run's totals in it", str(path))
     return lines
 
 
--- a/onyxpost/simulation/stub_upstreams.py
+++ b/onyxpost/simulation/stub_upstreams.py
@@ -16,7 +16,7 @@
 from onyxpost.config.decoding import read_json_file
 from onyxpost.core.types import EndpointState
 from onyxpost.runtime.socket_transport import SocketTransport
-from onyxpost.simulation.errors import BadScript, NoSuchFile, NotWritten
+from onyxpost.simulation.errors import InvalidFaultScriptError, ResultsNotWrittenError, SimulationFileError
 from onyxpost.simulation.stubs import Agent, AppServer, Nobody
 
 Kind = Literal["hang", "fail", "busy", "drop", "slow", "spoil", "drain", "crash", "discovery-silent"]
@@ -38,13 +38,13 @@
     try:
         told = msgspec.toml.decode(path.read_bytes(), type=Script)
     except msgspec.DecodeError as err:
-        raise BadScript(str(err), str(path)) from err
+        raise InvalidFaultScriptError(str(err), str(path)) from err
     except OSError as err:
-        raise NoSuchFile(str(err.strerror), str(path)) from err
+        raise SimulationFileError(str(err.strerror), str(path)) from err
     for i, fault in enumerate(told.faults):
         if fault.server >= servers:
             why = f"there are {servers} servers, numbered from 0"
-            raise BadScript(f"{why} - at `$.faults[{i}].server`", str(path))
+            raise InvalidFaultScriptError(f"{why} - at `$.faults[{i}].server`", str(path))
     return told
 
 
@@ -127,7 +127,7 @@
     try:
         out.write_bytes(msgspec.json.format(msgspec.json.encode(fields)))
     except OSError as err:
-        raise NotWritten(str(err.strerror), str(out)) from err
+        raise ResultsNotWrittenError(str(err.strerror), str(out)) from err
 
 
 async def run(
--- a/onyxpost/simulation/virtual_time/__init__.py
+++ b/onyxpost/simulation/virtual_time/__init__.py
@@ -4,9 +4,20 @@
 implemented anew.
 """
 
-from onyxpost.simulation.errors import Stuck
+from onyxpost.simulation.errors import SimulationStalledError
 from onyxpost.simulation.virtual_time.loop import STUCK, Loop, run
 from onyxpost.simulation.virtual_time.network import EPOCH, Hosted, Listening, Network
 from onyxpost.simulation.virtual_time.wires import End, Wire
 
-__all__ = ["EPOCH", "STUCK", "End", "Hosted", "Listening", "Loop", "Network", "Stuck", "Wire", "run"]
+__all__ = [
+    "EPOCH",
+    "STUCK",
+    "End",
+    "Hosted",
+    "Listening",
+    "Loop",
+    "Network",
+    "SimulationStalledError",
+    "Wire",
+    "run",
+]
--- a/onyxpost/simulation/virtual_time/loop.py
+++ b/onyxpost/simulation/virtual_time/loop.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable
 from typing import Any
 
-from onyxpost.simulation.errors import Stuck
+from onyxpost.simulation.errors import SimulationStalledError
 
 STUCK = 200_000  # turns of the loop at one time: something goes round in circles
 
@@ -22,10 +22,10 @@
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise Stuck("nothing is due any more")
+            raise SimulationStalledError("nothing is due any more")
         self.turns = 0 if timeout > 0.0 else self.turns + 1
         if self.turns > STUCK:
-            raise Stuck(f"time stands still at {self.now:.6f} s")
+            raise SimulationStalledError(f"time stands still at {self.now:.6f} s")
         self.now += max(0.0, timeout)
         return []
 
--- a/tests/compatibility/meanings.py
+++ b/tests/compatibility/meanings.py
@@ -27,9 +27,9 @@
 from onyxpost.simulation import report, results
 from onyxpost.simulation.discrete_event.batch import one as emulate
 from onyxpost.simulation.discrete_event.scenario import load, packed, resized
-from onyxpost.simulation.invariants.records import Breach as EmulatorBreach
+from onyxpost.simulation.invariants.records import Violation as EmulatorBreach
 from onyxpost.simulation.multiprocess import fault_script as fault_script
-from onyxpost.simulation.multiprocess.checker import Breach as RigBreach
+from onyxpost.simulation.multiprocess.checker import Violation as RigBreach
 from onyxpost.simulation.multiprocess.runner import Outcome
 
 JsonObject = dict[str, Any]
--- a/tests/compatibility/record_simulation_digests.py
+++ b/tests/compatibility/record_simulation_digests.py
@@ -295,7 +295,7 @@
         "events": events,
         "requests": outcome.asked,
         "passed": outcome.passed,
-        "violations": len(outcome.breaches),
+        "violations": len(outcome.violations),
     }
 
 
--- a/tests/compatibility/values.py
+++ b/tests/compatibility/values.py
@@ -34,8 +34,8 @@
 from onyxpost.policy.quota_gossip import QuotaGossip
 from onyxpost.policy.quotas import QuotaPolicy
 from onyxpost.rollout.metrics import protocol as counts
-from onyxpost.simulation.errors import BadResults, NoSuchFile
-from onyxpost.simulation.multiprocess.errors import RigUnusable
+from onyxpost.simulation.errors import InvalidResultsError, SimulationFileError
+from onyxpost.simulation.multiprocess.errors import InvalidScenarioError
 
 JSON = Any
 JsonObject = dict[str, Any]
@@ -58,9 +58,9 @@
     cluster_errors.MemberNameMismatchError: "other receiver",
     cluster_errors.StaleIncarnationError: "earlier incarnation",
     duty_errors.AcceptorLogError: "damaged file",
-    BadResults: "unusable results",
-    NoSuchFile: "unreadable file",
-    RigUnusable: "unusable script",
+    InvalidResultsError: "unusable results",
+    SimulationFileError: "unreadable file",
+    InvalidScenarioError: "unusable script",
 }
 
 
--- a/tests/planner/test_processes.py
+++ b/tests/planner/test_processes.py
@@ -8,7 +8,7 @@
 import pytest
 
 from onyxpost.simulation import planner_cluster
-from onyxpost.simulation.errors import Unusable
+from onyxpost.simulation.errors import InvalidSimulationInputError
 from onyxpost.simulation.planner_cluster import ClusterOptions, check_options
 
 if TYPE_CHECKING:
@@ -55,5 +55,5 @@
     "changes", [{"seconds": 1e9}, {"forwarders": 0}, {"planners": 99}, {"request_rate": 0.0}], ids=str
 )
 def test_run_out_of_bounds_is_rejected(changes: dict[str, Any]) -> None:
-    with pytest.raises(Unusable):
+    with pytest.raises(InvalidSimulationInputError):
         check_options(ClusterOptions()._replace(**changes))
--- a/tests/process/test_operator_errors.py
+++ b/tests/process/test_operator_errors.py
@@ -28,7 +28,14 @@
 from onyxpost.planner.errors import RestartRequiredError
 from onyxpost.planner.planner import Planner
 from onyxpost.runtime.structured_log import StructuredLog
-from onyxpost.simulation.errors import BadOption, BadResults, BadScript, NoSuchFile, NotLoopback, Stuck
+from onyxpost.simulation.errors import (
+    InvalidFaultScriptError,
+    InvalidOptionError,
+    InvalidResultsError,
+    NotLoopbackError,
+    SimulationFileError,
+    SimulationStalledError,
+)
 from tests.edge.harness import SETTINGS, RunningNode, node_fields
 
 ON_CALL_PAGE = Path("docs/on-call.md").read_text()
@@ -160,11 +167,11 @@
 @pytest.mark.parametrize(
     ("arguments", "kind"),
     [
-        (["run", "nowhere"], NoSuchFile),
-        (["run", "FILE"], BadScript),
-        (["run", "calm", "--seeds", "x"], BadOption),
-        (["compare", "README.md", "README.md"], BadResults),
-        (["load", "192.0.2.1:80", "--node", "x"], NotLoopback),
+        (["run", "nowhere"], SimulationFileError),
+        (["run", "FILE"], InvalidFaultScriptError),
+        (["run", "calm", "--seeds", "x"], InvalidOptionError),
+        (["compare", "README.md", "README.md"], InvalidResultsError),
+        (["load", "192.0.2.1:80", "--node", "x"], NotLoopbackError),
         (["load", "nowhere", "--node", "x"], errors.InvalidAddressError),
         (["load", "127.0.0.1:1", "--node", "/no/such"], errors.FileOpenError),
     ],
@@ -181,12 +188,12 @@
 
 def test_a_stuck_simulation_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     def get_stuck(*_: object, **__: object) -> None:
-        raise Stuck("nothing is due any more")
+        raise SimulationStalledError("nothing is due any more")
 
     monkeypatch.setattr("onyxpost.simulation.deterministic.many", get_stuck)
     result = CliRunner().invoke(main, ["lab", "seeds", "--seeds", "1"])
     assert result.exit_code == 1
-    assert_one_line(result.output, "", "nothing is due", Stuck)
+    assert_one_line(result.output, "", "nothing is due", SimulationStalledError)
 
 
 @pytest.mark.parametrize("case", ["node", "peers", "planner"])
--- a/tests/rollout/test_routing_rules_deterministic.py
+++ b/tests/rollout/test_routing_rules_deterministic.py
@@ -90,7 +90,7 @@
     rule_changes = 0
     for seed in range(30):
         run = run_with_reloads(tmp_path, seed)
-        assert run.outcome.breaches == [], f"seed {seed}: {run.outcome.faults}"
+        assert run.outcome.violations == [], f"seed {seed}: {run.outcome.faults}"
         assert run.outcome.passed > 10
         rule_changes += run.rule_changes
     assert rule_changes > 40
@@ -102,4 +102,4 @@
         failed = next((outcome for outcome in outcomes if outcome.failed), None)
     if failed is None:
         pytest.fail("no seed detects it")
-    assert {breach.rule for breach in failed.breaches} == {EFFECTS}
+    assert {breach.rule for breach in failed.violations} == {EFFECTS}
--- a/tests/rollout/test_routing_rules_reload.py
+++ b/tests/rollout/test_routing_rules_reload.py
@@ -114,7 +114,7 @@
 
 
 async def check_reloads(edge: RunningNode, rules_path: Path) -> None:
-    """Unusable, changed and stale rules are rejected; a later version is applied."""
+    """InvalidSimulationInputError, changed and stale rules are rejected; a later version is applied."""
     steps: list[tuple[str, type[OperatorError] | None]] = [
         (rules_text(2, "z"), UnknownNameError),
         ("version", InvalidRulesError),
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -19,7 +19,7 @@
 from onyxpost.simulation.discrete_event import batch
 from onyxpost.simulation.discrete_event.scenario import Scenario, load, read, resized, shipped
 from onyxpost.simulation.discrete_event.world import World, totals
-from onyxpost.simulation.errors import Unusable
+from onyxpost.simulation.errors import InvalidSimulationInputError
 
 SMALL = """
 name = "small"
@@ -71,7 +71,7 @@
             (SMALL + event("no-such", at_s=1), "$.events[0]"),
             (SMALL.replace('name = "small"', 'name = "small'), "small"),
         ):
-            with self.assertRaises(Unusable, msg=place) as caught:
+            with self.assertRaises(InvalidSimulationInputError, msg=place) as caught:
                 read(text, "small")
             self.assertIn(place, str(caught.exception))
             self.assertNotIn("\n", str(caught.exception))
@@ -79,7 +79,7 @@
     def test_a_size_from_the_command_line_is_checked_like_one_from_a_file(self) -> None:
         one = read(SMALL, "small")
         self.assertEqual(resized(one, 8, None).fleet.nodes, 8)
-        with self.assertRaises(Unusable):
+        with self.assertRaises(InvalidSimulationInputError):
             resized(one, 100_000, None)
 
 
@@ -89,7 +89,7 @@
         told = totals(world)
         self.assertGreater(told["passed_value"], 0.9)
         self.assertGreater(told["tries"], 200)
-        self.assertEqual(world.rules.breaches, [])
+        self.assertEqual(world.checker.violations, [])
 
     def test_the_same_seed_gives_the_same_bytes_and_another_one_others(self) -> None:
         one, same, other = (played(event("kill", at_s=2, share=0.5), seed=seed) for seed in (3, 3, 4))
@@ -117,19 +117,19 @@
             {node.name: sorted(world.servers) for node in world.nodes},
         )
         self.assertGreater(totals(world)["cold_load_most"], 0.0)
-        self.assertEqual(world.rules.breaches, [])
+        self.assertEqual(world.checker.violations, [])
 
     def test_nodes_that_are_killed_come_back_and_owe_nothing_of_their_earlier_life(self) -> None:
         world = played(event("kill", at_s=2, share=1.0))
         self.assertEqual([node.life for node in world.nodes], [2, 2, 2, 2])
         self.assertGreater(sum(second["cut"] for second in world.seconds), 0)
-        self.assertEqual(world.rules.breaches, [])
+        self.assertEqual(world.checker.violations, [])
 
     def test_planners_hold_the_ceiling_also_while_they_are_lost(self) -> None:
         capped = SMALL.replace("spread = [1, 1]", "spread = [2, 4]\nceiling = 1.2").replace("= 40", "= 8")
         more = "[planners]\ncount = 2\nlease_ms = 1000\n" + event("surge", at_s=2, for_s=3, times=4)
         told = totals(world := played(more + event("planners-lost", at_s=3, for_s=0.5), capped))
-        self.assertEqual((world.rules.breaches, told["beyond_quota"]), ([], 0.0))
+        self.assertEqual((world.checker.violations, told["beyond_quota"]), ([], 0.0))
         assert world.planning is not None
         planners = [planner for planner in world.planning.planners.values() if planner is not None]
         self.assertEqual([planner.epoch for planner in planners], ["p0-2", "p1-2"])
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -15,7 +15,7 @@
 from onyxpost.node.edge_node import EdgeNode
 from onyxpost.runtime.structured_log import StructuredLog
 from onyxpost.simulation import load, stub_upstreams
-from onyxpost.simulation.errors import Unusable
+from onyxpost.simulation.errors import InvalidSimulationInputError
 from tests.edge.harness import UPSTREAM_ANSWER, StubAppServer, node_fields
 
 pytestmark = pytest.mark.xdist_group("quiet")  # measures time: nothing else that fills sockets beside it
@@ -65,7 +65,7 @@
 
     def test_no_other_address_and_no_boundless_load(self) -> None:
         for host in ("10.0.0.1", "192.168.0.1", "example.org", "0.0.0.0"):
-            with self.assertRaises(Unusable):
+            with self.assertRaises(InvalidSimulationInputError):
                 load.loopback((host, 80))
         good = load.Load(10.0, 10.0, 3, 10, 1)
         for wrong in (
@@ -75,7 +75,7 @@
             good._replace(connections=0),
             good._replace(seconds=float("nan")),
         ):
-            with self.assertRaises(Unusable, msg=str(wrong)):
+            with self.assertRaises(InvalidSimulationInputError, msg=str(wrong)):
                 load.bounded(wrong)
 
     async def test_a_node_before_stand_ins_that_fail_gives_each_req_its_answer(self) -> None:
@@ -119,6 +119,6 @@
             ("faults = 1", "$.faults"),
         ):
             file.write_text(text)
-            with self.assertRaises(Unusable) as caught:
+            with self.assertRaises(InvalidSimulationInputError) as caught:
                 stub_upstreams.script(file, 3)
             self.assertIn(place, str(caught.exception))
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -24,7 +24,7 @@
 from onyxpost.simulation.multiprocess import fault_script, leadership_invariants, runner, scenario
 from onyxpost.simulation.multiprocess.checker import check, faults
 from onyxpost.simulation.multiprocess.edge_invariants import Edge
-from onyxpost.simulation.multiprocess.errors import RigUnusable
+from onyxpost.simulation.multiprocess.errors import InvalidScenarioError
 from onyxpost.simulation.multiprocess.fault_proxy import Manner, Relays
 from onyxpost.simulation.multiprocess.fault_script import Fault
 from onyxpost.simulation.multiprocess.fenced_resource import Taker
@@ -56,7 +56,7 @@
             (lambda: scenario.sized(scenario.load("edge-cuts"), 65, None), "1 to 64"),
             (lambda: scenario.sized(scenario.load("edge-cuts"), 5, 601.0), "up to 600"),
         ):
-            with self.assertRaises(RigUnusable) as caught:
+            with self.assertRaises(InvalidScenarioError) as caught:
                 call()
             self.assertIn(place, caught.exception.to_line())
             self.assertIn("docs/rig.md", caught.exception.to_line())
@@ -185,7 +185,7 @@
 
 
 class EdgeRules(unittest.TestCase):
-    def rules(self, *events: dict[str, Any]) -> list[str]:
+    def violated_invariants(self, *events: dict[str, Any]) -> list[str]:
         found = check(events, (faults, EDGE), 9)
         self.assertTrue(all(breach.seed == 9 for breach in found))
         return sorted({breach.rule for breach in found})
@@ -230,9 +230,11 @@
             ("faults", [at(5.0, "fault", node="n1", cause="ValueError")]),
             ("faults", [process(5.0, "overstayed")]),
         ):
-            self.assertEqual(self.rules(*events), [rule], events)
-        self.assertEqual(self.rules(*started, *calls), [COLD, COLD_SUM])
-        self.assertEqual(self.rules(*started, *calls[:-3]), [COLD])  # chance is borne in calls, not in work
+            self.assertEqual(self.violated_invariants(*events), [rule], events)
+        self.assertEqual(self.violated_invariants(*started, *calls), [COLD, COLD_SUM])
+        self.assertEqual(
+            self.violated_invariants(*started, *calls[:-3]), [COLD]
+        )  # chance is borne in calls, not in work
 
     def test_what_faults_excuse_is_no_breach(self) -> None:
         late = done(1290.0)
@@ -256,11 +258,11 @@
             [at(0.0, "overdue", node="n0", request="r1"), at(30.0, "lag", node="n0", ms=60.0)],
             [process(0.0, "terminated"), asked(600.0), cut | {"t": 610.0}, process(900.0, "left")],
         ):
-            self.assertEqual(self.rules(*events), [], events)
+            self.assertEqual(self.violated_invariants(*events), [], events)
         other = at(900.0, "lag", node="n1", ms=200.0)
-        self.assertEqual(self.rules(asked(0.0), other, late), [ANSWERS])
+        self.assertEqual(self.violated_invariants(asked(0.0), other, late), [ANSWERS])
         begun = [process(0.0, "terminated"), asked(100.0), cut | {"t": 610.0}, process(900.0, "left")]
-        self.assertEqual(self.rules(*begun), [ANSWERS])  # it still accepted then
+        self.assertEqual(self.violated_invariants(*begun), [ANSWERS])  # it still accepted then
 
 
 def duty(t: float, node: str, event: str, fence: int, **fields: Any) -> dict[str, Any]:
@@ -272,7 +274,7 @@
 
 
 class DutyRules(unittest.TestCase):
-    def rules(self, *events: dict[str, Any]) -> list[str]:
+    def violated_invariants(self, *events: dict[str, Any]) -> list[str]:
         return [breach.rule for breach in check(events, leadership_invariants.JUDGES, 1)]
 
     def test_each_rule_broken_once_is_named(self) -> None:
@@ -298,7 +300,7 @@
                 [held, wrote, lost, duty(60.0, "n1", LEASE_ACQUIRED, 2, sequence=4, record="w")],
             ),
         ):
-            self.assertEqual(self.rules(*events), [rule], events)
+            self.assertEqual(self.violated_invariants(*events), [rule], events)
 
     def test_a_holder_that_is_stopped_or_dead_does_not_act(self) -> None:
         held, wrote = (
@@ -308,8 +310,8 @@
         other = duty(200.0, "n1", LEASE_ACQUIRED, 2, sequence=1, record="x")
         late = [act(250.0, "n1", 2), act(301.0, "n0", 1, False), act(310.0, "n1", 2)]
         woken = [process(10.0, "stopped"), process(300.0, "continued"), duty(301.0, "n0", LEASE_LOST, 1)]
-        self.assertEqual(self.rules(held, wrote, *woken, other, *late), [])
-        self.assertEqual(self.rules(held, wrote, process(100.0, "killed"), other), [])
+        self.assertEqual(self.violated_invariants(held, wrote, *woken, other, *late), [])
+        self.assertEqual(self.violated_invariants(held, wrote, process(100.0, "killed"), other), [])
 
 
 class Takers(unittest.IsolatedAsyncioTestCase):
@@ -348,7 +350,7 @@
                 Fault(1.2, "drain", "s2", 0.6),
             ],
         )
-        self.assertEqual(outcome.breaches, [])
+        self.assertEqual(outcome.violations, [])
         self.assertEqual(outcome.faults, {"cut": 2, "drain": 1, "kill": 1, "stop": 1})
         counts = outcome.counts
         self.assertGreater(counts["passed"], 60, counts)
@@ -359,7 +361,7 @@
         one = scenario.sized(scenario.load("edge-cuts"), 3, 2.5)
         told = fault_script.Script("edge-cuts", 3, 3, 2.5, [Fault(0.3, "drain", "s0", 1.9)], "deaf-to-drains")
         outcome = runner.play(one, told, kept)
-        self.assertIn(DRAINS, {breach.rule for breach in outcome.breaches})
+        self.assertIn(DRAINS, {breach.rule for breach in outcome.violations})
         self.assertEqual(fault_script.decode((kept / "edge-cuts-3" / "script.json").read_bytes(), ""), told)
 
     def test_interrupted_it_exits_130_and_leaves_no_process(self) -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -20,8 +20,8 @@
     GONE,
     GONE_FIRSTS,
     TOLD,
-    Breach,
-    Rules,
+    InvariantChecker,
+    Violation,
 )
 
 
@@ -32,7 +32,7 @@
 class Checking(unittest.TestCase):
     def setUp(self) -> None:
         plans = [Plan("p", 1.0, 4.0, 0, 1.0, 2.0, 10.0)]
-        self.rules = Rules(
+        self.checker = InvariantChecker(
             grace=250.0, cold=SlowStartPolicy(0.2, 10_000.0, 4.0, 1000.0), plans=plans, largest=2
         )
 
@@ -42,13 +42,13 @@
         effect: Idempotency = Idempotency.IDEMPOTENT,
         group: DeduplicationScope = DeduplicationScope.ALL,
     ) -> None:
-        self.rules.taken(0.0, "n1", req, frontend(effect, group), "c", 2, 2000.0)
+        self.checker.on_request_received(0.0, "n1", req, frontend(effect, group), "c", 2, 2000.0)
 
     def send(self, at: float, server: str = "s1", req: str = "r", zone: str = "h", plan: str = "") -> None:
-        self.rules.sent(at, "n1", req, server, zone, 0, plan)
+        self.checker.on_attempt_sent(at, "n1", req, server, zone, 0, plan)
 
     def only(self, rule: str, at: float, req: str = "r", server: str = "s1") -> None:
-        (one,) = self.rules.breaches
+        (one,) = self.checker.violations
         self.assertEqual((one.rule, one.at, one.node, one.req, one.server), (rule, at, "n1", req, server))
 
 
@@ -57,89 +57,91 @@
         self.take(effect=Idempotency.IDEMPOTENCY_KEY)
         self.send(10.0)
         self.send(900.0, "s2")
-        self.rules.answered(950.0, "n1", "r", "passed")
-        self.rules.check(9000.0)
-        self.assertEqual(self.rules.breaches, [])
+        self.checker.on_final_answer(950.0, "n1", "r", "passed")
+        self.checker.check_deadlines(9000.0)
+        self.assertEqual(self.checker.violations, [])
 
     def test_no_answer_a_late_one_and_a_second_one(self) -> None:
         self.take()
-        self.rules.check(2001.0)
+        self.checker.check_deadlines(2001.0)
         self.only(ANSWERS, 2001.0, server="")
-        self.rules.breaches.clear()
+        self.checker.violations.clear()
         self.take("late")
-        self.rules.answered(2500.0, "n1", "late", "aborted")
+        self.checker.on_final_answer(2500.0, "n1", "late", "aborted")
         self.only(ANSWERS, 2500.0, "late", "")
-        self.rules.breaches.clear()
+        self.checker.violations.clear()
         self.take("twice")
-        self.rules.answered(100.0, "n1", "twice", "passed")
-        self.rules.answered(101.0, "n1", "twice", "denied")
+        self.checker.on_final_answer(100.0, "n1", "twice", "passed")
+        self.checker.on_final_answer(101.0, "n1", "twice", "denied")
         self.only(ANSWERS, 101.0, "twice", "")
 
     def test_something_sent_after_the_final_answer(self) -> None:
         self.take()
-        self.rules.answered(100.0, "n1", "r", "denied")
+        self.checker.on_final_answer(100.0, "n1", "r", "denied")
         self.send(101.0)
         self.only(ANSWERS, 101.0)
 
     def test_a_node_that_died_owes_nothing(self) -> None:
         self.take()
-        self.rules.node_died(50.0, "n1")
-        self.rules.check(9000.0)
-        self.assertEqual(self.rules.breaches, [])
+        self.checker.on_node_killed(50.0, "n1")
+        self.checker.check_deadlines(9000.0)
+        self.assertEqual(self.checker.violations, [])
 
     def test_a_non_replayable_req_sent_twice_or_denied_once_it_may_have_run(self) -> None:
         self.take(effect=Idempotency.NON_IDEMPOTENT)
         self.send(10.0)
         self.send(20.0, "s2")
         self.only(EFFECTS, 20.0, server="s2")
-        self.rules.breaches.clear()
-        self.rules.answered(30.0, "n1", "r", "denied")
+        self.checker.violations.clear()
+        self.checker.on_final_answer(30.0, "n1", "r", "denied")
         self.only(EFFECTS, 30.0)
 
     def test_one_that_is_known_not_to_have_run_may_go_elsewhere(self) -> None:
         self.take(effect=Idempotency.NON_IDEMPOTENT)
         self.send(10.0)
-        self.rules.ended(15.0, "n1", "r", 0, never_ran=True)
+        self.checker.on_attempt_ended(15.0, "n1", "r", 0, never_ran=True)
         self.send(20.0, "s2")
-        self.assertEqual(self.rules.breaches, [])
+        self.assertEqual(self.checker.violations, [])
 
     def test_a_keyed_req_resent_outside_its_group_or_window_or_denied(self) -> None:
         self.take(effect=Idempotency.IDEMPOTENCY_KEY, group=DeduplicationScope.ZONE)
         self.send(10.0)
         self.send(20.0, "s2", zone="elsewhere")
         self.only(EFFECTS, 20.0, server="s2")
-        self.rules.breaches.clear()
+        self.checker.violations.clear()
         self.send(1500.0)
         self.only(EFFECTS, 1500.0)
-        self.rules.breaches.clear()
-        self.rules.answered(1600.0, "n1", "r", "denied")
+        self.checker.violations.clear()
+        self.checker.on_final_answer(1600.0, "n1", "r", "denied")
         self.only(EFFECTS, 1600.0)
 
     def test_something_sent_to_a_draining_server_past_the_grace(self) -> None:
         self.take()
-        self.rules.list_told(100.0, "n1", "s1", EndpointState.DRAINING)
+        self.checker.on_endpoint_notified(100.0, "n1", "s1", EndpointState.DRAINING)
         self.send(350.0)
-        self.assertEqual(self.rules.breaches, [])
+        self.assertEqual(self.checker.violations, [])
         self.send(351.0)
         self.only(DRAINS, 351.0)
 
     def test_a_cold_server_pushed_over_by_all_nodes_together(self) -> None:
-        self.rules.server_started(0.0, "s1", 2.0)
+        self.checker.on_server_started(0.0, "s1", 2.0)
         # A fifth of 2 ms of work a ms, four times, for a second: 1600 ms of it.
-        self.assertTrue(self.rules.work_came(100.0, "s1", 1600.0, "n0", "r0"))
-        self.assertEqual(self.rules.cold_load("s1"), 1.0)
-        self.assertFalse(self.rules.work_came(900.0, "s1", 1.0, "n1", "r"))
+        self.assertTrue(self.checker.on_work_received(100.0, "s1", 1600.0, "n0", "r0"))
+        self.assertEqual(self.checker.slow_start_load("s1"), 1.0)
+        self.assertFalse(self.checker.on_work_received(900.0, "s1", 1.0, "n1", "r"))
         self.only(COLD, 900.0)
-        self.assertTrue(self.rules.work_came(10_000.0, "s1", 9e9))  # it is warm
+        self.assertTrue(self.checker.on_work_received(10_000.0, "s1", 9e9))  # it is warm
 
     def test_a_ceiling_passed_by_two_nodes_that_each_kept_it(self) -> None:
         for number in range(7):
             node = f"n{number % 2}"
-            self.rules.taken(0.0, node, f"r{number}", frontend(Idempotency.IDEMPOTENT), "c", 2, 2000.0)
-            self.rules.sent(10.0, node, f"r{number}", "s1", plan="p")
+            self.checker.on_request_received(
+                0.0, node, f"r{number}", frontend(Idempotency.IDEMPOTENT), "c", 2, 2000.0
+            )
+            self.checker.on_attempt_sent(10.0, node, f"r{number}", "s1", plan="p")
         self.assertEqual(
-            self.rules.breaches,
-            [Breach(CEILINGS, 10.0, "n0", "r6", "s1", "customer c is 4.0 units past its ceiling")],
+            self.checker.violations,
+            [Violation(CEILINGS, 10.0, "n0", "r6", "s1", "customer c is 4.0 units past its ceiling")],
         )
 
 
@@ -150,14 +152,14 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.rules = Rules(grace=250.0, cold=self.rules.cold_rule, plans=[], slack=self.SLACK)
+        self.checker = InvariantChecker(grace=250.0, cold=self.checker.cold_rule, plans=[], slack=self.SLACK)
 
     def leave(self, count: int, sent_before: bool = False) -> None:
         for number in range(count):
             self.take(f"r{number}")
             if sent_before:
                 self.send(10.0, req=f"r{number}")
-            self.rules.client_left(100.0, "n1", f"r{number}")
+            self.checker.on_client_disconnected(100.0, "n1", f"r{number}")
 
     def test_attempts_begun_over_a_tenth_of_a_second_later_break_it_from_the_third_on(self) -> None:
         for sent_before in (False, True):  # first ones, and further ones
@@ -167,36 +169,36 @@
                 self.send(250.0, "s2", f"r{number}")  # 150 ms: just inside
             self.send(250.1, "s2", "r6")
             self.send(250.1, "s2", "r7")
-            self.rules.finish(9000.0)
-            self.assertEqual(self.rules.breaches, [])
+            self.checker.finish(9000.0)
+            self.assertEqual(self.checker.violations, [])
             self.send(251.0, "s2", "r8")
             self.only(GONE, 251.0, "r8", "s2")
 
     def test_one_whose_first_byte_left_in_time_is_not_counted(self) -> None:
         self.leave(3)
         for number in range(3):
-            self.rules.sent(400.0, "n1", f"r{number}", "s1", began=240.0)
-        self.assertEqual(self.rules.breaches, [])
+            self.checker.on_attempt_sent(400.0, "n1", f"r{number}", "s1", began=240.0)
+        self.assertEqual(self.checker.violations, [])
 
     def test_a_node_that_died_or_was_held_up_has_no_client_that_is_gone(self) -> None:
         self.leave(0)
         for number in range(4):
             self.take(f"r{number}")
-        self.rules.excused("n1", "r0")
-        self.rules.node_died(50.0, "n1")
+        self.checker.excuse_answer("n1", "r0")
+        self.checker.on_node_killed(50.0, "n1")
         for number in range(4):
             self.send(1500.0, req=f"r{number}")
-        self.rules.finish(9000.0)
-        self.assertEqual(self.rules.breaches, [])
+        self.checker.finish(9000.0)
+        self.assertEqual(self.checker.violations, [])
 
     def firsts(self, waiting: int, late: int, at: float) -> list[str]:
         self.setUp()
         self.leave(waiting)
         for number in range(late):
             self.send(at, req=f"r{number}")
-        self.rules.breaches.clear()  # of the rule on single attempts
-        self.rules.finish(9000.0)
-        return [breach.rule for breach in self.rules.breaches]
+        self.checker.violations.clear()  # of the rule on single attempts
+        self.checker.finish(9000.0)
+        return [breach.rule for breach in self.checker.violations]
 
     def test_over_a_quarter_of_those_that_waited_sent_on_far_too_late(self) -> None:
         self.assertEqual(self.firsts(20, 5, 451.0), [])  # a quarter
@@ -204,95 +206,95 @@
         self.assertEqual(self.firsts(19, 5, 450.0), [])  # not late enough
         self.assertEqual(self.firsts(19, 5, 451.0), [GONE_FIRSTS])
         self.only(GONE_FIRSTS, 451.0, "r4")
-        self.assertEqual(self.rules.breaches[0].what[:22], "5 of 19 that waited; t")
+        self.assertEqual(self.checker.violations[0].what[:22], "5 of 19 that waited; t")
 
 
 class ToldWithinSixSeconds(Checking):
     def test_a_drain_counts_as_told_six_seconds_after_discovery_had_it(self) -> None:
         self.take()
-        self.rules.discovery_has(1000.0, "n1", "s1", EndpointState.DRAINING)
+        self.checker.on_discovery_updated(1000.0, "n1", "s1", EndpointState.DRAINING)
         self.send(7250.0)  # the grace of 250 ms from then on
-        self.rules.sent(9000.0, "n2", "other", "s1")  # another node, with another discovery
-        self.rules.breaches.clear()
+        self.checker.on_attempt_sent(9000.0, "n2", "other", "s1")  # another node, with another discovery
+        self.checker.violations.clear()
         self.send(7250.1)
         self.only(TOLD, 7250.1)
 
     def test_what_was_heard_sooner_counts_from_then_on_and_what_is_heard_later_changes_nothing(self) -> None:
         self.take()
-        self.rules.discovery_has(1000.0, "n1", "s1", EndpointState.DRAINING)
-        self.rules.list_told(2000.0, "n1", "s1", EndpointState.DRAINING)
+        self.checker.on_discovery_updated(1000.0, "n1", "s1", EndpointState.DRAINING)
+        self.checker.on_endpoint_notified(2000.0, "n1", "s1", EndpointState.DRAINING)
         self.send(2251.0)
         self.only(DRAINS, 2251.0)
-        self.rules.breaches.clear()
-        self.rules.discovery_has(1000.0, "n1", "s2", EndpointState.DRAINING)
-        self.rules.list_told(8000.0, "n1", "s2", EndpointState.DRAINING)
+        self.checker.violations.clear()
+        self.checker.on_discovery_updated(1000.0, "n1", "s2", EndpointState.DRAINING)
+        self.checker.on_endpoint_notified(8000.0, "n1", "s2", EndpointState.DRAINING)
         self.send(7251.0, "s2")
         self.only(TOLD, 7251.0, server="s2")
 
     def test_an_old_list_that_still_calls_it_up_puts_nothing_off(self) -> None:
         self.take()
-        self.rules.discovery_has(0.0, "n1", "s1", EndpointState.DRAINING)
-        self.rules.list_told(100.0, "n1", "s1", EndpointState.READY)
+        self.checker.on_discovery_updated(0.0, "n1", "s1", EndpointState.DRAINING)
+        self.checker.on_endpoint_notified(100.0, "n1", "s1", EndpointState.READY)
         self.send(6251.0)
         self.only(TOLD, 6251.0)
 
     def test_a_move_and_a_new_process_count_anew(self) -> None:
         self.take()
-        self.rules.discovery_has(0.0, "n1", "s1", EndpointState.GONE)
-        self.rules.discovery_moved("n1")
-        self.rules.discovery_has(5000.0, "n1", "s1", EndpointState.GONE, 4000.0)
+        self.checker.on_discovery_updated(0.0, "n1", "s1", EndpointState.GONE)
+        self.checker.on_discovery_replaced("n1")
+        self.checker.on_discovery_updated(5000.0, "n1", "s1", EndpointState.GONE, 4000.0)
         self.send(9250.0)
-        self.assertEqual(self.rules.breaches, [])
+        self.assertEqual(self.checker.violations, [])
         self.send(9251.0)
         self.only(TOLD, 9251.0)
-        self.rules.breaches.clear()
-        self.rules.node_died(9300.0, "n1")
+        self.checker.violations.clear()
+        self.checker.on_node_killed(9300.0, "n1")
         self.take("new")
         self.send(9900.0, req="new")
-        self.assertEqual(self.rules.breaches, [])
+        self.assertEqual(self.checker.violations, [])
 
 
 class ColdSum(Checking):
     def play(self, calls: int, told: int, at: float = 500.0) -> None:
         """A fifth of 0.1 ms of work a ms, four times, for a second: 80 ms of it, 4 calls of 20 ms."""
         self.setUp()
-        self.rules.server_started(0.0, "s1", 0.1, 20.0)
+        self.checker.on_server_started(0.0, "s1", 0.1, 20.0)
         for node in range(1, 1 + told):
-            self.rules.list_told(100.0, f"n{node}", "s1", EndpointState.READY)
+            self.checker.on_endpoint_notified(100.0, f"n{node}", "s1", EndpointState.READY)
         for number in range(calls):
-            self.rules.call_came(at, "s1", f"n{1 + number % 3}", f"r{number}")
+            self.checker.on_call_received(at, "s1", f"n{1 + number % 3}", f"r{number}")
 
     def test_more_than_is_allowed_and_what_chance_adds_from_all_nodes_together(self) -> None:
         self.play(10, 3)  # 4 and twice its root and 2
-        self.assertEqual(self.rules.breaches, [])
-        self.rules.call_came(500.0, "s1", "n1", "r")
+        self.assertEqual(self.checker.violations, [])
+        self.checker.on_call_received(500.0, "s1", "n1", "r")
         self.only(COLD_SUM, 500.0)
         self.assertEqual(
-            self.rules.breaches[0].what, "11 calls where 4.0 are allowed; 11 from nodes told of its start"
+            self.checker.violations[0].what, "11 calls where 4.0 are allowed; 11 from nodes told of its start"
         )
 
     def test_calls_of_the_window_alone_and_only_while_it_is_cold(self) -> None:
         self.play(10, 3)
-        self.rules.call_came(1500.0, "s1", "n1", "r")
+        self.checker.on_call_received(1500.0, "s1", "n1", "r")
         self.play(30, 3, 10_000.0)
-        self.assertEqual(self.rules.breaches, [])
+        self.assertEqual(self.checker.violations, [])
 
     def test_two_thirds_from_nodes_told_of_its_start_are_not_over_two_thirds(self) -> None:
         self.play(0, 2)
         for node in ("n3",) * 4 + ("n1", "n2") * 4:
-            self.rules.call_came(500.0, "s1", node, "r")
-        self.assertEqual(self.rules.breaches, [])
-        self.rules.call_came(500.0, "s1", "n1", "r")  # 9 of 13
+            self.checker.on_call_received(500.0, "s1", node, "r")
+        self.assertEqual(self.checker.violations, [])
+        self.checker.on_call_received(500.0, "s1", "n1", "r")  # 9 of 13
         self.only(COLD_SUM, 500.0)
 
     def test_a_start_that_counts_as_told_is_told(self) -> None:
         self.play(0, 0)
-        self.rules.discovery_has(0.0, "n1", "s1", EndpointState.READY, 499.0)
+        self.checker.on_discovery_updated(0.0, "n1", "s1", EndpointState.READY, 499.0)
         for _ in range(11):
-            self.rules.call_came(498.0, "s1", "n1", "r")
-        self.assertEqual(self.rules.breaches, [])
-        self.rules.call_came(499.0, "s1", "n1", "r")
-        self.assertEqual(self.rules.breaches, [])  # told for 1 of 12 alone
+            self.checker.on_call_received(498.0, "s1", "n1", "r")
+        self.assertEqual(self.checker.violations, [])
+        self.checker.on_call_received(499.0, "s1", "n1", "r")
+        self.assertEqual(self.checker.violations, [])  # told for 1 of 12 alone
         for _ in range(23):
-            self.rules.call_came(500.0, "s1", "n1", "r")
+            self.checker.on_call_received(500.0, "s1", "n1", "r")
         self.only(COLD_SUM, 500.0)
--- a/tests/test_seeds.py
+++ b/tests/test_seeds.py
@@ -15,7 +15,7 @@
 class Seeds(unittest.TestCase):
     def test_a_fixed_set_breaks_no_rule(self) -> None:
         for outcome in deterministic.part(list(range(60)), ""):
-            self.assertEqual(outcome.breaches, [], f"seed {outcome.seed}: {outcome.faults}")
+            self.assertEqual(outcome.violations, [], f"seed {outcome.seed}: {outcome.faults}")
             self.assertGreater(outcome.passed, 10)
 
     def test_those_that_once_failed_do_not_again(self) -> None:
@@ -24,9 +24,9 @@
         # 68, 682: a connection came up within 0.5 ms of its req's time: written, denied, then at its server.
         # 407, 496: one came up after the window in which a repeat is dropped.
         for seed in (68, 407, 496, 682):
-            self.assertEqual(deterministic.play(seed).breaches, [], seed)
+            self.assertEqual(deterministic.play(seed).violations, [], seed)
         for seed in (260, 610, 1931, 2734, 5081, 220):
-            self.assertEqual(deterministic.play(seed, deterministic.drawn(seed)).breaches, [], seed)
+            self.assertEqual(deterministic.play(seed, deterministic.drawn(seed)).violations, [], seed)
 
     def test_a_seed_replays_exactly(self) -> None:
         self.assertEqual(deterministic.play(23), deterministic.play(23))
@@ -46,7 +46,7 @@
         ):
             with self.subTest(plant=plant, rule=rule):
                 found = self.first(plant, rule)
-                seed, breach = found.seed, next(b for b in found.breaches if b.rule == rule)
+                seed, breach = found.seed, next(b for b in found.violations if b.rule == rule)
                 self.assertTrue(breach.at > 0.0 and breach.node and breach.req and breach.server, breach)
                 least = deterministic.shrunk(found, plant)
                 self.assertLessEqual(len(least.faults), len(found.faults))
@@ -59,7 +59,7 @@
         for seed in range(60):
             if needs is None or needs in {fault.kind for fault in deterministic.script(seed)}:
                 found = deterministic.play(seed, None, plant)
-                if rule in {breach.rule for breach in found.breaches}:
+                if rule in {breach.rule for breach in found.violations}:
                     return found
         raise AssertionError(f"no seed of the first 60 finds {plant}")
 
@@ -82,7 +82,7 @@
         agent.learn(c.servers[number].row())
 
     def told(self, c: Cluster, server: str = "s0-0") -> tuple[float, bool] | None:
-        told = c.rules.telling.not_to_send("n0", server)
+        told = c.checker.endpoint_knowledge.not_to_send("n0", server)
         return None if told is None else (round(told.at - c.now()), told.heard)
 
     def test_at_once_where_the_last_call_went_well(self) -> None:
@@ -106,7 +106,7 @@
                 self.drain(c, agent, 1)
                 self.assertEqual(self.told(c, "s1-0"), (6000, False))
                 await agent.mend(how)
-                c.rules.telling.moved("n0")
+                c.checker.endpoint_knowledge.moved("n0")
 
         self.play(story)
 
@@ -174,7 +174,7 @@
         async def main() -> None:
             await asyncio.get_running_loop().create_future()
 
-        with self.assertRaises(virtual_time.Stuck):
+        with self.assertRaises(virtual_time.SimulationStalledError):
             virtual_time.run(main())
 
 
