--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,11 +1,11 @@
-"""CI's verdict on a run of pytest: passed, but for the tests that KNOWN-RED.txt lists.
+"""CI's verdict on a run of pytest: passed, except for the tests that KNOWN-RED.txt lists.
 
     python .ci/known_red.py RESULT STATUS [LIST]
 
 RESULT is what pytest wrote with --junitxml, STATUS its exit code, LIST (KNOWN-RED.txt) may be missing. A
 line of LIST is `test, cause, issue`, the test by its pytest node id; three lines at most. Exactly those
-tests may fail: they count as failed and are printed. Exit 0 where all is well, else 1 with a line for each
-reason; the last line printed is always `N passed, N failed`. To be run from the root of the repository.
+tests may fail: they count as failed and are printed. Exit 0 if nothing else is wrong, else 1 with a line for
+each reason; the last line printed is always `N passed, N failed`. To be run from the root of the repository.
 """
 
 import pathlib
@@ -13,21 +13,45 @@
 import xml.etree.ElementTree as ET
 from typing import NamedTuple
 
-MOST = 3
-TESTS_FAILED = 1  # pytest's exit code: all was run, and some of it failed
+MAX_ENTRIES = 3
+FIELD_COUNT = 3  # test, cause, issue
+TESTS_FAILED = 1  # pytest's exit code: all tests were run, and some failed
 
+PASSED = "passed"
+FAILED = "failed"
+SKIPPED = "skipped"
 
-class Red(NamedTuple):
-    """One line of the list; `place` says where it stands, for messages."""
 
-    place: str
+class KnownFailure(NamedTuple):
+    """One line of the list; `location` is its file and line, for messages."""
+
+    location: str
     test: str
     cause: str
     issue: str
 
 
+class TestRun(NamedTuple):
+    """What pytest reported.
+
+    Attributes:
+        outcomes: passed, failed or skipped for each test, by its node id.
+        other_failures: names of what failed without being a test, such as a file that cannot be collected.
+    """
+
+    outcomes: dict[str, str]
+    other_failures: list[str]
+
+
+class KnownFailures(NamedTuple):
+    """The entries of the list that can be used, and a message for each that cannot."""
+
+    entries: list[KnownFailure]
+    problems: list[str]
+
+
 def node_id(case: ET.Element) -> str:
-    """The node id of a test that ran; empty for what is none, such as a file that can't be collected."""
+    """Returns the node id of a test; empty for an element that is no test of an existing file."""
     parts = case.get("classname", "").split(".")
     for end in range(len(parts), 0, -1):
         file = "/".join(parts[:end]) + ".py"
@@ -36,78 +60,106 @@
     return ""
 
 
-def outcomes(result: pathlib.Path) -> tuple[dict[str, str], list[str]]:
-    """passed, failed or skipped for each node id; and what failed without being a test.
+def outcome_of(case: ET.Element) -> str:
+    """Returns whether a test case passed, failed or was skipped."""
+    if case.find("failure") is not None or case.find("error") is not None:
+        return FAILED
+    return PASSED if case.find("skipped") is None else SKIPPED
 
-    Raises OSError and ET.ParseError where pytest wrote no whole result."""
-    tests: dict[str, str] = {}
-    others: list[str] = []
-    for case in ET.parse(result).iter("testcase"):
-        failed = case.find("failure") is not None or case.find("error") is not None
-        came = "failed" if failed else "skipped" if case.find("skipped") is not None else "passed"
-        name = node_id(case)
-        if name:  # one that fails twice, as in its body and its teardown, stands there twice
-            tests[name] = came if tests.get(name) != "failed" else "failed"
-        elif failed:
-            others.append(case.get("name", ""))
-    return tests, others
 
+def read_run(result: pathlib.Path) -> TestRun:
+    """Reads pytest's result.
 
-def listed(file: pathlib.Path, tests: dict[str, str]) -> tuple[list[Red], list[str]]:
-    """The list's lines that can be used, and what is wrong with the others."""
-    reds: list[Red] = []
-    wrong: list[str] = []
+    Raises:
+        OSError: the file cannot be read.
+        ET.ParseError: it is not complete.
+    """
+    run = TestRun({}, [])
+    for case in ET.parse(result).iter("testcase"):
+        outcome = outcome_of(case)
+        name = node_id(case)
+        if not name:
+            if outcome == FAILED:
+                run.other_failures.append(case.get("name", ""))
+        elif (
+            run.outcomes.get(name) != FAILED
+        ):  # a test that failed twice, in its teardown too, is there twice
+            run.outcomes[name] = outcome
+    return run
+
+
+def read_known_failures(file: pathlib.Path, outcomes: dict[str, str]) -> KnownFailures:
+    """Reads the list and compares it with what ran."""
+    known = KnownFailures([], [])
     try:
         lines = file.read_text("utf-8").splitlines() if file.exists() else []
     except (OSError, UnicodeDecodeError) as error:
-        return [], [f"{file}: can't be read ({error}): write it anew as UTF-8 text"]
-    if len(lines) > MOST:
-        wrong.append(f"{file}:{MOST + 1}: over {MOST} lines: mend a listed test and take its line out")
-    for number, line in enumerate(lines, 1):
-        place = f"{file}:{number}"
-        parts = line.split(",")
-        # An id may hold commas itself: it is the longest beginning of the line that is a test's.
-        ends = [end for end in range(1, len(parts) - 1) if ",".join(parts[:end]).strip() in tests]
-        end = max(ends, default=1)
-        test, cause = ",".join(parts[:end]).strip(), ",".join(parts[end:-1]).strip()
-        issue = parts[-1].strip()
-        if len(parts) < 3 or not (test and cause and issue):
-            wrong.append(f"{place}: not `test, cause, issue`: write all three, with commas between")
-        elif test not in tests:
-            wrong.append(f"{place}: no test that ran is called {test}: give a node id as pytest prints it")
-        elif test in [red.test for red in reds]:
-            wrong.append(f"{place}: {test} is listed twice: take one line out")
-        elif tests[test] != "failed":
-            wrong.append(f"{place}: {test} {tests[test]}: take the line out, it has to fail")
+        return KnownFailures([], [f"{file}: can't be read ({error}): write it anew as UTF-8 text"])
+    if len(lines) > MAX_ENTRIES:
+        location = f"{file}:{MAX_ENTRIES + 1}"
+        known.problems.append(
+            f"{location}: over {MAX_ENTRIES} lines: mend a listed test and take its line out"
+        )
+    for line_number, line in enumerate(lines, 1):
+        entry = parse_entry(f"{file}:{line_number}", line, outcomes)
+        problem = find_problem(entry, line, known.entries, outcomes)
+        if problem:
+            known.problems.append(f"{entry.location}: {problem}")
         else:
-            reds.append(Red(place, test, cause, issue))
-    return reds, wrong
+            known.entries.append(entry)
+    return known
+
+
+def parse_entry(location: str, line: str, outcomes: dict[str, str]) -> KnownFailure:
+    """Splits a line; as a node id may contain commas, the test is the longest prefix that is a test's id."""
+    parts = line.split(",")
+    prefix_ends = [end for end in range(1, len(parts) - 1) if ",".join(parts[:end]).strip() in outcomes]
+    end = max(prefix_ends, default=1)
+    test = ",".join(parts[:end]).strip()
+    cause = ",".join(parts[end:-1]).strip()
+    return KnownFailure(location, test, cause, parts[-1].strip())
+
+
+def find_problem(
+    entry: KnownFailure, line: str, earlier: list[KnownFailure], outcomes: dict[str, str]
+) -> str:
+    """Returns what is wrong with an entry; empty if nothing is."""
+    is_complete = bool(entry.test and entry.cause and entry.issue)
+    if line.count(",") < FIELD_COUNT - 1 or not is_complete:
+        return "not `test, cause, issue`: write all three, with commas between"
+    if entry.test not in outcomes:
+        return f"no test that ran is called {entry.test}: give a node id as pytest prints it"
+    if entry.test in [known.test for known in earlier]:
+        return f"{entry.test} is listed twice: take one line out"
+    if outcomes[entry.test] != FAILED:
+        return f"{entry.test} {outcomes[entry.test]}: take the line out, it has to fail"
+    return ""
 
 
 def main(result: str, status: str, list_file: str = "KNOWN-RED.txt") -> int:
-    tests: dict[str, str] = {}
-    others: list[str] = []
-    wrong: list[str] = []
+    """Prints the verdict and returns the exit code."""
+    run = TestRun({}, [])
+    problems: list[str] = []
     try:
-        tests, others = outcomes(pathlib.Path(result))
+        run = read_run(pathlib.Path(result))
     except (OSError, ET.ParseError) as error:
-        wrong.append(f"{result}: no whole result of pytest ({error}): see what it printed")
-    reds, in_list = listed(pathlib.Path(list_file), tests)
-    wrong += in_list
-    for red in reds:
-        print(f"known red: {red.test} (cause: {red.cause}; issue: {red.issue})")
-    may_fail = {red.test for red in reds}
-    failed = [name for name, came in tests.items() if came == "failed"]
-    wrong += [f"failed: {name}" for name in [*failed, *others] if name not in may_fail]
-    passed = sum(came == "passed" for came in tests.values())
-    if not passed:
-        wrong.append("no test ran, or none passed")
-    if int(status) != (TESTS_FAILED if failed or others else 0):
-        wrong.append(f"pytest ended with {status}, and its result doesn't say why: see what it printed")
-    for line in wrong:
-        print(line)
-    print(f"{passed} passed, {len(failed) + len(others)} failed")
-    return 1 if wrong else 0
+        problems.append(f"{result}: no whole result of pytest ({error}): see what it printed")
+    known = read_known_failures(pathlib.Path(list_file), run.outcomes)
+    problems += known.problems
+    for entry in known.entries:
+        print(f"known red: {entry.test} (cause: {entry.cause}; issue: {entry.issue})")
+    may_fail = {entry.test for entry in known.entries}
+    failures = [name for name, outcome in run.outcomes.items() if outcome == FAILED] + run.other_failures
+    problems += [f"failed: {name}" for name in failures if name not in may_fail]
+    passed_count = list(run.outcomes.values()).count(PASSED)
+    if not passed_count:
+        problems.append("no test ran, or none passed")
+    if int(status) != (TESTS_FAILED if failures else 0):
+        problems.append(f"pytest ended with {status}, and its result doesn't say why: see what it printed")
+    for problem in problems:
+        print(problem)
+    print(f"{passed_count} passed, {len(failures)} failed")
+    return 1 if problems else 0
 
 
 if __name__ == "__main__":
--- a/deploy/sites/names.py
+++ b/deploy/sites/names.py
@@ -64,7 +64,7 @@
 # In the simulator: an event's or action's name, and its fields as `what it is: its name`.
 INST = {"inst": "node_id"}
 REQ = INST | {"id": "ref"}
-CAME = {"latency": "wait_time_us", "status": "rc", "server": "server", "load": "pressure"}
+ATTEMPT_RESULT = {"latency": "wait_time_us", "status": "rc", "server": "server", "load": "pressure"}
 EVENTS = {
     "init": ("Attach", INST | {"seed": "init_seed", "info": "params"}),
     "members": ("Sync", INST | {"version": "epoch", "list_kind": "scope", "entries": "rows"}),
@@ -88,7 +88,7 @@
         "Completed",
         REQ
         | {"attempt": "round_no"}
-        | CAME
+        | ATTEMPT_RESULT
         | {
             "closed": "settled",
             "used": "fleet_use",
@@ -96,7 +96,7 @@
         },
     ),
     "gone": ("CancelledByClient", REQ),
-    "probed": ("CheckResult", INST | CAME),
+    "probed": ("CheckResult", INST | ATTEMPT_RESULT),
     "timer": ("TimeoutFired", INST | {"token": "nonce"}),
     "peer": ("Message", INST | {"from": "src_peer", "data": "body"}),
     "counted": (
@@ -187,6 +187,7 @@
 
 
 def messages(table: dict[str, tuple[str, dict[str, str]]]) -> dict[str, object]:
+    """Returns the wire form of a table of events or actions."""
     return {
         key: {"name": name, "code": 0, "fields": [list(field) for field in fields.items()]}
         for key, (name, fields) in table.items()
@@ -194,6 +195,7 @@
 
 
 def wire(name: str) -> dict[str, object]:
+    """Returns the names on the simulator's wire for the site `name`."""
     return {
         "v": 1,
         "name": name,
@@ -260,9 +262,10 @@
 
 
 def main() -> None:
+    """Writes both files beside each site file."""
     for site in sorted(HERE.glob("*/*.toml")):
-        for file, told in (("real.json", REAL), ("wire.json", wire(site.stem))):
-            (site.parent / file).write_text(json.dumps(told, indent=1) + "\n")
+        for file, content in (("real.json", REAL), ("wire.json", wire(site.stem))):
+            (site.parent / file).write_text(json.dumps(content, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/tests/test_ways_in.py
+++ b/tests/ci/test_ci_run.py
@@ -1,4 +1,4 @@
-"""The way in that CI takes: what it says, and that it is not content with a run in which no test ran."""
+"""`.ci/run`: its last line and exit code, also for a run in which no test ran."""
 
 import pathlib
 import shutil
@@ -8,10 +8,10 @@
 import pytest
 
 RUN = pathlib.Path(".ci/run")
-# In place of the virtual environment's python: leaves the result it is told for pytest, runs anything else.
+# Stands in for the virtual environment's python: for pytest it copies a prepared result, else it runs python.
 PYTHON = """#!/bin/sh
 test "$1 $2" = "-m pytest" || exec {python} "$@"
-cp told.xml "${{3#--junitxml=}}" 2>/dev/null
+cp prepared.xml "${{3#--junitxml=}}" 2>/dev/null
 exit {code}
 """
 CASES = {
@@ -50,13 +50,13 @@
     (tmp_path / ".ci-venv/tests.xml").write_text(CASES["passed"])  # of an older run: never to be taken
     if counts is not None:
         cases = [CASES[kind].format(n=n) for kind, count in counts.items() for n in range(count)]
-        (tmp_path / "told.xml").write_text(f"<testsuite>{''.join(cases)}</testsuite>")
+        (tmp_path / "prepared.xml").write_text(f"<testsuite>{''.join(cases)}</testsuite>")
     found = subprocess.run(["bash", ".ci/run"], cwd=tmp_path, capture_output=True, text=True)
     assert found.stdout.splitlines()[-1] == line
     assert (found.returncode == 0) is verdict
 
 
-def test_stories_in_nested_folders_are_found_whatever_their_names(tmp_path: pathlib.Path) -> None:
+def test_tests_of_the_same_name_in_nested_folders_are_all_collected(tmp_path: pathlib.Path) -> None:
     shutil.copy("pyproject.toml", tmp_path)
     for folder in ("tests", "tests/leadership", "tests/rollout/deep"):
         (tmp_path / folder).mkdir(parents=True)
--- a/tests/test_known_red.py
+++ b/tests/ci/test_known_red.py
@@ -1,4 +1,4 @@
-"""CI's verdict over what pytest wrote: the tests that KNOWN-RED.txt lists may fail, and nothing else may."""
+"""CI's verdict on pytest's result: only the tests that KNOWN-RED.txt lists may fail."""
 
 import os
 import pathlib
@@ -7,14 +7,14 @@
 
 import pytest
 
-pytestmark = pytest.mark.xdist_group("known red")  # what pytest said of the stories is asked for once
+pytestmark = pytest.mark.xdist_group("known red")  # the sample tests are run once
 
 SCRIPT = pathlib.Path(".ci/known_red.py").absolute()
-STORIES = """
+SAMPLE_TESTS = """
 import unittest
 import pytest
 
-def test_well():
+def test_passes():
     pass
 
 @pytest.mark.parametrize("word", ["one", "a, b - c::d[e]@f"])
@@ -28,23 +28,23 @@
                 self.assertEqual(n, 1)
 
 @pytest.fixture
-def spoilt():
+def failing_teardown():
     yield
     raise ValueError
 
 @pytest.mark.xdist_group("quiet")
-def test_end(spoilt):
+def test_end(failing_teardown):
     assert False
 
 def test_left_out():
     pytest.skip("not here")
 """
-WORD = "tests/deep/test_story.py::test_word[a, b - c::d[e]@f]"
-EACH = "tests/deep/test_story.py::Sums::test_each"
-END = "tests/deep/test_story.py::test_end"
-WELL = "tests/deep/test_story.py::test_well"
-LEFT_OUT = "tests/deep/test_story.py::test_left_out"
-ALL = f"{WORD}, the word, all but one, #4\n{EACH}, sums are off, #5\n{END}, spoilt at the end, #6\n"
+WORD = "tests/deep/test_sample.py::test_word[a, b - c::d[e]@f]"
+EACH = "tests/deep/test_sample.py::Sums::test_each"
+END = "tests/deep/test_sample.py::test_end"
+PASSES = "tests/deep/test_sample.py::test_passes"
+LEFT_OUT = "tests/deep/test_sample.py::test_left_out"
+ALL = f"{WORD}, the word, all but one, #4\n{EACH}, sums are off, #5\n{END}, fails in teardown, #6\n"
 
 
 class Run:
@@ -53,12 +53,12 @@
     def __init__(self, root: pathlib.Path, text: str, processes: int = 2) -> None:
         self.root = root
         (root / "tests/deep").mkdir(parents=True)
-        (root / "tests/deep/test_story.py").write_text(text)
+        (root / "tests/deep/test_sample.py").write_text(text)
         (root / "pytest.ini").write_text("[pytest]\naddopts = --import-mode=importlib\n")
-        many = ["-p", "xdist.plugin", f"-n{processes}", "--dist=loadgroup"] if processes else []
-        command = [sys.executable, "-m", "pytest", "-q", *many, "--junitxml=r.xml"]
-        plain = os.environ | {"PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1", "PYTEST_ADDOPTS": ""}
-        self.status = subprocess.run(command, cwd=root, env=plain, capture_output=True).returncode
+        parallel = ["-p", "xdist.plugin", f"-n{processes}", "--dist=loadgroup"] if processes else []
+        command = [sys.executable, "-m", "pytest", "-q", *parallel, "--junitxml=r.xml"]
+        environment = os.environ | {"PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1", "PYTEST_ADDOPTS": ""}
+        self.status = subprocess.run(command, cwd=root, env=environment, capture_output=True).returncode
 
     def verdict(self, listing: str | None, status: int | None = None) -> tuple[int, list[str]]:
         file = self.root / "KNOWN-RED.txt"
@@ -73,7 +73,7 @@
 
 @pytest.fixture(scope="module")
 def failing(tmp_path_factory: pytest.TempPathFactory) -> Run:
-    return Run(tmp_path_factory.mktemp("failing"), STORIES)
+    return Run(tmp_path_factory.mktemp("failing"), SAMPLE_TESTS)
 
 
 def test_just_the_listed_tests_fail_and_are_printed(failing: Run) -> None:
@@ -82,14 +82,14 @@
         [
             f"known red: {WORD} (cause: the word, all but one; issue: #4)",
             f"known red: {EACH} (cause: sums are off; issue: #5)",
-            f"known red: {END} (cause: spoilt at the end; issue: #6)",
+            f"known red: {END} (cause: fails in teardown; issue: #6)",
             "2 passed, 3 failed",
         ],
     )
 
 
 def test_a_failure_that_is_not_listed_fails(failing: Run) -> None:
-    code, lines = failing.verdict(f"{WORD}, the word, #4\n{END}, spoilt at the end, #6\n")
+    code, lines = failing.verdict(f"{WORD}, the word, #4\n{END}, fails in teardown, #6\n")
     assert (code, lines[-2:]) == (1, [f"failed: {EACH}", "2 passed, 3 failed"])
     code, lines = failing.verdict(None)
     assert (code, lines[-1]) == (1, "2 passed, 3 failed")
@@ -97,11 +97,11 @@
 
 
 @pytest.mark.parametrize(
-    ("listing", "why"),
+    ("listing", "problem"),
     [
         (f"{ALL}{WORD}, again, #7\n", "KNOWN-RED.txt:4: over 3 lines"),
         (f"{ALL}\n", "KNOWN-RED.txt:4: over 3 lines"),
-        (ALL.replace(", spoilt at the end", ""), "KNOWN-RED.txt:3: not `test, cause, issue`"),
+        (ALL.replace(", fails in teardown", ""), "KNOWN-RED.txt:3: not `test, cause, issue`"),
         (ALL.replace("#6", " "), "KNOWN-RED.txt:3: not `test, cause, issue`"),
         (ALL.replace("sums are off", ""), "KNOWN-RED.txt:2: not `test, cause, issue`"),
         (ALL.replace(END, ""), "KNOWN-RED.txt:3: not `test, cause, issue`"),
@@ -110,26 +110,26 @@
         (ALL.replace("Sums::", ""), "KNOWN-RED.txt:2: no test that ran is called"),
         (ALL.replace("[a, b - c::d[e]@f]", ""), "KNOWN-RED.txt:1: no test that ran is called"),
         (ALL.replace(END, EACH), f"KNOWN-RED.txt:3: {EACH} is listed twice"),
-        (ALL.replace(END, WELL), f"KNOWN-RED.txt:3: {WELL} passed"),
+        (ALL.replace(END, PASSES), f"KNOWN-RED.txt:3: {PASSES} passed"),
         (ALL.replace(END, LEFT_OUT), f"KNOWN-RED.txt:3: {LEFT_OUT} skipped"),
     ],
 )
-def test_a_list_that_is_wrong_fails_with_its_place(failing: Run, listing: str, why: str) -> None:
+def test_an_invalid_list_fails_with_the_line_of_the_error(failing: Run, listing: str, problem: str) -> None:
     code, lines = failing.verdict(listing)
     assert code == 1
-    assert [line for line in lines if line.startswith(why)], lines
+    assert [line for line in lines if line.startswith(problem)], lines
     assert lines[-1] == "2 passed, 3 failed"
 
 
 def test_a_list_that_cannot_be_read_fails(failing: Run) -> None:
-    (failing.root / "spoilt.txt").write_bytes(b"\xff, cause, #1\n")
-    command = [sys.executable, str(SCRIPT), "r.xml", "1", "spoilt.txt"]
+    (failing.root / "not_utf8.txt").write_bytes(b"\xff, cause, #1\n")
+    command = [sys.executable, str(SCRIPT), "r.xml", "1", "not_utf8.txt"]
     found = subprocess.run(command, cwd=failing.root, capture_output=True, text=True)
     assert found.returncode == 1
-    assert found.stdout.startswith("spoilt.txt: can't be read")
+    assert found.stdout.startswith("not_utf8.txt: can't be read")
 
 
-def test_a_run_that_ended_early_fails_though_all_that_failed_is_listed(failing: Run) -> None:
+def test_a_run_that_ended_early_fails_although_all_failures_are_listed(failing: Run) -> None:
     code, lines = failing.verdict(ALL, status=2)
     assert (code, lines[-2][:19]) == (1, "pytest ended with 2")
     assert failing.verdict(ALL, status=0)[0] == 1
@@ -140,34 +140,34 @@
     tmp_path: pathlib.Path, processes: int
 ) -> None:
     (tmp_path / "tests").mkdir()
-    (tmp_path / "tests/test_spoilt.py").write_text("import nowhere_at_all\n")
-    run = Run(tmp_path, "def test_well(): pass\n", processes)
-    for name in ("tests/test_spoilt.py", "tests.test_spoilt"):
+    (tmp_path / "tests/test_not_importable.py").write_text("import nowhere_at_all\n")
+    run = Run(tmp_path, "def test_passes(): pass\n", processes)
+    for name in ("tests/test_not_importable.py", "tests.test_not_importable"):
         code, lines = run.verdict(f"{name}, an import, #1\n")
         assert code == 1
         assert f"KNOWN-RED.txt:1: no test that ran is called {name}" in "\n".join(lines)
-        assert "failed: tests.test_spoilt" in lines
+        assert "failed: tests.test_not_importable" in lines
     assert run.verdict(None)[0] == 1
 
 
-def test_all_passed_is_well_without_a_list_and_with_an_empty_one(tmp_path: pathlib.Path) -> None:
+def test_a_run_without_failures_passes_without_a_list_and_with_an_empty_one(tmp_path: pathlib.Path) -> None:
     run = Run(tmp_path, "def test_one(): pass\ndef test_two(): pass\n", 0)
     assert run.verdict(None) == run.verdict("") == (0, ["2 passed, 0 failed"])
     assert run.verdict(None, status=3)[0] == 1
 
 
 @pytest.mark.parametrize("text", ["", "import pytest\ndef test_one(): pytest.skip('not here')\n"])
-def test_where_no_test_ran_it_fails(tmp_path: pathlib.Path, text: str) -> None:
+def test_a_run_in_which_no_test_ran_fails(tmp_path: pathlib.Path, text: str) -> None:
     run = Run(tmp_path, text, 0)
     code, lines = run.verdict(None, status=0)
     assert (code, lines) == (1, ["no test ran, or none passed", "0 passed, 0 failed"])
     assert run.verdict(None)[0] == 1
 
 
-def test_without_a_whole_result_it_fails(tmp_path: pathlib.Path) -> None:
+def test_a_missing_or_truncated_result_fails(tmp_path: pathlib.Path) -> None:
     run = Run(tmp_path, "def test_one(): pass\n", 0)
-    whole = (tmp_path / "r.xml").read_bytes()
-    (tmp_path / "r.xml").write_bytes(whole[:-20])
+    complete = (tmp_path / "r.xml").read_bytes()
+    (tmp_path / "r.xml").write_bytes(complete[:-20])
     assert run.verdict(None)[0] == 1
     (tmp_path / "r.xml").unlink()
     code, lines = run.verdict(None)
@@ -178,8 +178,8 @@
 def test_a_test_that_ran_twice_and_failed_once_has_failed(
     tmp_path: pathlib.Path, order: tuple[int, int]
 ) -> None:
-    run = Run(tmp_path, "def test_well(): pass\n", 0)
-    case = '<testcase classname="tests.deep.test_story" name="test_well">{}</testcase>'
+    run = Run(tmp_path, "def test_passes(): pass\n", 0)
+    case = '<testcase classname="tests.deep.test_sample" name="test_passes">{}</testcase>'
     cases = [case.format(""), case.format("<failure/>")]
     (tmp_path / "r.xml").write_text(f"<testsuite>{cases[order[0]]}{cases[order[1]]}{cases[0]}</testsuite>")
-    assert run.verdict(None, status=1)[1][0] == f"failed: {WELL}"
+    assert run.verdict(None, status=1)[1][0] == f"failed: {PASSES}"
