--- a/onyxpost/core/customer_quota.py
+++ b/onyxpost/core/customer_quota.py
@@ -1,13 +1,12 @@
-"""A node's state of one customer: token buckets, leases and the usage that peers report."""
+"""What a node keeps of one customer: token buckets, leases, usage of peers. No decisions here."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import NamedTuple
 
 from onyxpost.core.token_bucket import TokenBucket
 from onyxpost.core.types import Plan
-from onyxpost.core.usage_reports import NO_NODE, Placement, QuotaCorrection, UsageReport
+from onyxpost.core.usage_reports import NO_NODE, Placement, UsageReport
 
 UNKNOWN_PLAN = Plan("", 0.0, 0.0, 0, 0.0, 0.0, 0.0)  # until a request or a peer's report names the plan
 
@@ -20,13 +19,6 @@
     expires_at: float
 
 
-class LeaseUse(NamedTuple):
-    """Units that a request takes from a lease, or from the node's own share (lease 0)."""
-
-    lease_id: int
-    units: int
-
-
 @dataclass(slots=True)
 class PeerUsage:
     """A customer's usage as one peer has last reported it.
@@ -100,83 +92,13 @@
             self.quota.refill(now)
             self.hard_limit.refill(now)
 
-    def valid_leases(self, now: float) -> dict[int, Lease]:
-        """Returns the leases that have not expired."""
-        return {lease_id: lease for lease_id, lease in self.leases.items() if now < lease.expires_at}
-
-    def leased_units(self, now: float) -> float:
-        """Returns the units of all leases that have not expired."""
-        return sum(lease.units for lease in self.leases.values() if now < lease.expires_at)
-
-    def total_in_flight(self, now: float, max_age_ms: float, excluded_peer: int | None = None) -> int:
-        """Returns the attempts in flight at all nodes; of peers, by reports younger than `max_age_ms`."""
-        return self.in_flight + sum(
-            usage.in_flight
-            for peer, usage in self.peer_usage.items()
-            if peer != excluded_peer and now - usage.reported_at < max_age_ms
-        )
-
-    def at_concurrency_limit(self, now: float, max_age_ms: float) -> bool:
-        """Returns whether all nodes together have as many attempts in flight as the plan permits."""
-        return 0 < self.plan.concurrency_limit <= self.total_in_flight(now, max_age_ms)
-
-    def is_unused(self, now: float) -> bool:
-        """Returns whether both buckets are full, and nothing is in flight or leased."""
-        self.refill(now)
-        return self.quota.is_full() and self.hard_limit.is_full() and not self.in_flight and not self.leases
-
     def consume(self, units: int, hard_limit_units: int) -> None:
         """Counts units that this node uses."""
         self.quota.consume(units)
         self.units_used += units
         self.hard_limit.consume(hard_limit_units)
 
-    def spend(self, now: float, units: int) -> list[LeaseUse]:
-        """Takes a request's units from leases if these hold all of them, else from this node's buckets."""
-        if self.leased_units(now) < units:
-            self.consume(units, units)
-            return [LeaseUse(0, units)]
-        self.units_used += units
-        uses = []
-        for lease_id, lease in self.valid_leases(now).items():
-            part = int(min(units, lease.units))
-            lease.units -= part
-            units -= part
-            if part:
-                uses.append(LeaseUse(lease_id, part))
-        return uses
-
     def report(self, new_units: int, transferred_units: int) -> UsageReport:
         """Returns a report of this node's usage."""
         placement = self.placement or Placement(0, 0, 0)
         return UsageReport(self.key, self.units_used, self.in_flight, new_units, transferred_units, placement)
-
-    def apply_report(self, now: float, peer: int, incarnation: str, report: UsageReport) -> None:
-        """Takes what a peer has used since its last report from the bucket.
-
-        A cumulative count makes a lost or repeated message harmless. Of the first report only `new_units`
-        count: the rest may have been used, and refilled, before this node started. Transferred units have
-        no such count: a lost message loses them, a repeated one would add them twice.
-        """
-        usage = self.peer_usage.setdefault(peer, PeerUsage())
-        if usage.incarnation == incarnation:
-            units = report.units_used - usage.units_used
-        else:
-            units = report.units_used if usage.incarnation else report.new_units
-        peer_forgot_customer = units < 0 and report.units_used == report.new_units  # it counts from 0 again
-        self.last_seen_at = now
-        self.refill(now)
-        self.quota.consume(report.new_units if peer_forgot_customer else units)
-        self.hard_limit.tokens += report.transferred_units
-        self.peer_usage[peer] = PeerUsage(incarnation, report.units_used, report.in_flight, units, now)
-
-    def apply_correction(self, now: float, peer: int, correction: QuotaCorrection) -> None:
-        """Sets the bucket to what the coordinator knows, less the units not yet reported to it."""
-        usage = self.peer_usage.setdefault(peer, PeerUsage())
-        usage.in_flight = correction.in_flight
-        usage.reported_at = now
-        self.last_seen_at = now
-        self.quota.refilled_at = now
-        self.hard_limit.refilled_at = now
-        unreported_units = self.units_used - self.units_reported
-        self.quota.tokens = self.plan.burst - correction.used_units - unreported_units
--- /dev/null
+++ b/onyxpost/core/server_records.py
@@ -0,0 +1,66 @@
+"""What a node keeps of one app server, a record for each concern. No decisions here.
+
+`onyxpost.policy.latency_estimates`, `onyxpost.policy.outlier_detection` and `onyxpost.policy.slow_start`
+decide by these records.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING, NamedTuple
+
+if TYPE_CHECKING:
+    from onyxpost.core.sliding_window import SlidingWindowCounter
+
+
+class AnswerCounts(NamedTuple):
+    """What attempts came to.
+
+    Attributes:
+        answers: attempts that were answered, or that ended by their timeout.
+        latency_ms: sum of the latencies of these.
+        failures: attempts that failed.
+    """
+
+    answers: float = 0.0
+    latency_ms: float = 0.0
+    failures: float = 0.0
+
+
+@dataclass(slots=True)
+class LatencyStatistics:
+    """A server's results, and the means that were last worked out from them.
+
+    Attributes:
+        window: results of late.
+        mean_latency_ms: mean within the window, with the age of slow attempts in flight; 0: unknown.
+        mean_in_flight: mean number of attempts in flight within the window, plus 1.
+    """
+
+    window: SlidingWindowCounter[AnswerCounts]
+    mean_latency_ms: float = 0.0
+    mean_in_flight: float = 1.0
+
+
+@dataclass(slots=True)
+class CircuitBreaker:
+    """Whether a server is ejected.
+
+    Attributes:
+        open_until: the circuit breaker rejects all attempts until then, in ms.
+        successes_to_close: successful trials until it closes; 0: it is closed. Each trip adds one.
+    """
+
+    open_until: float = 0.0
+    successes_to_close: int = 0
+
+
+@dataclass(slots=True)
+class SlowStartTurn:
+    """When a server that warms up gets its next request from this node.
+
+    Attributes:
+        intervals_left: intervals between requests that the server still waits for; from 0 on it is its turn.
+    """
+
+    intervals_left: float = 0.0
--- a/onyxpost/core/types.py
+++ b/onyxpost/core/types.py
@@ -174,9 +174,17 @@
 class Locatable(Protocol):
     """The attributes of an app server that routing rules depend on."""
 
-    id: str
-    zone: str
-    cell: int
+    @property
+    def id(self) -> str:
+        """The server's id."""
+
+    @property
+    def zone(self) -> str:
+        """The zone that it is in."""
+
+    @property
+    def cell(self) -> int:
+        """The cell that it is in."""
 
 
 ServerType = TypeVar("ServerType", bound=Locatable)
--- /dev/null
+++ b/onyxpost/policy/abandonment.py
@@ -0,0 +1,33 @@
+"""How a request ends that is not retried any more: rejected if that is safe, else aborted."""
+
+from onyxpost.core.requests import Request
+from onyxpost.core.sink import DecisionSink
+from onyxpost.policy.load_shedding import LatencyLoadShedder
+from onyxpost.policy.possible_execution import ExecutionSafety
+from onyxpost.policy.rejection import Rejections
+from onyxpost.policy.request_completion import RequestCompletion
+
+
+class Abandonment:
+    """Ends requests without an answer of a server."""
+
+    def __init__(
+        self,
+        shedder: LatencyLoadShedder,
+        completion: RequestCompletion,
+        execution: ExecutionSafety,
+        rejections: Rejections,
+    ) -> None:
+        self._shedder = shedder
+        self._completion = completion
+        self._execution = execution
+        self._rejections = rejections
+
+    def abandon(self, request: Request, sink: DecisionSink) -> None:
+        """Rejects a request if its client may safely send it again, else aborts it."""
+        self._shedder.record_unanswered(request, request.arrived_at)
+        self._completion.finish(request, sink)
+        if self._execution.safe_to_reject(request):
+            self._rejections.reject_for_capacity(request, sink)
+        else:
+            sink.abort(request.id)
--- a/onyxpost/policy/admission.py
+++ b/onyxpost/policy/admission.py
@@ -1,44 +1,68 @@
-"""Which requests the quotas admit: at once, or after a short wait for tokens of the hard limit."""
+"""Which requests the customers' quotas admit: at once, or after a wait for tokens of the hard limit."""
 
-from collections.abc import Iterator
+from zlib import crc32
 
 from onyxpost.core.customer_quota import CustomerQuota
-from onyxpost.core.hard_limit_queue import Decision, HardLimitQueue
+from onyxpost.core.events import RequestArrived, TimerFired
+from onyxpost.core.node_state import NodeState
 from onyxpost.core.requests import Request
+from onyxpost.core.seeded_random import SeededRandom
+from onyxpost.core.sink import DecisionSink
+from onyxpost.policy.hard_limit_wait import HardLimitWait
 from onyxpost.policy.quotas import QuotaPolicy
+from onyxpost.policy.rejection import Rejections
+from onyxpost.policy.request_routing import RequestRouter
 
 
 class Admission:
-    """Admits requests, or lets them wait while only the hard limit lacks tokens."""
+    """Admits requests, lets them wait, or rejects them over their quota."""
 
-    def __init__(self, quotas: QuotaPolicy, *, may_wait: bool) -> None:
+    def __init__(
+        self,
+        state: NodeState,
+        random: SeededRandom,
+        quotas: QuotaPolicy,
+        waiting: HardLimitWait,
+        router: RequestRouter,
+        rejections: Rejections,
+    ) -> None:
+        self._state = state
+        self._frontends = {frontend.name: frontend for frontend in state.options.frontends}
+        self._random = random
         self._quotas = quotas
-        self._may_wait = may_wait
-        self.queue = HardLimitQueue()
-
-    def latest_start(self, request: Request, mean_latency_ms: float) -> float:
-        """Returns the latest start: 2 mean latencies before `latency_deadline`, or halfway to `deadline`."""
-        in_time = request.latency_deadline - 2.0 * mean_latency_ms
-        return min(in_time, (request.arrived_at + request.deadline) / 2.0)
-
-    def has_capacity(self, now: float, request: Request) -> bool:
-        """Returns whether the quota admits a request that has just arrived."""
-        return not self.queue.has(request.customer) and self._quotas.has_capacity(now, request)
-
-    def should_wait(self, now: float, request: Request, mean_latency_ms: float) -> bool:
-        """Returns whether a request lacks only hard-limit tokens, and gets them by its latest start."""
-        if not self._may_wait:
-            return False
-        deferral_ms = self._quotas.deferral_ms(now, request, self.queue.units(request.customer))
-        return deferral_ms is not None and now + deferral_ms <= self.latest_start(request, mean_latency_ms)
-
-    def release(self, now: float, customer: CustomerQuota, mean_latency_ms: float) -> Iterator[Decision]:
-        """Removes requests that are finished (not yielded), too late (rejected) or have their tokens now."""
-        while (request := self.queue.first(customer)) is not None:
-            customer.refill(now)
-            is_late = now > self.latest_start(request, mean_latency_ms)
-            if not request.is_finished and not is_late and customer.hard_limit.tokens < request.units:
-                return
-            self.queue.pop(customer)
-            if not request.is_finished:
-                yield Decision(request, not is_late and self._quotas.has_capacity(now, request))
+        self._waiting = waiting
+        self._router = router
+        self._rejections = rejections
+
+    def on_request_arrived(self, now: float, event: RequestArrived, sink: DecisionSink) -> None:
+        """Decides on a request that has just arrived."""
+        request = self._new_request(now, event)
+        customer = request.customer
+        has_capacity = not self._waiting.has_waiting(customer) and self._quotas.has_capacity(now, request)
+        if not has_capacity and self._waiting.should_wait(now, request):
+            self._state.requests[request.id] = request
+            self._waiting.add(request)
+        elif not has_capacity or self._random.next() > self._quotas.admission_probability(customer):
+            self._rejections.reject_over_quota(request, sink)
+        else:
+            self._router.route(now, request, sink)
+
+    def _new_request(self, now: float, event: RequestArrived) -> Request:
+        customer = self._state.customers.get(crc32(event.customer.encode()))
+        self._quotas.assign_plan(customer, now, self._state.options.placement(event))
+        frontend = self._frontends[event.frontend]
+        return Request(event.request_id, now, event.deadline, frontend, customer, event.units)
+
+    def on_timer(self, now: float, _event: TimerFired, sink: DecisionSink) -> None:
+        """Decides on all requests that need not wait any more."""
+        for customer in self._waiting.customers():
+            self.release(now, customer, sink)
+
+    def release(self, now: float, customer: CustomerQuota, sink: DecisionSink) -> None:
+        """Decides on the customer's requests that need not wait any more."""
+        for request, is_admitted in self._waiting.release(now, customer):
+            del self._state.requests[request.id]
+            if is_admitted:
+                self._router.route(now, request, sink)
+            else:
+                self._rejections.reject_over_quota(request, sink)
--- /dev/null
+++ b/onyxpost/policy/attempts.py
@@ -0,0 +1,21 @@
+"""Starts attempts: their timeouts, and what they change at server and customer."""
+
+from onyxpost.core.requests import Request, UpstreamServer
+from onyxpost.core.sink import DecisionSink
+from onyxpost.policy.load_balancing import LoadBalancer
+from onyxpost.policy.retries import RetryPolicy
+
+
+class AttemptStarter:
+    """Starts first attempts and retries."""
+
+    def __init__(self, retries: RetryPolicy, balancer: LoadBalancer) -> None:
+        self._retries = retries
+        self._balancer = balancer
+
+    def start(self, now: float, request: Request, server: UpstreamServer, sink: DecisionSink) -> None:
+        """Starts an attempt at the server."""
+        timeout_ms = self._retries.attempt_timeout_ms(request, now)
+        sink.start_attempt(request.id, server.id, timeout_ms, self._retries.begin_before(request))
+        request.start_attempt(server, now)
+        self._balancer.on_attempt_started(server)
--- /dev/null
+++ b/onyxpost/policy/gossip_exchange.py
@@ -0,0 +1,36 @@
+"""When nodes report customers' usage to each other, and what follows when reports arrive."""
+
+from onyxpost.core.customer_quota import CustomerQuota
+from onyxpost.core.events import PeerMessageReceived, TimerFired
+from onyxpost.core.sink import DecisionSink
+from onyxpost.policy.admission import Admission
+from onyxpost.policy.quota_control import QuotaControl
+
+
+class GossipExchange:
+    """Receives reports as they arrive and sends a round of them at intervals."""
+
+    GOSSIP_INTERVAL_MS = 50.0
+
+    def __init__(self, first_round_at: float, quota_control: QuotaControl, admission: Admission) -> None:
+        self._next_round_at = first_round_at
+        self._quotas = quota_control.quotas
+        self._gossip = quota_control.gossip
+        self._queue = quota_control.queue
+        self._admission = admission
+
+    def on_peer_message(self, now: float, event: PeerMessageReceived, sink: DecisionSink) -> None:
+        """Applies a message; requests that have waited for what it brings are decided on."""
+
+        def on_report(customer: CustomerQuota) -> None:
+            self._admission.release(now, customer, sink)
+
+        self._gossip.receive(now, event.peer, event.body, on_report)
+
+    def on_timer(self, now: float, _event: TimerFired, sink: DecisionSink) -> None:
+        """Forgets unused customers and sends reports, if an interval has passed."""
+        if now < self._next_round_at:
+            return
+        self._next_round_at = now + self.GOSSIP_INTERVAL_MS
+        self._quotas.forget_unused(now, self._queue)
+        self._gossip.send(now, sink.send_peer_message)
--- a/onyxpost/core/hard_limit_queue.py
+++ b/onyxpost/policy/hard_limit_queue.py
@@ -1,21 +1,14 @@
-"""Requests that wait for tokens of their customer's hard limit."""
+"""The order of requests that wait for tokens of their customer's hard limit: first come, first served."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
     from onyxpost.core.customer_quota import CustomerQuota
     from onyxpost.core.requests import Request
 
 
-class Decision(NamedTuple):
-    """A request that need not wait any more, and whether it is admitted."""
-
-    request: Request
-    is_admitted: bool
-
-
 class HardLimitQueue:
     """A queue for each customer, in order of arrival."""
 
--- a/onyxpost/core/latency_model.py
+++ b/onyxpost/policy/latency_model.py
@@ -1,4 +1,8 @@
-"""The model of latency by rejection probability, and its fit to what is observed."""
+"""The model of latency by rejection probability, and its fit to what is observed.
+
+Model (11) and the least-mean-squares fit (section II-C, figure 2) of Qin and Wang, "Feedback Performance
+Control for Computer Systems: An LPV Approach".
+"""
 
 from __future__ import annotations
 
@@ -30,6 +34,14 @@
         return self.constant + self.slope * load
 
 
+# The paper's a1, a2 and b, with latency as a ratio to its target of 0.02 s; b > 0, as it is subtracted.
+PUBLISHED_COEFFICIENTS = [
+    Coefficient(0.3464, 0.1313),
+    Coefficient(0.2527, 0.1187),
+    Coefficient(-0.0007 / 0.02, 0.0443 / 0.02),
+]
+
+
 class LatencyModel:
     """Model (11) of Qin and Wang, "Feedback Performance Control for Computer Systems".
 
@@ -37,15 +49,13 @@
     period's, less b(r) times the rejection probability; all three are affine in the load r.
 
     Args:
-        coefficients: constant and slope of a1, a2 and b.
+        coefficients: a1, a2 and b.
         learning_rate: of the least-mean-squares fit.
         max_error: a larger error of the prediction counts as this.
     """
 
-    def __init__(
-        self, coefficients: list[tuple[float, float]], learning_rate: float, max_error: float
-    ) -> None:
-        self._coefficients = [Coefficient(*pair) for pair in coefficients]
+    def __init__(self, coefficients: list[Coefficient], learning_rate: float, max_error: float) -> None:
+        self._coefficients = coefficients
         self._learning_rate = learning_rate
         self._max_error = max_error
         self._history: list[Period] = []
--- /dev/null
+++ b/onyxpost/policy/leases.py
@@ -0,0 +1,87 @@
+"""Leases of quota units: which are usable, and that requests spend them before the node's own tokens."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
+
+from onyxpost.core.customer_quota import Lease
+
+if TYPE_CHECKING:
+    from onyxpost.core.customer_quota import CustomerQuota
+    from onyxpost.core.customer_table import CustomerTable
+    from onyxpost.core.events import LeaseGranted, LeaseRevoked
+    from onyxpost.core.requests import Request
+    from onyxpost.core.sink import DecisionSink
+
+OWN_SHARE = 0  # in place of a lease id: units of the node's own buckets
+
+
+class LeaseUse(NamedTuple):
+    """Units that a request takes from a lease, or from the node's own share (`OWN_SHARE`)."""
+
+    lease_id: int
+    units: int
+
+
+def leased_units(customer: CustomerQuota, now: float) -> float:
+    """Returns the units of all leases that have not expired."""
+    return sum(lease.units for lease in customer.leases.values() if now < lease.expires_at)
+
+
+def spend(customer: CustomerQuota, now: float, units: int) -> list[LeaseUse]:
+    """Takes a request's units from leases if these hold all of them, else from this node's buckets."""
+    if leased_units(customer, now) < units:
+        customer.consume(units, units)
+        return [LeaseUse(OWN_SHARE, units)]
+    customer.units_used += units
+    uses = []
+    for lease_id, lease in customer.leases.items():
+        if now >= lease.expires_at:
+            continue
+        part = int(min(units, lease.units))
+        lease.units -= part
+        units -= part
+        if part:
+            uses.append(LeaseUse(lease_id, part))
+    return uses
+
+
+class LeaseHolder:
+    """Holds the leases that planners grant, and reports what requests take from them.
+
+    Args:
+        customers: the customers that this node knows.
+        has_planners: whether planners grant leases; without them nothing is reported.
+    """
+
+    def __init__(self, customers: CustomerTable, *, has_planners: bool) -> None:
+        self._customers = customers
+        self._has_planners = has_planners
+
+    def on_lease_granted(self, now: float, event: LeaseGranted, sink: DecisionSink) -> None:
+        """Adds a lease; one of an unknown customer, or that has expired already, is returned at once."""
+        customer = self._customers.by_key.get(event.customer)
+        if customer is None or event.expires_at <= now:
+            sink.return_lease(event.lease_id, event.units)
+        else:
+            customer.leases[event.lease_id] = Lease(event.units, event.expires_at)
+
+    def on_lease_revoked(self, _now: float, event: LeaseRevoked, sink: DecisionSink) -> None:
+        """Removes a lease and returns what is left of it."""
+        customer = self._customers.by_key.get(event.customer)
+        lease = None if customer is None else customer.leases.pop(event.lease_id, None)
+        sink.return_lease(event.lease_id, 0 if lease is None else int(lease.units))
+
+    def spend(self, now: float, request: Request, sink: DecisionSink) -> None:
+        """Takes an admitted request's units from its customer's leases or buckets."""
+        for use in spend(request.customer, now, request.units):
+            self._report(request, use, sink)
+
+    def report_shortage(self, request: Request, sink: DecisionSink) -> None:
+        """Reports the units that a request lacked that is rejected over its quota."""
+        self._report(request, LeaseUse(OWN_SHARE, request.units), sink)
+
+    def _report(self, request: Request, use: LeaseUse, sink: DecisionSink) -> None:
+        if self._has_planners:
+            customer = request.customer
+            sink.report_units_spent(customer.key, customer.plan.name, use.units, use.lease_id)
--- a/onyxpost/policy/load_shedding.py
+++ b/onyxpost/policy/load_shedding.py
@@ -1,13 +1,28 @@
 """Sheds load by latency, after Qin and Wang, "Feedback Performance Control for Computer Systems"."""
 
-from onyxpost.core.latency_model import LatencyModel, Period
+from typing import NamedTuple
+
+from onyxpost.core.events import RequestArrived, TimerFired
+from onyxpost.core.requests import Request
+from onyxpost.core.seeded_random import SeededRandom
 from onyxpost.core.sink import DecisionSink
 from onyxpost.core.sliding_window import SlidingWindowCounter
 from onyxpost.core.types import Frontend
+from onyxpost.policy.latency_model import PUBLISHED_COEFFICIENTS, LatencyModel, Period
+
+
+class CompletionCounts(NamedTuple):
+    """Requests that were answered in time or late, but answered."""
+
+    completions: float = 0.0
 
 
 class LatencyLoadShedder:
-    """Integral control of the rejection probability (the paper's theta), its gain scheduled by load (r)."""
+    """Integral control of the rejection probability (the paper's theta), its gain scheduled by load (r).
+
+    Attributes:
+        rejection_probability: of a request that arrives in this period.
+    """
 
     PERIOD_MS = 500.0
     MAX_REJECTION_PROBABILITY = 0.95
@@ -16,36 +31,58 @@
     MAX_STEP = 0.1  # of the probability in one period
     LEARNING_RATE = 0.01  # of the model; a faster fit would follow noise, as a period holds few answers
     MAX_MODEL_ERROR = 1.0
-    MAX_LOAD = 2.0  # of r: arrivals divided by the most completions in one of the last 20 periods
+    MAX_LOAD = 2.0  # of r: arrivals divided by the most completions in one of the last periods
+    CAPACITY_PERIODS = 20  # the most completions in one of these count as the capacity
 
-    def __init__(self, now: float, phase: float) -> None:
+    def __init__(self, now: float, random: SeededRandom) -> None:
         self.rejection_probability = 0.0
-        self.arrivals = 0
-        self.completions = 0
-        self._next_update_at = now + self.PERIOD_MS * (1.0 + phase)  # staggered over nodes
-        self._completions = SlidingWindowCounter(self.PERIOD_MS, 20, 1)
+        self._random = random
+        self._arrivals = 0
+        self._completed = 0
+        self._next_update_at = now + self.PERIOD_MS * (1.0 + random.next())  # staggered over nodes
+        self._completions = SlidingWindowCounter(self.PERIOD_MS, self.CAPACITY_PERIODS, CompletionCounts)
         self._ratios: dict[Frontend, list[float]] = {}
-        # The paper's model (11), with latency as a ratio to its 0.02 s target; b > 0, as it is subtracted.
-        published = [(0.3464, 0.1313), (0.2527, 0.1187), (-0.0007 / 0.02, 0.0443 / 0.02)]
-        self._model = LatencyModel(published, self.LEARNING_RATE, self.MAX_MODEL_ERROR)
+        self._model = LatencyModel(PUBLISHED_COEFFICIENTS, self.LEARNING_RATE, self.MAX_MODEL_ERROR)
+
+    @property
+    def is_shedding(self) -> bool:
+        """Whether any requests are rejected."""
+        return self.rejection_probability > 0.0
+
+    def on_request_arrived(self, _now: float, _event: RequestArrived, _sink: DecisionSink) -> None:
+        """Counts an arrival."""
+        self._arrivals += 1
+
+    def should_shed(self) -> bool:
+        """Returns whether to reject a request; draws a random number only while any are rejected."""
+        return self.is_shedding and self._random.next() < self.rejection_probability
+
+    def record_completion(self, request: Request, now: float) -> None:
+        """Counts an answered request and its latency since it was admitted."""
+        self._completed += 1
+        self._record_latency(request.frontend, now - request.admitted_at)
+
+    def record_unanswered(self, request: Request, since: float) -> None:
+        """Counts a request as answered at its deadline: left out, it would hide an overload."""
+        self._record_latency(request.frontend, request.deadline - since)
 
-    def record_latency(self, frontend: Frontend, latency_ms: float) -> None:
-        """Counts the latency of a request that ended, as a ratio to its latency objective."""
+    def _record_latency(self, frontend: Frontend, latency_ms: float) -> None:
+        """Counts a latency as a ratio to its latency objective."""
         self._ratios.setdefault(frontend, []).append(latency_ms / frontend.latency_objective_ms)
 
-    def tick(self, now: float, sink: DecisionSink) -> None:
+    def on_timer(self, now: float, _event: TimerFired, sink: DecisionSink) -> None:
         """Sets the probability for the next period, if one has passed."""
         if now < self._next_update_at:
             return
         self._next_update_at += self.PERIOD_MS
-        self._completions.add(now, self.completions)
-        capacity = max(row[0] for row in self._completions.rows)
-        load = min(self.MAX_LOAD, self.arrivals / capacity) if capacity else 0.0
-        self.arrivals = 0
-        self.completions = 0
-        was_shedding = self.rejection_probability > 0.0
+        self._completions.add(now, CompletionCounts(self._completed))
+        capacity = max(interval.completions for interval in self._completions.intervals())
+        load = min(self.MAX_LOAD, self._arrivals / capacity) if capacity else 0.0
+        self._arrivals = 0
+        self._completed = 0
+        was_shedding = self.is_shedding
         self._update(load)
-        if was_shedding != (self.rejection_probability > 0.0):
+        if was_shedding != self.is_shedding:
             mode = "off" if was_shedding else "on"
             sink.log(f"shedding {mode} theta={self.rejection_probability:.2f} r={load:.2f}")
 
--- a/onyxpost/policy/outlier_detection.py
+++ b/onyxpost/policy/outlier_detection.py
@@ -19,27 +19,38 @@
 
     def may_attempt(self, now: float, server: UpstreamServer) -> bool:
         """Returns whether the server is not ejected, or due for a trial."""
-        return not server.consecutive_trips or (now >= server.open_until and not server.in_flight)
+        breaker = server.circuit_breaker
+        return not breaker.successes_to_close or (now >= breaker.open_until and not server.in_flight)
 
     def on_success(self, now: float, server: UpstreamServer) -> bool:
         """Counts a successful trial of an ejected server; returns whether this closes its circuit breaker."""
-        if not server.consecutive_trips or now < server.open_until:
+        breaker = server.circuit_breaker
+        if not breaker.successes_to_close or now < breaker.open_until:
             return False
-        server.consecutive_trips -= 1
-        return not server.consecutive_trips
+        breaker.successes_to_close -= 1
+        return not breaker.successes_to_close
 
     def on_failure(
         self, now: float, server: UpstreamServer, result: AttemptResult, sink: DecisionSink
     ) -> None:
         """Ejects the server if it fails too much, unless half of the servers are ejected already."""
-        failed = server.statistics.total(now, 2)
-        good = server.statistics.total(now, 0)
+        counts = server.latency.window.totals(now)
+        failed = counts.failures
+        good = counts.answers
+        breaker = server.circuit_breaker
         is_outlier = failed >= self.MIN_FAILURES and failed > self.MAX_FAILED_SHARE * (failed + good)
         # One failed connection is enough, as probably no process listens there; so is one failed trial.
-        if not (server.consecutive_trips or result is AttemptResult.NO_CONNECTION or is_outlier):
+        if not (breaker.successes_to_close or result is AttemptResult.NO_CONNECTION or is_outlier):
             return
-        ejected = self._servers.count_other_ejected(server)
-        if now >= server.open_until and 2 * ejected < len(self._servers.ready):
-            server.open_until = now + min(self.MAX_OPEN_MS, self.OPEN_MS * 2.0**server.consecutive_trips)
-            server.consecutive_trips += 1
+        if now >= breaker.open_until and 2 * self._count_other_ejected(server) < len(self._servers.ready):
+            open_ms = self.OPEN_MS * 2.0**breaker.successes_to_close
+            breaker.open_until = now + min(self.MAX_OPEN_MS, open_ms)
+            breaker.successes_to_close += 1
             sink.log(f"server {server.id} passed over: {result.label} failed={failed:.0f} good={good:.0f}")
+
+    def _count_other_ejected(self, server: UpstreamServer) -> int:
+        return sum(
+            1
+            for each in self._servers.ready
+            if each.circuit_breaker.successes_to_close and each is not server
+        )
--- /dev/null
+++ b/onyxpost/policy/preference_order.py
@@ -0,0 +1,44 @@
+"""The order in which a customer's requests prefer the app servers, fixed by hashing."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+from weakref import WeakKeyDictionary
+from zlib import crc32
+
+from onyxpost.core.customer_quota import CustomerQuota
+
+if TYPE_CHECKING:
+    from onyxpost.core.requests import UpstreamServer
+    from onyxpost.core.server_registry import ServerRegistry
+
+HASH_RANGE = 2**32
+
+
+class PreferenceOrder:
+    """Orders the ready servers for each customer; orders are kept until endpoints change.
+
+    In a large set of nodes each node has its own order: with a common one all nodes would use the same
+    server, and each would see only a small part of its load.
+    """
+
+    HASH_MULTIPLIER = 2654435761  # 2**32 divided by the golden ratio (Knuth's multiplicative hashing)
+
+    def __init__(self, node_index: int, servers: ServerRegistry) -> None:
+        self._servers = servers
+        self._node_salt = crc32(f"{node_index}".encode())
+        self._orders = WeakKeyDictionary[CustomerQuota, list["UpstreamServer"]]()
+
+    def forget(self) -> None:
+        """Forgets all orders, as the ready servers may have changed."""
+        self._orders.clear()
+
+    def servers_for(self, customer: CustomerQuota) -> list[UpstreamServer]:
+        """Returns the ready servers in the customer's order of preference."""
+        found = self._orders.get(customer)
+        if not found:
+            key = customer.key ^ (self._node_salt if customer.has_coordinator else 0)
+            multiplier = self.HASH_MULTIPLIER
+            found = sorted(self._servers.ready, key=lambda each: (each.hash ^ key) * multiplier % HASH_RANGE)
+            self._orders[customer] = found
+        return found
--- a/onyxpost/policy/quota_gossip.py
+++ b/onyxpost/policy/quota_gossip.py
@@ -1,6 +1,7 @@
 """Which reports of customers' usage nodes send each other, and when."""
 
 from collections.abc import Callable, Iterator
+from typing import NamedTuple
 
 from onyxpost.core.customer_quota import CustomerQuota
 from onyxpost.core.gossip_codec import MessagePacker, decode_message
@@ -10,20 +11,35 @@
 from onyxpost.policy.quotas import QuotaPolicy
 
 
+class ReceivedCounts(NamedTuple):
+    """Messages received from peers."""
+
+    messages: float = 0.0
+
+
 class QuotaGossip:
     """Exchanges customers' usage with the other nodes."""
 
     MAX_RECEIVED_SHARE = 0.7  # of the messages that a peer can receive, above which sending is deferred
     MAX_MESSAGE_BYTES = 256  # the most that one peer message may hold
+    RECEIVED_INTERVAL_MS = 250.0  # messages are counted over the last four of these: one second
+    RECEIVED_INTERVALS = 4
+    KEPT_FRACTION = 0.5  # of the burst of a hard limit's part, which is not handed to peers
 
     def __init__(self, options: GatewayOptions, quotas: QuotaPolicy) -> None:
         self._options = options
         self._quotas = quotas
         self.incarnation = options.incarnation
-        self._received = SlidingWindowCounter(250.0, 4, 1)
+        self._received = SlidingWindowCounter(
+            self.RECEIVED_INTERVAL_MS, self.RECEIVED_INTERVALS, ReceivedCounts
+        )
         self._max_received = self.MAX_RECEIVED_SHARE * options.max_peer_messages_per_second
         self.changed: dict[CustomerQuota, None] = {}  # with usage that is not yet reported to peers
 
+    def mark_changed(self, customer: CustomerQuota) -> None:
+        """Notes that a customer has usage to be reported."""
+        self.changed[customer] = None
+
     def receive(self, now: float, peer: int, body: str, on_report: Callable[[CustomerQuota], None]) -> None:
         """Applies a message and calls `on_report` after each report; a malformed one is dropped whole."""
         if (message := decode_message(body, len(self._options.plans))) is None:
@@ -32,19 +48,21 @@
         for report in message.reports:
             customer = self._quotas.customers.get(report.customer)
             self._quotas.assign_plan(customer, now, report.placement)
-            customer.apply_report(now, peer, message.incarnation, report)
+            self._quotas.peer_usage.apply_report(customer, now, peer, message.incarnation, report)
             self.changed[customer] = None
             counts = counts or not customer.has_coordinator
             on_report(customer)
         if counts:  # reports to a coordinator do not, or its corrections would be held back
-            self._received.add(now, 1.0)
+            self._received.add(now, ReceivedCounts(messages=1.0))
         for correction in message.corrections:
-            self._quotas.customers.get(correction.customer).apply_correction(now, peer, correction)
+            customer = self._quotas.customers.get(correction.customer)
+            self._quotas.peer_usage.apply_correction(customer, now, peer, correction)
 
     def send(self, now: float, send: Callable[[int, str], None]) -> None:
         """Sends changes, unless this node receives so much that peers, too, are probably near their limit."""
         packer = MessagePacker(self.incarnation, self.MAX_MESSAGE_BYTES, send)
-        for customer in list(self.changed) if self._received.total(now, 0) < self._max_received else []:
+        is_overloaded = self._received.totals(now).messages >= self._max_received
+        for customer in [] if is_overloaded else list(self.changed):
             del self.changed[customer]
             for peer, entry in self._entries(customer, now):
                 packer.add(peer, entry)
@@ -64,14 +82,14 @@
 
     def _corrections(self, customer: CustomerQuota, now: float) -> Iterator[AddressedEntry]:
         plan = customer.plan
+        peer_usage = self._quotas.peer_usage
         customer.units_reported = customer.units_used
         customer.refill(now)
         gone = plan.burst - customer.quota.tokens
-        max_age_ms = self._quotas.PEER_USAGE_MAX_AGE_MS
         is_short = gone >= self._quotas.PRESSURE_FRACTION * plan.burst > 0.0
-        if is_short or 2 * customer.total_in_flight(now, max_age_ms) > plan.concurrency_limit > 0:
+        if is_short or 2 * peer_usage.total_in_flight(customer, now) > plan.concurrency_limit > 0:
             for peer in customer.peers:
-                in_flight = customer.total_in_flight(now, max_age_ms, peer)
+                in_flight = peer_usage.total_in_flight(customer, now, peer)
                 yield peer, QuotaCorrection(customer.key, int(gone), in_flight)
 
     def _report(self, customer: CustomerQuota, now: float) -> Iterator[AddressedEntry]:
@@ -92,9 +110,9 @@
         usage = customer.peer_usage.get(peer)
         if not customer.hard_limit.rate or usage is None or usage.recent_units <= own_units:
             return 0
-        if now - usage.reported_at > self._quotas.PEER_USAGE_MAX_AGE_MS:
+        if now - usage.reported_at > self._quotas.peer_usage.MAX_AGE_MS:
             return 0
         customer.refill(now)
-        spare = max(0, int(customer.hard_limit.tokens - customer.hard_limit.burst / 2.0))
+        spare = max(0, int(customer.hard_limit.tokens - self.KEPT_FRACTION * customer.hard_limit.burst))
         customer.hard_limit.consume(spare)
         return spare
--- a/onyxpost/policy/quotas.py
+++ b/onyxpost/policy/quotas.py
@@ -1,18 +1,29 @@
 """What customers may spend at this node: own token buckets, parts of hard limits, leases, peers' usage."""
 
+from collections.abc import Callable
+
 from onyxpost.core.customer_quota import UNKNOWN_PLAN, CustomerQuota
 from onyxpost.core.customer_table import CustomerTable
-from onyxpost.core.hard_limit_queue import HardLimitQueue
 from onyxpost.core.options import GatewayOptions
 from onyxpost.core.requests import Request
 from onyxpost.core.usage_reports import Placement
+from onyxpost.policy.hard_limit_queue import HardLimitQueue
+from onyxpost.policy.leases import leased_units
+from onyxpost.policy.peer_usage import PeerUsageAccounting
+
+CapacityRule = Callable[[float, Request], bool]  # time in ms, request
 
 
 class QuotaPolicy:
-    """Decides what customers may spend at this node."""
+    """Decides what customers may spend at this node.
+
+    Attributes:
+        customers: those that this node knows.
+        peer_usage: how the usage that peers report counts.
+    """
 
-    PEER_USAGE_MAX_AGE_MS = 3000.0  # older reports of peers do not count
     FORGET_AFTER_MS = 20000.0  # after which a customer with full buckets is dropped
+    SWEEP_FRACTION = 0.25  # of that time, between two looks for such customers
     MAX_DEBT_MS = 1000.0  # of refilling: the largest debt that peers' usage can leave a bucket in
     MAX_GOSSIP_PEERS = 4  # that get reports in turn; a larger set has a coordinator
     PRESSURE_FRACTION = 0.5  # of the burst: used up when corrections start, left when admission turns random
@@ -20,7 +31,9 @@
     def __init__(self, options: GatewayOptions, customers: CustomerTable) -> None:
         self._options = options
         self.customers = customers
+        self.peer_usage = PeerUsageAccounting()
         self._next_sweep_at = customers.started_at
+        self._capacity_rule: CapacityRule = self._holds_units
 
     def assign_plan(self, customer: CustomerQuota, now: float, placement: Placement) -> None:
         """Sets the customer's plan when a request or a report first names it."""
@@ -48,19 +61,32 @@
         """Drops customers long unseen that hold nothing: full buckets, no leases, no attempts."""
         if now < self._next_sweep_at:
             return
-        self._next_sweep_at = now + self.FORGET_AFTER_MS / 4
+        self._next_sweep_at = now + self.SWEEP_FRACTION * self.FORGET_AFTER_MS
         for key, customer in list(self.customers.by_key.items()):
-            is_stale = customer.is_unused(now) and now - customer.last_seen_at > self.FORGET_AFTER_MS
+            is_stale = self._is_unused(customer, now) and now - customer.last_seen_at > self.FORGET_AFTER_MS
             if is_stale and not queue.has(customer):
                 del self.customers.by_key[key]
 
+    def _is_unused(self, customer: CustomerQuota, now: float) -> bool:
+        """Returns whether both buckets are full, and nothing is in flight or leased."""
+        customer.refill(now)
+        has_full_buckets = customer.quota.is_full() and customer.hard_limit.is_full()
+        return has_full_buckets and not customer.in_flight and not customer.leases
+
     def has_capacity(self, now: float, request: Request) -> bool:
         """Returns whether the customer may spend the request's units now."""
+        return self._capacity_rule(now, request)
+
+    def replace_capacity_rule(self, rule: CapacityRule) -> None:
+        """Sets another rule for `has_capacity`; only mutation testing does."""
+        self._capacity_rule = rule
+
+    def _holds_units(self, now: float, request: Request) -> bool:
         customer = request.customer
         customer.refill(now)
         own = customer.quota.holds(request.units) and customer.hard_limit.holds(request.units)
-        fits = own or customer.leased_units(now) >= request.units
-        return fits and not customer.at_concurrency_limit(now, self.PEER_USAGE_MAX_AGE_MS)
+        fits = own or leased_units(customer, now) >= request.units
+        return fits and not self.peer_usage.at_concurrency_limit(customer, now)
 
     def admission_probability(self, customer: CustomerQuota) -> float:
         """Returns the probability of admission, below 1 while a large set runs short."""
@@ -76,6 +102,6 @@
         limit = customer.hard_limit
         units = request.units + queued
         is_deferred = limit.rate and customer.quota.tokens >= units and request.units <= limit.burst
-        if not is_deferred or customer.at_concurrency_limit(now, self.PEER_USAGE_MAX_AGE_MS):
+        if not is_deferred or self.peer_usage.at_concurrency_limit(customer, now):
             return None
         return limit.wait_ms(units)
--- /dev/null
+++ b/onyxpost/policy/request_completion.py
@@ -0,0 +1,43 @@
+"""How a request ends, and when its attempts in flight are cancelled."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from onyxpost.core.events import RequestCancelled, ResponseStarted
+    from onyxpost.core.node_state import NodeState
+    from onyxpost.core.requests import Request
+    from onyxpost.core.sink import DecisionSink
+
+
+class RequestCompletion:
+    """Finishes requests, and removes those without attempts in flight from the node's state."""
+
+    def __init__(self, state: NodeState) -> None:
+        self._requests = state.requests
+        self._may_cancel = state.options.limits.cancellation
+
+    def on_request_cancelled(self, _now: float, event: RequestCancelled, sink: DecisionSink) -> None:
+        """Finishes a request whose client has gone."""
+        request = self._requests.get(event.request_id)
+        if request is not None and not request.is_finished:
+            self.finish(request, sink)
+
+    def on_response_started(self, _now: float, event: ResponseStarted, _sink: DecisionSink) -> None:
+        """Marks a request whose response is streamed: it is not retried any more."""
+        if event.request_id in self._requests:
+            self._requests[event.request_id].is_streaming = True
+
+    def finish(self, request: Request, sink: DecisionSink) -> None:
+        """Finishes a request; attempts in flight are cancelled unless a response is streamed."""
+        request.is_finished = True
+        for attempt in request.attempts:
+            if attempt.in_flight and self._may_cancel and not request.is_streaming:
+                sink.cancel_attempt(request.id, attempt.index)
+        self.remove_if_settled(request)
+
+    def remove_if_settled(self, request: Request) -> None:
+        """Removes a finished request once it has no attempts in flight."""
+        if not request.has_attempt_in_flight():
+            self._requests.pop(request.id, None)
--- /dev/null
+++ b/onyxpost/policy/request_handling.py
@@ -0,0 +1,61 @@
+"""Builds the collaborators that decide on a request from its arrival to its end."""
+
+from onyxpost.core.node_state import NodeState
+from onyxpost.core.seeded_random import SeededRandom
+from onyxpost.policy.abandonment import Abandonment
+from onyxpost.policy.admission import Admission
+from onyxpost.policy.attempt_results import AttemptResults
+from onyxpost.policy.attempts import AttemptStarter
+from onyxpost.policy.hard_limit_wait import HardLimitWait
+from onyxpost.policy.load_shedding import LatencyLoadShedder
+from onyxpost.policy.possible_execution import ExecutionSafety
+from onyxpost.policy.quota_control import QuotaControl
+from onyxpost.policy.request_completion import RequestCompletion
+from onyxpost.policy.request_routing import RequestRouter
+from onyxpost.policy.retries import RetryBudget, RetryPolicy
+from onyxpost.policy.retry_dispatch import RetryDispatcher
+from onyxpost.policy.routing_constraints import RoutingConstraints
+from onyxpost.policy.server_selection import ServerSelection
+
+
+class RequestHandling:
+    """The collaborators that deal with requests and their attempts.
+
+    Attributes:
+        retry_budget: how many retries the node may send.
+        constraints: what the routing rules permit.
+        admission: which requests the quotas admit.
+        completion: how requests end.
+        results: what follows from the end of an attempt.
+    """
+
+    def __init__(
+        self,
+        state: NodeState,
+        random: SeededRandom,
+        shedder: LatencyLoadShedder,
+        execution: ExecutionSafety,
+        quota_control: QuotaControl,
+        selection: ServerSelection,
+    ) -> None:
+        limits = state.options.limits
+        balancer = selection.balancer
+        latency = selection.latency
+        quotas = quota_control.quotas
+        rejections = quota_control.rejections
+        usage = quota_control.usage
+        retry_policy = RetryPolicy(state.options.tick_ms, execution)
+        attempts = AttemptStarter(retry_policy, balancer)
+        self.retry_budget = RetryBudget()
+        self.constraints = RoutingConstraints(state)
+        router = RequestRouter(state, self.constraints, shedder, balancer, attempts, usage, rejections)
+        waiting = HardLimitWait(quotas, quota_control.queue, latency, may_wait=not limits.local_share)
+        self.admission = Admission(state, random, quotas, waiting, router, rejections)
+        self.completion = RequestCompletion(state)
+        retries = RetryDispatcher(
+            retry_policy, self.retry_budget, balancer, latency, attempts, limits.max_attempts
+        )
+        abandonment = Abandonment(shedder, self.completion, execution, rejections)
+        self.results = AttemptResults(
+            state, selection.assessment, shedder, usage, self.completion, retries, abandonment
+        )
--- /dev/null
+++ b/onyxpost/policy/request_routing.py
@@ -0,0 +1,48 @@
+"""What becomes of a request that its quota admits: shed, rejected for lack of capacity, or sent."""
+
+from onyxpost.core.node_state import NodeState
+from onyxpost.core.requests import Request
+from onyxpost.core.sink import DecisionSink
+from onyxpost.policy.attempts import AttemptStarter
+from onyxpost.policy.load_balancing import LoadBalancer
+from onyxpost.policy.load_shedding import LatencyLoadShedder
+from onyxpost.policy.rejection import Rejections
+from onyxpost.policy.routing_constraints import RoutingConstraints
+from onyxpost.policy.usage import UsageRecorder
+
+
+class RequestRouter:
+    """Sends admitted requests to a server, unless load is shed or no server has capacity."""
+
+    def __init__(
+        self,
+        state: NodeState,
+        constraints: RoutingConstraints,
+        shedder: LatencyLoadShedder,
+        balancer: LoadBalancer,
+        attempts: AttemptStarter,
+        usage: UsageRecorder,
+        rejections: Rejections,
+    ) -> None:
+        self._requests = state.requests
+        self._constraints = constraints
+        self._shedder = shedder
+        self._balancer = balancer
+        self._attempts = attempts
+        self._usage = usage
+        self._rejections = rejections
+
+    def route(self, now: float, request: Request, sink: DecisionSink) -> None:
+        """Sends a request's first attempt, or rejects the request."""
+        request.admitted_at = now
+        request.constraint = self._constraints.constraint_for(request)
+        is_shed = self._shedder.should_shed()
+        server = None if is_shed else self._balancer.pick(now, request)
+        if server is None:
+            if not is_shed:
+                self._shedder.record_unanswered(request, now)
+            self._rejections.reject_for_capacity(request, sink)
+            return
+        self._requests[request.id] = request
+        self._usage.spend(now, request, sink)
+        self._attempts.start(now, request, server, sink)
--- a/onyxpost/policy/retries.py
+++ b/onyxpost/policy/retries.py
@@ -2,12 +2,19 @@
 
 from math import inf
 
+from onyxpost.core.events import RequestArrived
 from onyxpost.core.requests import Request
-from onyxpost.core.types import DeduplicationScope, Idempotency
+from onyxpost.core.sink import DecisionSink
+from onyxpost.core.types import Idempotency
+from onyxpost.policy.possible_execution import ExecutionSafety
 
 
 class RetryBudget:
-    """Limits retries to a share of the requests that arrive."""
+    """Limits retries to a share of the requests that arrive.
+
+    Attributes:
+        retries: that may be sent now, with fractions.
+    """
 
     RETRIES_PER_REQUEST = 0.2
     MAX_RETRIES = 10.0  # that can be saved up
@@ -15,31 +22,48 @@
     def __init__(self) -> None:
         self.retries = self.MAX_RETRIES
 
-    def add_request(self) -> None:
+    def on_request_arrived(self, _now: float, _event: RequestArrived, _sink: DecisionSink) -> None:
         """Adds the share of one arrival."""
         self.retries = min(self.MAX_RETRIES, self.retries + self.RETRIES_PER_REQUEST)
 
+    def has_retry(self) -> bool:
+        """Returns whether a retry may be sent."""
+        return self.retries >= 1.0
+
+    def consume(self) -> None:
+        """Counts a retry that is sent."""
+        self.retries -= 1.0
+
 
 class RetryPolicy:
     """Decides when an attempt may begin and how long it may take, by idempotency and deadlines."""
 
     DEDUPLICATION_MARGIN = 0.95  # share of the deduplication window in which a retry may begin
+    DEADLINE_MARGIN_TICKS = 2.0  # before a deadline: the end of an attempt may be noticed a tick late
+    ANSWER_MARGIN_MS = 2.0  # before the latency deadline, for the answer's way back to the client
+    MIN_REMAINING_LATENCIES = 0.5  # of the mean latency: with less time left an answer would be late
 
-    def __init__(self, tick_ms: float) -> None:
+    def __init__(self, tick_ms: float, execution: ExecutionSafety) -> None:
         self._tick_ms = tick_ms
+        self._execution = execution
 
     def attempt_timeout_ms(self, request: Request, now: float) -> float:
         """Returns how long an attempt may take: up to the latency deadline if late answers are worthless."""
         timeout_ms = request.deadline - now
         if request.frontend.late_weight > 0.0:
             return timeout_ms
-        in_time_ms = request.latency_deadline - now - 2.0 * self._tick_ms - 2.0
+        in_time_ms = (
+            request.latency_deadline
+            - now
+            - self.DEADLINE_MARGIN_TICKS * self._tick_ms
+            - self.ANSWER_MARGIN_MS
+        )
         return min(timeout_ms, max(self._tick_ms, in_time_ms))
 
     def begin_before(self, request: Request) -> float:
         """Returns the time from which on no attempt may begin; `inf`: no limit, 0: no retry is permitted."""
         frontend = request.frontend
-        first = request.first_possible_execution()
+        first = self._execution.first_possible_execution(request)
         if first is None or frontend.idempotency is Idempotency.IDEMPOTENT:
             return inf
         if frontend.idempotency is Idempotency.NON_IDEMPOTENT:
@@ -48,15 +72,7 @@
 
     def may_retry(self, request: Request, now: float, mean_latency_ms: float) -> bool:
         """Returns whether a retry is permitted, and its answer still of use."""
-        in_time = now < request.latency_deadline - mean_latency_ms / 2.0
+        in_time = now < request.latency_deadline - self.MIN_REMAINING_LATENCIES * mean_latency_ms
         is_useful = in_time or request.frontend.late_weight > 0.0
-        has_time = now < request.deadline - 2.0 * self._tick_ms
+        has_time = now < request.deadline - self.DEADLINE_MARGIN_TICKS * self._tick_ms
         return is_useful and has_time and now < self.begin_before(request)
-
-    def safe_to_reject(self, request: Request) -> bool:
-        """Returns whether the client may send the request again without the risk of a second execution."""
-        frontend = request.frontend
-        if frontend.idempotency is Idempotency.IDEMPOTENT or request.first_possible_execution() is None:
-            return True
-        has_key = frontend.idempotency is Idempotency.IDEMPOTENCY_KEY
-        return has_key and frontend.deduplication_scope is DeduplicationScope.ALL
--- /dev/null
+++ b/onyxpost/policy/retry_dispatch.py
@@ -0,0 +1,45 @@
+"""Sends retries, within the retry budget, where they are permitted and of use."""
+
+from onyxpost.core.requests import Request
+from onyxpost.core.sink import DecisionSink
+from onyxpost.policy.attempts import AttemptStarter
+from onyxpost.policy.latency_estimates import LatencyEstimator
+from onyxpost.policy.load_balancing import LoadBalancer
+from onyxpost.policy.retries import RetryBudget, RetryPolicy
+
+
+class RetryDispatcher:
+    """Sends requests again whose attempts have failed."""
+
+    def __init__(
+        self,
+        policy: RetryPolicy,
+        budget: RetryBudget,
+        balancer: LoadBalancer,
+        latency: LatencyEstimator,
+        attempts: AttemptStarter,
+        max_attempts: int,
+    ) -> None:
+        self._policy = policy
+        self._budget = budget
+        self._balancer = balancer
+        self._latency = latency
+        self._attempts = attempts
+        self._max_attempts = max_attempts
+
+    def retry(self, now: float, request: Request, sink: DecisionSink) -> bool:
+        """Sends the request again if a retry is permitted, of use and affordable; returns whether it is."""
+        if not self._may_retry(now, request):
+            return False
+        server = self._balancer.pick(now, request)
+        if server is None:
+            return False
+        self._budget.consume()
+        self._attempts.start(now, request, server, sink)
+        return True
+
+    def _may_retry(self, now: float, request: Request) -> bool:
+        max_attempts = min(request.constraint.max_attempts, self._max_attempts)
+        has_attempts_left = len(request.attempts) < max_attempts
+        is_permitted = self._policy.may_retry(request, now, self._latency.mean_latency_ms)
+        return is_permitted and has_attempts_left and self._budget.has_retry()
--- /dev/null
+++ b/onyxpost/policy/server_assessment.py
@@ -0,0 +1,56 @@
+"""What the ends of attempts say of app servers, and when estimates are updated by it."""
+
+from onyxpost.core.events import AttemptFinished, TimerFired
+from onyxpost.core.requests import Attempt
+from onyxpost.core.server_registry import ServerRegistry
+from onyxpost.core.sink import DecisionSink
+from onyxpost.core.types import AttemptResult
+from onyxpost.policy.concurrency import ConcurrencyLimit
+from onyxpost.policy.latency_estimates import LatencyEstimator
+from onyxpost.policy.outlier_detection import OutlierDetector
+from onyxpost.policy.slow_start import SlowStart
+
+
+class ServerAssessment:
+    """Passes the ends of attempts on to all that judge servers."""
+
+    ASSESS_INTERVAL_MS = 100.0  # between updates of all estimates: for each request they would cost too much
+
+    def __init__(
+        self,
+        now: float,
+        servers: ServerRegistry,
+        latency: LatencyEstimator,
+        slow_start: SlowStart,
+        outliers: OutlierDetector,
+        limit: ConcurrencyLimit,
+    ) -> None:
+        self._servers = servers
+        self._latency = latency
+        self._slow_start = slow_start
+        self._outliers = outliers
+        self._limit = limit
+        self._next_assessment_at = now
+
+    def on_timer(self, now: float, _event: TimerFired, _sink: DecisionSink) -> None:
+        """Updates mean latencies and slow start, if an interval has passed."""
+        if now < self._next_assessment_at:
+            return
+        self._next_assessment_at = now + self.ASSESS_INTERVAL_MS
+        self._slow_start.advance(now, self.ASSESS_INTERVAL_MS)
+        self._latency.update(now, self._servers)
+
+    def record_result(self, now: float, attempt: Attempt, event: AttemptFinished, sink: DecisionSink) -> None:
+        """Counts how an attempt ended."""
+        server = attempt.server
+        if event.result in (AttemptResult.OK, AttemptResult.EXPIRED):
+            self._limit.record_answer(now, attempt, event.latency_ms)
+            self._latency.record_answer(now, server, event.latency_ms)
+            if event.result is AttemptResult.OK:
+                server.last_success_sent_at = attempt.sent_at
+                if self._outliers.on_success(now, server):
+                    server.reset(self._latency.new_window())
+                    sink.log(f"server {server.id} open again")
+        elif event.result not in (AttemptResult.CANCELLED, AttemptResult.UNUSED, AttemptResult.FULL):
+            self._latency.record_failure(now, server)
+            self._outliers.on_failure(now, server, event.result, sink)
--- /dev/null
+++ b/onyxpost/policy/server_eligibility.py
@@ -0,0 +1,33 @@
+"""Which app servers a request's next attempt may be sent to."""
+
+from onyxpost.core.requests import Request, UpstreamServer
+from onyxpost.core.types import Idempotency
+from onyxpost.policy.endpoint_updates import EndpointTrust
+from onyxpost.policy.outlier_detection import OutlierDetector
+from onyxpost.policy.possible_execution import ExecutionSafety
+
+
+class ServerEligibility:
+    """Filters servers by trust, deduplication scope, earlier attempts and circuit breakers."""
+
+    def __init__(self, trust: EndpointTrust, execution: ExecutionSafety, outliers: OutlierDetector) -> None:
+        self._trust = trust
+        self._execution = execution
+        self._outliers = outliers
+
+    def candidates(self, now: float, servers: list[UpstreamServer], request: Request) -> list[UpstreamServer]:
+        """Returns the servers that may be chosen; ejected ones only where there are no others."""
+        eligible = self._eligible(now, servers, request)
+        return [each for each in eligible if self._outliers.may_attempt(now, each)] or eligible
+
+    def _eligible(self, now: float, servers: list[UpstreamServer], request: Request) -> list[UpstreamServer]:
+        """Returns trusted servers in the deduplication scope; tried ones only if certainly not executed."""
+        trusted_ms = self._trust.trusted_ms
+        servers = [each for each in servers if now - each.last_success_sent_at < trusted_ms]
+        executed = self._execution.first_possible_execution(request)
+        if executed is not None and request.frontend.idempotency is Idempotency.IDEMPOTENCY_KEY:
+            scope = request.frontend.deduplication_scope
+            scope_key = executed.server.scope_key(scope)
+            servers = [each for each in servers if each.scope_key(scope) == scope_key]
+        tried = {attempt.server for attempt in request.attempts}
+        return [each for each in servers if each not in tried] or ([] if executed else servers)
--- /dev/null
+++ b/onyxpost/policy/server_selection.py
@@ -0,0 +1,54 @@
+"""Builds the collaborators that decide which server gets an attempt, and how many are in flight."""
+
+from onyxpost.core.node_state import NodeState
+from onyxpost.core.seeded_random import SeededRandom
+from onyxpost.policy.concurrency import ConcurrencyLimit
+from onyxpost.policy.endpoint_updates import EndpointTrust, EndpointUpdates
+from onyxpost.policy.latency_estimates import LatencyEstimator
+from onyxpost.policy.load_balancing import LoadBalancer
+from onyxpost.policy.load_shedding import LatencyLoadShedder
+from onyxpost.policy.outlier_detection import OutlierDetector
+from onyxpost.policy.possible_execution import ExecutionSafety
+from onyxpost.policy.preference_order import PreferenceOrder
+from onyxpost.policy.server_assessment import ServerAssessment
+from onyxpost.policy.server_eligibility import ServerEligibility
+from onyxpost.policy.slow_start import SlowStart
+
+
+class ServerSelection:
+    """The collaborators that deal with servers.
+
+    Attributes:
+        latency: estimates of latency.
+        slow_start: the turns of servers that warm up.
+        concurrency: the limit on attempts in flight.
+        trust: which servers are trusted while endpoints may be stale.
+        endpoints: applies what discovery reports.
+        assessment: applies what the ends of attempts say.
+        balancer: picks the server for an attempt.
+    """
+
+    def __init__(
+        self,
+        now: float,
+        state: NodeState,
+        random: SeededRandom,
+        shedder: LatencyLoadShedder,
+        execution: ExecutionSafety,
+    ) -> None:
+        options = state.options
+        servers = state.servers
+        outliers = OutlierDetector(servers)
+        order = PreferenceOrder(options.node_index, servers)
+        self.latency = LatencyEstimator(options.shortest_latency_objective_ms)
+        self.slow_start = SlowStart(now, options, servers)
+        self.concurrency = ConcurrencyLimit(now, options, servers, shedder)
+        self.trust = EndpointTrust(options.limits.drain_grace_ms, polls_endpoints=options.polls_endpoints)
+        self.endpoints = EndpointUpdates(state, random, self.latency, self.slow_start, order)
+        self.assessment = ServerAssessment(
+            now, servers, self.latency, self.slow_start, outliers, self.concurrency
+        )
+        eligibility = ServerEligibility(self.trust, execution, outliers)
+        self.balancer = LoadBalancer(
+            servers, order, self.concurrency, self.latency, self.slow_start, eligibility
+        )
--- a/onyxpost/simulation/discrete_event/batch.py
+++ b/onyxpost/simulation/discrete_event/batch.py
@@ -11,13 +11,21 @@
 from typing import Any
 
 from onyxpost.policy.concurrency import ConcurrencyLimit
-from onyxpost.policy.gateway import Gateway
+from onyxpost.policy.endpoint_updates import EndpointTrust
+from onyxpost.policy.gossip_exchange import GossipExchange
+from onyxpost.policy.hard_limit_wait import HardLimitWait
+from onyxpost.policy.latency_estimates import LatencyEstimator
 from onyxpost.policy.load_balancing import LoadBalancer
 from onyxpost.policy.load_shedding import LatencyLoadShedder
+from onyxpost.policy.node_timer import NodeTimer
 from onyxpost.policy.outlier_detection import OutlierDetector
+from onyxpost.policy.peer_usage import PeerUsageAccounting
+from onyxpost.policy.preference_order import PreferenceOrder
 from onyxpost.policy.quota_gossip import QuotaGossip
 from onyxpost.policy.quotas import QuotaPolicy
+from onyxpost.policy.rejection import Rejections
 from onyxpost.policy.retries import RetryBudget, RetryPolicy
+from onyxpost.policy.server_assessment import ServerAssessment
 from onyxpost.policy.slow_start import SlowStart
 from onyxpost.simulation.discrete_event.scenario import Scenario, packed, unpacked
 from onyxpost.simulation.discrete_event.world import World, lines
@@ -27,39 +35,57 @@
 SEED_MOST = 2**32 - 1
 TRIED: tuple[type, ...] = (
     ConcurrencyLimit,
-    Gateway,
+    EndpointTrust,
+    GossipExchange,
+    HardLimitWait,
+    LatencyEstimator,
     LatencyLoadShedder,
     LoadBalancer,
+    NodeTimer,
     OutlierDetector,
+    PeerUsageAccounting,
+    PreferenceOrder,
     QuotaGossip,
     QuotaPolicy,
+    Rejections,
     RetryBudget,
     RetryPolicy,
+    ServerAssessment,
     SlowStart,
 )
 # Earlier names of the constants, which notes and scripts of earlier trials give.
 RENAMED = {
-    "Customer.AGE": "QuotaPolicy.PEER_USAGE_MAX_AGE_MS",
+    "Customer.AGE": "PeerUsageAccounting.MAX_AGE_MS",
     "Customer.DEBT": "QuotaPolicy.MAX_DEBT_MS",
     "Customer.FORGET": "QuotaPolicy.FORGET_AFTER_MS",
     "Customer.PRESSED": "QuotaPolicy.PRESSURE_FRACTION",
     "Customer.TURN": "QuotaPolicy.MAX_GOSSIP_PEERS",
-    "Gateway.BEAT": "Gateway.TICK_MS",
-    "Gateway.COME_BACK": "Gateway.RETRY_AFTER_FRACTION",
-    "Gateway.GOSSIP": "Gateway.GOSSIP_INTERVAL_MS",
+    "Gateway.BEAT": "NodeTimer.TICK_MS",
+    "Gateway.COME_BACK": "Rejections.RETRY_AFTER_FRACTION",
+    "Gateway.GOSSIP": "GossipExchange.GOSSIP_INTERVAL_MS",
+    "Gateway.GOSSIP_INTERVAL_MS": "GossipExchange.GOSSIP_INTERVAL_MS",
+    "Gateway.MAX_NOTICE_DELAY_MS": "EndpointTrust.MAX_NOTICE_DELAY_MS",
     "Gateway.RESEND_MOST": "RetryBudget.MAX_RETRIES",
     "Gateway.RESEND_SHARE": "RetryBudget.RETRIES_PER_REQUEST",
-    "Gateway.UNTOLD": "Gateway.MAX_NOTICE_DELAY_MS",
+    "Gateway.RETRY_AFTER_FRACTION": "Rejections.RETRY_AFTER_FRACTION",
+    "Gateway.TICK_MS": "NodeTimer.TICK_MS",
+    "Gateway.UNTOLD": "EndpointTrust.MAX_NOTICE_DELAY_MS",
+    "LoadBalancer.ASSESS_INTERVAL_MS": "ServerAssessment.ASSESS_INTERVAL_MS",
+    "LoadBalancer.INITIAL_LATENCY_FRACTION": "LatencyEstimator.INITIAL_LATENCY_FRACTION",
+    "LoadBalancer.MIN_WINDOW_MS": "SlowStart.MIN_WINDOW_MS",
+    "LoadBalancer.PRIOR_ANSWERS": "LatencyEstimator.PRIOR_ANSWERS",
+    "LoadBalancer.WINDOW_MS": "LatencyEstimator.WINDOW_MS",
     "Peers.INTAKE": "QuotaGossip.MAX_RECEIVED_SHARE",
     "Peers.MESSAGE_BYTES": "QuotaGossip.MAX_MESSAGE_BYTES",
-    "Servers.ASSESS": "LoadBalancer.ASSESS_INTERVAL_MS",
+    "QuotaPolicy.PEER_USAGE_MAX_AGE_MS": "PeerUsageAccounting.MAX_AGE_MS",
+    "Servers.ASSESS": "ServerAssessment.ASSESS_INTERVAL_MS",
     "Servers.FAILED_SHARE": "OutlierDetector.MAX_FAILED_SHARE",
     "Servers.GOLDEN": "SlowStart.GOLDEN_RATIO",
     "Servers.MARGIN": "LoadBalancer.LATENCY_TOLERANCE",
     "Servers.OPEN": "OutlierDetector.OPEN_MS",
     "Servers.OPEN_MOST": "OutlierDetector.MAX_OPEN_MS",
-    "Servers.YOUNG": "LoadBalancer.MIN_WINDOW_MS",
-    "Srv.SPAN": "LoadBalancer.WINDOW_MS",
+    "Servers.YOUNG": "SlowStart.MIN_WINDOW_MS",
+    "Srv.SPAN": "LatencyEstimator.WINDOW_MS",
     "Theta.ALPHA": "LatencyLoadShedder.LEARNING_RATE",
     "Theta.FLOOR": "LatencyLoadShedder.MIN_INPUT_COEFFICIENT",
     "Theta.GAIN": "LatencyLoadShedder.GAIN",
--- a/onyxpost/simulation/mutations.py
+++ b/onyxpost/simulation/mutations.py
@@ -6,23 +6,23 @@
 from dataclasses import replace
 from typing import Any
 
-from onyxpost.core.events import RequestArrived
 from onyxpost.core.types import AttemptResult, EndpointState
 from onyxpost.edge import messages as m
 from onyxpost.edge.node import EdgeNode
+from onyxpost.policy.gateway import Gateway
 
 
-def _resends_all(program: EdgeNode) -> None:
-    """Further attempts whatever may have run."""
-    gateway: Any = program.state_machine.decision_maker
-    on_request_arrived = gateway.handlers[RequestArrived]
+def _gateway_of(program: EdgeNode) -> Gateway:
+    """Returns the decision code of a node."""
+    gateway = program.state_machine.decision_maker
+    if not isinstance(gateway, Gateway):
+        raise TypeError(f"a mutation needs a Gateway, not {type(gateway).__name__}")
+    return gateway
 
-    def careless(event: RequestArrived) -> None:
-        on_request_arrived(event)
-        if event.request_id in gateway.requests:
-            gateway.requests[event.request_id].first_possible_execution = lambda: None
 
-    gateway.handlers[RequestArrived] = careless
+def _resends_all(program: EdgeNode) -> None:
+    """Further attempts whatever may have run."""
+    _gateway_of(program).execution.replace_rule(lambda _request: None)
 
 
 def _deaf_to_drains(program: EdgeNode) -> None:
@@ -57,8 +57,7 @@
 
 def _ceilings_off(program: EdgeNode) -> None:
     """Ceilings and quotas are not looked at."""
-    gateway: Any = program.state_machine.decision_maker
-    gateway.quotas.has_capacity = lambda now, request: True
+    _gateway_of(program).quota_control.quotas.replace_capacity_rule(lambda _now, _request: True)
 
 
 def _lost_means_never_ran(program: EdgeNode) -> None:
--- a/onyxpost/simulation/slow_start/emulate.py
+++ b/onyxpost/simulation/slow_start/emulate.py
@@ -134,7 +134,7 @@
 
     def start_attempt(self, req: str, server: str, until: float, begin_before: float) -> None:
         now = self.world.clock.now
-        number = len(self.gateway.requests[req].attempts) - 1
+        number = len(self.gateway.state.requests[req].attempts) - 1
         waited = self.known[server].take(now, self.world.work()) - now
         result = AttemptResult.OK if waited <= until else AttemptResult.EXPIRED
         waited = min(waited, until)
--- a/tests/compatibility/values.py
+++ b/tests/compatibility/values.py
@@ -31,6 +31,7 @@
 from onyxpost.leadership import protocol as duty_messages
 from onyxpost.leadership.ballots import Ballot
 from onyxpost.planner import protocol as planner_protocol
+from onyxpost.policy.peer_usage import PeerUsageAccounting
 from onyxpost.policy.quota_gossip import QuotaGossip
 from onyxpost.policy.quotas import QuotaPolicy
 from onyxpost.rollout.metrics import protocol as counts
@@ -443,7 +444,7 @@
 def report_to(customer: CustomerQuota, peer: int, units: int, in_flight: int) -> None:
     """Applies a first report of a peer."""
     report = UsageReport(customer.key, units, in_flight, units, 0, Placement(0, 0, 0))
-    customer.apply_report(0.0, peer, "19c00", report)
+    PeerUsageAccounting().apply_report(customer, 0.0, peer, "19c00", report)
 
 
 def gossip_senders() -> dict[str, dict[int, CustomerQuota]]:
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -19,27 +19,27 @@
 
 def test_a_decreased_limit_increases_again_while_load_is_shed() -> None:
     host = Host()
-    host.gateway.concurrency.limit, host.gateway.shedder.rejection_probability = 0.2, 0.5
+    host.gateway.selection.concurrency.limit, host.gateway.shedder.rejection_probability = 0.2, 0.5
     host.run(5000.0)
-    assert host.gateway.concurrency.limit > 0.6
+    assert host.gateway.selection.concurrency.limit > 0.6
 
 
 def test_a_few_heavy_requests_do_not_decrease_the_limit() -> None:
     host = Host()
-    before = host.gateway.concurrency.limit
+    before = host.gateway.selection.concurrency.limit
     for i in range(40):
         sent = host.arrive()
         host.run(50.0)
         host.end(sent[0][1], AttemptResult.OK, 900.0 if i % 8 == 0 else 50.0)
-    assert host.gateway.concurrency.limit >= before
+    assert host.gateway.selection.concurrency.limit >= before
 
 
 def test_a_lost_zone_takes_its_capacity_out_of_the_limit() -> None:
     host = Host(servers=4)
     before = [kinds(host.arrive())[0] for _ in range(40)].count("attempt")
     host = Host(servers=4)
-    lost = list(host.gateway.servers.known)[:2]
-    while not all(host.gateway.servers.known[name].consecutive_trips for name in lost):
+    lost = list(host.gateway.state.servers.known)[:2]
+    while not all(host.gateway.state.servers.known[name].circuit_breaker.successes_to_close for name in lost):
         ((_, request_id, server, _),) = host.arrive()
         host.end(request_id, AttemptResult.LOST if server in lost else AttemptResult.OK, settled=True)
     after = [kinds(host.arrive())[0] for _ in range(40)].count("attempt")
@@ -48,7 +48,7 @@
 
 def test_lost_answers_beside_many_quick_ones_do_not_decrease_the_limit() -> None:
     host = Host(servers=4)
-    room = host.gateway.concurrency.limit
+    room = host.gateway.selection.concurrency.limit
     for i in range(300):
         request_id = host.arrive()[0][1]
         host.end(
@@ -57,7 +57,7 @@
             settled=True,
         )
         host.run(25.0)
-    assert host.gateway.concurrency.limit >= room
+    assert host.gateway.selection.concurrency.limit >= room
 
 
 def test_attempts_past_their_latency_objective_take_up_no_capacity() -> None:
--- a/tests/policy/test_hard_limit.py
+++ b/tests/policy/test_hard_limit.py
@@ -23,7 +23,7 @@
     assert kinds(host.arrive(1)) == ["deny"]  # after 1 s it could not be in time
     assert [d[1] for d in host.run(350.0) if d[0] == "attempt"] == ["r1"]
     assert [d[1] for d in host.run(350.0) if d[0] == "attempt"] == ["r2"]
-    assert len(host.gateway.admission.queue) == 0
+    assert len(host.gateway.quota_control.queue) == 0
 
 
 def test_a_request_that_waits_gets_exactly_one_answer() -> None:
@@ -31,14 +31,14 @@
     host.arrive(1)
     host.arrive(1)
     assert kinds(host.feed(RequestCancelled("r1"))) == []
-    host.gateway.customers.by_key[crc32(b"c")].quota.tokens = -500.0  # spent elsewhere meanwhile
+    host.gateway.state.customers.by_key[crc32(b"c")].quota.tokens = -500.0  # spent elsewhere meanwhile
     assert [d[:2] for d in host.run(900.0) if d[0] != "tell"] == [("deny", "r2")]
-    assert (host.gateway.requests, len(host.gateway.admission.queue)) == ({}, 0)
+    assert (host.gateway.state.requests, len(host.gateway.quota_control.queue)) == ({}, 0)
 
 
 def test_a_request_that_waits_in_vain_is_rejected_soon_after_half_of_its_time() -> None:
     host = Host(plan=Plan("p", 100.0, 300.0, 0, 1.0, 9.0, 90.0))
     host.arrive(1, stay=900.0)
-    host.gateway.customers.by_key[crc32(b"c")].hard_limit.tokens = -50.0  # handed to a peer meanwhile
+    host.gateway.state.customers.by_key[crc32(b"c")].hard_limit.tokens = -50.0  # handed to a peer meanwhile
     assert kinds(host.run(425.0)) == []
     assert kinds(host.run(100.0)) == ["deny"]
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -71,15 +71,15 @@
 def test_removed_servers_are_forgotten() -> None:
     host = Host(servers=4)
     host.list(host.row(0, EndpointState.GONE), complete=False)
-    assert len(host.gateway.servers.known) == 3
+    assert len(host.gateway.state.servers.known) == 3
     host.list(host.row(1))
-    assert list(host.gateway.servers.known) == ["s1"]
+    assert list(host.gateway.state.servers.known) == ["s1"]
 
 
 def test_a_request_does_not_cost_a_look_at_the_statistics_of_all_servers() -> None:
     host = Host(servers=40)
     host.run(200.0)
-    with mock.patch.object(SlidingWindowCounter, "total", side_effect=AssertionError):
+    with mock.patch.object(SlidingWindowCounter, "totals", side_effect=AssertionError):
         assert kinds(host.arrive()) == ["attempt"]
 
 
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -28,4 +28,4 @@
     for i in range(100):
         ((_, request_id, _, _),) = host.arrive()
         host.end(request_id, AttemptResult.LOST if i % 10 == 9 else AttemptResult.OK, settled=True)
-    assert [s.consecutive_trips for s in host.gateway.servers.known.values()] == [0]
+    assert [s.circuit_breaker.successes_to_close for s in host.gateway.state.servers.known.values()] == [0]
--- a/tests/policy/test_quota_gossip.py
+++ b/tests/policy/test_quota_gossip.py
@@ -18,7 +18,7 @@
         h.run(10000.0)
     peer.arrive(6)
     reports = [d for d in peer.run(1500.0) if d[0] == "tell" and d[1] == 0]
-    (customer,) = host.gateway.customers.by_key.values()
+    (customer,) = host.gateway.state.customers.by_key.values()
     customer.refill(host.now)
     tokens = customer.quota.tokens
     for _ in range(2):
@@ -30,7 +30,7 @@
     host = Host()
     crc = f"{crc32(b'c'):x}"
     host.feed(PeerMessageReceived(1, f"a {crc}:64:0:64:0:0:0:3"))
-    (customer,) = host.gateway.customers.by_key.values()
+    (customer,) = host.gateway.state.customers.by_key.values()
     tokens = customer.quota.tokens
     host.feed(PeerMessageReceived(1, f"a {crc}:5:0:5:0:0:0:3"))
     assert customer.quota.tokens == tokens - 5
@@ -51,8 +51,10 @@
     reports = [d for d in member.run(500.0) if d[0] == "tell"]
     assert {d[1] for d in reports} == {at}
     for _, _, body in reports:
-        coordinator.feed(PeerMessageReceived(member.gateway.options.node_index, body))
-    back = [d for d in coordinator.run(500.0) if d[0] == "tell" and d[1] == other.gateway.options.node_index]
+        coordinator.feed(PeerMessageReceived(member.gateway.state.options.node_index, body))
+    back = [
+        d for d in coordinator.run(500.0) if d[0] == "tell" and d[1] == other.gateway.state.options.node_index
+    ]
     other.feed(PeerMessageReceived(at, back[-1][2]))
     assert kinds(other.arrive(6, spread=12)) == ["deny"]
     assert ["attempt"] in [kinds(other.arrive(3, spread=12)) for _ in range(9)]
@@ -86,6 +88,6 @@
     host = Host()
     for body in ("", "x", "1 2:3", "1 zz:1:0", "1 a:1:0 b", "1 a:1:0:1:0:7:0:3"):
         assert host.feed(PeerMessageReceived(1, body)) == []
-    assert host.gateway.customers.by_key == {}
+    assert host.gateway.state.customers.by_key == {}
     host.feed(PeerMessageReceived(1, "1 a:1:0:1:0:0:0:fffff"))  # a set larger than all nodes together
-    assert len(host.gateway.customers.by_key[10].peers) < 3
+    assert len(host.gateway.state.customers.by_key[10].peers) < 3
--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -22,7 +22,7 @@
             sent = host.arrive(key=f"once{i}")
             host.end(sent[0][1], AttemptResult.OK)
         host.run(70000.0)
-        assert host.gateway.customers.by_key == {}
+        assert host.gateway.state.customers.by_key == {}
 
 
 def test_a_customer_is_kept_until_its_bucket_is_full_again() -> None:
@@ -30,9 +30,9 @@
     host.run(90000.0)
     host.end(host.arrive(50)[0][1], AttemptResult.OK)
     host.run(40000.0)
-    assert len(host.gateway.customers.by_key) == 1
+    assert len(host.gateway.state.customers.by_key) == 1
     host.run(20000.0)
-    assert host.gateway.customers.by_key == {}
+    assert host.gateway.state.customers.by_key == {}
 
 
 def test_a_customer_is_kept_until_its_hard_limit_is_full_again() -> None:
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -26,7 +26,7 @@
             if tick in (300, 360):  # a cold one comes, then four of eight warm ones go
                 warm = [host.row(i) for i in range(8 if tick == 300 else 4)]
                 host.list(*warm, host.row(8, started=host.now - 25.0 * (tick - 300)))
-            turn = tick % 4 == host.gateway.options.node_index % 4
+            turn = tick % 4 == host.gateway.state.options.node_index % 4
             for what, request_id, *to in host.arrive(key=f"c{tick}") if turn else []:
                 if what == "attempt":
                     cold += [tick] * (to[0] == "s8")
--- a/tests/rollout/test_routing_rules_decisions.py
+++ b/tests/rollout/test_routing_rules_decisions.py
@@ -9,7 +9,8 @@
 
 from onyxpost.core.events import RoutingRulesChanged
 from onyxpost.core.types import AttemptResult, DeduplicationScope, EndpointState, Idempotency, Plan
-from onyxpost.policy.gateway import Gateway
+from onyxpost.policy.retry_dispatch import RetryDispatcher
+from onyxpost.policy.routing_constraints import RoutingConstraints
 from tests.policy.gateway_host import Host, kinds
 from tests.rollout.rules import compiled_rules, to_zones
 
@@ -116,24 +117,32 @@
 
 
 def test_retries_under_new_rules_are_detected() -> None:
-    retry = Gateway._retry
+    constraint_for = RoutingConstraints.constraint_for
+    retry = RetryDispatcher.retry
+    known: list[RoutingConstraints] = []
 
-    def retry_under_new_rules(self: Any, request: Any) -> bool:
-        request.constraint = self.rules.constraint_for(
-            request.frontend.name, request.customer.plan.name, request.customer.key
-        )
-        return retry(self, request)
+    def remember(self: RoutingConstraints, request: Any) -> Any:
+        known.append(self)
+        return constraint_for(self, request)
 
-    with mock.patch.object(Gateway, "_retry", retry_under_new_rules), pytest.raises(AssertionError):
+    def retry_under_new_rules(self: RetryDispatcher, now: float, request: Any, sink: Any) -> bool:
+        request.constraint = constraint_for(known[-1], request)
+        return retry(self, now, request, sink)
+
+    with (
+        mock.patch.object(RoutingConstraints, "constraint_for", remember),
+        mock.patch.object(RetryDispatcher, "retry", retry_under_new_rules),
+        pytest.raises(AssertionError),
+    ):
         check_rules_of_the_first_attempt_apply_to_retries()
 
 
 def test_rules_that_do_not_take_effect_are_detected() -> None:
-    def keep_old_rules(self: Any, event: RoutingRulesChanged) -> None:
-        self.rules = self.rules or event.rules
+    def keep_old_rules(self: Any, _now: float, event: RoutingRulesChanged, _sink: Any) -> None:
+        self._state.rules = self._state.rules or event.rules
 
     with (
-        mock.patch.object(Gateway, "_on_routing_rules_changed", keep_old_rules),
+        mock.patch.object(RoutingConstraints, "on_routing_rules_changed", keep_old_rules),
         pytest.raises(AssertionError),
     ):
         check_rules_of_the_first_attempt_apply_to_retries()
@@ -162,4 +171,4 @@
     admitted = [kinds(host.arrive(key=f"c{index}"))[0] for index in range(40)].count("attempt")
     assert admitted == expected
     # A rejected request must not count as sent: a server in slow start would get its turn too often.
-    assert host.gateway.balancer.traffic.total(host.now, 2) == admitted
+    assert host.gateway.selection.slow_start.requests.totals(host.now).requests == admitted
--- a/tests/rollout/test_routing_rules_reload.py
+++ b/tests/rollout/test_routing_rules_reload.py
@@ -174,7 +174,7 @@
             assert edge.program.config.discovery == ("127.0.0.1", 3)
         assert edge.program.routing_rules is not None
         await wait_until(
-            lambda: edge.program.state_machine.decision_maker.rules is edge.program.routing_rules
+            lambda: edge.program.state_machine.decision_maker.state.rules is edge.program.routing_rules
         )
 
 
