--- /dev/null
+++ b/tests/compatibility/command_line.py
@@ -0,0 +1,126 @@
+"""Runs commands of the program for the tests here, and compares their refusals with the recorded ones.
+
+This is the one place that knows how a command is run, how an old spelling is announced, and which recorded
+words are written otherwise today. The recorded data keeps the words of the build that it was recorded from.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import os
+import re
+import signal
+import socket
+import subprocess
+import sys
+from collections.abc import Iterator
+from pathlib import Path
+from typing import Any, NamedTuple
+
+from click.testing import CliRunner
+
+from onyxpost import cli
+
+FOLDER = "FOLDER"  # in a recorded command: where its files are
+HELD_PORT = "HELD_PORT"  # in a recorded command: a port of 127.0.0.1 that another process listens on
+PROCESS_TIMEOUT_SECONDS = 60.0
+
+# A line of standard error that an old spelling may add before anything else, once.
+DEPRECATION = re.compile(r"onyxpost: [^\n]*\bdeprecated\b[^\n]*\n")
+OLD_SPELLINGS = ("lab",)  # commands, options and scenarios after which that line may come
+
+# Recorded words and those that stand in their place today: ("recorded", "current"), applied in this order.
+REWORDED: tuple[tuple[str, str], ...] = ()
+
+USAGE_ERROR = re.compile(r"^Error: .*", re.MULTILINE | re.DOTALL)
+
+
+class Result(NamedTuple):
+    """What a command that has ended left behind, without the line that announces an old spelling."""
+
+    exit_code: int
+    output: str
+    error: str
+
+
+def current_wording(recorded: str) -> str:
+    """A recorded text in the words that the program uses today."""
+    for before, now in REWORDED:
+        recorded = recorded.replace(before, now)
+    return recorded
+
+
+def without_deprecation(words: list[str], error: str) -> str:
+    """Standard error without the one line that announces an old spelling; a second such line stays."""
+    if any(word in OLD_SPELLINGS for word in words) and (announced := DEPRECATION.match(error)):
+        return error[announced.end() :]
+    return error
+
+
+def run(words: list[str], environment: dict[str, str] | None = None) -> Result:
+    """Runs a command in this process. Raises what the command did not handle."""
+    unset: dict[str, str | None] = {name: None for name in os.environ if name.startswith("EDGE_")}
+    with signals_restored():
+        done = CliRunner().invoke(cli.main, words, env=unset | (environment or {}))
+    if done.exception is not None and not isinstance(done.exception, SystemExit):
+        raise done.exception
+    return Result(done.exit_code, done.stdout, without_deprecation(words, done.stderr))
+
+
+def run_process(words: list[str], environment: dict[str, str] | None = None) -> Result:
+    """Runs a command as `python -m onyxpost`."""
+    inherited = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
+    done = subprocess.run(
+        [sys.executable, "-m", "onyxpost", *words],
+        env=inherited | (environment or {}),
+        capture_output=True,
+        text=True,
+        timeout=PROCESS_TIMEOUT_SECONDS,
+        check=False,
+    )
+    return Result(done.returncode, done.stdout, without_deprecation(words, done.stderr))
+
+
+def refusal(error: str) -> dict[str, str]:
+    """What is compared of standard error: of a usage error its error line alone, else all of it."""
+    if error.startswith("Usage: "):
+        found = USAGE_ERROR.search(error)
+        return {"usage error": "" if found is None else found.group()}
+    return {"text": error}
+
+
+@contextlib.contextmanager
+def signals_restored() -> Iterator[None]:
+    """Undoes what a command sets for its own process: handlers, and signals that are blocked."""
+    handlers = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGINT)}
+    blocked = signal.pthread_sigmask(signal.SIG_BLOCK, ())
+    try:
+        yield
+    finally:
+        signal.pthread_sigmask(signal.SIG_SETMASK, blocked)
+        for number, handler in handlers.items():
+            signal.signal(number, handler)
+
+
+@contextlib.contextmanager
+def held_port() -> Iterator[str]:
+    """A port of 127.0.0.1 that cannot be bound."""
+    with socket.create_server(("127.0.0.1", 0)) as holder:
+        yield str(holder.getsockname()[1])
+
+
+def run_case(case: dict[str, Any], folder: Path) -> dict[str, Any]:
+    """Runs a recorded command with its files in `folder`; returns its exit code and refusal as recorded."""
+    with held_port() as port:
+
+        def filled(text: str) -> str:
+            return text.replace(FOLDER, str(folder)).replace(HELD_PORT, port)
+
+        for name, text in case["files"].items():
+            (folder / name).write_text(filled(text), encoding="utf-8")
+        words = [filled(word) for word in case["command"]]
+        environment = {name: filled(value) for name, value in case["environment"].items()}
+        result = run_process(words, environment) if case["own process"] else run(words, environment)
+        error = result.error.replace(str(folder), FOLDER).replace(port, HELD_PORT)
+    # What a command that succeeds writes to standard error beside its results may hold times.
+    return {"exit code": int(result.exit_code), "refusal": refusal(error) if result.exit_code else None}
--- a/tests/compatibility/meanings.py
+++ b/tests/compatibility/meanings.py
@@ -1,6 +1,7 @@
 """What the program reads from its files, as plain JSON with neutral keys; `values` is for messages.
 
-Only these two modules import the program: a rename changes the Python names here, never a neutral key.
+Only these two, `simulation_meanings`, `command_line` and the recorders import the program: a rename changes
+the Python names there, never a neutral key.
 """
 
 from __future__ import annotations
@@ -10,9 +11,7 @@
 from typing import Any
 
 import msgspec
-from click.testing import CliRunner
 
-from onyxpost import cli
 from onyxpost.core import types
 from onyxpost.edge import config as edge_node
 from onyxpost.errors import OperatorError
@@ -31,6 +30,7 @@
 from onyxpost.simulation.multiprocess import fault_script as fault_script
 from onyxpost.simulation.multiprocess.checker import Breach as RigBreach
 from onyxpost.simulation.multiprocess.runner import Outcome
+from tests.compatibility import command_line
 
 JsonObject = dict[str, Any]
 
@@ -397,9 +397,9 @@
 
 
 def run_command(words: list[str]) -> tuple[int, str]:
-    """Exit code and output of the command line."""
-    done = CliRunner().invoke(cli.main, words)
-    return done.exit_code, done.output
+    """Exit code and output of the command line, without the line that announces an old spelling."""
+    result = command_line.run(words)
+    return result.exit_code, result.output + result.error
 
 
 def remedies() -> set[str]:
--- a/tests/compatibility/record.py
+++ b/tests/compatibility/record.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.compatibility import inputs, meanings, refused, values
+from tests.compatibility import inputs, meanings, record_simulations, refused, values
 
 DATA = Path(__file__).with_name("data")
 
@@ -179,6 +179,9 @@
     "refused-files.json": refused_records,
     "voter-files.json": voter_file_records,
     "results.json": result_records,
+    "fault-scripts.json": record_simulations.fault_script_records,
+    "commands.json": record_simulations.command_records,
+    "build-results.json": record_simulations.build_result_records,
 }
 
 
--- /dev/null
+++ b/tests/compatibility/record_simulations.py
@@ -0,0 +1,165 @@
+"""Records of the simulations: drawn fault scripts, refused commands, results and kept scripts.
+
+`record` writes them down. What a simulation draws or writes is read by `simulation_meanings`, commands are
+run by `command_line`; a rename changes those two.
+"""
+
+from __future__ import annotations
+
+import tempfile
+from hashlib import sha256
+from pathlib import Path
+from typing import Any
+
+from tests.compatibility import command_cases, command_line, simulation_meanings
+from tests.compatibility.simulation_meanings import ScriptDraw
+
+WHOLE_SEEDS = range(1, 4)  # scripts that are kept whole
+DIGEST_SEEDS = range(50)  # scripts of which the digest is kept
+SIZES: tuple[tuple[int | None, float | None], ...] = (
+    (1, None), (2, None), (3, 4.0), (7, 60.0), (64, 600.0), (None, 2.0),
+)  # fmt: skip
+SIZE_SEED = 11
+MUTATION = "deaf-to-drains"
+DETERMINISTIC_WHOLE_SEEDS = range(10)
+DETERMINISTIC_DIGEST_SEEDS = range(400)
+
+ALL_KINDS = (
+    "delay lose duplicate reorder cut groups servers-cut reset stall stop kill term all-killed alone bridge"
+    " voters-killed late-act drain slow"
+)
+OWN_SCENARIOS = {
+    f"every-kind-{stage}.toml": f'about = "each kind of fault"\nstage = "{stage}"\nnodes = 6\n'
+    + f"seconds = 12.0\nlease_s = 1.0\nduties = {roles}\n[faults]\n"
+    + "".join(f"{kind} = {{ per_minute = 22.0, lasts_s = [0.3, 1.7] }}\n" for kind in ALL_KINDS.split())
+    for stage, roles in (("edge", 0), ("duties", 3))
+}
+# Real runs in which a mutation is found at once: (scenario, seconds, mutation, faults).
+KEPT_RUNS: dict[str, tuple[str, int, float, str, str]] = {
+    "edge": (
+        "edge-cuts", 3, 2.5, "deaf-to-drains",
+        '[{"at": 0.3, "kind": "drain", "whom": "s0", "lasts": 1.9}]',
+    ),
+    "leadership": (
+        "duties-stalls", 5, 5.0, "careless",
+        '[{"at": 2.0, "kind": "late-act", "whom": "h0", "lasts": 1.3}]',
+    ),
+}  # fmt: skip
+LOAD_SAMPLES = [
+    (0.1, 5.0, "passed"),
+    (0.9, 80.25, "passed"),
+    (1.2, 7.0, "denied"),
+    (3.0, 1500.0, "timed out"),
+]
+
+
+# --- drawn scripts ----------------------------------------------------------------------------------------
+
+
+def digests(texts: list[bytes]) -> dict[str, str]:
+    """The digest of each script, by its seed from 0."""
+    return {str(seed): sha256(text).hexdigest() for seed, text in enumerate(texts)}
+
+
+def drawn_for(scenario: str) -> dict[str, Any]:
+    """Scripts of one scenario: of many seeds, of other sizes, and with a mutation."""
+    drawn = simulation_meanings.drawn_script
+    sizes = []
+    for nodes, seconds in SIZES:
+        script = drawn(ScriptDraw(scenario, SIZE_SEED, nodes, seconds))
+        sizes.append({"nodes": nodes, "seconds": seconds, "script": sha256(script).hexdigest()})
+    return {
+        "whole": {str(seed): drawn(ScriptDraw(scenario, seed)).decode() for seed in WHOLE_SEEDS},
+        "digests": digests([drawn(ScriptDraw(scenario, seed)) for seed in DIGEST_SEEDS]),
+        "sizes": sizes,
+        "mutation": drawn(ScriptDraw(scenario, SIZE_SEED, 3, 4.0, MUTATION)).decode(),
+    }
+
+
+def fault_script_records() -> dict[str, Any]:
+    """Scripts for real processes by scenario, and scripts of the deterministic simulation."""
+    found: dict[str, Any] = {name: drawn_for(name) for name in simulation_meanings.shipped_scenarios()}
+    with tempfile.TemporaryDirectory() as folder:
+        for name, text in OWN_SCENARIOS.items():
+            path = Path(folder, name)
+            path.write_text(text, encoding="utf-8")
+            found[name] = drawn_for(str(path))
+    line = simulation_meanings.deterministic_line
+    return {
+        "real processes": found,
+        "own scenarios": OWN_SCENARIOS,
+        "deterministic": {
+            "whole": {str(seed): line(seed).decode() for seed in DETERMINISTIC_WHOLE_SEEDS},
+            "digests": digests([line(seed) for seed in DETERMINISTIC_DIGEST_SEEDS]),
+        },
+    }
+
+
+# --- commands ---------------------------------------------------------------------------------------------
+
+
+def command_records() -> dict[str, Any]:
+    """Exit code and refusal of each command."""
+    found = {}
+    for name, command in command_cases.commands().items():
+        case = command.case()
+        with tempfile.TemporaryDirectory() as folder:
+            found[name] = case | command_line.run_case(case, Path(folder))
+    return found
+
+
+# --- results and kept scripts -----------------------------------------------------------------------------
+
+
+def run_lab(words: list[str], wanted_exit_code: int) -> None:
+    """Runs a command whose results are kept. Ends the recording where it does not go as expected."""
+    result = command_line.run(["lab", *words])
+    if result.exit_code != wanted_exit_code:
+        raise SystemExit(f"{words}: {result}")
+
+
+def kept_run(folder: Path, name: str) -> dict[str, Any]:
+    """A run of real processes in which a rule was broken: what it was given, kept and wrote."""
+    scenario, nodes, seconds, mutation, faults = KEPT_RUNS[name]
+    given = (
+        f'{{"scenario": "{scenario}", "seed": 3, "nodes": {nodes}, "seconds": {seconds},'
+        f' "plant": "{mutation}", "version": 1, "faults": {faults}}}'
+    )
+    script, out, kept = folder / f"{name}.json", folder / f"{name}.jsonl", folder / name
+    script.write_text(given, encoding="utf-8")
+    words = ["rig", "--replay", str(script), "--kept", str(kept), "--out", str(out)]
+    result = command_line.run_process(["lab", *words])
+    if result.exit_code != 1:
+        raise SystemExit(f"{words}: {result}")
+    kept_script = (kept / f"{scenario}-3" / "script.json").read_text(encoding="utf-8")
+    return {
+        "given": given,
+        "kept": kept_script,
+        "results": out.read_text(encoding="utf-8"),
+        "scenario": simulation_meanings.replayed_scenario(kept_script.encode()),
+    }
+
+
+def build_result_records() -> dict[str, Any]:
+    """Files that commands of this build wrote, and what they are read as."""
+    with tempfile.TemporaryDirectory() as place:
+        folder = Path(place)
+        runs = {name: kept_run(folder, name) for name in KEPT_RUNS}
+        scenario = folder / "short.toml"
+        scenario.write_text(command_cases.SHORT_SCENARIO, encoding="utf-8")
+        emulated, seeds, failed = folder / "emulated", folder / "seeds", folder / "failed"
+        run_lab(["run", str(scenario), "--seeds", "1-3", "--jobs", "1", "--out", str(emulated)], 0)
+        run_lab(["seeds", "--seeds", "0-3", "--jobs", "1", "--out", str(seeds)], 0)
+        mutated = ["--plant", MUTATION, "--out", str(failed)]
+        run_lab(["seeds", "--seeds", "2,5", "--jobs", "1", *mutated], 1)
+        return {
+            "real processes": runs,
+            "emulator": {
+                "scenario": command_cases.SHORT_SCENARIO,
+                "text": emulated.read_text(encoding="utf-8"),
+                "meaning": simulation_meanings.read_results(emulated),
+            },
+            "deterministic": {"0-3": seeds.read_text(encoding="utf-8")},
+            "deterministic, mutation": {"2,5": failed.read_text(encoding="utf-8")},
+            "load": simulation_meanings.load_results(LOAD_SAMPLES).decode(),
+        }
--- /dev/null
+++ b/tests/compatibility/test_fault_scripts.py
@@ -0,0 +1,86 @@
+"""Equal seeds draw, byte for byte, the fault scripts that were recorded."""
+
+from __future__ import annotations
+
+from hashlib import sha256
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from tests.compatibility import record_simulations, recorded, simulation_meanings
+from tests.compatibility.simulation_meanings import ScriptDraw
+
+SCRIPTS: dict[str, Any] = recorded.load("fault-scripts.json")
+DRAWN: dict[str, Any] = SCRIPTS["real processes"]
+DETERMINISTIC: dict[str, Any] = SCRIPTS["deterministic"]
+SEEDS_PER_TEST = 50
+
+
+@pytest.fixture
+def scenario(request: pytest.FixtureRequest, tmp_path: Path) -> str:
+    """The name of a shipped scenario, or the path of one that is recorded with the scripts."""
+    name: str = request.param
+    if name not in SCRIPTS["own scenarios"]:
+        return name
+    path = tmp_path / name
+    path.write_text(SCRIPTS["own scenarios"][name], encoding="utf-8")
+    return str(path)
+
+
+def pairs(part: str) -> list[Any]:
+    """A scenario with each of its records of one part."""
+    return [
+        pytest.param(name, key, id=f"{name}-{key}")
+        for name, found in DRAWN.items()
+        for key in (found[part] if isinstance(found[part], dict) else range(len(found[part])))
+    ]
+
+
+@pytest.mark.parametrize(("scenario", "seed"), pairs("whole"), indirect=["scenario"])
+def test_script_for_real_processes_is_drawn_as_recorded(
+    scenario: str, seed: str, request: pytest.FixtureRequest
+) -> None:
+    expected = DRAWN[request.node.callspec.params["scenario"]]["whole"][seed]
+    assert simulation_meanings.drawn_script(ScriptDraw(scenario, int(seed))).decode() == expected
+
+
+@pytest.mark.parametrize("scenario", DRAWN, indirect=True)
+def test_scripts_of_many_seeds_have_the_recorded_digests(
+    scenario: str, request: pytest.FixtureRequest
+) -> None:
+    expected = DRAWN[request.node.callspec.params["scenario"]]["digests"]
+    assert list(expected) == [str(seed) for seed in record_simulations.DIGEST_SEEDS]
+    for seed, digest in expected.items():
+        drawn = simulation_meanings.drawn_script(ScriptDraw(scenario, int(seed)))
+        assert sha256(drawn).hexdigest() == digest, f"seed {seed}"
+
+
+@pytest.mark.parametrize(("scenario", "index"), pairs("sizes"), indirect=["scenario"])
+def test_script_of_another_size_has_the_recorded_digest(
+    scenario: str, index: int, request: pytest.FixtureRequest
+) -> None:
+    size = DRAWN[request.node.callspec.params["scenario"]]["sizes"][index]
+    draw = ScriptDraw(scenario, record_simulations.SIZE_SEED, size["nodes"], size["seconds"])
+    assert sha256(simulation_meanings.drawn_script(draw)).hexdigest() == size["script"]
+
+
+@pytest.mark.parametrize("scenario", DRAWN, indirect=True)
+def test_script_with_a_mutation_is_drawn_as_recorded(scenario: str, request: pytest.FixtureRequest) -> None:
+    expected = DRAWN[request.node.callspec.params["scenario"]]["mutation"]
+    draw = ScriptDraw(scenario, record_simulations.SIZE_SEED, 3, 4.0, record_simulations.MUTATION)
+    assert simulation_meanings.drawn_script(draw).decode() == expected
+
+
+@pytest.mark.parametrize("seed", DETERMINISTIC["whole"])
+def test_deterministic_script_is_drawn_and_written_as_recorded(seed: str) -> None:
+    assert simulation_meanings.deterministic_line(int(seed)).decode() == DETERMINISTIC["whole"][seed]
+
+
+@pytest.mark.parametrize(
+    "first", range(0, len(record_simulations.DETERMINISTIC_DIGEST_SEEDS), SEEDS_PER_TEST)
+)
+def test_deterministic_scripts_have_the_recorded_digests(first: int) -> None:
+    for seed in range(first, first + SEEDS_PER_TEST):
+        line = simulation_meanings.deterministic_line(seed)
+        assert sha256(line).hexdigest() == DETERMINISTIC["digests"][str(seed)], f"seed {seed}"
--- a/tests/compatibility/test_files.py
+++ b/tests/compatibility/test_files.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.compatibility import inputs, meanings, recorded
+from tests.compatibility import command_line, inputs, meanings, recorded
 
 CONFIGS: dict[str, Any] = recorded.load("configs.json")
 REFUSED: dict[str, Any] = recorded.load("refused-files.json")
@@ -52,7 +52,7 @@
     assert code == record["exit code"]
     assert output.count("\n") == 1
     assert meanings.place_in(output) == record["place"]
-    assert output.rstrip().endswith(f"({record['remedy']})")
+    assert output.rstrip().endswith(f"({command_line.current_wording(record['remedy'])})")
 
 
 @pytest.mark.parametrize("case", VOTER_FILES["written"])
