--- a/onyxpost/core/sink.py
+++ b/onyxpost/core/sink.py
@@ -13,11 +13,11 @@
 class DecisionSink(Protocol):
     """Carries out decisions, in the order in which they are made. Durations are milliseconds."""
 
-    def start_attempt(self, request_id: str, server: str, timeout: float, begin_before: float) -> None:
-        """Forwards a request to a server, for `timeout` ms; nothing is sent from `begin_before` on."""
+    def start_attempt(self, request_id: str, server: str, timeout_ms: float, begin_before: float) -> None:
+        """Forwards a request to a server, for `timeout_ms`; nothing is sent from `begin_before` (ms) on."""
 
-    def reject(self, request_id: str, retry_after: float) -> None:
-        """Answers that the request was not executed and may come again after `retry_after` ms."""
+    def reject(self, request_id: str, retry_after_ms: float) -> None:
+        """Answers that the request was not executed and may come again after `retry_after_ms`."""
 
     def abort(self, request_id: str) -> None:
         """Answers that the request failed and may have been executed."""
@@ -28,8 +28,8 @@
     def send_peer_message(self, peer: int, body: str) -> None:
         """Sends one message with counts of customers' usage to another node."""
 
-    def start_timer(self, delay: float, token: int) -> None:
-        """Delivers `TimerFired(token)` after `delay` ms."""
+    def start_timer(self, delay_ms: float, token: int) -> None:
+        """Delivers `TimerFired(token)` after `delay_ms`."""
 
     def log(self, line: str) -> None:
         """Logs a change of mode."""
--- a/onyxpost/policy/concurrency.py
+++ b/onyxpost/policy/concurrency.py
@@ -55,8 +55,8 @@
     def is_reached(self, servers: list[UpstreamServer], in_flight: int, share: float = 1.0) -> bool:
         """Returns whether `in_flight` attempts reach this share of the limit of these servers together."""
         # Ejected servers add no capacity, or the loss of a zone would overload the servers that are left.
-        available = sum(1 for server in servers if not server.circuit_breaker.successes_to_close)
-        return in_flight >= share * max(self.MIN_TOTAL_LIMIT, self.limit * available)
+        available = [server for server in servers if not server.circuit_breaker.successes_to_close]
+        return in_flight >= share * max(self.MIN_TOTAL_LIMIT, self.limit * len(available))
 
     def _is_late(self, attempt: Attempt, latency_ms: float) -> bool:
         late_ms = self.LATE_FRACTION * attempt.request.frontend.latency_objective_ms
--- a/onyxpost/policy/latency_estimates.py
+++ b/onyxpost/policy/latency_estimates.py
@@ -11,6 +11,8 @@
     from onyxpost.core.requests import UpstreamServer
     from onyxpost.core.server_registry import ServerRegistry
 
+ONE_FAILURE = AnswerCounts(failures=1.0)
+
 
 class LatencyEstimator:
     """Estimates the latency of one more request at each server.
@@ -41,7 +43,7 @@
 
     def record_failure(self, now: float, server: UpstreamServer) -> None:
         """Counts an attempt that failed."""
-        server.latency.window.add(now, AnswerCounts(failures=1.0))
+        server.latency.window.add(now, ONE_FAILURE)
 
     def update(self, now: float, servers: ServerRegistry) -> None:
         """Updates the means of all active servers; those that have become idle are not active any more."""
--- a/onyxpost/policy/quota_gossip.py
+++ b/onyxpost/policy/quota_gossip.py
@@ -17,6 +17,9 @@
     messages: float = 0.0
 
 
+ONE_MESSAGE = ReceivedCounts(messages=1.0)
+
+
 class QuotaGossip:
     """Exchanges customers' usage with the other nodes."""
 
@@ -53,7 +56,7 @@
             counts = counts or not customer.has_coordinator
             on_report(customer)
         if counts:  # reports to a coordinator do not, or its corrections would be held back
-            self._received.add(now, ReceivedCounts(messages=1.0))
+            self._received.add(now, ONE_MESSAGE)
         for correction in message.corrections:
             customer = self._quotas.customers.get(correction.customer)
             self._quotas.peer_usage.apply_correction(customer, now, peer, correction)
--- a/onyxpost/policy/server_selection.py
+++ b/onyxpost/policy/server_selection.py
@@ -22,6 +22,7 @@
         latency: estimates of latency.
         slow_start: the turns of servers that warm up.
         concurrency: the limit on attempts in flight.
+        order: each customer's order of preference.
         trust: which servers are trusted while endpoints may be stale.
         endpoints: applies what discovery reports.
         assessment: applies what the ends of attempts say.
@@ -39,16 +40,16 @@
         options = state.options
         servers = state.servers
         outliers = OutlierDetector(servers)
-        order = PreferenceOrder(options.node_index, servers)
+        self.order = PreferenceOrder(options.node_index, servers)
         self.latency = LatencyEstimator(options.shortest_latency_objective_ms)
         self.slow_start = SlowStart(now, options, servers)
         self.concurrency = ConcurrencyLimit(now, options, servers, shedder)
         self.trust = EndpointTrust(options.limits.drain_grace_ms, polls_endpoints=options.polls_endpoints)
-        self.endpoints = EndpointUpdates(state, random, self.latency, self.slow_start, order)
+        self.endpoints = EndpointUpdates(state, random, self.latency, self.slow_start, self.order)
         self.assessment = ServerAssessment(
             now, servers, self.latency, self.slow_start, outliers, self.concurrency
         )
         eligibility = ServerEligibility(self.trust, execution, outliers)
         self.balancer = LoadBalancer(
-            servers, order, self.concurrency, self.latency, self.slow_start, eligibility
+            servers, self.order, self.concurrency, self.latency, self.slow_start, eligibility
         )
--- a/onyxpost/policy/slow_start.py
+++ b/onyxpost/policy/slow_start.py
@@ -15,6 +15,9 @@
     requests: float = 0.0
 
 
+ONE_REQUEST = RequestCounts(requests=1.0)
+
+
 class SlowStart:
     """Decides when a server that warms up gets its next request from this node.
 
@@ -51,7 +54,7 @@
 
     def record_request(self, now: float) -> None:
         """Counts a request that is to be sent to a server."""
-        self.requests.add(now, RequestCounts(requests=1.0))
+        self.requests.add(now, ONE_REQUEST)
 
     def on_attempt_started(self, server: UpstreamServer) -> None:
         """Lets the server wait for a whole interval until its next request."""
--- a/onyxpost/simulator_host/decode.py
+++ b/onyxpost/simulator_host/decode.py
@@ -18,6 +18,7 @@
 )
 from onyxpost.core.types import AttemptResult, EndpointState, EndpointStatus
 from onyxpost.simulator_host.errors import WireError
+from onyxpost.simulator_host.units import to_millis
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -25,7 +26,6 @@
     from onyxpost.config.decoding import JsonObject
     from onyxpost.policy.gateway import Gateway
 
-US_PER_MS = 1000.0
 START = "Attach"
 STOP = "Teardown"
 UNUSED_EVENTS = ("Total", "CheckResult")  # replies to queries that the gateway never sends
@@ -82,7 +82,7 @@
         cell=row.get("cohort", 0),
         state=STATES[row.get("condition", 0)],
         weight=row.get("scale", 1.0),
-        started_at=row.get("up_since_us", 0) / US_PER_MS,
+        started_at=to_millis(row.get("up_since_us", 0)),
     )
 
 
@@ -99,7 +99,7 @@
         request_id=fields["ref"],
         attempt_index=fields.get("round_no", 0),
         result=RESULTS[fields["rc"]],
-        latency_ms=fields.get("wait_time_us", 0) / US_PER_MS,
+        latency_ms=to_millis(fields.get("wait_time_us", 0)),
         settled=fields.get("settled", False),
         actual_units=fields.get("actual", 0),
     )
@@ -108,7 +108,7 @@
 def _decode_request(fields: JsonObject) -> Event:
     return RequestArrived(
         request_id=fields["ref"],
-        deadline=fields["give_up_at_us"] / US_PER_MS,
+        deadline=to_millis(fields["give_up_at_us"]),
         frontend=fields["cls"],
         customer=fields.get("user_key", ""),
         plan=fields.get("tariff", ""),
--- a/onyxpost/simulator_host/encode.py
+++ b/onyxpost/simulator_host/encode.py
@@ -4,16 +4,11 @@
 
 from typing import Any
 
-US_PER_MS = 1000
+from onyxpost.simulator_host.units import to_micros
 
 Action = dict[str, dict[str, Any]]  # the action's name on the wire, and its fields
 
 
-def to_micros(milliseconds: float) -> int:
-    """Returns whole microseconds."""
-    return round(milliseconds * US_PER_MS)
-
-
 class ActionWriter:
     """Implements `onyxpost.core.sink.DecisionSink` for one node of the simulator."""
 
@@ -24,13 +19,13 @@
     def _write(self, name: str, **fields: str | int) -> None:
         self._output.append({name: {"node_id": self._node, **fields}})
 
-    def start_attempt(self, request_id: str, server: str, timeout: float, begin_before: float) -> None:  # noqa: ARG002 - in the simulator an attempt begins at once
+    def start_attempt(self, request_id: str, server: str, timeout_ms: float, begin_before: float) -> None:  # noqa: ARG002 - in the simulator an attempt begins at once
         """Forwards a request to a server."""
-        self._write("SubmitTo", ref=request_id, server=server, give_up_after_us=to_micros(timeout))
+        self._write("SubmitTo", ref=request_id, server=server, give_up_after_us=to_micros(timeout_ms))
 
-    def reject(self, request_id: str, retry_after: float) -> None:
+    def reject(self, request_id: str, retry_after_ms: float) -> None:
         """Answers that the request was not executed."""
-        self._write("Reject", ref=request_id, backoff_us=to_micros(retry_after))
+        self._write("Reject", ref=request_id, backoff_us=to_micros(retry_after_ms))
 
     def abort(self, request_id: str) -> None:
         """Answers that the request failed and may have been executed."""
@@ -44,9 +39,9 @@
         """Sends a message to another node."""
         self._write("Post", peer=peer, body=body)
 
-    def start_timer(self, delay: float, token: int) -> None:
+    def start_timer(self, delay_ms: float, token: int) -> None:
         """Starts a timer."""
-        self._write("After", offset_us=to_micros(delay), nonce=token)
+        self._write("After", offset_us=to_micros(delay_ms), nonce=token)
 
     def log(self, line: str) -> None:
         """Logs a change of mode."""
--- a/onyxpost/simulator_host/host.py
+++ b/onyxpost/simulator_host/host.py
@@ -9,6 +9,7 @@
 from onyxpost.simulator_host import decode
 from onyxpost.simulator_host.encode import Action, ActionWriter
 from onyxpost.simulator_host.errors import WireError
+from onyxpost.simulator_host.units import to_millis
 
 if TYPE_CHECKING:
     from onyxpost.config.decoding import JsonObject
@@ -35,7 +36,7 @@
             WireError: the message is malformed.
         """
         try:
-            now = message["at_time_us"] / decode.US_PER_MS
+            now = to_millis(message["at_time_us"])
             events_by_node: dict[int, list[NamedEvent]] = {}
             for event in message["news"]:
                 ((name, fields),) = event.items()
