--- a/tests/policy/__init__.py
+++ b/tests/policy/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the decisions: events in, decisions out, no sockets."""
--- a/tests/policy/gateway_host.py
+++ b/tests/policy/gateway_host.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass, fields
 from typing import Any
 
 from onyxpost.core.events import AttemptFinished, EndpointsUpdated, Event, RequestArrived, TimerFired
@@ -22,54 +23,88 @@
 Decision = tuple[Any, ...]  # what was decided, and the arguments of `DecisionSink`
 
 
+@dataclass(frozen=True)
+class HostOptions:
+    """What a host's gateway is built with.
+
+    Attributes:
+        servers: number of app servers, all ready and warm.
+        effect: idempotency of the frontend's requests.
+        group: which servers drop duplicates.
+        late: weight of a late answer.
+        polls_endpoints: whether the gateway must poll discovery.
+        plan: the customers' plan; None: one that hardly limits anything.
+        number: the node's index.
+        nodes: number of nodes.
+        warm_ms: time in which a server that starts warms up.
+    """
+
+    servers: int = 4
+    effect: Idempotency = Idempotency.IDEMPOTENT
+    group: DeduplicationScope = DeduplicationScope.ALL
+    late: float = 0.0
+    polls_endpoints: bool = False
+    plan: Plan | None = None
+    number: int = 0
+    nodes: int = 3
+    warm_ms: float = 10000.0
+
+
+OPTION_NAMES = {field.name for field in fields(HostOptions)}
+DEFAULT_PLAN = Plan("p", 1000.0, 9000.0, 0, 1.0, 0.0, 0.0)
+
+
+def gateway_options(options: HostOptions, limits: dict[str, Any]) -> GatewayOptions:
+    """Returns the options of a gateway with one frontend and one plan."""
+    frontend = Frontend(
+        "f", 1000.0, 5000.0, options.effect, options.group, 3000.0, 1.0, options.late, 0.0, False
+    )
+    default_limits = {
+        "max_attempts": 4,
+        "parallel_attempts": True,
+        "cancellation": True,
+        "peer_messages": True,
+        "max_retry_after_ms": 500.0,
+        "peer_messages_per_second": 50.0,
+    }
+    return GatewayOptions(
+        seed=7 + options.number,
+        node_index=options.number,
+        node_count=options.nodes,
+        tick_ms=1.0,
+        frontends=[frontend],
+        plans=[options.plan or DEFAULT_PLAN],
+        slow_start=SlowStartPolicy(0.2, options.warm_ms, 3.0, 2000.0),
+        limits=GatewayLimits(**(default_limits | limits)),
+        polls_endpoints=options.polls_endpoints,
+    )
+
+
 class Host:
-    """Hosts one gateway and is its `DecisionSink`."""
+    """Hosts one gateway and is its `DecisionSink`.
 
-    def __init__(
-        self,
-        servers: int = 4,
-        effect: Idempotency = Idempotency.IDEMPOTENT,
-        group: DeduplicationScope = DeduplicationScope.ALL,
-        late: float = 0.0,
-        must_ask: bool = False,
-        plan: Plan | None = None,
-        number: int = 0,
-        nodes: int = 3,
-        warm_ms: float = 10000.0,
-        **allowed: Any,
-    ) -> None:
+    Args:
+        values: fields of `HostOptions`; all others are limits of the deployment.
+    """
+
+    def __init__(self, **values: Any) -> None:
         self.now = 1_000_000.0
         self.done: list[Decision] = []
         self.begin_before = 0.0
         self._request_count = 0
-        limits = {
-            "max_attempts": 4,
-            "parallel_attempts": True,
-            "cancellation": True,
-            "peer_messages": True,
-            "max_retry_after_ms": 500.0,
-            "peer_messages_per_second": 50.0,
-        } | allowed
-        options = GatewayOptions(
-            seed=7 + number,
-            node_index=number,
-            node_count=nodes,
-            tick_ms=1.0,
-            frontends=[Frontend("f", 1000.0, 5000.0, effect, group, 3000.0, 1.0, late, 0.0, False)],
-            plans=[plan or Plan("p", 1000.0, 9000.0, 0, 1.0, 0.0, 0.0)],
-            slow_start=SlowStartPolicy(0.2, warm_ms, 3.0, 2000.0),
-            limits=GatewayLimits(**limits),
-            polls_endpoints=must_ask,
-        )
-        self.gateway = Gateway(self.now, options)
-        self.list(*(self.row(i) for i in range(servers)))
+        options = HostOptions(**{name: value for name, value in values.items() if name in OPTION_NAMES})
+        limits = {name: value for name, value in values.items() if name not in OPTION_NAMES}
+        self.gateway = Gateway(self.now, gateway_options(options, limits))
+        self.list(*(self.row(index) for index in range(options.servers)))
 
     def row(
-        self, i: int, standing: EndpointState = EndpointState.READY, started: float = 0.0
+        self, index: int, state: EndpointState = EndpointState.READY, started: float = 0.0
     ) -> EndpointStatus:
-        return EndpointStatus(f"s{i}", f"h{i % 3}", i % 2, standing, 1.0, started)
+        """Returns what discovery reports of one server."""
+        return EndpointStatus(f"s{index}", f"h{index % 3}", index % 2, state, 1.0, started)
 
     def list(self, *rows: EndpointStatus, complete: bool = True) -> None:
+        """Reports endpoints."""
         self.feed(EndpointsUpdated(complete, rows))
 
     def feed(self, event: Event) -> list[Decision]:
@@ -78,11 +113,14 @@
         self.gateway.handle(self.now, [event], self)
         return self.done[before:]
 
-    def arrive(self, units: int = 1, key: str = "c", stay: float = 5000.0, spread: int = 3) -> list[Decision]:
+    def arrive(
+        self, units: int = 1, key: str = "c", client_timeout_ms: float = 5000.0, spread: int = 3
+    ) -> list[Decision]:
+        """Lets a request arrive; returns what was decided."""
         self._request_count += 1
-        return self.feed(
-            RequestArrived(f"r{self._request_count}", self.now + stay, "f", key, "p", units, spread, 0)
-        )
+        request_id = f"r{self._request_count}"
+        deadline = self.now + client_timeout_ms
+        return self.feed(RequestArrived(request_id, deadline, "f", key, "p", units, spread, 0))
 
     def end(
         self,
@@ -93,6 +131,7 @@
         settled: bool | None = None,
         actual: int = 0,
     ) -> list[Decision]:
+        """Ends an attempt of a request; returns what was decided."""
         over = result is AttemptResult.OK if settled is None else settled
         return self.feed(AttemptFinished(request_id, number, result, waited, over, actual))
 
@@ -106,30 +145,38 @@
         return self.done[before:]
 
     def start_attempt(self, request_id: str, server: str, timeout: float, begin_before: float) -> None:
+        """Records an attempt."""
         self.done.append(("attempt", request_id, server, timeout))
         self.begin_before = begin_before
 
     def reject(self, *args: Any) -> None:
+        """Records a rejection."""
         self.done.append(("deny", *args))
 
     def abort(self, *args: Any) -> None:
+        """Records that a request was aborted."""
         self.done.append(("abort", *args))
 
     def cancel_attempt(self, *args: Any) -> None:
+        """Records that an attempt was cancelled."""
         self.done.append(("cancel", *args))
 
     def send_peer_message(self, *args: Any) -> None:
+        """Records a message to a peer."""
         self.done.append(("tell", *args))
 
     def log(self, *args: Any) -> None:
+        """Records a log line."""
         self.done.append(("log", *args))
 
     def watch_endpoints(self) -> None:
+        """Records a poll of discovery."""
         self.done.append(("subscribe",))
 
     def start_timer(self, *args: Any) -> None:
-        pass
+        """Does nothing: `run` fires the timer."""
 
 
 def kinds(done: list[Decision]) -> list[str]:
+    """Returns the kinds of the decisions, log lines left out."""
     return [decision[0] for decision in done if decision[0] != "log"]
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -19,7 +19,8 @@
 
 def test_a_decreased_limit_increases_again_while_load_is_shed() -> None:
     host = Host()
-    host.gateway.selection.concurrency.limit, host.gateway.shedder.rejection_probability = 0.2, 0.5
+    host.gateway.selection.concurrency.limit = 0.2
+    host.gateway.shedder.rejection_probability = 0.5
     host.run(5000.0)
     assert host.gateway.selection.concurrency.limit > 0.6
 
@@ -27,10 +28,10 @@
 def test_a_few_heavy_requests_do_not_decrease_the_limit() -> None:
     host = Host()
     before = host.gateway.selection.concurrency.limit
-    for i in range(40):
+    for index in range(40):
         sent = host.arrive()
         host.run(50.0)
-        host.end(sent[0][1], AttemptResult.OK, 900.0 if i % 8 == 0 else 50.0)
+        host.end(sent[0][1], AttemptResult.OK, 900.0 if index % 8 == 0 else 50.0)
     assert host.gateway.selection.concurrency.limit >= before
 
 
@@ -48,16 +49,16 @@
 
 def test_lost_answers_beside_many_quick_ones_do_not_decrease_the_limit() -> None:
     host = Host(servers=4)
-    room = host.gateway.selection.concurrency.limit
-    for i in range(300):
+    before = host.gateway.selection.concurrency.limit
+    for index in range(300):
         request_id = host.arrive()[0][1]
         host.end(
             request_id,
-            *((AttemptResult.EXPIRED, 1000.0) if i % 5 < 2 else (AttemptResult.OK, 50.0)),
+            *((AttemptResult.EXPIRED, 1000.0) if index % 5 < 2 else (AttemptResult.OK, 50.0)),
             settled=True,
         )
         host.run(25.0)
-    assert host.gateway.selection.concurrency.limit >= room
+    assert host.gateway.selection.concurrency.limit >= before
 
 
 def test_attempts_past_their_latency_objective_take_up_no_capacity() -> None:
--- a/tests/policy/test_hard_limit.py
+++ b/tests/policy/test_hard_limit.py
@@ -38,7 +38,7 @@
 
 def test_a_request_that_waits_in_vain_is_rejected_soon_after_half_of_its_time() -> None:
     host = Host(plan=Plan("p", 100.0, 300.0, 0, 1.0, 9.0, 90.0))
-    host.arrive(1, stay=900.0)
+    host.arrive(1, client_timeout_ms=900.0)
     host.gateway.state.customers.by_key[crc32(b"c")].hard_limit.tokens = -50.0  # handed to a peer meanwhile
     assert kinds(host.run(425.0)) == []
     assert kinds(host.run(100.0)) == ["deny"]
--- a/tests/policy/test_latency_model.py
+++ b/tests/policy/test_latency_model.py
@@ -22,7 +22,7 @@
     assert fitted().input_coefficient(0.8) == pytest.approx((-0.0007 + 0.0443 * 0.8) / 0.02)
 
 
-def test_a_changed_rejection_probability_fits_the_model_by_least_mean_squares() -> None:
+def test_a_changed_rejection_probability_fits_the_model() -> None:
     model = fitted(Period(1.2, 0.9, 0.0), Period(1.1, 0.8, 0.1), Period(1.3, 0.7, 0.1))
     predicted = 1.1 * (0.3464 + 0.1313 * 0.8) + 1.2 * (0.2527 + 0.1187 * 0.9) - 0.1 * (-0.035 + 2.215 * 0.8)
     step = RATE * (1.3 - predicted) * -0.1
--- a/tests/policy/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -32,7 +32,7 @@
     return customers.get(CUSTOMER_KEY)
 
 
-def test_units_are_taken_from_leases_in_their_order_before_own_tokens(customer: CustomerQuota) -> None:
+def test_leases_are_spent_in_their_order_before_own_tokens(customer: CustomerQuota) -> None:
     customer.leases = {1: Lease(2.0, NOW + 1.0), 2: Lease(5.0, NOW + 1.0)}
     assert spend(customer, NOW, 4) == [(1, 2), (2, 2)]
     assert [lease.units for lease in customer.leases.values()] == [0.0, 3.0]
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -28,7 +28,7 @@
 def test_where_endpoints_are_polled_a_success_counts_as_recent_for_longer() -> None:
     """A drain begun since then does not count as reports yet: most nodes of a fleet that an overbooked
     discovery had turned away denied nearly all."""
-    host = Host(servers=1, drain_grace_ms=250.0, must_ask=True)
+    host = Host(servers=1, drain_grace_ms=250.0, polls_endpoints=True)
     ((_, request_id, _, _),) = host.arrive()
     host.now += 60.0
     host.end(request_id, AttemptResult.OK, 60.0)
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -25,7 +25,7 @@
 
 def test_an_answer_lost_now_and_then_ejects_no_server() -> None:
     host = Host(servers=1)
-    for i in range(100):
+    for index in range(100):
         ((_, request_id, _, _),) = host.arrive()
-        host.end(request_id, AttemptResult.LOST if i % 10 == 9 else AttemptResult.OK, settled=True)
+        host.end(request_id, AttemptResult.LOST if index % 10 == 9 else AttemptResult.OK, settled=True)
     assert [s.circuit_breaker.successes_to_close for s in host.gateway.state.servers.known.values()] == [0]
--- a/tests/policy/test_quota_gossip.py
+++ b/tests/policy/test_quota_gossip.py
@@ -12,10 +12,11 @@
 
 
 def test_a_repeated_report_counts_once() -> None:
-    host, peer = Host(plan=PLAN, number=0), Host(plan=PLAN, number=1)
-    for h in (host, peer):
-        h.arrive(1)
-        h.run(10000.0)
+    host = Host(plan=PLAN, number=0)
+    peer = Host(plan=PLAN, number=1)
+    for each in (host, peer):
+        each.arrive(1)
+        each.run(10000.0)
     peer.arrive(6)
     reports = [d for d in peer.run(1500.0) if d[0] == "tell" and d[1] == 0]
     (customer,) = host.gateway.state.customers.by_key.values()
@@ -42,7 +43,8 @@
 
 
 def test_in_a_large_set_a_coordinator_receives_all_reports_and_sends_corrections() -> None:
-    plan, at = Plan("p", 1.0, 20.0, 0, 1.0, 0.0, 0.0), crc32(b"c") % 12
+    plan = Plan("p", 1.0, 20.0, 0, 1.0, 0.0, 0.0)
+    at = crc32(b"c") % 12
     coordinator, member, other = (Host(plan=plan, number=(at + i) % 12, nodes=12) for i in range(3))
     for host in (coordinator, member, other):
         host.run(20000.0)
--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -18,8 +18,8 @@
 def test_unused_customers_are_forgotten_also_without_peers() -> None:
     for peers in (True, False):
         host = Host(servers=20, peer_messages=peers)
-        for i in range(10):
-            sent = host.arrive(key=f"once{i}")
+        for index in range(10):
+            sent = host.arrive(key=f"once{index}")
             host.end(sent[0][1], AttemptResult.OK)
         host.run(70000.0)
         assert host.gateway.state.customers.by_key == {}
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -7,12 +7,13 @@
 
 
 def test_a_server_that_warms_up_gets_its_share_although_others_are_known_to_be_quick() -> None:
-    host, sent = Host(servers=4, warm_ms=20000.0), []
-    for i in range(400):
-        if i == 100:
+    host = Host(servers=4, warm_ms=20000.0)
+    sent = []
+    for index in range(400):
+        if index == 100:
             host.list(*(host.row(n) for n in range(3)), host.row(3, started=host.now))
             sent.clear()
-        ((_, request_id, server, _),) = host.arrive(key=f"c{i}")
+        ((_, request_id, server, _),) = host.arrive(key=f"c{index}")
         sent.append(server)
         host.run(25.0)
         host.end(request_id, AttemptResult.OK)
@@ -20,25 +21,27 @@
 
 
 def test_nodes_do_not_all_send_to_a_new_server_when_half_of_the_warm_ones_are_removed() -> None:
-    hosts, cold = [Host(servers=8, number=n, nodes=30, warm_ms=60000.0) for n in range(30)], []
+    hosts = [Host(servers=8, number=index, nodes=30, warm_ms=60000.0) for index in range(30)]
+    ticks = []
     for tick in range(400):
         for host in hosts:
-            if tick in (300, 360):  # a cold one comes, then four of eight warm ones go
+            if tick in (300, 360):  # a new one comes, then four of eight warm ones go
                 warm = [host.row(i) for i in range(8 if tick == 300 else 4)]
                 host.list(*warm, host.row(8, started=host.now - 25.0 * (tick - 300)))
             turn = tick % 4 == host.gateway.state.options.node_index % 4
             for what, request_id, *to in host.arrive(key=f"c{tick}") if turn else []:
                 if what == "attempt":
-                    cold += [tick] * (to[0] == "s8")
+                    ticks += [tick] * (to[0] == "s8")
                     host.end(request_id, AttemptResult.OK)
             host.run(25.0)
-    before, after = (sum(1 for t in cold if first <= t < first + 20) for first in (340, 360))
+    before, after = (sum(1 for tick in ticks if first <= tick < first + 20) for first in (340, 360))
     assert before > 0
     assert after <= 3 * before  # each warm one gets twice as many
 
 
 def test_without_warm_servers_those_that_warm_up_take_turns() -> None:
-    host, sent = Host(servers=4, warm_ms=20000.0), []
+    host = Host(servers=4, warm_ms=20000.0)
+    sent = []
     for tick in range(300):
         if tick == 100:
             host.list(*(host.row(n, started=host.now) for n in range(4)))
