--- a/onyxpost/cluster/failure_detector.py
+++ b/onyxpost/cluster/failure_detector.py
@@ -9,7 +9,8 @@
 from enum import Enum
 from typing import NamedTuple
 
-HEARTBEAT_INTERVAL_MS = 500.0  # idle time after which a ping is sent; forwarders report to planners as often
+from onyxpost.cluster.heartbeat_timing import HEARTBEAT_INTERVAL_MS
+
 MAX_PING_INTERVAL_MS = 4 * HEARTBEAT_INTERVAL_MS  # between pings on a busy connection, for its round trip
 # Three intervals: one heartbeat that is missing and another that is late do not make a peer suspected.
 SUSPICION_TIMEOUT_MS = 3 * HEARTBEAT_INTERVAL_MS
@@ -58,18 +59,18 @@
         # Whether a change to DISCONNECTED was returned. A peer starts in that state, without a change: one is
         # returned when its first dial fails or the timeout is over.
         self.disconnect_reported = False
-        self.last_check_at = now_ms
-        self.last_message_at = now_ms
-        self.last_ping_at = now_ms
+        self.last_check_at_ms = now_ms
+        self.last_message_at_ms = now_ms
+        self.last_ping_at_ms = now_ms
         self.last_ping_number = 0
         self.awaited_pong: int | None = None
         self.round_trip_ms = 0.0  # smoothed; 0: not measured
 
     def on_connected(self, now_ms: float) -> PeerStateChange | None:
         """A connection was established: the peer's hello was accepted."""
-        self.last_message_at = now_ms
-        self.last_ping_at = now_ms
-        self.last_check_at = now_ms
+        self.last_message_at_ms = now_ms
+        self.last_ping_at_ms = now_ms
+        self.last_check_at_ms = now_ms
         self.awaited_pong = None
         self.round_trip_ms = 0.0
         return self._enter(now_ms, PeerState.ALIVE, "connected")
@@ -85,16 +86,16 @@
 
     def on_message(self, now_ms: float) -> None:
         """Any message was received from the peer."""
-        self.last_message_at = now_ms
+        self.last_message_at_ms = now_ms
 
     def on_pong(self, now_ms: float, number: int) -> None:
         """A pong was received. One that answers an earlier ping than the last is ignored."""
         if number != self.awaited_pong:
             return
         self.awaited_pong = None
-        if now_ms - self.last_check_at > HEARTBEAT_INTERVAL_MS:
+        if now_ms - self.last_check_at_ms > HEARTBEAT_INTERVAL_MS:
             return  # this process was paused: how long the pong waited to be read is unknown
-        sample_ms = now_ms - self.last_ping_at
+        sample_ms = now_ms - self.last_ping_at_ms
         if self.round_trip_ms:
             self.round_trip_ms += (sample_ms - self.round_trip_ms) * ROUND_TRIP_GAIN
         else:
@@ -102,14 +103,14 @@
 
     def check(self, now_ms: float) -> CheckResult:
         """Evaluates the peer; to be called several times per heartbeat interval."""
-        since_last_check_ms = now_ms - self.last_check_at
-        self.last_check_at = now_ms
+        since_last_check_ms = now_ms - self.last_check_at_ms
+        self.last_check_at_ms = now_ms
         if self.state is PeerState.DISCONNECTED:
             return CheckResult(change=self._check_never_connected(now_ms))
         if since_last_check_ms > HEARTBEAT_INTERVAL_MS:
             self._discount_own_pause(now_ms, since_last_check_ms)
-        idle_ms = now_ms - self.last_message_at
-        unanswered_ms = 0.0 if self.awaited_pong is None else now_ms - self.last_ping_at
+        idle_ms = now_ms - self.last_message_at_ms
+        unanswered_ms = 0.0 if self.awaited_pong is None else now_ms - self.last_ping_at_ms
         if idle_ms >= DISCONNECT_TIMEOUT_MS:
             change = self._evaluate(now_ms, idle_ms, unanswered_ms)
             return CheckResult(abort_reason=_no_message(idle_ms), change=change)
@@ -121,7 +122,7 @@
             self.last_ping_number += 1
             ping_number = self.last_ping_number
             self.awaited_pong = ping_number
-            self.last_ping_at = now_ms
+            self.last_ping_at_ms = now_ms
             unanswered_ms = 0.0
         return CheckResult(ping_number, change=self._evaluate(now_ms, idle_ms, unanswered_ms))
 
@@ -136,13 +137,13 @@
         A message that was read after the pause but before this check has a time close to now; the minimum
         keeps it from moving into the future.
         """
-        self.last_message_at = min(now_ms, self.last_message_at + pause_ms)
-        self.last_ping_at = min(now_ms, self.last_ping_at + pause_ms)
+        self.last_message_at_ms = min(now_ms, self.last_message_at_ms + pause_ms)
+        self.last_ping_at_ms = min(now_ms, self.last_ping_at_ms + pause_ms)
 
     def _is_ping_due(self, now_ms: float, idle_ms: float) -> bool:
         if self.awaited_pong is not None:
             return False
-        return idle_ms >= HEARTBEAT_INTERVAL_MS or now_ms - self.last_ping_at >= MAX_PING_INTERVAL_MS
+        return idle_ms >= HEARTBEAT_INTERVAL_MS or now_ms - self.last_ping_at_ms >= MAX_PING_INTERVAL_MS
 
     def _evaluate(self, now_ms: float, idle_ms: float, unanswered_ms: float) -> PeerStateChange | None:
         if idle_ms > SUSPICION_TIMEOUT_MS:
--- a/onyxpost/cluster/heartbeats.py
+++ b/onyxpost/cluster/heartbeats.py
@@ -42,14 +42,14 @@
 
     async def run(self) -> None:
         """Checks all peers until it is cancelled."""
-        logged_at = self._network.clock()
+        logged_at_ms = self._network.clock()
         while True:
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             now_ms = self._network.clock()
             for name in list(self._monitor.detectors):
                 self._check_peer(name, now_ms)
-            if now_ms - logged_at >= STATISTICS_INTERVAL_MS:
-                logged_at = now_ms
+            if now_ms - logged_at_ms >= STATISTICS_INTERVAL_MS:
+                logged_at_ms = now_ms
                 self._peer_log.log_statistics(self._monitor.count_by_state() | self._statistics.non_zero())
 
     def _check_peer(self, name: str, now_ms: float) -> None:
--- a/onyxpost/cluster/incarnation.py
+++ b/onyxpost/cluster/incarnation.py
@@ -32,11 +32,11 @@
     @classmethod
     def parse(cls, text: str) -> Self:
         """Reads the written form. Raises MalformedFrameError."""
-        started_at, dash, token = text.partition("-")
-        is_number = started_at.isascii() and started_at.isdigit() and len(started_at) <= MAX_TIMESTAMP_DIGITS
+        digits, dash, token = text.partition("-")
+        is_number = digits.isascii() and digits.isdigit() and len(digits) <= MAX_TIMESTAMP_DIGITS
         if not dash or not token or not is_number:
             raise MalformedFrameError(f"not an incarnation: {text[:40]!r}")
-        return cls(int(started_at), token)
+        return cls(int(digits), token)
 
     def __str__(self) -> str:
         return f"{self.started_at_ms}-{self.token}"
--- a/onyxpost/cluster/listener.py
+++ b/onyxpost/cluster/listener.py
@@ -8,7 +8,7 @@
 
 from onyxpost.cluster.connection import READ_BUFFER_BYTES, RunConnection
 from onyxpost.cluster.errors import ClusterError, WrongDialerError
-from onyxpost.cluster.unidentified import UnidentifiedConnections
+from onyxpost.cluster.unidentified import MAX_ACCEPTS_PER_TURN, UnidentifiedConnections
 from onyxpost.runtime.http1 import limit_read_size
 
 if TYPE_CHECKING:
@@ -18,7 +18,6 @@
     from onyxpost.config.address import Address
     from onyxpost.runtime.transport import Listener, Transport
 
-ACCEPTS_PER_TURN = 128  # connections that are accepted in one turn of the event loop
 MAX_UNIDENTIFIED = 64  # connections without a hello; one more aborts the oldest
 
 
@@ -42,7 +41,9 @@
 
     async def listen(self, address: Address) -> None:
         """Binds the address. Raises OSError or ListenError if that fails."""
-        self.server = await self._network.listen(self._serve, address, READ_BUFFER_BYTES, ACCEPTS_PER_TURN)
+        self.server = await self._network.listen(
+            self._serve, address, READ_BUFFER_BYTES, MAX_ACCEPTS_PER_TURN
+        )
 
     def stop(self) -> None:
         """Begins no connection any more; the address stays bound."""
--- a/onyxpost/cluster/log_rate_limit.py
+++ b/onyxpost/cluster/log_rate_limit.py
@@ -13,13 +13,13 @@
 
     def __init__(self, interval_ms: float = DEFAULT_INTERVAL_MS) -> None:
         self.interval_ms = interval_ms
-        self.last_allowed_at: dict[str, float] = {}
+        self.last_allowed_at_ms: dict[str, float] = {}
         self.suppressed: dict[str, int] = {}
 
     def allow(self, now_ms: float, kind: str) -> int:
         """Returns how many events the line stands for, with the suppressed ones; 0: do not write it."""
-        if now_ms - self.last_allowed_at.get(kind, -self.interval_ms) < self.interval_ms:
+        if now_ms - self.last_allowed_at_ms.get(kind, -self.interval_ms) < self.interval_ms:
             self.suppressed[kind] = self.suppressed.get(kind, 0) + 1
             return 0
-        self.last_allowed_at[kind] = now_ms
+        self.last_allowed_at_ms[kind] = now_ms
         return self.suppressed.pop(kind, 0) + 1
--- a/onyxpost/cluster/unidentified.py
+++ b/onyxpost/cluster/unidentified.py
@@ -9,6 +9,10 @@
     from collections.abc import Iterator
 
 
+# Connections that a listener accepts in one turn of the event loop.
+MAX_ACCEPTS_PER_TURN = 128
+
+
 class UnidentifiedConnections:
     """Accepted connections without a hello; above a limit the oldest is aborted."""
 
--- a/onyxpost/forwarder/cached_lease.py
+++ b/onyxpost/forwarder/cached_lease.py
@@ -20,12 +20,12 @@
     lease_id: int  # given by the planner
     customer: int
     plan: str
-    expires_at: float
+    expires_at_ms: float
     units_left: int
     reported_units_left: int  # `units_left` at the last report to the planner
 
     @classmethod
-    def from_grant(cls, planner: str, grant: protocol.LeaseGrant, expires_at: float) -> CachedLease:
+    def from_grant(cls, planner: str, grant: protocol.LeaseGrant, expires_at_ms: float) -> CachedLease:
         """The lease of a grant, none of it spent."""
         return cls(
             planner=planner,
@@ -33,7 +33,7 @@
             lease_id=grant.lease_id,
             customer=grant.customer,
             plan=grant.plan,
-            expires_at=expires_at,
+            expires_at_ms=expires_at_ms,
             units_left=grant.units,
             reported_units_left=grant.units,
         )
@@ -49,7 +49,7 @@
 class SeenLease(NamedTuple):
     """What is remembered of a lease, also after its end."""
 
-    forget_at: float
+    forget_at_ms: float
     local_id: int
 
 
--- a/onyxpost/forwarder/customer_usage.py
+++ b/onyxpost/forwarder/customer_usage.py
@@ -12,7 +12,7 @@
 class UsageSample(NamedTuple):
     """Units that one client request consumed, or lacked."""
 
-    at: float
+    used_at_ms: float
     units: int
 
 
@@ -22,30 +22,30 @@
     def __init__(self, plan: str) -> None:
         self.plan = plan
         self.samples: list[UsageSample] = []
-        self.last_seen_at = -math.inf
+        self.last_seen_at_ms = -math.inf
         self.largest_request = 0  # units of the largest recent request
-        self.request_sent_at = -math.inf  # of the lease request that is unanswered
-        self.retry_not_before = -math.inf
+        self.request_sent_at_ms = -math.inf  # of the lease request that is unanswered
+        self.retry_not_before_ms = -math.inf
 
-    def record(self, now: float, plan: str, units: int) -> None:
+    def record(self, now_ms: float, plan: str, units: int) -> None:
         """Records a client request of `units`."""
-        is_recent = now - self.last_seen_at < USAGE_MEMORY_MS
+        is_recent = now_ms - self.last_seen_at_ms < USAGE_MEMORY_MS
         self.plan = plan
-        self.samples.append(UsageSample(now, units))
+        self.samples.append(UsageSample(now_ms, units))
         self.largest_request = max(units, self.largest_request if is_recent else 0)
-        self.last_seen_at = now
+        self.last_seen_at_ms = now_ms
 
-    def rate(self, now: float) -> float:
-        """Mean use in units per millisecond, over the rate window."""
-        self.samples = [sample for sample in self.samples if now - sample.at < RATE_WINDOW_MS]
+    def units_per_ms(self, now_ms: float) -> float:
+        """Mean use over the rate window."""
+        self.samples = [sample for sample in self.samples if now_ms - sample.used_at_ms < RATE_WINDOW_MS]
         return sum(sample.units for sample in self.samples) / RATE_WINDOW_MS
 
-    def units_needed(self, now: float, lease_duration_ms: float) -> float:
+    def units_needed(self, now_ms: float, lease_duration_ms: float) -> float:
         """Size of the next lease: the use of a lease's duration, at least the largest recent request."""
-        if now - self.last_seen_at >= USAGE_MEMORY_MS:
+        if now_ms - self.last_seen_at_ms >= USAGE_MEMORY_MS:
             return 0.0
-        return max(self.rate(now) * lease_duration_ms, self.largest_request)
+        return max(self.units_per_ms(now_ms) * lease_duration_ms, self.largest_request)
 
     def clear_pending_request(self) -> None:
         """No lease request is unanswered any more."""
-        self.request_sent_at = -math.inf
+        self.request_sent_at_ms = -math.inf
--- a/onyxpost/forwarder/lease_cache.py
+++ b/onyxpost/forwarder/lease_cache.py
@@ -13,13 +13,13 @@
 from dataclasses import asdict, dataclass
 from typing import TYPE_CHECKING, NamedTuple
 
+from onyxpost.cluster.heartbeat_timing import HEARTBEAT_INTERVAL_MS
 from onyxpost.core.events import LeaseGranted, LeaseRevoked
 from onyxpost.forwarder.cached_lease import NEVER_SEEN, NOT_ACCEPTED, CachedLease, LeaseKey, SeenLease
 from onyxpost.forwarder.lease_requests import LeaseRequester
 from onyxpost.forwarder.planner_sessions import PlannerSessions
 from onyxpost.planner import protocol
 from onyxpost.planner.protocol import AddressedMessage
-from onyxpost.planner.quorum import HEARTBEAT_INTERVAL_MS
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -57,7 +57,7 @@
         self.leases: dict[int, CachedLease] = {}  # by local id
         self.seen_leases: dict[LeaseKey, SeenLease] = {}
         self.last_local_id = NOT_ACCEPTED
-        self.last_heartbeat_at = -math.inf
+        self.last_heartbeat_at_ms = -math.inf
         self.is_stopping = False
         self.counters = CacheCounters()
         self._messages: list[AddressedMessage] = []
@@ -70,14 +70,14 @@
 
     # Events of the policy
 
-    def report_units_spent(self, now: float, customer: int, plan: str, units: int, local_id: int) -> None:
+    def report_units_spent(self, now_ms: float, customer: int, plan: str, units: int, local_id: int) -> None:
         """A client request consumed `units` of a lease, or lacked them (local id 0)."""
-        self.requester.record_use(now, customer, plan, units)
+        self.requester.record_use(now_ms, customer, plan, units)
         lease = self.leases.get(local_id)
         if lease is not None:
             lease.units_left -= units
             self.counters.spent += units
-        self._request_if_needed(now, customer)
+        self._request_if_needed(now_ms, customer)
 
     def return_lease(self, local_id: int, unused_units: int) -> None:
         """The policy uses a lease no more; it goes back to its planner."""
@@ -89,54 +89,56 @@
 
     # Events of planners
 
-    def handle_connected(self, now: float, planner: str, welcome: protocol.Welcome) -> None:
+    def handle_connected(self, now_ms: float, planner: str, welcome: protocol.Welcome) -> None:
         """A planner answered the hello on a new connection."""
-        self.sessions.open(now, planner, welcome)
+        self.sessions.open(now_ms, planner, welcome)
         self.requester.handle_connected(planner)
 
     def handle_disconnected(self, planner: str) -> None:
         """A planner's connection ended; its leases may be used until they expire."""
         self.sessions.close(planner)
 
-    def handle_message(self, now: float, planner: str, message: protocol.PlannerMessage) -> None:
+    def handle_message(self, now_ms: float, planner: str, message: protocol.PlannerMessage) -> None:
         """Handles a message of a connected planner."""
-        self.sessions.last_received_at[planner] = now
+        self.sessions.last_received_at_ms[planner] = now_ms
         match message:
             case protocol.LeaseGrant():
-                self._handle_grant(now, planner, message)
+                self._handle_grant(now_ms, planner, message)
             case protocol.LeaseRejection():
-                if self.requester.handle_rejection(now, message):
+                if self.requester.handle_rejection(now_ms, message):
                     self.counters.rejected += 1
             case protocol.LeaseRevocation():
-                self._handle_revocation(now, planner, message)
+                self._handle_revocation(now_ms, planner, message)
 
-    def _handle_grant(self, now: float, planner: str, grant: protocol.LeaseGrant) -> None:
+    def _handle_grant(self, now_ms: float, planner: str, grant: protocol.LeaseGrant) -> None:
         request = self.requester.take_pending(grant.request_id)
-        expires_at = request.sent_at + self.sessions.lease_duration_ms(planner) - EXPIRY_MARGIN_MS
+        expires_at_ms = request.sent_at_ms + self.sessions.lease_duration_ms(planner) - EXPIRY_MARGIN_MS
         is_answer = request.planner == planner and request.customer == grant.customer
         is_current = self.sessions.is_current(planner, grant.epoch)
-        is_usable = expires_at > now and grant.units > 0 and not self.is_stopping
+        is_usable = expires_at_ms > now_ms and grant.units > 0 and not self.is_stopping
         key = LeaseKey(grant.epoch, grant.lease_id)
         if not (is_answer and is_current and is_usable) or key in self.seen_leases:
             self.counters.discarded += 1
             if is_current and key not in self.seen_leases:
                 # Late, or its request is forgotten, as after a change of membership: returned unused.
-                self.seen_leases[key] = SeenLease(now + SEEN_LEASE_MEMORY_MS, NOT_ACCEPTED)
+                self.seen_leases[key] = SeenLease(now_ms + SEEN_LEASE_MEMORY_MS, NOT_ACCEPTED)
                 self._send(planner, protocol.LeaseReturn(grant.lease_id, grant.units, grant.epoch))
             return
         self.last_local_id += 1
-        self.seen_leases[key] = SeenLease(now + SEEN_LEASE_MEMORY_MS, self.last_local_id)
-        self.leases[self.last_local_id] = CachedLease.from_grant(planner, grant, expires_at)
+        self.seen_leases[key] = SeenLease(now_ms + SEEN_LEASE_MEMORY_MS, self.last_local_id)
+        self.leases[self.last_local_id] = CachedLease.from_grant(planner, grant, expires_at_ms)
         self.counters.granted += grant.units
         self.requester.handle_granted(grant.customer)
-        self._lease_events.append(LeaseGranted(grant.customer, self.last_local_id, grant.units, expires_at))
+        self._lease_events.append(
+            LeaseGranted(grant.customer, self.last_local_id, grant.units, expires_at_ms)
+        )
 
-    def _handle_revocation(self, now: float, planner: str, revocation: protocol.LeaseRevocation) -> None:
+    def _handle_revocation(self, now_ms: float, planner: str, revocation: protocol.LeaseRevocation) -> None:
         key = LeaseKey(revocation.epoch, revocation.lease_id)
         local_id = self.seen_leases.get(key, NEVER_SEEN).local_id
         # Remembered also if the grant is still on its way, perhaps on another connection.
         extra_ms = REVOCATION_MEMORY_DURATIONS * self.sessions.lease_duration_ms(planner)
-        self.seen_leases[key] = SeenLease(now + extra_ms + SEEN_LEASE_MEMORY_MS, local_id)
+        self.seen_leases[key] = SeenLease(now_ms + extra_ms + SEEN_LEASE_MEMORY_MS, local_id)
         if local_id in self.leases:
             self._lease_events.append(LeaseRevoked(self.leases[local_id].customer, local_id))
         elif local_id == NOT_ACCEPTED and self.sessions.is_current(planner, revocation.epoch):
@@ -144,20 +146,20 @@
 
     # Time
 
-    def tick(self, now: float) -> None:
+    def tick(self, now_ms: float) -> None:
         """Reports use, ends leases, sends heartbeats and requests leases; to be called every 50 ms or so."""
         for local_id, lease in self.leases.items():
             self._report_use(lease)
-            if lease.expires_at <= now:
+            if lease.expires_at_ms <= now_ms:
                 self._lease_events.append(LeaseRevoked(lease.customer, local_id))
-        if now - self.last_heartbeat_at >= HEARTBEAT_INTERVAL_MS:
-            self.last_heartbeat_at = now
+        if now_ms - self.last_heartbeat_at_ms >= HEARTBEAT_INTERVAL_MS:
+            self.last_heartbeat_at_ms = now_ms
             for planner in self.sessions.epochs:
                 self._send(planner, protocol.MembershipHeartbeat(self.membership_version))
-        self.requester.forget_requests(now)
-        self.seen_leases = {key: seen for key, seen in self.seen_leases.items() if seen.forget_at > now}
-        for customer in self.requester.active_customers(now):
-            self._request_if_needed(now, customer)
+        self.requester.forget_requests(now_ms)
+        self.seen_leases = {key: seen for key, seen in self.seen_leases.items() if seen.forget_at_ms > now_ms}
+        for customer in self.requester.active_customers(now_ms):
+            self._request_if_needed(now_ms, customer)
 
     def _report_use(self, lease: CachedLease) -> None:
         if lease.units_left != lease.reported_units_left and lease.units_left >= 0:
@@ -165,33 +167,35 @@
             self._send_to_granter(lease, protocol.UsageReport(lease.lease_id, spent, lease.epoch))
             lease.reported_units_left = lease.units_left
 
-    def _request_if_needed(self, now: float, customer: int) -> None:
+    def _request_if_needed(self, now_ms: float, customer: int) -> None:
         if self.is_stopping:
             return
-        planner = self.requester.find_planner(now, customer)
+        planner = self.requester.find_planner(now_ms, customer)
         if planner is None:
             return
         units_left = sum(
             lease.units_left
             for lease in self.leases.values()
-            if lease.customer == customer and lease.expires_at > now
+            if lease.customer == customer and lease.expires_at_ms > now_ms
         )
-        request = self.requester.request_if_needed(now, customer, planner, units_left)
+        request = self.requester.request_if_needed(now_ms, customer, planner, units_left)
         if request is not None:
             self._messages.append(request)
 
-    def unresponsive_planners(self, now: float) -> set[str]:
+    def unresponsive_planners(self, now_ms: float) -> set[str]:
         """Connected planners that should have answered a request by now."""
-        return self.requester.unresponsive_planners(now)
+        return self.requester.unresponsive_planners(now_ms)
 
     # Membership and shutdown
 
-    def hello(self, now: float) -> protocol.Hello:
+    def hello(self, now_ms: float) -> protocol.Hello:
         """First message on a new connection, with all leases that this forwarder holds."""
-        leases = [lease for lease in self.leases.values() if lease.units_left > 0 and lease.expires_at > now]
+        leases = [
+            lease for lease in self.leases.values() if lease.units_left > 0 and lease.expires_at_ms > now_ms
+        ]
         reported = [
             protocol.HeldLease(
-                lease.customer, lease.plan, lease.units_left, lease.expires_at + EXPIRY_MARGIN_MS - now
+                lease.customer, lease.plan, lease.units_left, lease.expires_at_ms + EXPIRY_MARGIN_MS - now_ms
             )
             for lease in leases[: protocol.MAX_REPORTED_LEASES]
         ]
@@ -204,7 +208,7 @@
         """Follows a later membership; leases of the former planners may be used until they expire."""
         if membership_version > self.membership_version:
             self.requester.update_membership(planners, membership_version)
-            self.last_heartbeat_at = -math.inf
+            self.last_heartbeat_at_ms = -math.inf
 
     def stop(self) -> None:
         """Returns all leases, also those granted from now on, and requests no more."""
--- a/onyxpost/forwarder/lease_requests.py
+++ b/onyxpost/forwarder/lease_requests.py
@@ -29,7 +29,7 @@
     """A lease request without an answer."""
 
     customer: int
-    sent_at: float
+    sent_at_ms: float
     planner: str
 
 
@@ -47,32 +47,34 @@
         self.pending_requests: dict[int, PendingRequest] = {}  # by request id
         self.last_request_id = 0
 
-    def record_use(self, now: float, customer: int, plan: str, units: int) -> None:
+    def record_use(self, now_ms: float, customer: int, plan: str, units: int) -> None:
         """Records units that a client request consumed or lacked."""
         if customer not in self.usage:
             self.usage[customer] = CustomerUsage(plan)
-        self.usage[customer].record(now, plan, units)
+        self.usage[customer].record(now_ms, plan, units)
 
-    def find_planner(self, now: float, customer: int) -> str | None:
+    def find_planner(self, now_ms: float, customer: int) -> str | None:
         """The planner from which a lease may be requested now, if there is one."""
         usage = self.usage[customer]
-        is_waiting = now < usage.retry_not_before or now - usage.request_sent_at < REQUEST_RETRY_MS
+        is_waiting = (
+            now_ms < usage.retry_not_before_ms or now_ms - usage.request_sent_at_ms < REQUEST_RETRY_MS
+        )
         if not self.planners or is_waiting:
             return None
         planner = planner_for_customer(self.planners, customer)
         return planner if self.sessions.is_connected(planner) else None
 
     def request_if_needed(
-        self, now: float, customer: int, planner: str, units_left: float
+        self, now_ms: float, customer: int, planner: str, units_left: float
     ) -> AddressedMessage | None:
         """A lease request, if `units_left` in the customer's leases are too few."""
         usage = self.usage[customer]
-        needed = usage.units_needed(now, self.sessions.lease_duration_ms(planner))
+        needed = usage.units_needed(now_ms, self.sessions.lease_duration_ms(planner))
         if units_left >= max(REFILL_THRESHOLD * needed, usage.largest_request):
             return None
         self.last_request_id += 1
-        usage.request_sent_at = now
-        self.pending_requests[self.last_request_id] = PendingRequest(customer, now, planner)
+        usage.request_sent_at_ms = now_ms
+        self.pending_requests[self.last_request_id] = PendingRequest(customer, now_ms, planner)
         request = protocol.LeaseRequest(
             self.last_request_id,
             customer,
@@ -93,13 +95,13 @@
         if usage is not None:
             usage.clear_pending_request()
 
-    def handle_rejection(self, now: float, rejection: protocol.LeaseRejection) -> bool:
+    def handle_rejection(self, now_ms: float, rejection: protocol.LeaseRejection) -> bool:
         """Waits the time that the planner gave; returns False for an unknown request."""
         request = self.pending_requests.pop(rejection.request_id, None)
         if request is None:
             return False
         usage = self.usage[request.customer]
-        usage.retry_not_before = now + min(rejection.retry_after_ms, MAX_RETRY_AFTER_MS)
+        usage.retry_not_before_ms = now_ms + min(rejection.retry_after_ms, MAX_RETRY_AFTER_MS)
         usage.clear_pending_request()
         return True
 
@@ -114,35 +116,35 @@
             if request.planner != planner
         }
 
-    def forget_requests(self, now: float) -> None:
+    def forget_requests(self, now_ms: float) -> None:
         """Drops requests that have been unanswered for long."""
         self.pending_requests = {
             request_id: request
             for request_id, request in self.pending_requests.items()
-            if now - request.sent_at < REQUEST_MEMORY_MS
+            if now_ms - request.sent_at_ms < REQUEST_MEMORY_MS
         }
 
-    def active_customers(self, now: float) -> list[int]:
+    def active_customers(self, now_ms: float) -> list[int]:
         """Customers seen lately; the others are dropped."""
         self.usage = {
             customer: usage
             for customer, usage in self.usage.items()
-            if now - usage.last_seen_at < USAGE_MEMORY_MS
+            if now_ms - usage.last_seen_at_ms < USAGE_MEMORY_MS
         }
         return list(self.usage)
 
-    def unresponsive_planners(self, now: float) -> set[str]:
+    def unresponsive_planners(self, now_ms: float) -> set[str]:
         """Connected planners that left a request unanswered, and sent nothing, for the answer timeout."""
         late = (
             request.planner
             for request in self.pending_requests.values()
-            if now - request.sent_at >= ANSWER_TIMEOUT_MS
+            if now_ms - request.sent_at_ms >= ANSWER_TIMEOUT_MS
         )
         return {
             planner
             for planner in late
             if self.sessions.is_connected(planner)
-            and now - self.sessions.last_received_at[planner] >= ANSWER_TIMEOUT_MS
+            and now_ms - self.sessions.last_received_at_ms[planner] >= ANSWER_TIMEOUT_MS
         }
 
     def is_awaiting_answer(self) -> bool:
@@ -156,4 +158,4 @@
         self.pending_requests = {}
         for usage in self.usage.values():
             usage.clear_pending_request()
-            usage.retry_not_before = -math.inf
+            usage.retry_not_before_ms = -math.inf
--- a/onyxpost/forwarder/planner_client.py
+++ b/onyxpost/forwarder/planner_client.py
@@ -23,7 +23,8 @@
     from collections.abc import Callable
 
     from onyxpost.config.address import Address
-    from onyxpost.edge.messages import EdgeEvent, ReportUnitsSpent, ReturnLease
+    from onyxpost.core.events import LeaseGranted, LeaseRevoked
+    from onyxpost.edge.messages import ReportUnitsSpent, ReturnLease
     from onyxpost.errors import OperatorError
     from onyxpost.runtime.transport import Transport
 
@@ -45,7 +46,7 @@
         forwarder: str,
         members: dict[str, Address],
         membership_version: int,
-        post: Callable[[EdgeEvent], None],
+        post: Callable[[LeaseGranted | LeaseRevoked], None],
         log: Callable[[LogEvent], None],
     ) -> None:
         self.net = net
@@ -107,17 +108,17 @@
             writer.transport.abort()
 
     async def _run_ticks(self) -> None:
-        logged_at = self.net.clock()
+        logged_at_ms = self.net.clock()
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            now = self.net.clock()
-            self.cache.tick(now)
+            now_ms = self.net.clock()
+            self.cache.tick(now_ms)
             self._deliver()
-            for planner in self.cache.unresponsive_planners(now) & self.writers.keys():
+            for planner in self.cache.unresponsive_planners(now_ms) & self.writers.keys():
                 error = PlannerUnavailableError(f"no answer for {ANSWER_TIMEOUT_MS:.0f} ms")
                 self._abort_connection(planner, error)
-            if now - logged_at >= STATISTICS_INTERVAL_MS:
-                logged_at = now
+            if now_ms - logged_at_ms >= STATISTICS_INTERVAL_MS:
+                logged_at_ms = now_ms
                 self.log(LogEvent("lease statistics", dict(self.cache.statistics())))
 
     # Connections
--- a/onyxpost/forwarder/planner_sessions.py
+++ b/onyxpost/forwarder/planner_sessions.py
@@ -14,13 +14,13 @@
     def __init__(self) -> None:
         self.epochs: dict[str, str] = {}  # of the planners that are connected
         self.lease_durations_ms: dict[str, float] = {}  # kept after a disconnect
-        self.last_received_at: dict[str, float] = {}
+        self.last_received_at_ms: dict[str, float] = {}
 
-    def open(self, now: float, planner: str, welcome: protocol.Welcome) -> None:
+    def open(self, now_ms: float, planner: str, welcome: protocol.Welcome) -> None:
         """A planner answered the hello."""
         self.epochs[planner] = welcome.epoch
         self.lease_durations_ms[planner] = welcome.lease_duration_ms
-        self.last_received_at[planner] = now
+        self.last_received_at_ms[planner] = now_ms
 
     def close(self, planner: str) -> None:
         """A planner's connection ended."""
--- a/onyxpost/leadership/acceptor.py
+++ b/onyxpost/leadership/acceptor.py
@@ -65,7 +65,7 @@
         if saved is not None:
             self.promised = saved.promised
             self.record = saved.record
-            self.era = saved.era
+            self.record_epoch_ms = saved.record_epoch_ms
             self.settled_version = saved.settled_version
             self.silent_until_ms = now_ms + timing.acceptor_lease_ms
             return
@@ -73,7 +73,7 @@
         # clock was set back by at most `skew_ms` since: whatever it promised is at most this number.
         self.promised = Ballot(int(now_ms + 2.0 * timing.skew_ms), NO_BALLOT.node, 0)
         self.record = EMPTY_RECORD
-        self.era = 0
+        self.record_epoch_ms = 0
         self.settled_version = 0
         self.silent_until_ms = now_ms + timing.restart_silence_ms
         self.recovery = AcceptorRecovery(node, role, timing, acceptors, self.silent_until_ms)
@@ -183,7 +183,11 @@
         self.promised = message.ballot
         self.promised_at_ms = now_ms
         promise = Promise(
-            role=self.role, version=message.version, ballot=message.ballot, record=self.record, era=self.era
+            role=self.role,
+            version=message.version,
+            ballot=message.ballot,
+            record=self.record,
+            record_epoch_ms=self.record_epoch_ms,
         )
         return [PersistState(self._state()), SendMessage(sender, promise)]
 
@@ -193,7 +197,7 @@
         self.promised = message.ballot
         if message.record is not None and (number, message.sequence) > self.record.recency():
             self.record = replace(message.record, ballot_number=number, sequence=message.sequence)
-        self.era = max(self.era, message.era)
+        self.record_epoch_ms = max(self.record_epoch_ms, message.record_epoch_ms)
         self.settled_version = max(self.settled_version, message.settled_version)
         self.lease.grant(message.ballot, now_ms + self.timing.acceptor_lease_ms)
         accepted = Accepted(
@@ -219,7 +223,7 @@
             queried_at_ms=query.queried_at_ms,
             is_voting=self.is_voting,
             record=self.record,
-            era=self.era,
+            record_epoch_ms=self.record_epoch_ms,
             settled_version=self.settled_version,
         )
 
@@ -228,7 +232,7 @@
         if recovered is None:
             return []
         self.record = recovered.record
-        self.era = recovered.era
+        self.record_epoch_ms = recovered.record_epoch_ms
         self.settled_version = recovered.settled_version
         return self.start_voting(recovered.reason)
 
@@ -245,6 +249,6 @@
             acceptor_set_version=self.acceptors.version,
             promised=self.promised,
             record=self.record,
-            era=self.era,
+            record_epoch_ms=self.record_epoch_ms,
             settled_version=self.settled_version,
         )
--- a/onyxpost/leadership/acceptor_recovery.py
+++ b/onyxpost/leadership/acceptor_recovery.py
@@ -26,7 +26,7 @@
     """The state with which the acceptor votes again."""
 
     record: Record
-    era: int
+    record_epoch_ms: int
     settled_version: int
     reason: str
 
@@ -85,12 +85,12 @@
         return self.starts_at_ms + INCOMPLETE_RECOVERY_SILENCES * self.timing.restart_silence_ms
 
 
-def _newest(replies: list[RecoveryReply], era: int, reason: str) -> RecoveredState:
-    """The newest record of the replies; `era` is 0, or now (Unix ms) if records may be lost."""
+def _newest(replies: list[RecoveryReply], record_epoch_ms: int, reason: str) -> RecoveredState:
+    """The newest record of the replies; `record_epoch_ms` is now if records may be lost, else 0."""
     records = (reply.record for reply in replies)
     return RecoveredState(
         record=max(records, key=Record.recency, default=EMPTY_RECORD),
-        era=max([era, *(reply.era for reply in replies)]),
+        record_epoch_ms=max([record_epoch_ms, *(reply.record_epoch_ms for reply in replies)]),
         settled_version=max([0, *(reply.settled_version for reply in replies)]),
         reason=reason,
     )
--- a/onyxpost/leadership/acceptor_state.py
+++ b/onyxpost/leadership/acceptor_state.py
@@ -18,7 +18,7 @@
     acceptor_set_version: int = msgspec.field(name="version")
     promised: Ballot
     record: Record
-    era: int
+    record_epoch_ms: int = msgspec.field(name="era")
     settled_version: int = msgspec.field(name="settled")
 
     @property
--- a/onyxpost/leadership/candidate.py
+++ b/onyxpost/leadership/candidate.py
@@ -51,7 +51,7 @@
 
     ballot: Ballot
     record: Record
-    era: int
+    record_epoch_ms: int
     requested_at_ms: float
     accepted_by: frozenset[str]
 
@@ -87,7 +87,7 @@
         self.accepted_by: set[str] = set()
         self.rejected_by: set[str] = set()
         self.record = EMPTY_RECORD
-        self.era = 0
+        self.record_epoch_ms = 0
 
     @property
     def has_open_ballot(self) -> bool:
@@ -148,7 +148,7 @@
         """
         newest = max((promise.record for promise in self.promises.values()), key=Record.recency)
         self.record = replace(newest, ballot_number=self.ballot.number)
-        self.era = max(promise.era for promise in self.promises.values())
+        self.record_epoch_ms = max(promise.record_epoch_ms for promise in self.promises.values())
         self._start_phase(Phase.ACCEPTING, now_ms, 2.0 * self.timing.response_timeout_ms)
         self.accepted_by = set()
         self.rejected_by = set()
@@ -161,7 +161,7 @@
                 lease_ms=self.timing.lease_ms,
                 sequence=self.record.sequence,
                 settled_version=0,
-                era=self.era,
+                record_epoch_ms=self.record_epoch_ms,
                 record=self.record,
             )
         )
@@ -210,7 +210,7 @@
         return ElectionWon(
             ballot=self.ballot,
             record=self.record,
-            era=self.era,
+            record_epoch_ms=self.record_epoch_ms,
             requested_at_ms=self.phase_started_at_ms,
             accepted_by=frozenset(self.accepted_by),
         )
--- a/onyxpost/leadership/effects.py
+++ b/onyxpost/leadership/effects.py
@@ -30,13 +30,13 @@
 class LeaseAcquired:
     """This node leads the role now.
 
-    Where `era` is later than `record.fencing_token`, committed writes may be missing.
+    Where `record_epoch_ms` is later than `record.fencing_token`, committed writes may be missing.
     """
 
     role: str
     fencing_token: int
     record: Record
-    era: int
+    record_epoch_ms: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/onyxpost/leadership/leader.py
+++ b/onyxpost/leadership/leader.py
@@ -37,7 +37,7 @@
         self.acceptors = acceptors
         self.ballot = election.ballot
         self.record = election.record
-        self.era = election.era
+        self.record_epoch_ms = election.record_epoch_ms
         self.lease_ends_at_ms = election.requested_at_ms + timing.lease_ms
         self.next_renewal_at_ms = election.requested_at_ms + timing.renew_interval_ms
         # The sequence of the newest record that each acceptor certainly has.
@@ -147,7 +147,7 @@
             lease_ms=self.timing.lease_ms,
             sequence=self.record.sequence,
             settled_version=self.settled_version,
-            era=self.era,
+            record_epoch_ms=self.record_epoch_ms,
             record=None if has_record else self.record,
         )
 
--- a/onyxpost/leadership/participant.py
+++ b/onyxpost/leadership/participant.py
@@ -90,7 +90,7 @@
             return outcome
         settings = self.settings
         self.leader = Leader(settings.name, settings.timing, self.acceptors, outcome)
-        return [LeaseAcquired(settings.name, outcome.ballot.number, outcome.record, outcome.era)]
+        return [LeaseAcquired(settings.name, outcome.ballot.number, outcome.record, outcome.record_epoch_ms)]
 
     def write(self, now_ms: float, body: bytes) -> list[Effect]:
         """Starts to replace the role's record; `RecordCommitted` confirms it.
--- a/onyxpost/leadership/protocol.py
+++ b/onyxpost/leadership/protocol.py
@@ -89,11 +89,15 @@
 
 
 class Promise(RoleMessage, tag="promise", frozen=True, kw_only=True):
-    """Acceptor to candidate: the ballot is promised; the record is the last one accepted (phase 1b)."""
+    """Acceptor to candidate: the ballot is promised; the record is the last one accepted (phase 1b).
+
+    `record_epoch_ms` is when acceptors last started anew after a majority lost its state (Unix ms); 0: never.
+    Records written before that moment may be missing.
+    """
 
     ballot: Ballot
     record: Record
-    era: Number
+    record_epoch_ms: Number = field(name="era")
 
 
 class Accept(RoleMessage, tag="accept", frozen=True, kw_only=True):
@@ -108,7 +112,7 @@
     lease_ms: Milliseconds = field(name="lasts")
     sequence: Number = field(name="seq")
     settled_version: Number = field(name="settled")
-    era: Number
+    record_epoch_ms: Number = field(name="era")
     record: Record | None = None
 
 
@@ -152,7 +156,7 @@
     queried_at_ms: Number = field(name="asked")
     is_voting: bool = field(name="votes")
     record: Record
-    era: Number
+    record_epoch_ms: Number = field(name="era")
     settled_version: Number = field(name="settled")
 
 
--- a/onyxpost/leadership/service_log.py
+++ b/onyxpost/leadership/service_log.py
@@ -58,7 +58,7 @@
     def lease_acquired(self, change: LeaseAcquired) -> None:
         """This node leads a role now."""
         self.counters.acquired += 1
-        more = {**_record_fields(change.record), "era": change.era}
+        more = {**_record_fields(change.record), "era": change.record_epoch_ms}
         self._role_event(LEASE_ACQUIRED, change.role, change.fencing_token, more)
 
     def lease_lost(self, change: LeaseLost, held_ms: float, ago_ms: float) -> None:
--- a/onyxpost/planner/customer_account.py
+++ b/onyxpost/planner/customer_account.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, NamedTuple
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.planner.leased_token_bucket import EMPTY_BUCKET, BucketSize, LeasedTokenBucket
 
 if TYPE_CHECKING:
@@ -23,41 +24,41 @@
     forwarder: str
     customer: int
     units: int  # neither spent nor returned, as far as the planner knows
-    expires_at: float  # by the planner's clock
-    last_used_at: float = 0.0  # when use was last reported, at first when it was granted
+    expires_at_ms: float  # by the planner's clock
+    last_used_at_ms: float = 0.0  # when use was last reported, at first when it was granted
     is_revoked: bool = False
 
 
 class RecentRequest(NamedTuple):
     """The last request of one forwarder."""
 
-    received_at: float
+    received_at_ms: float
     missing_units: int  # requested, and not granted so far
 
 
 class CustomerAccount:
     """State of one customer at its planner."""
 
-    def __init__(self, plan: Plan, sizes: list[BucketSize], opens_at: float, now: float) -> None:
+    def __init__(self, plan: Plan, sizes: list[BucketSize], opens_at_ms: float, now_ms: float) -> None:
         self.plan = plan
-        self.buckets = [LeasedTokenBucket(size, opens_at) for size in sizes]
-        self.last_seen_at = now
+        self.buckets = [LeasedTokenBucket(size, opens_at_ms) for size in sizes]
+        self.last_seen_at_ms = now_ms
         self.leases: dict[int, Lease] = {}
         self.recent_requests: dict[str, RecentRequest] = {}  # by forwarder
 
-    def available_units(self, now: float) -> float:
+    def available_units(self, now_ms: float) -> float:
         """Units that can be leased now: what the strictest limit allows."""
         for bucket in self.buckets:
-            bucket.refill(now)
+            bucket.refill(now_ms)
         return min(bucket.available for bucket in self.buckets)
 
-    def is_forgettable(self, now: float) -> bool:
+    def is_forgettable(self, now_ms: float) -> bool:
         """Whether a new account would be in the same state: full buckets, no lease, long unused."""
-        self.available_units(now)
+        self.available_units(now_ms)
         is_full = all(bucket.available >= bucket.burst for bucket in self.buckets)
-        return is_full and not self.leases and now - self.last_seen_at > ACCOUNT_MEMORY_MS
+        return is_full and not self.leases and now_ms - self.last_seen_at_ms > ACCOUNT_MEMORY_MS
 
-    def fair_share(self, now: float, units: int, min_units: int) -> float:
+    def fair_share(self, now_ms: float, units: int, min_units: int) -> float:
         """The units that may be granted to a request of `units`, which `recent_requests` contains already.
 
         All available units if they suffice for all recent requests, else a part in proportion to them. A part
@@ -66,10 +67,10 @@
         self.recent_requests = {
             forwarder: request
             for forwarder, request in self.recent_requests.items()
-            if now - request.received_at <= REQUEST_MEMORY_MS
+            if now_ms - request.received_at_ms <= REQUEST_MEMORY_MS
         }
         wanted = sum(request.missing_units for request in self.recent_requests.values())
-        available = self.available_units(now)
+        available = self.available_units(now_ms)
         if wanted <= available:
             return available
         return max(min(min_units, available), available * units / wanted)
@@ -77,22 +78,22 @@
     def ms_until_available(self, units: int) -> float:
         """Time until the refill alone makes `units` available; infinite if it never does."""
         return max(
-            (units - bucket.available) / bucket.rate * 1000.0 if bucket.rate else float("inf")
+            (units - bucket.available) / bucket.rate * MS_PER_SECOND if bucket.rate else float("inf")
             for bucket in self.buckets
         )
 
-    def revoke_idle_lease(self, now: float, requester: str) -> Lease | None:
+    def revoke_idle_lease(self, now_ms: float, requester: str) -> Lease | None:
         """Revokes the longest unused lease of another forwarder, if there is one that is idle."""
         candidates = [
             lease for lease in self.leases.values() if lease.forwarder != requester and not lease.is_revoked
         ]
-        lease = min(candidates, key=lambda candidate: candidate.last_used_at, default=None)
-        if lease is None or now - lease.last_used_at < IDLE_BEFORE_REVOCATION_MS:
+        lease = min(candidates, key=lambda candidate: candidate.last_used_at_ms, default=None)
+        if lease is None or now_ms - lease.last_used_at_ms < IDLE_BEFORE_REVOCATION_MS:
             return None
         lease.is_revoked = True
         return lease
 
-    def resize(self, now: float, plan: Plan | None, sizes: list[BucketSize]) -> None:
+    def resize(self, now_ms: float, plan: Plan | None, sizes: list[BucketSize]) -> None:
         """Applies a changed plan; `plan` is None if it was removed, and `sizes` is then empty.
 
         Sizes are matched to buckets by position (quota, then hard limit). If the plan gained or lost a limit,
@@ -104,7 +105,7 @@
             self.plan = plan
         padded = (sizes + [EMPTY_BUCKET] * count)[:count]
         for bucket, size in zip(self.buckets, padded, strict=True):
-            bucket.resize(now, size)
+            bucket.resize(now_ms, size)
 
     def revoke_surplus(self) -> list[Lease]:
         """Revokes the newest leases until what stays leased fits the burst; returns the revoked ones."""
--- a/onyxpost/planner/lease_coordinator.py
+++ b/onyxpost/planner/lease_coordinator.py
@@ -33,46 +33,48 @@
 class LeaseCoordinator:
     """State machine of one planner, from its start to its end."""
 
-    def __init__(self, config: PlannerConfig, epoch: str, now: float, log: EventLog) -> None:
+    def __init__(self, config: PlannerConfig, epoch: str, now_ms: float, log: EventLog) -> None:
         self.config = config
         self.epoch = epoch
         self.log = log
-        self.ledger = LeaseLedger(now, config.plans, config.lease_terms, 1.0 - config.safe_share)
+        self.ledger = LeaseLedger(now_ms, config.plans, config.lease_terms, 1.0 - config.safe_share)
         self.quorum = PlannerQuorum(config.forwarders, config.membership_version)
         self.is_granting = False
         self.reported_leases: dict[str, list[ReportedLease]] = {}  # by forwarder, until the ledger opens
 
-    def tick(self, now: float) -> None:
+    def tick(self, now_ms: float) -> None:
         """Expires leases and follows the quorum; to be called every few tens of milliseconds."""
-        self.ledger.expire(now)
-        self._handle_quorum_loss(now)
-        if self.quorum.detect_gain(now):
+        self.ledger.expire(now_ms)
+        self._handle_quorum_loss(now_ms)
+        if self.quorum.detect_gain(now_ms):
             # Another membership version may have had the majority until a moment ago.
             drift_margin = 1.0 + 2.0 * self.config.lease_terms.clock_drift
-            self.ledger.reset_and_wait(now, HEARTBEAT_VALIDITY_MS * drift_margin)
+            self.ledger.reset_and_wait(now_ms, HEARTBEAT_VALIDITY_MS * drift_margin)
         has_all_reports = len(self.reported_leases) == len(self.config.forwarders)
-        if now < self.ledger.opens_at and has_all_reports and self.quorum.has_all(now):
-            self.ledger.recover(now, (lease for leases in self.reported_leases.values() for lease in leases))
+        if now_ms < self.ledger.opens_at_ms and has_all_reports and self.quorum.has_all(now_ms):
+            self.ledger.recover(
+                now_ms, (lease for leases in self.reported_leases.values() for lease in leases)
+            )
             self.log("leases recovered", forwarders=len(self.reported_leases), leases=len(self.ledger.leases))
-        is_granting = self.quorum.is_established and now >= self.ledger.opens_at
+        is_granting = self.quorum.is_established and now_ms >= self.ledger.opens_at_ms
         if is_granting != self.is_granting:
             self.is_granting = is_granting
             event = "granting started" if is_granting else "granting stopped"
-            self.log(event, followers=len(self.quorum.last_heartbeats))
+            self.log(event, followers=len(self.quorum.last_heartbeats_at_ms))
 
-    def _handle_quorum_loss(self, now: float) -> None:
-        if self.quorum.detect_loss(now):
+    def _handle_quorum_loss(self, now_ms: float) -> None:
+        if self.quorum.detect_loss(now_ms):
             self.reported_leases = {}
 
-    def _record_heartbeat(self, now: float, forwarder: str, membership_version: int) -> bool:
+    def _record_heartbeat(self, now_ms: float, forwarder: str, membership_version: int) -> bool:
         # A loss is looked for before this heartbeat counts: it may have been sent long ago.
-        self._handle_quorum_loss(now)
-        return self.quorum.record_heartbeat(now, forwarder, membership_version)
+        self._handle_quorum_loss(now_ms)
+        return self.quorum.record_heartbeat(now_ms, forwarder, membership_version)
 
-    def handle_hello(self, now: float, hello: protocol.Hello) -> protocol.Welcome:
+    def handle_hello(self, now_ms: float, hello: protocol.Hello) -> protocol.Welcome:
         """Records a forwarder's heartbeat and, while this planner waits, its leases; returns the answer."""
-        is_follower = self._record_heartbeat(now, hello.forwarder, hello.membership_version)
-        is_waiting = now < self.ledger.opens_at or not self.quorum.is_established
+        is_follower = self._record_heartbeat(now_ms, hello.forwarder, hello.membership_version)
+        is_waiting = now_ms < self.ledger.opens_at_ms or not self.quorum.is_established
         if is_follower and hello.is_complete and is_waiting:
             drift_margin = 1.0 + 2.0 * self.config.lease_terms.clock_drift
             self.reported_leases[hello.forwarder] = [
@@ -81,7 +83,7 @@
                     lease.customer,
                     lease.plan,
                     lease.units,
-                    now + lease.remaining_ms * drift_margin,
+                    now_ms + lease.remaining_ms * drift_margin,
                 )
                 for lease in hello.held_leases
             ]
@@ -98,26 +100,26 @@
         self.quorum.remove_follower(forwarder)
 
     def handle_message(
-        self, now: float, forwarder: str, message: protocol.ForwarderMessage
+        self, now_ms: float, forwarder: str, message: protocol.ForwarderMessage
     ) -> list[AddressedMessage]:
         """Handles a message of a connected forwarder. Raises MalformedFrameError for a second hello."""
         match message:
             case protocol.MembershipHeartbeat():
-                self._record_heartbeat(now, forwarder, message.membership_version)
+                self._record_heartbeat(now_ms, forwarder, message.membership_version)
             case protocol.LeaseRequest():
-                return self._handle_lease_request(now, forwarder, message)
+                return self._handle_lease_request(now_ms, forwarder, message)
             case protocol.UsageReport():
                 if message.epoch == self.epoch:
-                    self.ledger.record_use(now, forwarder, message.lease_id, message.units)
+                    self.ledger.record_use(now_ms, forwarder, message.lease_id, message.units)
             case protocol.LeaseReturn():
                 if message.epoch == self.epoch:
-                    self.ledger.return_lease(now, forwarder, message.lease_id, message.unused_units)
+                    self.ledger.return_lease(now_ms, forwarder, message.lease_id, message.unused_units)
             case protocol.Hello():
                 raise MalformedFrameError("a second hello")
         return []
 
     def _handle_lease_request(
-        self, now: float, forwarder: str, request: protocol.LeaseRequest
+        self, now_ms: float, forwarder: str, request: protocol.LeaseRequest
     ) -> list[AddressedMessage]:
         def reject(retry_after_ms: float, reason: str) -> AddressedMessage:
             limited_ms = min(max(0.0, retry_after_ms), protocol.MAX_RETRY_AFTER_MS)
@@ -129,10 +131,10 @@
         if planner_for_customer(self.config.planners, request.customer) != self.config.name:
             return [reject(MISCONFIGURED_RETRY_MS, "not this planner's customer")]
         # Until a tick has established the quorum, the wait for another version's leases has not begun.
-        if not (self.quorum.is_established and self.quorum.has_majority(now)):
+        if not (self.quorum.is_established and self.quorum.has_majority(now_ms)):
             return [reject(NO_QUORUM_RETRY_MS, "less than half follow")]
         result = self.ledger.request_lease(
-            now, forwarder, request.customer, request.plan, request.units, request.min_units
+            now_ms, forwarder, request.customer, request.plan, request.units, request.min_units
         )
         if isinstance(result, Rejection):
             answer = reject(result.retry_after_ms, "nothing is free")
@@ -145,7 +147,7 @@
         )
         return [AddressedMessage(forwarder, grant)]
 
-    def update_config(self, now: float, config: PlannerConfig) -> list[AddressedMessage]:
+    def update_config(self, now_ms: float, config: PlannerConfig) -> list[AddressedMessage]:
         """Applies a reloaded file; returns revocations of leases that its plans no longer allow.
 
         Raises StaleVersionError or RestartRequiredError for a file that cannot be applied.
@@ -164,14 +166,14 @@
             self.reported_leases = {}
         return [
             AddressedMessage(lease.forwarder, protocol.LeaseRevocation(lease.lease_id, self.epoch))
-            for lease in self.ledger.update_plans(now, config.plans)
+            for lease in self.ledger.update_plans(now_ms, config.plans)
         ]
 
     def statistics(self) -> dict[str, int]:
         """Counters and current sizes, for the log."""
         counters = self.ledger.counters
         return {
-            "followers": len(self.quorum.last_heartbeats),
+            "followers": len(self.quorum.last_heartbeats_at_ms),
             "granted": counters.granted,
             "spent": counters.spent,
             "expired": counters.expired,
--- a/onyxpost/planner/lease_ledger.py
+++ b/onyxpost/planner/lease_ledger.py
@@ -41,7 +41,7 @@
     customer: int
     plan: str
     units: int
-    expires_at: float  # by the planner's clock
+    expires_at_ms: float  # by the planner's clock
 
 
 class Rejection(NamedTuple):
@@ -69,11 +69,15 @@
     own, as their safe shares.
     """
 
-    def __init__(self, now: float, plans: Iterable[Plan], terms: LeaseTerms, leasable_share: float) -> None:
+    def __init__(
+        self, now_ms: float, plans: Iterable[Plan], terms: LeaseTerms, leasable_share: float
+    ) -> None:
         self.terms = terms
         self.leasable_share = leasable_share
         self.plans = {plan.name: plan for plan in plans}
-        self.opens_at = now + terms.planner_duration_ms  # by then the previous incarnation's leases are over
+        self.opens_at_ms = (
+            now_ms + terms.planner_duration_ms
+        )  # by then the previous incarnation's leases are over
         self.accounts: dict[int, CustomerAccount] = {}
         self.leases: dict[int, Lease] = {}
         self.last_lease_id = 0
@@ -81,24 +85,24 @@
 
     # Start and recovery
 
-    def reset_and_wait(self, now: float, extra_ms: float = 0.0) -> None:
+    def reset_and_wait(self, now_ms: float, extra_ms: float = 0.0) -> None:
         """Forgets all accounts and leases; grants nothing until those that any planner granted are over."""
-        self.opens_at = now + self.terms.planner_duration_ms + extra_ms
+        self.opens_at_ms = now_ms + self.terms.planner_duration_ms + extra_ms
         self.accounts = {}
         self.leases = {}
 
-    def recover(self, now: float, reports: Iterable[ReportedLease]) -> None:
+    def recover(self, now_ms: float, reports: Iterable[ReportedLease]) -> None:
         """Opens with the leases that all forwarders reported; no other lease can exist.
 
         Use of these leases is not reported to this incarnation, so they count as spent when they expire.
         """
-        self.opens_at = now
+        self.opens_at_ms = now_ms
         self.accounts = {}
         self.leases = {}
         for report in reports:
             plan = self.plans.get(report.plan)
-            if plan is not None and report.expires_at > now:
-                account = self.get_or_create_account(now, report.customer, plan)
+            if plan is not None and report.expires_at_ms > now_ms:
+                account = self.get_or_create_account(now_ms, report.customer, plan)
                 self.last_lease_id += 1
                 self._add_lease(
                     account,
@@ -107,20 +111,20 @@
                         report.forwarder,
                         report.customer,
                         report.units,
-                        report.expires_at,
+                        report.expires_at_ms,
                         is_revoked=True,
                     ),
                 )
                 for bucket in account.buckets:
                     bucket.leased += report.units
 
-    def get_or_create_account(self, now: float, customer: int, plan: Plan) -> CustomerAccount:
+    def get_or_create_account(self, now_ms: float, customer: int, plan: Plan) -> CustomerAccount:
         """The account of a customer, marked as seen now."""
         account = self.accounts.get(customer)
         if account is None:
-            account = CustomerAccount(plan, self._bucket_sizes(plan), self.opens_at, now)
+            account = CustomerAccount(plan, self._bucket_sizes(plan), self.opens_at_ms, now_ms)
             self.accounts[customer] = account
-        account.last_seen_at = now
+        account.last_seen_at_ms = now_ms
         return account
 
     def _bucket_sizes(self, plan: Plan) -> list[BucketSize]:
@@ -138,25 +142,25 @@
     # Messages of forwarders
 
     def request_lease(
-        self, now: float, forwarder: str, customer: int, plan_name: str, units: int, min_units: int = 1
+        self, now_ms: float, forwarder: str, customer: int, plan_name: str, units: int, min_units: int = 1
     ) -> Lease | Rejection:
         """Grants up to `units`, or nothing if fewer than `min_units` can be granted."""
         plan = self.plans.get(plan_name)
         if plan is None or units <= 0:
             return self._reject(math.inf)
-        account = self.get_or_create_account(now, customer, plan)
-        account.recent_requests[forwarder] = RecentRequest(now, units)
-        if now < self.opens_at:
-            return self._reject(self.opens_at - now)
+        account = self.get_or_create_account(now_ms, customer, plan)
+        account.recent_requests[forwarder] = RecentRequest(now_ms, units)
+        if now_ms < self.opens_at_ms:
+            return self._reject(self.opens_at_ms - now_ms)
         if not account.buckets:  # a plan without limits
-            return self._grant(now, account, forwarder, customer, units)
+            return self._grant(now_ms, account, forwarder, customer, units)
         min_units = max(1, min(min_units, units))
-        share = account.fair_share(now, units, min_units)
+        share = account.fair_share(now_ms, units, min_units)
         granted = min(units, math.floor(share + ROUNDING_TOLERANCE))
-        account.recent_requests[forwarder] = RecentRequest(now, units - max(0, granted))
+        account.recent_requests[forwarder] = RecentRequest(now_ms, units - max(0, granted))
         if granted >= min_units:
-            return self._grant(now, account, forwarder, customer, granted)
-        idle_lease = account.revoke_idle_lease(now, forwarder)
+            return self._grant(now_ms, account, forwarder, customer, granted)
+        idle_lease = account.revoke_idle_lease(now_ms, forwarder)
         if idle_lease is not None:
             return self._reject(REVOCATION_RETRY_MS, idle_lease)
         return self._reject(max(MIN_RETRY_MS, account.ms_until_available(min_units)))
@@ -166,30 +170,30 @@
         return Rejection(retry_after_ms, revoked)
 
     def _grant(
-        self, now: float, account: CustomerAccount, forwarder: str, customer: int, units: int
+        self, now_ms: float, account: CustomerAccount, forwarder: str, customer: int, units: int
     ) -> Lease:
         self.last_lease_id += 1
         self.counters.granted += units
-        expires_at = now + self.terms.planner_duration_ms
-        lease = Lease(self.last_lease_id, forwarder, customer, units, expires_at, last_used_at=now)
+        expires_at_ms = now_ms + self.terms.planner_duration_ms
+        lease = Lease(self.last_lease_id, forwarder, customer, units, expires_at_ms, last_used_at_ms=now_ms)
         self._add_lease(account, lease)
         for bucket in account.buckets:
             bucket.lease(units)
         return lease
 
-    def record_use(self, now: float, forwarder: str, lease_id: int, units: int) -> None:
+    def record_use(self, now_ms: float, forwarder: str, lease_id: int, units: int) -> None:
         """Counts `units` of a lease as spent; a report about another forwarder's lease is ignored."""
         lease = self._lease_of(forwarder, lease_id)
         if lease is None:
             return
         spent = min(max(0, units), lease.units)
         lease.units -= spent
-        lease.last_used_at = now
+        lease.last_used_at_ms = now_ms
         self.counters.spent += spent
         for bucket in self.accounts[lease.customer].buckets:
-            bucket.settle(now, spent, 0.0)
+            bucket.settle(now_ms, spent, 0.0)
 
-    def return_lease(self, now: float, forwarder: str, lease_id: int, unused_units: int) -> None:
+    def return_lease(self, now_ms: float, forwarder: str, lease_id: int, unused_units: int) -> None:
         """Ends a lease. Units that are not returned as unused count as spent, reported or not."""
         lease = self._lease_of(forwarder, lease_id)
         if lease is None:
@@ -197,42 +201,42 @@
         returned = min(max(0, unused_units), lease.units)
         self.counters.returned += returned
         self.counters.spent += lease.units - returned
-        self._end_lease(now, lease, returned)
+        self._end_lease(now_ms, lease, returned)
 
     def _lease_of(self, forwarder: str, lease_id: int) -> Lease | None:
         lease = self.leases.get(lease_id)
         return lease if lease is not None and lease.forwarder == forwarder else None
 
-    def _end_lease(self, now: float, lease: Lease, unused_units: int) -> None:
+    def _end_lease(self, now_ms: float, lease: Lease, unused_units: int) -> None:
         account = self.accounts[lease.customer]
         for bucket in account.buckets:
-            bucket.settle(now, lease.units, unused_units)
+            bucket.settle(now_ms, lease.units, unused_units)
         del self.leases[lease.lease_id]
         del account.leases[lease.lease_id]
 
     # Time and configuration
 
-    def expire(self, now: float) -> list[Lease]:
+    def expire(self, now_ms: float) -> list[Lease]:
         """Ends the leases whose time is over, their units counted as spent; drops unused accounts."""
-        expired = [lease for lease in self.leases.values() if now >= lease.expires_at]
+        expired = [lease for lease in self.leases.values() if now_ms >= lease.expires_at_ms]
         for lease in expired:
             self.counters.expired += lease.units
-            self._end_lease(now, lease, 0)
-        if now >= self.opens_at:
+            self._end_lease(now_ms, lease, 0)
+        if now_ms >= self.opens_at_ms:
             self.accounts = {
                 customer: account
                 for customer, account in self.accounts.items()
-                if not account.is_forgettable(now)
+                if not account.is_forgettable(now_ms)
             }
         return expired
 
-    def update_plans(self, now: float, plans: Iterable[Plan]) -> list[Lease]:
+    def update_plans(self, now_ms: float, plans: Iterable[Plan]) -> list[Lease]:
         """Applies changed plans; returns the leases that are revoked because more is leased than allowed."""
         self.plans = {plan.name: plan for plan in plans}
         revoked: list[Lease] = []
         for account in self.accounts.values():
             plan = self.plans.get(account.plan.name)
-            account.resize(now, plan, [] if plan is None else self._bucket_sizes(plan))
+            account.resize(now_ms, plan, [] if plan is None else self._bucket_sizes(plan))
             revoked += account.revoke_surplus()
         return revoked
 
--- a/onyxpost/planner/leased_token_bucket.py
+++ b/onyxpost/planner/leased_token_bucket.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-MS_PER_SECOND = 1000.0
+from onyxpost.core.units import MS_PER_SECOND
 
 
 class BucketSize(NamedTuple):
@@ -24,36 +24,36 @@
     out leave no space to refill, so all lease holders together use at most `burst + rate * t` in any time t.
     """
 
-    def __init__(self, size: BucketSize, opens_at: float) -> None:
+    def __init__(self, size: BucketSize, opens_at_ms: float) -> None:
         self.rate = size.rate
         self.burst = size.burst
         self.available = 0.0
         self.leased = 0.0
-        self.refilled_at = opens_at
+        self.refilled_at_ms = opens_at_ms
 
-    def refill(self, now: float) -> None:
+    def refill(self, now_ms: float) -> None:
         """Adds the tokens of the time since the last refill."""
-        if now > self.refilled_at:
+        if now_ms > self.refilled_at_ms:
             capacity = max(0.0, self.burst - self.leased)
-            added = self.rate * (now - self.refilled_at) / MS_PER_SECOND
+            added = self.rate * (now_ms - self.refilled_at_ms) / MS_PER_SECOND
             self.available = min(capacity, self.available + added)
-            self.refilled_at = now
+            self.refilled_at_ms = now_ms
 
     def lease(self, units: float) -> None:
         """Moves available tokens into a lease."""
         self.available -= units
         self.leased += units
 
-    def settle(self, now: float, units: float, unused: float) -> None:
+    def settle(self, now_ms: float, units: float, unused: float) -> None:
         """Ends the lease of `units` tokens, of which `unused` were not spent and become available again."""
         # Refilled first: the time before now must not refill the space that these tokens give up only now.
-        self.refill(now)
+        self.refill(now_ms)
         self.leased -= units
         self.available = min(max(0.0, self.burst - self.leased), self.available + unused)
 
-    def resize(self, now: float, size: BucketSize) -> None:
+    def resize(self, now_ms: float, size: BucketSize) -> None:
         """Changes rate and burst; tokens above the new burst are dropped."""
-        self.refill(now)
+        self.refill(now_ms)
         self.rate = size.rate
         self.burst = size.burst
         self.available = min(self.available, max(0.0, size.burst - self.leased))
--- a/onyxpost/planner/planner.py
+++ b/onyxpost/planner/planner.py
@@ -10,7 +10,7 @@
 
 from onyxpost.cluster.errors import MalformedFrameError
 from onyxpost.cluster.frames import has_buffer_space
-from onyxpost.cluster.unidentified import UnidentifiedConnections
+from onyxpost.cluster.unidentified import MAX_ACCEPTS_PER_TURN, UnidentifiedConnections
 from onyxpost.errors import InvalidInputError
 from onyxpost.planner import protocol
 from onyxpost.planner.errors import SlowReaderError
@@ -29,7 +29,6 @@
 HELLO_TIMEOUT_SECONDS = 2.0
 SILENCE_TIMEOUT_SECONDS = 10.0  # a connection on which nothing is received for this long is closed
 READ_BUFFER_BYTES = 65_536
-ACCEPT_BACKLOG = 128
 # Connections without a hello, beyond one for each forwarder; above this the oldest is aborted.
 MAX_EXTRA_UNIDENTIFIED = 64
 
@@ -73,7 +72,7 @@
         stop_requested = asyncio.Event()
         self.net.install_signal_handlers(stop_requested.set, self.reload)
         self.listener = await self.net.listen(
-            self._handle_connection, self.config.listen, READ_BUFFER_BYTES, ACCEPT_BACKLOG
+            self._handle_connection, self.config.listen, READ_BUFFER_BYTES, MAX_ACCEPTS_PER_TURN
         )
         self._log(
             "phase", phase="serving", epoch=self.coordinator.epoch, version=self.config.membership_version
@@ -113,13 +112,13 @@
         )
 
     async def _run_ticks(self) -> None:
-        logged_at = self.net.clock()
+        logged_at_ms = self.net.clock()
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            now = self.net.clock()
-            self.coordinator.tick(now)
-            if now - logged_at >= STATISTICS_INTERVAL_MS:
-                logged_at = now
+            now_ms = self.net.clock()
+            self.coordinator.tick(now_ms)
+            if now_ms - logged_at_ms >= STATISTICS_INTERVAL_MS:
+                logged_at_ms = now_ms
                 self._log("lease statistics", **self.coordinator.statistics())
 
     # Connections
--- a/onyxpost/planner/quorum.py
+++ b/onyxpost/planner/quorum.py
@@ -13,11 +13,12 @@
 
 from typing import TYPE_CHECKING
 
+from onyxpost.cluster.heartbeat_timing import HEARTBEAT_INTERVAL_MS
+
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-HEARTBEAT_VALIDITY_MS = 1500.0  # how long a forwarder's heartbeat counts: three intervals
-HEARTBEAT_INTERVAL_MS = 500.0  # time between a forwarder's heartbeats
+HEARTBEAT_VALIDITY_MS = 3 * HEARTBEAT_INTERVAL_MS  # how long a forwarder's heartbeat counts
 
 
 class PlannerQuorum:
@@ -26,45 +27,51 @@
     def __init__(self, forwarders: Sequence[str], membership_version: int) -> None:
         self.forwarders = set(forwarders)
         self.membership_version = membership_version
-        self.last_heartbeats: dict[str, float] = {}  # time of each follower's last heartbeat
+        self.last_heartbeats_at_ms: dict[str, float] = {}  # time of each follower's last heartbeat
         self.is_established = False  # a gain was detected, and no loss since
 
-    def record_heartbeat(self, now: float, forwarder: str, membership_version: int) -> bool:
+    def record_heartbeat(self, now_ms: float, forwarder: str, membership_version: int) -> bool:
         """Records the version that a forwarder follows; returns whether it counts for this planner."""
         if forwarder not in self.forwarders or membership_version != self.membership_version:
-            self.last_heartbeats.pop(forwarder, None)
+            self.last_heartbeats_at_ms.pop(forwarder, None)
             return False
-        self.last_heartbeats[forwarder] = now
+        self.last_heartbeats_at_ms[forwarder] = now_ms
         return True
 
     def remove_follower(self, forwarder: str) -> None:
         """A forwarder's connection ended; its last heartbeat counts no longer."""
-        self.last_heartbeats.pop(forwarder, None)
+        self.last_heartbeats_at_ms.pop(forwarder, None)
 
-    def has_majority(self, now: float) -> bool:
+    def has_majority(self, now_ms: float) -> bool:
         """Whether more than half of all forwarders sent a valid heartbeat."""
-        alive = sum(1 for at in self.last_heartbeats.values() if now - at <= HEARTBEAT_VALIDITY_MS)
+        alive = sum(self._is_valid(now_ms, at_ms) for at_ms in self.last_heartbeats_at_ms.values())
         return 2 * alive > len(self.forwarders)
 
-    def has_all(self, now: float) -> bool:
+    @staticmethod
+    def _is_valid(now_ms: float, heartbeat_at_ms: float) -> bool:
+        return now_ms - heartbeat_at_ms <= HEARTBEAT_VALIDITY_MS
+
+    def has_all(self, now_ms: float) -> bool:
         """Whether every forwarder sent a valid heartbeat."""
-        is_complete = len(self.last_heartbeats) == len(self.forwarders)
-        return is_complete and all(now - at <= HEARTBEAT_VALIDITY_MS for at in self.last_heartbeats.values())
+        is_complete = len(self.last_heartbeats_at_ms) == len(self.forwarders)
+        return is_complete and all(
+            self._is_valid(now_ms, at_ms) for at_ms in self.last_heartbeats_at_ms.values()
+        )
 
-    def detect_loss(self, now: float) -> bool:
+    def detect_loss(self, now_ms: float) -> bool:
         """Whether the established majority has been lost since the last call.
 
         Heartbeats sent long ago may still be unread, here or on the way, and would seem to restore the
         majority; so it has to be gained anew, as at the start.
         """
-        if not self.is_established or self.has_majority(now):
+        if not self.is_established or self.has_majority(now_ms):
             return False
         self.is_established = False
         return True
 
-    def detect_gain(self, now: float) -> bool:
+    def detect_gain(self, now_ms: float) -> bool:
         """Whether the majority has been gained since the last call."""
-        if self.is_established or not self.has_majority(now):
+        if self.is_established or not self.has_majority(now_ms):
             return False
         self.is_established = True
         return True
@@ -75,6 +82,6 @@
             return False
         self.forwarders = set(forwarders)
         self.membership_version = membership_version
-        self.last_heartbeats = {}
+        self.last_heartbeats_at_ms = {}
         self.is_established = False
         return True
--- a/tests/cluster/test_failure_detector.py
+++ b/tests/cluster/test_failure_detector.py
@@ -4,7 +4,6 @@
 
 from onyxpost.cluster.failure_detector import (
     DISCONNECT_TIMEOUT_MS,
-    HEARTBEAT_INTERVAL_MS,
     SLOW_ROUND_TRIP_MS,
     SUSPICION_TIMEOUT_MS,
     CheckResult,
@@ -12,6 +11,7 @@
     PeerState,
     PeerStateChange,
 )
+from onyxpost.cluster.heartbeat_timing import HEARTBEAT_INTERVAL_MS
 
 STEP_MS = 50.0
 CHECK_INTERVAL_MS = 100.0
--- a/tests/compatibility/meanings.py
+++ b/tests/compatibility/meanings.py
@@ -82,7 +82,7 @@
             "fencing token": record.fencing_token,
             "body": record.body.hex(),
         },
-        "era": state.era,
+        "era": state.record_epoch_ms,
         "settled version": state.settled_version,
     }
 
--- a/tests/compatibility/record_simulation_digests.py
+++ b/tests/compatibility/record_simulation_digests.py
@@ -487,7 +487,7 @@
             case effects.LeaseAcquired():
                 record = effect.record
                 digest.add(time_us, "taken", runner.registry.identity.name, effect.role, effect.fencing_token)
-                digest.add(record.sequence, record.body, effect.era)
+                digest.add(record.sequence, record.body, effect.record_epoch_ms)
             case effects.LeaseLost():
                 digest.add(time_us, "lost", runner.registry.identity.name, effect.role, effect.fencing_token)
             case effects.RecordCommitted():
--- a/tests/compatibility/values.py
+++ b/tests/compatibility/values.py
@@ -235,11 +235,17 @@
         lease_ms=2000.0,
         sequence=9,
         settled_version=1,
-        era=8,
+        record_epoch_ms=8,
         record=RECORD,
     )
     told = m.RecoveryReply(
-        role="rollout", version=2, queried_at_ms=11, is_voting=True, record=RECORD, era=8, settled_version=2
+        role="rollout",
+        version=2,
+        queried_at_ms=11,
+        is_voting=True,
+        record=RECORD,
+        record_epoch_ms=8,
+        settled_version=2,
     )
     release = m.Release(role="rollout", version=2, ballot=BALLOT, was_leader=True)
     return {
@@ -250,9 +256,9 @@
         ),
         "seen, does not vote": msgspec.structs.replace(seen, is_voting=False),
         "prepare": m.Prepare(role="rollout", version=2, ballot=BALLOT),
-        "promise": m.Promise(role="rollout", version=2, ballot=BALLOT, record=RECORD, era=8),
+        "promise": m.Promise(role="rollout", version=2, ballot=BALLOT, record=RECORD, record_epoch_ms=8),
         "promise, empty record": m.Promise(
-            role="rollout", version=2, ballot=BALLOT, record=EMPTY_RECORD, era=0
+            role="rollout", version=2, ballot=BALLOT, record=EMPTY_RECORD, record_epoch_ms=0
         ),
         "accept, with record": accept,
         "accept, without record": msgspec.structs.replace(accept, record=None),
--- a/tests/forwarder/test_lease_cache.py
+++ b/tests/forwarder/test_lease_cache.py
@@ -24,8 +24,8 @@
     return cache
 
 
-def connect(cache: LeaseCache, now: float, epoch: str) -> None:
-    cache.handle_connected(now, "p1", protocol.Welcome(1, "p1", epoch, 1, 2000.0))
+def connect(cache: LeaseCache, now_ms: float, epoch: str) -> None:
+    cache.handle_connected(now_ms, "p1", protocol.Welcome(1, "p1", epoch, 1, 2000.0))
 
 
 def sent_requests(cache: LeaseCache) -> list[protocol.LeaseRequest]:
@@ -33,12 +33,12 @@
     return [message for message in messages if isinstance(message, protocol.LeaseRequest)]
 
 
-def spend(cache: LeaseCache, now: float, units: int = 3, local_id: int = 0) -> None:
-    cache.report_units_spent(now, CUSTOMER, "p", units, local_id)
+def spend(cache: LeaseCache, now_ms: float, units: int = 3, local_id: int = 0) -> None:
+    cache.report_units_spent(now_ms, CUSTOMER, "p", units, local_id)
 
 
-def request_lease(cache: LeaseCache, now: float) -> protocol.LeaseRequest:
-    spend(cache, now)
+def request_lease(cache: LeaseCache, now_ms: float) -> protocol.LeaseRequest:
+    spend(cache, now_ms)
     (request,) = sent_requests(cache)
     return request
 
--- a/tests/leadership/mutants.py
+++ b/tests/leadership/mutants.py
@@ -52,7 +52,7 @@
                 version=promise.version,
                 ballot=promise.ballot,
                 record=EMPTY_RECORD,
-                era=0,
+                record_epoch_ms=0,
             )
         return super().request_acceptance(now_ms)
 
--- a/tests/leadership/test_races.py
+++ b/tests/leadership/test_races.py
@@ -102,7 +102,7 @@
         lease_ms=2000.0,
         sequence=0,
         settled_version=0,
-        era=0,
+        record_epoch_ms=0,
         record=EMPTY_RECORD,
     )
     (answer,) = acceptor.handle(now_ms, "n1", accept)
--- a/tests/leadership/test_state_machines.py
+++ b/tests/leadership/test_state_machines.py
@@ -53,7 +53,7 @@
     run_for(world, 8 * TERMS.lease_ms, lambda: deliver_all(world))
     leader = next(participant.leader for participant in world.seats.values() if participant.leader)
     assert leader.fencing_token > before
-    assert leader.era > before
+    assert leader.record_epoch_ms > before
     assert leader.record.body == b""
 
 
--- a/tests/planner/cluster.py
+++ b/tests/planner/cluster.py
@@ -221,14 +221,16 @@
             forwarder.start()
 
     def count_sent(self, forwarder: ForwarderModel, customer: str, units: int) -> None:
-        now = forwarder.clock() - EPOCH
+        now_ms = forwarder.clock() - EPOCH
         self.units_sent[customer] += units
         bucket = self.hard_limits.get(customer)
         if bucket is None:
-            bucket = Bucket(now, self.plan.hard_limit_rate, self.plan.hard_limit_burst, 1e-6)
+            bucket = Bucket(now_ms, self.plan.hard_limit_rate, self.plan.hard_limit_burst, 1e-6)
             self.hard_limits[customer] = bucket
-        if not bucket.draw(now, units):
-            self.violations.append(f"{now:.0f} ms: {forwarder.name} passes {customer} by {-bucket.level:.2f}")
+        if not bucket.draw(now_ms, units):
+            self.violations.append(
+                f"{now_ms:.0f} ms: {forwarder.name} passes {customer} by {-bucket.level:.2f}"
+            )
 
     def stop(self) -> None:
         for forwarder in self.forwarders:
--- a/tests/planner/test_connections.py
+++ b/tests/planner/test_connections.py
@@ -96,7 +96,7 @@
             lease_request(2),
         )
         assert await new.receive() == []
-        assert "f0" in planner.coordinator.quorum.last_heartbeats
+        assert "f0" in planner.coordinator.quorum.last_heartbeats_at_ms
         assert planner.coordinator.ledger.leases == {}  # its lease return counts
         new.send(lease_request(1))
         assert await new.receive_types() == [protocol.LeaseGrant]
--- a/tests/planner/test_lease_ledger.py
+++ b/tests/planner/test_lease_ledger.py
@@ -28,19 +28,19 @@
 
 
 def request(
-    ledger: LeaseLedger, now: float, forwarder: str, units: int, min_units: int = 1
+    ledger: LeaseLedger, now_ms: float, forwarder: str, units: int, min_units: int = 1
 ) -> Lease | Rejection:
-    return ledger.request_lease(now, forwarder, CUSTOMER, "p", units, min_units)
+    return ledger.request_lease(now_ms, forwarder, CUSTOMER, "p", units, min_units)
 
 
-def grant(ledger: LeaseLedger, now: float, forwarder: str, units: int) -> Lease:
-    lease = request(ledger, now, forwarder, units)
+def grant(ledger: LeaseLedger, now_ms: float, forwarder: str, units: int) -> Lease:
+    lease = request(ledger, now_ms, forwarder, units)
     assert isinstance(lease, Lease), lease
     return lease
 
 
-def reject(ledger: LeaseLedger, now: float, forwarder: str, units: int, min_units: int = 1) -> Rejection:
-    rejection = request(ledger, now, forwarder, units, min_units)
+def reject(ledger: LeaseLedger, now_ms: float, forwarder: str, units: int, min_units: int = 1) -> Rejection:
+    rejection = request(ledger, now_ms, forwarder, units, min_units)
     assert isinstance(rejection, Rejection), rejection
     return rejection
 
@@ -65,27 +65,27 @@
 
 def test_returned_units_can_be_granted_again_and_expired_units_cannot() -> None:
     ledger = make_ledger()
-    now = OPEN_AT + 5000.0
-    first = grant(ledger, now, "a", 10)
-    second = grant(ledger, now, "b", 10)
-    ledger.return_lease(now, "a", first.lease_id, 10)
-    assert grant(ledger, now, "c", 10).units == 10
-    expired = ledger.expire(now + TERMS.planner_duration_ms)
+    now_ms = OPEN_AT + 5000.0
+    first = grant(ledger, now_ms, "a", 10)
+    second = grant(ledger, now_ms, "b", 10)
+    ledger.return_lease(now_ms, "a", first.lease_id, 10)
+    assert grant(ledger, now_ms, "c", 10).units == 10
+    expired = ledger.expire(now_ms + TERMS.planner_duration_ms)
     assert second in expired
     assert ledger.counters.expired == 20
     assert ledger.outstanding_units() == 0
-    reject(ledger, now + TERMS.planner_duration_ms, "a", 1)  # the buckets refill from nothing
+    reject(ledger, now_ms + TERMS.planner_duration_ms, "a", 1)  # the buckets refill from nothing
 
 
 def test_duplicate_reports_and_reports_of_other_forwarders_change_nothing() -> None:
     ledger = make_ledger()
-    now = OPEN_AT + 5000.0
-    lease = grant(ledger, now, "a", 10)
-    ledger.return_lease(now, "b", lease.lease_id, 10)
+    now_ms = OPEN_AT + 5000.0
+    lease = grant(ledger, now_ms, "a", 10)
+    ledger.return_lease(now_ms, "b", lease.lease_id, 10)
     assert ledger.outstanding_units() == 10
-    ledger.return_lease(now, "a", lease.lease_id, 4)
-    ledger.return_lease(now, "a", lease.lease_id, 4)
-    ledger.record_use(now, "a", lease.lease_id, 4)
+    ledger.return_lease(now_ms, "a", lease.lease_id, 4)
+    ledger.return_lease(now_ms, "a", lease.lease_id, 4)
+    ledger.record_use(now_ms, "a", lease.lease_id, 4)
     assert (ledger.counters.returned, ledger.counters.spent) == (4, 6)
 
 
@@ -120,15 +120,15 @@
 
 def test_idle_lease_is_revoked_for_a_forwarder_without_units() -> None:
     ledger = make_ledger()
-    now = FULL_AT
-    idle = grant(ledger, now, "a", 10)
-    busy = grant(ledger, now + 1.0, "b", 10)
-    assert reject(ledger, now + 200.0, "c", 3, 3).revoked is None
-    ledger.record_use(now + 310.0, "b", busy.lease_id, 1)
-    assert reject(ledger, now + 320.0, "c", 9, 9).revoked is idle
-    assert reject(ledger, now + 330.0, "c", 9, 9).revoked is None
-    ledger.return_lease(now + 340.0, "a", idle.lease_id, 10)
-    assert grant(ledger, now + 380.0, "c", 9).units == 9
+    now_ms = FULL_AT
+    idle = grant(ledger, now_ms, "a", 10)
+    busy = grant(ledger, now_ms + 1.0, "b", 10)
+    assert reject(ledger, now_ms + 200.0, "c", 3, 3).revoked is None
+    ledger.record_use(now_ms + 310.0, "b", busy.lease_id, 1)
+    assert reject(ledger, now_ms + 320.0, "c", 9, 9).revoked is idle
+    assert reject(ledger, now_ms + 330.0, "c", 9, 9).revoked is None
+    ledger.return_lease(now_ms + 340.0, "a", idle.lease_id, 10)
+    assert grant(ledger, now_ms + 380.0, "c", 9).units == 9
 
 
 def test_removed_plan_grants_nothing_more() -> None:
@@ -148,29 +148,29 @@
         self.units_left: dict[int, int] = {}  # by lease id, as the forwarder counts
         self.spent: list[tuple[float, int]] = []  # time and units
 
-    def act(self, now: float) -> None:
+    def act(self, now_ms: float) -> None:
         forwarder = self.rng.choice("abcd")
         match self.rng.randrange(4):
             case 0 | 1:
-                lease = request(self.ledger, now, forwarder, self.rng.randint(1, 12))
+                lease = request(self.ledger, now_ms, forwarder, self.rng.randint(1, 12))
                 if isinstance(lease, Lease):
                     self.leases.append(lease)
                     self.units_left[lease.lease_id] = lease.units
             case 2 if self.leases:
-                self.use_one_unit(now, self.rng.choice(self.leases))
+                self.use_one_unit(now_ms, self.rng.choice(self.leases))
             case 3 if self.leases:
                 lease = self.leases.pop(self.rng.randrange(len(self.leases)))
-                if now < lease.expires_at and self.rng.random() < 0.7:
+                if now_ms < lease.expires_at_ms and self.rng.random() < 0.7:
                     unused = self.units_left[lease.lease_id]
-                    self.ledger.return_lease(now, lease.forwarder, lease.lease_id, unused)
+                    self.ledger.return_lease(now_ms, lease.forwarder, lease.lease_id, unused)
 
-    def use_one_unit(self, now: float, lease: Lease) -> None:
-        usable_until = lease.expires_at - 2.0 * TERMS.clock_drift * TERMS.duration_ms
-        if now < usable_until and self.units_left[lease.lease_id]:
+    def use_one_unit(self, now_ms: float, lease: Lease) -> None:
+        usable_until_ms = lease.expires_at_ms - 2.0 * TERMS.clock_drift * TERMS.duration_ms
+        if now_ms < usable_until_ms and self.units_left[lease.lease_id]:
             self.units_left[lease.lease_id] -= 1
-            self.spent.append((now, 1))
+            self.spent.append((now_ms, 1))
             if self.rng.random() < 0.5:  # else the report is lost
-                self.ledger.record_use(now, lease.forwarder, lease.lease_id, 1)
+                self.ledger.record_use(now_ms, lease.forwarder, lease.lease_id, 1)
 
 
 @pytest.mark.parametrize("seed", range(30))
@@ -178,11 +178,11 @@
     rng = Random(seed)
     ledger = make_ledger(make_plan(30.0, 25.0, 40.0, 30.0))
     forwarders = RandomForwarders(ledger, rng)
-    now = OPEN_AT
+    now_ms = OPEN_AT
     for _ in range(600):
-        now += rng.uniform(0.0, 60.0)
-        forwarders.act(now)
-        ledger.expire(now)
+        now_ms += rng.uniform(0.0, 60.0)
+        forwarders.act(now_ms)
+        ledger.expire(now_ms)
         account = ledger.accounts.get(CUSTOMER)
         for bucket in account.buckets if account is not None else []:
             assert bucket.available + bucket.leased <= bucket.burst + 1e-6
--- a/tests/planner/test_quorum.py
+++ b/tests/planner/test_quorum.py
@@ -38,20 +38,20 @@
 def test_no_two_membership_versions_have_a_majority_at_once(seed: int) -> None:
     forwarders = [f"n{index}" for index in range(7)]
     rng = Random(seed)
-    now = 0.0
+    now_ms = 0.0
     old = PlannerQuorum(forwarders, 1)
     new = PlannerQuorum(forwarders, 2)
     followed_version = dict.fromkeys(forwarders, 1)
-    opened_at = None
+    opened_at_ms = None
     for _ in range(400):
-        now += rng.uniform(0.0, 100.0)
+        now_ms += rng.uniform(0.0, 100.0)
         forwarder = rng.choice(forwarders)
         if rng.random() < 0.05:
             followed_version[forwarder] = 2  # and never back
         for quorum in (old, new):
             if rng.random() < 0.6:  # else the heartbeat is lost
-                quorum.record_heartbeat(now, forwarder, followed_version[forwarder])
-        if new.detect_gain(now):
-            opened_at = now + HEARTBEAT_VALIDITY_MS + TERMS.planner_duration_ms
-        if opened_at is not None and now >= opened_at:
-            assert not old.has_majority(now)
+                quorum.record_heartbeat(now_ms, forwarder, followed_version[forwarder])
+        if new.detect_gain(now_ms):
+            opened_at_ms = now_ms + HEARTBEAT_VALIDITY_MS + TERMS.planner_duration_ms
+        if opened_at_ms is not None and now_ms >= opened_at_ms:
+            assert not old.has_majority(now_ms)
