--- a/onyxpost/leadership/acceptor.py
+++ b/onyxpost/leadership/acceptor.py
@@ -12,9 +12,10 @@
 
 from onyxpost.leadership.acceptor_recovery import AcceptorRecovery
 from onyxpost.leadership.acceptor_state import AcceptorState
-from onyxpost.leadership.ballots import NO_BALLOT, Ballot, may_supersede
+from onyxpost.leadership.ballots import NO_BALLOT, Ballot
 from onyxpost.leadership.effects import Diagnostic, DiagnosticKind, Effect, PersistState, SendMessage
 from onyxpost.leadership.granted_lease import GrantedLease
+from onyxpost.leadership.proposal_validation import find_reject_reason
 from onyxpost.leadership.protocol import (
     EMPTY_RECORD,
     Accept,
@@ -131,25 +132,11 @@
 
     def _reject_reason(self, now_ms: float, message: Prepare | Accept) -> RejectReason | None:
         """Why the proposal is rejected; None if it is not."""
-        ballot = message.ballot
         if message.version != self.acceptors.version:
             return RejectReason.OTHER_VERSION
         if not self.is_voting:
             return RejectReason.NOT_VOTING
-        if ballot.number > now_ms + self.timing.skew_ms:
-            return RejectReason.CLOCK_AHEAD
-        if not may_supersede(ballot, self.promised) or ballot.number <= self.lease.highest_released:
-            return RejectReason.HIGHER_PROMISE
-        if isinstance(message, Accept):
-            return self._accept_reject_reason(message)
-        return RejectReason.LEASE_ACTIVE if self.lease.excludes(now_ms, ballot) else None
-
-    def _accept_reject_reason(self, message: Accept) -> RejectReason | None:
-        if message.lease_ms > self.timing.lease_ms:
-            return RejectReason.LEASE_TOO_LONG
-        is_same_ballot = self.record.ballot_number == message.ballot.number
-        has_record = is_same_ballot and self.record.sequence >= message.sequence
-        return RejectReason.RECORD_MISSING if message.record is None and not has_record else None
+        return find_reject_reason(now_ms, message, self._state(), self.lease, self.timing)
 
     def _reject(self, message: Prepare | Accept, reason: RejectReason) -> Reject:
         return Reject(
--- a/onyxpost/leadership/ballots.py
+++ b/onyxpost/leadership/ballots.py
@@ -41,6 +41,17 @@
     return ballot.number > promised.number or ballot == promised
 
 
-def next_ballot_number(now_ms: float, highest_known: int) -> int:
-    """Returns the number of a new ballot, above all that this node has seen or used."""
-    return max(int(now_ms), highest_known + 1)
+class BallotCounter:
+    """Numbers the ballots of one node, each above all numbers that it has seen or used."""
+
+    def __init__(self, highest_known: int = 0) -> None:
+        self.highest_known = highest_known
+
+    def observe(self, number: int) -> None:
+        """Takes note of a number that another node has used."""
+        self.highest_known = max(self.highest_known, number)
+
+    def next_number(self, now_ms: float) -> int:
+        """Returns the number of a new ballot."""
+        self.highest_known = max(int(now_ms), self.highest_known + 1)
+        return self.highest_known
--- a/onyxpost/leadership/candidate.py
+++ b/onyxpost/leadership/candidate.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from enum import Enum, auto
 from typing import TYPE_CHECKING
 
 from msgspec.structs import replace
 
-from onyxpost.leadership.ballots import NO_BALLOT, Ballot, NodeIdentity, next_ballot_number
+from onyxpost.leadership.ballots import NO_BALLOT, Ballot, BallotCounter, NodeIdentity
 from onyxpost.leadership.effects import Effect, SendMessage
+from onyxpost.leadership.election import FIRST_ROUND, ElectionWon
 from onyxpost.leadership.election_schedule import ElectionSchedule
 from onyxpost.leadership.protocol import (
     EMPTY_RECORD,
@@ -25,6 +25,7 @@
     StatusReply,
 )
 from onyxpost.leadership.rejections import ROUTINE_REJECTIONS, rejection_diagnostic
+from onyxpost.leadership.status_poll import StatusPoll
 
 if TYPE_CHECKING:
     from onyxpost.leadership.lease_timing import LeaseTiming
@@ -33,7 +34,6 @@
 # No acceptor can have promised a ballot further ahead of this node's clock: one that starts without state
 # counts 2 skews above its own clock as promised, and that clock is at most 1 skew ahead; 1 more is margin.
 PLAUSIBLE_BALLOT_SKEWS = 4.0
-FIRST_ROUND = 1  # that of the election; a leader counts on from here. 0 stands for a prepare
 
 
 class Phase(Enum):
@@ -45,17 +45,6 @@
     ACCEPTING = auto()
 
 
-@dataclass(frozen=True, slots=True)
-class ElectionWon:
-    """A majority accepted the ballot: the lease counts from `requested_at_ms`."""
-
-    ballot: Ballot
-    record: Record
-    record_epoch_ms: int
-    requested_at_ms: float
-    accepted_by: frozenset[str]
-
-
 class Candidate:
     """Runs the election of this node, once a majority says that the role is free and its turn has come.
 
@@ -70,6 +59,7 @@
         role: str,
         timing: LeaseTiming,
         acceptors: AcceptorSet,
+        ballot_numbers: BallotCounter,
     ) -> None:
         self.identity = identity
         self.role = role
@@ -80,9 +70,9 @@
         self.next_action_at_ms = now_ms
         self.free_since_ms: float | None = None
         self.ballot = NO_BALLOT
-        self.highest_ballot = 0
+        self.ballot_numbers = ballot_numbers
         self.schedule = ElectionSchedule(identity, role, timing)
-        self.status_replies: dict[str, StatusReply] = {}
+        self.status_poll = StatusPoll(acceptors)
         self.promises: dict[str, Promise] = {}
         self.accepted_by: set[str] = set()
         self.rejected_by: set[str] = set()
@@ -113,11 +103,15 @@
     def query_status(self, now_ms: float) -> list[Effect]:
         """Asks all acceptors whether the role is free."""
         self._start_phase(Phase.QUERYING, now_ms, self.timing.response_timeout_ms)
-        self.status_replies = {}
+        self.status_poll = StatusPoll(self.acceptors)
         return self._broadcast(
             StatusQuery(role=self.role, version=self.acceptors.version, queried_at_ms=int(now_ms))
         )
 
+    def set_rank(self, rank: int) -> None:
+        """Sets how many nodes are to try before this one."""
+        self.schedule.rank = rank
+
     def on_leader_resigned(self, now_ms: float) -> None:
         """The role is free: the nodes that are preferred query at once."""
         if not self.has_open_ballot and self.schedule.is_preferred:
@@ -169,31 +163,29 @@
     def _handle_status(self, now_ms: float, sender: str, reply: StatusReply) -> list[Effect]:
         if self.phase is not Phase.QUERYING or reply.queried_at_ms != int(self.phase_started_at_ms):
             return []
-        self.status_replies[sender] = reply
+        self.status_poll.record(sender, reply)
         self._observe_ballot_number(now_ms, reply.highest_ballot)
         return self._evaluate_status(now_ms)
 
     def _evaluate_status(self, now_ms: float) -> list[Effect]:
         """Prepares if the role is free with a majority and it is this node's turn; else waits for that."""
-        remaining_ms = sorted(reply.remaining_ms for reply in self.status_replies.values() if reply.is_voting)
-        majority = self.acceptors.majority
-        if sum(left_ms <= 0.0 for left_ms in remaining_ms) >= majority:
+        if self.status_poll.is_role_free:
             if self.free_since_ms is None:
                 self.free_since_ms = now_ms
             turn_at_ms = self.schedule.turn_at_ms(self.free_since_ms)
             if now_ms >= turn_at_ms:
                 return self._prepare(now_ms)
             self.wait_until(now_ms, turn_at_ms)
-        elif len(self.status_replies) == len(self.acceptors.names):
+        elif self.status_poll.is_complete:
             self.free_since_ms = None
-            has_quorum = len(remaining_ms) >= majority
-            free_in_ms = remaining_ms[majority - 1] if has_quorum else self.timing.renew_interval_ms
+            free_in_ms = self.status_poll.free_in_ms()
+            if free_in_ms is None:
+                free_in_ms = self.timing.renew_interval_ms
             self.wait_until(now_ms, now_ms + free_in_ms + self.schedule.query_delay_ms())
         return []
 
     def _prepare(self, now_ms: float) -> list[Effect]:
-        number = next_ballot_number(now_ms, self.highest_ballot)
-        self.highest_ballot = number
+        number = self.ballot_numbers.next_number(now_ms)
         self.ballot = Ballot(number, self.identity.name, self.identity.incarnation)
         self._start_phase(Phase.PREPARING, now_ms, 2.0 * self.timing.response_timeout_ms)
         self.promises = {}
@@ -206,7 +198,7 @@
         has_majority = len(self.accepted_by) >= self.acceptors.majority
         if not has_majority or now_ms >= self.phase_started_at_ms + self.timing.lease_ms:
             return []
-        self.schedule.failed_ballots = 0
+        self.schedule.on_ballot_won()
         return ElectionWon(
             ballot=self.ballot,
             record=self.record,
@@ -230,15 +222,15 @@
         release = Release(
             role=self.role, version=self.acceptors.version, ballot=self.ballot, was_leader=False
         )
-        self.schedule.failed_ballots += 1
+        self.schedule.on_ballot_failed()
         self.free_since_ms = None
         self.wait_until(now_ms, now_ms + self.schedule.backoff_ms())
         return self._broadcast(release)
 
     def _observe_ballot_number(self, now_ms: float, number: int) -> None:
-        """Keeps the highest number known; ignores a faulty one, which no acceptor can have promised."""
+        """Takes note of a number; ignores a faulty one, which no acceptor can have promised."""
         if number <= now_ms + PLAUSIBLE_BALLOT_SKEWS * self.timing.skew_ms:
-            self.highest_ballot = max(self.highest_ballot, number)
+            self.ballot_numbers.observe(number)
 
     def _start_phase(self, phase: Phase, now_ms: float, timeout_ms: float) -> None:
         self.phase = phase
--- a/onyxpost/leadership/effect_runner.py
+++ b/onyxpost/leadership/effect_runner.py
@@ -62,6 +62,10 @@
         self.listeners: dict[str, Callable[[LeadershipChange], None]] = {}
         self.leaderships: dict[str, Leadership] = {}
 
+    def subscribe(self, role: str, listener: Callable[[LeadershipChange], None]) -> None:
+        """Sets the one listener of a role."""
+        self.listeners[role] = listener
+
     def apply(self, effects: list[Effect], sender: str = "") -> None:
         """Executes the effects in order; `sender` sent the message that caused them, empty if none did."""
         for index, effect in enumerate(effects):
@@ -109,9 +113,7 @@
 
     def _send(self, effect: SendMessage) -> None:
         is_sent = self.connections.send(effect.recipient, protocol.TOPIC, protocol.encode(effect.message))
-        self.log.counters.sent += is_sent
-        self.log.counters.send_failed += not is_sent
-        self.log.counters.ballots += isinstance(effect.message, protocol.Prepare)
+        self.log.count_sent(effect.message, is_sent=is_sent)
 
     def _persist(self, state: AcceptorState) -> bool:
         """Returns whether the state is durable. If not, its acceptors stop and it gives up every role."""
--- a/onyxpost/leadership/election_schedule.py
+++ b/onyxpost/leadership/election_schedule.py
@@ -36,6 +36,14 @@
         """Whether this node is among the first that query when the role may be free."""
         return self.rank < PREFERRED_RANKS
 
+    def on_ballot_won(self) -> None:
+        """A majority accepted the ballot."""
+        self.failed_ballots = 0
+
+    def on_ballot_failed(self) -> None:
+        """Too few acceptors accepted the ballot."""
+        self.failed_ballots += 1
+
     def turn_at_ms(self, free_since_ms: float) -> float:
         """When this node may prepare: the first in rank at once, unless it has just failed."""
         is_first = not self.rank and not self.failed_ballots
--- a/onyxpost/leadership/leader.py
+++ b/onyxpost/leadership/leader.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from onyxpost.leadership.candidate import FIRST_ROUND, ElectionWon
 from onyxpost.leadership.effects import Effect, LeaseLost, RecordCommitted, SendMessage
+from onyxpost.leadership.election import FIRST_ROUND, ElectionWon
 from onyxpost.leadership.errors import NotLeaderError, RecordTooLongError
 from onyxpost.leadership.lease_timing import RECORD_LIMIT_BYTES, LeaseTiming
 from onyxpost.leadership.protocol import Accept, Accepted, Message, Record, Reject, RejectReason, Release
--- a/onyxpost/leadership/membership.py
+++ b/onyxpost/leadership/membership.py
@@ -42,10 +42,10 @@
         raise MembershipChangeError("majorities before and after might not meet", f"{where}.voters")
 
 
-def validate_transition(old: AcceptorSet, new: AcceptorSet, settled: bool, where: str) -> None:
+def validate_transition(old: AcceptorSet, new: AcceptorSet, where: str, *, is_settled: bool) -> None:
     """Checks whether `new` may replace `old` at this node.
 
-    `settled`: whether a majority of `old` is known to have accepted every record of which this node is an
+    `is_settled`: whether a majority of `old` is known to have accepted every record of which this node is an
     acceptor; `where` is the section's place in the file. A file with the set in force is accepted as well.
 
     Raises:
@@ -60,6 +60,6 @@
         )
     if set(new.previous_names) != set(old.names):
         raise MembershipChangeError("the voters before it are not those in force", f"{where}.before")
-    if not settled:
+    if not is_settled:
         what = f"version {old.version} is not yet in force for all records"
         raise MembershipChangeError(what, f"{where}.version")
--- a/onyxpost/leadership/participant.py
+++ b/onyxpost/leadership/participant.py
@@ -5,8 +5,10 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from onyxpost.leadership.candidate import Candidate, ElectionWon
+from onyxpost.leadership.ballots import BallotCounter
+from onyxpost.leadership.candidate import Candidate
 from onyxpost.leadership.effects import Effect, LeaseAcquired, SendMessage
+from onyxpost.leadership.election import ElectionWon
 from onyxpost.leadership.election_schedule import PREFERRED_RANKS
 from onyxpost.leadership.errors import NotLeaderError
 from onyxpost.leadership.leader import Leader
@@ -16,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from onyxpost.leadership.ballots import NodeIdentity
+    from onyxpost.leadership.ballots import Ballot, NodeIdentity
     from onyxpost.leadership.lease_timing import LeaseTiming
     from onyxpost.leadership.membership import AcceptorSet
 
@@ -41,7 +43,7 @@
         self.settings = settings
         self.acceptors = acceptors
         self.ranking = rank_nodes(settings.name, settings.nodes, settings.barred)
-        self.candidate = self._new_candidate(now_ms)
+        self.candidate = self._new_candidate(now_ms, BallotCounter())
         self.leader: Leader | None = None
         self.resigned_at_ms: dict[str, float] = {}  # by node: for some time others are preferred to it
         self.is_leaving = False
@@ -73,7 +75,7 @@
         absent = set(unreachable) | set(self.resigned_at_ms)
         has_resigned = self.identity.name in self.resigned_at_ms
         rank = self._rank_without(absent) + other_roles_led + PREFERRED_RANKS * has_resigned
-        self.candidate.schedule.rank = rank
+        self.candidate.set_rank(rank)
         return self.candidate.tick(now_ms)
 
     def handle(self, now_ms: float, sender: str, message: Message) -> list[Effect]:
@@ -103,34 +105,37 @@
             raise NotLeaderError("this node does not lead it", self.settings.name)
         return self.leader.write(now_ms, body)
 
-    def resign(self, now_ms: float, reason: str, leaving: bool = True) -> list[Effect]:
-        """Gives the role up and notifies all nodes, so that the next one queries at once.
+    def resign(self, now_ms: float, reason: str) -> list[Effect]:
+        """Gives the role up and notifies all nodes, so that the next one queries at once."""
+        if self.leader is None:
+            return []
+        ballot = self.leader.ballot
+        effects = self._demote_if_expired(now_ms, self.leader.resign(reason))
+        return [*effects, *self._release_to_non_acceptors(ballot)]
+
+    def leave(self, now_ms: float, reason: str) -> list[Effect]:
+        """Gives the role up for good, as this node ends (SIGTERM).
 
-        A node that is leaving (SIGTERM) releases an open ballot too: a majority may have accepted it already,
-        and this node will be gone when their replies arrive.
+        An open ballot is released too: a majority may have accepted it already, and this node will be gone
+        when their replies arrive.
         """
-        self.is_leaving = self.is_leaving or leaving
-        candidate = self.candidate if leaving and self.candidate.has_open_ballot else None
-        holder = self.leader or candidate
-        if holder is None:
-            return []
-        release = Release(
-            role=self.settings.name, version=self.acceptors.version, ballot=holder.ballot, was_leader=True
-        )
-        if self.leader is not None:
-            effects = self._demote_if_expired(now_ms, self.leader.resign(reason))
-        else:
-            self.candidate.wait_until(now_ms, now_ms)
-            effects = [SendMessage(name, release) for name in self.acceptors.names]
-        others = set(self.settings.nodes) - set(self.acceptors.names) - {self.identity.name}
-        return [*effects, *(SendMessage(name, release) for name in sorted(others))]
+        self.is_leaving = True
+        if self.leader is not None or not self.candidate.has_open_ballot:
+            return self.resign(now_ms, reason)
+        ballot = self.candidate.ballot
+        self.candidate.wait_until(now_ms, now_ms)
+        release = self._release(ballot)
+        to_acceptors = [SendMessage(name, release) for name in self.acceptors.names]
+        return [*to_acceptors, *self._release_to_non_acceptors(ballot)]
+
+    def raise_ballot_numbers(self, number: int) -> None:
+        """Makes this node's next ballot exceed `number`."""
+        self.candidate.ballot_numbers.observe(number)
 
     def change_acceptors(self, now_ms: float, acceptors: AcceptorSet) -> None:
         """Applies the next acceptor set; an open ballot is forgotten, a lease runs on."""
         self.acceptors = acceptors
-        highest_ballot = self.candidate.highest_ballot
-        self.candidate = self._new_candidate(now_ms)
-        self.candidate.highest_ballot = highest_ballot
+        self.candidate = self._new_candidate(now_ms, self.candidate.ballot_numbers)
         if self.leader is not None:
             self.leader.change_acceptors(acceptors)
 
@@ -139,9 +144,18 @@
             return
         self.resigned_at_ms[sender] = now_ms
         if self.is_eligible and not self.is_leaving:
-            self.candidate.schedule.rank = self._rank_without(self.resigned_at_ms)
+            self.candidate.set_rank(self._rank_without(self.resigned_at_ms))
             self.candidate.on_leader_resigned(now_ms)
 
+    def _release(self, ballot: Ballot) -> Release:
+        return Release(
+            role=self.settings.name, version=self.acceptors.version, ballot=ballot, was_leader=True
+        )
+
+    def _release_to_non_acceptors(self, ballot: Ballot) -> list[Effect]:
+        others = set(self.settings.nodes) - set(self.acceptors.names) - {self.identity.name}
+        return [SendMessage(name, self._release(ballot)) for name in sorted(others)]
+
     def _rank_without(self, absent: Collection[str]) -> int:
         """How many nodes that are not absent are preferred to this one."""
         preferred = self.ranking[: self.ranking.index(self.identity.name)]
@@ -150,14 +164,15 @@
     def _demote_if_expired(self, now_ms: float, effects: list[Effect]) -> list[Effect]:
         """A leader without a lease is a candidate again, and lets others try first."""
         if self.leader is not None and not self.leader.holds_lease(now_ms):
-            highest_ballot = self.leader.fencing_token
+            ballot_numbers = BallotCounter(self.leader.fencing_token)
             self.leader = None
-            self.candidate = self._new_candidate(now_ms)
-            self.candidate.highest_ballot = highest_ballot
+            self.candidate = self._new_candidate(now_ms, ballot_numbers)
             self.candidate.wait_until(now_ms, now_ms + self.settings.timing.renew_interval_ms)
             self.resigned_at_ms[self.identity.name] = now_ms
         return effects
 
-    def _new_candidate(self, now_ms: float) -> Candidate:
+    def _new_candidate(self, now_ms: float, ballot_numbers: BallotCounter) -> Candidate:
         settings = self.settings
-        return Candidate(now_ms, self.identity, settings.name, settings.timing, self.acceptors)
+        return Candidate(
+            now_ms, self.identity, settings.name, settings.timing, self.acceptors, ballot_numbers
+        )
--- /dev/null
+++ b/onyxpost/leadership/proposal_validation.py
@@ -0,0 +1,42 @@
+"""Whether an acceptor may promise or accept a ballot. Pure."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from onyxpost.leadership.ballots import may_supersede
+from onyxpost.leadership.protocol import Accept, Prepare, Record, RejectReason
+
+if TYPE_CHECKING:
+    from onyxpost.leadership.acceptor_state import AcceptorState
+    from onyxpost.leadership.granted_lease import GrantedLease
+    from onyxpost.leadership.lease_timing import LeaseTiming
+
+
+def find_reject_reason(
+    now_ms: float,
+    proposal: Prepare | Accept,
+    state: AcceptorState,
+    lease: GrantedLease,
+    timing: LeaseTiming,
+) -> RejectReason | None:
+    """Returns why a voting acceptor with this state and lease rejects the proposal; None if it does not.
+
+    The proposal is of the acceptor's own set. `now_ms` is of the acceptor's clock.
+    """
+    ballot = proposal.ballot
+    if ballot.number > now_ms + timing.skew_ms:
+        return RejectReason.CLOCK_AHEAD
+    if not may_supersede(ballot, state.promised) or ballot.number <= lease.highest_released:
+        return RejectReason.HIGHER_PROMISE
+    if isinstance(proposal, Accept):
+        return _find_accept_reject_reason(proposal, state.record, timing)
+    return RejectReason.LEASE_ACTIVE if lease.excludes(now_ms, ballot) else None
+
+
+def _find_accept_reject_reason(accept: Accept, known: Record, timing: LeaseTiming) -> RejectReason | None:
+    if accept.lease_ms > timing.lease_ms:
+        return RejectReason.LEASE_TOO_LONG
+    is_same_ballot = known.ballot_number == accept.ballot.number
+    has_record = is_same_ballot and known.sequence >= accept.sequence
+    return RejectReason.RECORD_MISSING if accept.record is None and not has_record else None
--- a/onyxpost/leadership/registry.py
+++ b/onyxpost/leadership/registry.py
@@ -111,7 +111,7 @@
         """Gives up every role, for good: the node is leaving."""
         effects: list[Effect] = []
         for participant in self.participants.values():
-            effects += self._deliver_local(now_ms, participant.resign(now_ms, "leaving"))
+            effects += self._deliver_local(now_ms, participant.leave(now_ms, "leaving"))
         return effects
 
     def on_higher_fencing_token(self, now_ms: float, role: str, fencing_token: int) -> list[Effect]:
@@ -120,11 +120,10 @@
         A token further ahead of the clock than `skew_ms` counts as that far ahead: acceptors reject more.
         """
         participant = self.participants[role]
-        resignation = participant.resign(now_ms, "a higher fencing token is known", leaving=False)
+        resignation = participant.resign(now_ms, "a higher fencing token is known")
         effects = self._deliver_local(now_ms, resignation)
         plausible = min(fencing_token, int(now_ms + self.config.timing.skew_ms))
-        candidate = participant.candidate
-        candidate.highest_ballot = max(candidate.highest_ballot, plausible)
+        participant.raise_ballot_numbers(plausible)
         return effects
 
     def stop_acceptors(self) -> None:
@@ -138,7 +137,7 @@
             MembershipChangeError: it must not follow, or not yet.
         """
         is_settled = all(acceptor.is_settled for acceptor in self.acceptors.values())
-        validate_transition(self.acceptor_set, config.acceptors, is_settled, SECTION_PATH)
+        validate_transition(self.acceptor_set, config.acceptors, SECTION_PATH, is_settled=is_settled)
 
     def change_acceptors(self, now_ms: float, config: LeadershipConfig) -> None:
         """Applies the acceptor set of `config` at this node.
@@ -171,7 +170,7 @@
     def _restored_acceptor(self, now_ms: float, role: str, saved: AcceptorState | None) -> Acceptor:
         if saved is not None and saved.acceptor_set_version != self.acceptor_set.version:
             old = AcceptorSet(saved.acceptor_set_version, self.acceptor_set.previous_names)
-            validate_transition(old, self.acceptor_set, saved.is_settled, SECTION_PATH)
+            validate_transition(old, self.acceptor_set, SECTION_PATH, is_settled=saved.is_settled)
         return self._new_acceptor(now_ms, role, saved)
 
     def _dispatch(self, now_ms: float, sender: str, message: protocol.Message) -> list[Effect]:
--- a/onyxpost/leadership/service.py
+++ b/onyxpost/leadership/service.py
@@ -97,7 +97,7 @@
 
     def subscribe(self, role: str, listener: Callable[[LeadershipChange], None]) -> None:
         """Sets the one listener of a role: it gets every later change of its leadership at this node."""
-        self.effects.listeners[role] = listener
+        self.effects.subscribe(role, listener)
 
     def fencing_token(self, role: str) -> int | None:
         """The token of the lease that certainly holds now; None if this node must not act as the leader."""
@@ -133,13 +133,13 @@
                 now_ms = self.net.clock()
                 self.effects.apply(self.registry.on_higher_fencing_token(now_ms, role, error.fencing_token))
             raise
-        self.counters.calls += 1
+        self.log.count_call()
 
     # Messages, reload and shutdown
 
     def handle_message(self, sender: str, data: bytes) -> None:
         """Handles a message of another member; one that is malformed is dropped with a line in the log."""
-        self.counters.received += 1
+        self.log.count_received()
         try:
             self.effects.apply(self.registry.handle_encoded(self.net.clock(), sender, data), sender)
         except MalformedMessageError as error:
--- a/onyxpost/leadership/service_log.py
+++ b/onyxpost/leadership/service_log.py
@@ -7,12 +7,13 @@
 from typing import TYPE_CHECKING
 
 from onyxpost.leadership.effects import Diagnostic, DiagnosticKind, LeaseAcquired, LeaseLost
+from onyxpost.leadership.protocol import Prepare
 from onyxpost.runtime.log_event import LogEvent
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from onyxpost.leadership.protocol import Record
+    from onyxpost.leadership.protocol import Message, Record
     from onyxpost.runtime.transport import Transport
 
 RATE_LIMIT_MS = 1000.0  # between two lines of one kind
@@ -77,6 +78,20 @@
         self.counters.calls_rejected += 1
         self._role_event(CALL_REJECTED, role, fencing_token, {"reason": reason})
 
+    def count_sent(self, message: Message, *, is_sent: bool) -> None:
+        """Counts a message to another node, which was dropped unless `is_sent`."""
+        self.counters.sent += is_sent
+        self.counters.send_failed += not is_sent
+        self.counters.ballots += isinstance(message, Prepare)
+
+    def count_received(self) -> None:
+        """Counts a message of another node."""
+        self.counters.received += 1
+
+    def count_call(self) -> None:
+        """Counts a fenced call that was executed."""
+        self.counters.calls += 1
+
     def diagnostic(self, diagnostic: Diagnostic, sender: str) -> None:
         """Logs a state machine's diagnostic; `sender` sent the message that caused it, empty if none did."""
         is_drop = diagnostic.kind is DiagnosticKind.MESSAGE_DROPPED
--- a/onyxpost/rollout/metrics/validation.py
+++ b/onyxpost/rollout/metrics/validation.py
@@ -58,7 +58,11 @@
         _check_counters(entry.control)
     for key, entry in reported.items():
         if key in state.strata:
-            _check_monotonic(entry, state.strata[key], snapshot.clock_ms >= state.stratum_clock_ms[key])
+            known = state.strata[key]
+            if snapshot.clock_ms >= state.stratum_clock_ms[key]:
+                _check_monotonic(earlier=known, later=entry)
+            else:
+                _check_monotonic(earlier=entry, later=known)
     _check_rate(snapshot, state, reported)
 
 
@@ -75,9 +79,8 @@
         raise InvalidSnapshotError("a latency that is in no bucket")
 
 
-def _check_monotonic(reported: StratumCounters, known: StratumCounters, reported_is_later: bool) -> None:
+def _check_monotonic(*, earlier: StratumCounters, later: StratumCounters) -> None:
     """Counters must never decrease from the earlier to the later time of the node's clock."""
-    earlier, later = (known, reported) if reported_is_later else (reported, known)
     for before, after in ((earlier.candidate, later.candidate), (earlier.control, later.control)):
         if after.minus(before).has_negative() or before.latencies.keys() - after.latencies.keys():
             raise InvalidSnapshotError("counters that decrease")
--- a/tests/leadership/test_membership.py
+++ b/tests/leadership/test_membership.py
@@ -18,7 +18,7 @@
     ],
 )
 def test_allows_a_step(new: AcceptorSet, settled: bool) -> None:
-    validate_transition(OLD, new, settled, "duties")
+    validate_transition(OLD, new, "duties", is_settled=settled)
 
 
 @pytest.mark.parametrize(
@@ -34,7 +34,7 @@
 )
 def test_refuses_a_step(new: AcceptorSet, settled: bool) -> None:
     with pytest.raises(MembershipChangeError):
-        validate_transition(OLD, new, settled, "duties")
+        validate_transition(OLD, new, "duties", is_settled=settled)
 
 
 def test_acceptors_change_while_the_leader_is_cut_off() -> None:
@@ -44,7 +44,7 @@
     world.rates["v3"] = 1.0 + TERMS.drift
     world.membership = new
     for name, acceptor in world.voters.items():
-        validate_transition(acceptor.acceptors, new, acceptor.is_settled, name)
+        validate_transition(acceptor.acceptors, new, name, is_settled=acceptor.is_settled)
         acceptor.change_acceptors(world.at(name), new)
     world.voters["v3"] = world.new_voter("v3")
     world.seats["c1"].change_acceptors(world.at("c1"), new)
--- a/tests/leadership/test_state_machines.py
+++ b/tests/leadership/test_state_machines.py
@@ -179,7 +179,7 @@
 
 def test_a_leader_that_resigns_is_followed_at_once_and_does_not_lead_again() -> None:
     world = settled_world()
-    world.carry("c0", world.seats["c0"].resign(world.at("c0"), "leaving", leaving=False))
+    world.carry("c0", world.seats["c0"].resign(world.at("c0"), "leaving"))
     world.make(("hear", "c0"))
     world.tick(1.0)
     world.make(("run", "c1", ""))
@@ -215,8 +215,8 @@
         highest_ballot=2**53 - 1,
     )
     candidate.handle(EPOCH, "v0", reply)
-    assert candidate.status_replies == {"v0": reply}
-    assert candidate.highest_ballot < EPOCH + TERMS.lease_ms
+    assert candidate.status_poll.replies == {"v0": reply}
+    assert candidate.ballot_numbers.highest_known < EPOCH + TERMS.lease_ms
 
 
 def test_a_record_that_is_too_long_is_refused() -> None:
