--- a/onyxpost/cluster/connection.py
+++ b/onyxpost/cluster/connection.py
@@ -34,15 +34,19 @@
         """Sends an encoded message; returns as `send`."""
         return not self.is_finished and try_write(self.writer, frame)
 
+    def on_ended(self, reason: str) -> None:
+        """The connection ended; an earlier reason stays."""
+        self.end_reason = self.end_reason or reason
+
     def finish(self, reason: str) -> None:
         """Sends nothing more. What still arrives is discarded until the peer ends the connection."""
-        self.end_reason = self.end_reason or reason
+        self.on_ended(reason)
         self.is_finished = True
         with contextlib.suppress(OSError):
             self.writer.write_eof()
 
     def abort(self, reason: str) -> None:
         """Closes the connection at once; unsent data is lost."""
-        self.end_reason = self.end_reason or reason
+        self.on_ended(reason)
         with contextlib.suppress(OSError):
             self.writer.transport.abort()
--- a/onyxpost/cluster/connections.py
+++ b/onyxpost/cluster/connections.py
@@ -19,6 +19,7 @@
 from onyxpost.cluster.heartbeats import HeartbeatSender
 from onyxpost.cluster.listener import PeerListener
 from onyxpost.cluster.membership import Membership, members_to_disconnect, supersedes
+from onyxpost.cluster.payload_delivery import PayloadDelivery
 from onyxpost.cluster.peer_log import PeerLog
 from onyxpost.cluster.peer_monitor import PeerMonitor
 from onyxpost.cluster.protocol import Hello, Payload, PeerMessage, Ping, Pong, read_message
@@ -55,12 +56,11 @@
     ) -> None:
         self.name = name
         self.incarnation = incarnation
-        self.on_message = on_message
-        self.topics: set[str] = set()
         self.statistics = ConnectionStatistics()
         self.established: dict[str, PeerConnection] = {}
         self._network = network
         self._peer_log = PeerLog(log)
+        self.payloads = PayloadDelivery(on_message, self.statistics, self._peer_log)
         self.handshake = Handshake(name, incarnation, membership)
         self.monitor = PeerMonitor(self._other_members(), self._peer_log, network.clock())
         self.dialer = Dialer(network, self.handshake, self._run_connection, self._on_dial_ended)
@@ -71,6 +71,11 @@
         self._heartbeat_task: asyncio.Task[None] | None = None
         self._is_leaving = False
 
+    @property
+    def topics(self) -> set[str]:
+        """The topics whose messages are delivered at this node."""
+        return self.payloads.topics
+
     @property
     def membership(self) -> Membership:
         """The membership in force."""
@@ -126,7 +131,7 @@
             self._peer_log.log_rejected_membership(err)
             return False
         previous = self.membership
-        self.handshake.membership = membership
+        self.handshake.update_membership(membership)
         for name in members_to_disconnect(previous, membership, self.name):
             self.dialer.cancel(name)
             if (connection := self.established.pop(name, None)) is not None:
@@ -179,7 +184,7 @@
             case Pong(number=number):
                 detector.on_pong(now_ms, number)
             case Payload():
-                self._deliver(connection.member, message)
+                self.payloads.deliver(connection.member, message)
             case Hello():
                 raise MalformedFrameError("a second hello", connection.member)
 
@@ -229,19 +234,9 @@
                 self.handle_message(connection, await read_message(reader))
         except (OSError, EOFError, ClusterError) as err:
             cause = "closed by the peer" if isinstance(err, EOFError) else str(err)
-            connection.end_reason = connection.end_reason or cause or type(err).__name__
+            connection.on_ended(cause or type(err).__name__)
             raise
         finally:
             if self.established.get(name) is connection:
                 del self.established[name]
                 self.monitor.on_disconnected(name, self._network.clock(), connection.end_reason or "ended")
-
-    def _deliver(self, sender: str, payload: Payload) -> None:
-        if payload.topic not in self.topics:
-            self.statistics.unknown_topic += 1
-            return
-        self.statistics.received += 1
-        try:
-            self.on_message(sender, payload.topic, payload.body)
-        except Exception as err:
-            self._peer_log.log_handler_fault(payload.topic, err)
--- a/onyxpost/cluster/handshake.py
+++ b/onyxpost/cluster/handshake.py
@@ -32,6 +32,10 @@
         self.membership = membership
         self.latest: dict[str, ConnectionOrder] = {}  # the latest accepted connection of each member
 
+    def update_membership(self, membership: Membership) -> None:
+        """Validates later hellos against another membership."""
+        self.membership = membership
+
     def send_hello(self, writer: asyncio.StreamWriter, receiver: str, dial_number: int) -> None:
         """Sends this node's hello."""
         hello = Hello(
--- a/onyxpost/cluster/heartbeats.py
+++ b/onyxpost/cluster/heartbeats.py
@@ -61,5 +61,5 @@
             self._on_rejected(PeerTimeoutError(result.abort_reason, name))
             connection.abort(result.abort_reason)
         elif result.ping_number is not None:
-            self._statistics.pings += 1
+            self._statistics.count_ping()
             connection.send(Ping(result.ping_number))  # not sent if the buffer is full: counts as unanswered
--- a/onyxpost/forwarder/cached_lease.py
+++ b/onyxpost/forwarder/cached_lease.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
     from onyxpost.planner import protocol
@@ -38,19 +38,14 @@
             reported_units_left=grant.units,
         )
 
-
-class LeaseKey(NamedTuple):
-    """Identifies a lease: its id is unique within an incarnation of its planner."""
-
-    epoch: str
-    lease_id: int
-
-
-class SeenLease(NamedTuple):
-    """What is remembered of a lease, also after its end."""
-
-    forget_at_ms: float
-    local_id: int
-
-
-NEVER_SEEN = SeenLease(0.0, NOT_ACCEPTED)
+    def spend(self, units: int) -> None:
+        """Takes units that a client request consumed; more than are left is possible in a race."""
+        self.units_left -= units
+
+    def take_unreported_units(self) -> int:
+        """Units spent since the last report, which counts as sent now; 0 if the lease is overdrawn."""
+        if self.units_left < 0:
+            return 0
+        spent = self.reported_units_left - self.units_left
+        self.reported_units_left = self.units_left
+        return spent
--- a/onyxpost/forwarder/customer_usage.py
+++ b/onyxpost/forwarder/customer_usage.py
@@ -46,6 +46,20 @@
             return 0.0
         return max(self.units_per_ms(now_ms) * lease_duration_ms, self.largest_request)
 
+    def on_request_sent(self, now_ms: float) -> None:
+        """A lease request was sent."""
+        self.request_sent_at_ms = now_ms
+
+    def on_request_rejected(self, retry_not_before_ms: float) -> None:
+        """A lease request was rejected; the next one may follow at the given time."""
+        self.retry_not_before_ms = retry_not_before_ms
+        self.clear_pending_request()
+
+    def allow_request(self) -> None:
+        """Makes the next lease request possible at once."""
+        self.retry_not_before_ms = -math.inf
+        self.clear_pending_request()
+
     def clear_pending_request(self) -> None:
         """No lease request is unanswered any more."""
         self.request_sent_at_ms = -math.inf
--- a/onyxpost/forwarder/lease_cache.py
+++ b/onyxpost/forwarder/lease_cache.py
@@ -15,9 +15,10 @@
 
 from onyxpost.cluster.heartbeat_timing import HEARTBEAT_INTERVAL_MS
 from onyxpost.core.events import LeaseGranted, LeaseRevoked
-from onyxpost.forwarder.cached_lease import NEVER_SEEN, NOT_ACCEPTED, CachedLease, LeaseKey, SeenLease
+from onyxpost.forwarder.cached_lease import NOT_ACCEPTED, CachedLease
 from onyxpost.forwarder.lease_requests import LeaseRequester
 from onyxpost.forwarder.planner_sessions import PlannerSessions
+from onyxpost.forwarder.seen_leases import LeaseKey, SeenLeases
 from onyxpost.planner import protocol
 from onyxpost.planner.protocol import AddressedMessage
 
@@ -25,7 +26,6 @@
     from collections.abc import Sequence
 
 EXPIRY_MARGIN_MS = 100.0  # a lease's use stops this early: requests in flight arrive before its end
-SEEN_LEASE_MEMORY_MS = 60_000.0  # how long the id of a lease is remembered, to discard duplicates
 REVOCATION_MEMORY_DURATIONS = 4.0  # lease durations, beyond that, for which a revoked lease is remembered
 
 
@@ -55,7 +55,7 @@
         self.sessions = PlannerSessions()
         self.requester = LeaseRequester(self.sessions, planners, membership_version)
         self.leases: dict[int, CachedLease] = {}  # by local id
-        self.seen_leases: dict[LeaseKey, SeenLease] = {}
+        self.seen_leases = SeenLeases()
         self.last_local_id = NOT_ACCEPTED
         self.last_heartbeat_at_ms = -math.inf
         self.is_stopping = False
@@ -75,7 +75,7 @@
         self.requester.record_use(now_ms, customer, plan, units)
         lease = self.leases.get(local_id)
         if lease is not None:
-            lease.units_left -= units
+            lease.spend(units)
             self.counters.spent += units
         self._request_if_needed(now_ms, customer)
 
@@ -100,7 +100,7 @@
 
     def handle_message(self, now_ms: float, planner: str, message: protocol.PlannerMessage) -> None:
         """Handles a message of a connected planner."""
-        self.sessions.last_received_at_ms[planner] = now_ms
+        self.sessions.on_message_received(now_ms, planner)
         match message:
             case protocol.LeaseGrant():
                 self._handle_grant(now_ms, planner, message)
@@ -121,11 +121,11 @@
             self.counters.discarded += 1
             if is_current and key not in self.seen_leases:
                 # Late, or its request is forgotten, as after a change of membership: returned unused.
-                self.seen_leases[key] = SeenLease(now_ms + SEEN_LEASE_MEMORY_MS, NOT_ACCEPTED)
+                self.seen_leases.remember(now_ms, key, NOT_ACCEPTED)
                 self._send(planner, protocol.LeaseReturn(grant.lease_id, grant.units, grant.epoch))
             return
         self.last_local_id += 1
-        self.seen_leases[key] = SeenLease(now_ms + SEEN_LEASE_MEMORY_MS, self.last_local_id)
+        self.seen_leases.remember(now_ms, key, self.last_local_id)
         self.leases[self.last_local_id] = CachedLease.from_grant(planner, grant, expires_at_ms)
         self.counters.granted += grant.units
         self.requester.handle_granted(grant.customer)
@@ -135,10 +135,10 @@
 
     def _handle_revocation(self, now_ms: float, planner: str, revocation: protocol.LeaseRevocation) -> None:
         key = LeaseKey(revocation.epoch, revocation.lease_id)
-        local_id = self.seen_leases.get(key, NEVER_SEEN).local_id
+        local_id = self.seen_leases.local_id(key)
         # Remembered also if the grant is still on its way, perhaps on another connection.
         extra_ms = REVOCATION_MEMORY_DURATIONS * self.sessions.lease_duration_ms(planner)
-        self.seen_leases[key] = SeenLease(now_ms + extra_ms + SEEN_LEASE_MEMORY_MS, local_id)
+        self.seen_leases.remember(now_ms, key, local_id, extra_ms)
         if local_id in self.leases:
             self._lease_events.append(LeaseRevoked(self.leases[local_id].customer, local_id))
         elif local_id == NOT_ACCEPTED and self.sessions.is_current(planner, revocation.epoch):
@@ -157,15 +157,14 @@
             for planner in self.sessions.epochs:
                 self._send(planner, protocol.MembershipHeartbeat(self.membership_version))
         self.requester.forget_requests(now_ms)
-        self.seen_leases = {key: seen for key, seen in self.seen_leases.items() if seen.forget_at_ms > now_ms}
+        self.seen_leases.forget_old(now_ms)
         for customer in self.requester.active_customers(now_ms):
             self._request_if_needed(now_ms, customer)
 
     def _report_use(self, lease: CachedLease) -> None:
-        if lease.units_left != lease.reported_units_left and lease.units_left >= 0:
-            spent = lease.reported_units_left - lease.units_left
+        spent = lease.take_unreported_units()
+        if spent:
             self._send_to_granter(lease, protocol.UsageReport(lease.lease_id, spent, lease.epoch))
-            lease.reported_units_left = lease.units_left
 
     def _request_if_needed(self, now_ms: float, customer: int) -> None:
         if self.is_stopping:
--- a/onyxpost/forwarder/lease_requests.py
+++ b/onyxpost/forwarder/lease_requests.py
@@ -73,7 +73,7 @@
         if units_left >= max(REFILL_THRESHOLD * needed, usage.largest_request):
             return None
         self.last_request_id += 1
-        usage.request_sent_at_ms = now_ms
+        usage.on_request_sent(now_ms)
         self.pending_requests[self.last_request_id] = PendingRequest(customer, now_ms, planner)
         request = protocol.LeaseRequest(
             self.last_request_id,
@@ -101,8 +101,7 @@
         if request is None:
             return False
         usage = self.usage[request.customer]
-        usage.retry_not_before_ms = now_ms + min(rejection.retry_after_ms, MAX_RETRY_AFTER_MS)
-        usage.clear_pending_request()
+        usage.on_request_rejected(now_ms + min(rejection.retry_after_ms, MAX_RETRY_AFTER_MS))
         return True
 
     def handle_connected(self, planner: str) -> None:
@@ -157,5 +156,4 @@
         self.membership_version = membership_version
         self.pending_requests = {}
         for usage in self.usage.values():
-            usage.clear_pending_request()
-            usage.retry_not_before_ms = -math.inf
+            usage.allow_request()
--- a/onyxpost/forwarder/planner_sessions.py
+++ b/onyxpost/forwarder/planner_sessions.py
@@ -22,6 +22,10 @@
         self.lease_durations_ms[planner] = welcome.lease_duration_ms
         self.last_received_at_ms[planner] = now_ms
 
+    def on_message_received(self, now_ms: float, planner: str) -> None:
+        """A connected planner sent a message."""
+        self.last_received_at_ms[planner] = now_ms
+
     def close(self, planner: str) -> None:
         """A planner's connection ended."""
         self.epochs.pop(planner, None)
--- a/onyxpost/leadership/candidate.py
+++ b/onyxpost/leadership/candidate.py
@@ -110,7 +110,7 @@
 
     def set_rank(self, rank: int) -> None:
         """Sets how many nodes are to try before this one."""
-        self.schedule.rank = rank
+        self.schedule.set_rank(rank)
 
     def on_leader_resigned(self, now_ms: float) -> None:
         """The role is free: the nodes that are preferred query at once."""
--- a/onyxpost/leadership/election_schedule.py
+++ b/onyxpost/leadership/election_schedule.py
@@ -36,6 +36,10 @@
         """Whether this node is among the first that query when the role may be free."""
         return self.rank < PREFERRED_RANKS
 
+    def set_rank(self, rank: int) -> None:
+        """Sets how many nodes are to try before this one."""
+        self.rank = rank
+
     def on_ballot_won(self) -> None:
         """A majority accepted the ballot."""
         self.failed_ballots = 0
--- a/onyxpost/planner/customer_account.py
+++ b/onyxpost/planner/customer_account.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from typing import TYPE_CHECKING, NamedTuple
 
 from onyxpost.core.units import MS_PER_SECOND
@@ -10,25 +9,13 @@
 
 if TYPE_CHECKING:
     from onyxpost.core.types import Plan
+    from onyxpost.planner.lease import Lease
 
 REQUEST_MEMORY_MS = 3000.0  # how long a forwarder's request counts when available units are shared out
 IDLE_BEFORE_REVOCATION_MS = 300.0  # a lease unused for this long may be revoked for another forwarder
 ACCOUNT_MEMORY_MS = 60_000.0  # an unused account with full buckets is dropped after this time
 
 
-@dataclass(slots=True)
-class Lease:
-    """Units of a customer's quota that one forwarder may use until the lease expires."""
-
-    lease_id: int
-    forwarder: str
-    customer: int
-    units: int  # neither spent nor returned, as far as the planner knows
-    expires_at_ms: float  # by the planner's clock
-    last_used_at_ms: float = 0.0  # when use was last reported, at first when it was granted
-    is_revoked: bool = False
-
-
 class RecentRequest(NamedTuple):
     """The last request of one forwarder."""
 
@@ -46,6 +33,37 @@
         self.leases: dict[int, Lease] = {}
         self.recent_requests: dict[str, RecentRequest] = {}  # by forwarder
 
+    def mark_seen(self, now_ms: float) -> None:
+        """The customer was named in a message."""
+        self.last_seen_at_ms = now_ms
+
+    def record_request(self, now_ms: float, forwarder: str, missing_units: int) -> None:
+        """Keeps a forwarder's last request, of which `missing_units` are not granted so far."""
+        self.recent_requests[forwarder] = RecentRequest(now_ms, missing_units)
+
+    def grant_lease(self, lease: Lease) -> None:
+        """Moves available units into a new lease."""
+        self.leases[lease.lease_id] = lease
+        for bucket in self.buckets:
+            bucket.lease(lease.units)
+
+    def recover_lease(self, lease: Lease) -> None:
+        """Adds a lease of the planner's previous incarnation, whose units were never available here."""
+        self.leases[lease.lease_id] = lease
+        for bucket in self.buckets:
+            bucket.recover_lease(lease.units)
+
+    def record_spent(self, now_ms: float, units: int) -> None:
+        """Counts units of a lease as spent, which goes on."""
+        for bucket in self.buckets:
+            bucket.settle(now_ms, units, 0.0)
+
+    def end_lease(self, now_ms: float, lease: Lease, unused_units: int) -> None:
+        """Ends a lease; its `unused_units` become available again."""
+        for bucket in self.buckets:
+            bucket.settle(now_ms, lease.units, unused_units)
+        del self.leases[lease.lease_id]
+
     def available_units(self, now_ms: float) -> float:
         """Units that can be leased now: what the strictest limit allows."""
         for bucket in self.buckets:
@@ -90,7 +108,7 @@
         lease = min(candidates, key=lambda candidate: candidate.last_used_at_ms, default=None)
         if lease is None or now_ms - lease.last_used_at_ms < IDLE_BEFORE_REVOCATION_MS:
             return None
-        lease.is_revoked = True
+        lease.revoke()
         return lease
 
     def resize(self, now_ms: float, plan: Plan | None, sizes: list[BucketSize]) -> None:
@@ -116,7 +134,7 @@
             if surplus <= 0.0:
                 break
             if not lease.is_revoked:
-                lease.is_revoked = True
+                lease.revoke()
                 revoked.append(lease)
                 surplus -= lease.units
         return revoked
--- a/onyxpost/planner/lease_ledger.py
+++ b/onyxpost/planner/lease_ledger.py
@@ -20,7 +20,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, NamedTuple
 
-from onyxpost.planner.customer_account import CustomerAccount, Lease, RecentRequest
+from onyxpost.planner.customer_account import CustomerAccount
+from onyxpost.planner.lease import Lease
 from onyxpost.planner.leased_token_bucket import BucketSize
 
 if TYPE_CHECKING:
@@ -102,21 +103,16 @@
         for report in reports:
             plan = self.plans.get(report.plan)
             if plan is not None and report.expires_at_ms > now_ms:
-                account = self.get_or_create_account(now_ms, report.customer, plan)
-                self.last_lease_id += 1
-                self._add_lease(
-                    account,
-                    Lease(
-                        self.last_lease_id,
-                        report.forwarder,
-                        report.customer,
-                        report.units,
-                        report.expires_at_ms,
-                        is_revoked=True,
-                    ),
+                lease = Lease(
+                    self._next_lease_id(),
+                    report.forwarder,
+                    report.customer,
+                    report.units,
+                    report.expires_at_ms,
+                    is_revoked=True,
                 )
-                for bucket in account.buckets:
-                    bucket.leased += report.units
+                self.leases[lease.lease_id] = lease
+                self.get_or_create_account(now_ms, report.customer, plan).recover_lease(lease)
 
     def get_or_create_account(self, now_ms: float, customer: int, plan: Plan) -> CustomerAccount:
         """The account of a customer, marked as seen now."""
@@ -124,7 +120,7 @@
         if account is None:
             account = CustomerAccount(plan, self._bucket_sizes(plan), self.opens_at_ms, now_ms)
             self.accounts[customer] = account
-        account.last_seen_at_ms = now_ms
+        account.mark_seen(now_ms)
         return account
 
     def _bucket_sizes(self, plan: Plan) -> list[BucketSize]:
@@ -135,9 +131,9 @@
             sizes.append((plan.hard_limit_rate, plan.hard_limit_burst))
         return [BucketSize(rate * self.leasable_share, burst * self.leasable_share) for rate, burst in sizes]
 
-    def _add_lease(self, account: CustomerAccount, lease: Lease) -> None:
-        self.leases[lease.lease_id] = lease
-        account.leases[lease.lease_id] = lease
+    def _next_lease_id(self) -> int:
+        self.last_lease_id += 1
+        return self.last_lease_id
 
     # Messages of forwarders
 
@@ -149,7 +145,7 @@
         if plan is None or units <= 0:
             return self._reject(math.inf)
         account = self.get_or_create_account(now_ms, customer, plan)
-        account.recent_requests[forwarder] = RecentRequest(now_ms, units)
+        account.record_request(now_ms, forwarder, units)
         if now_ms < self.opens_at_ms:
             return self._reject(self.opens_at_ms - now_ms)
         if not account.buckets:  # a plan without limits
@@ -157,7 +153,7 @@
         min_units = max(1, min(min_units, units))
         share = account.fair_share(now_ms, units, min_units)
         granted = min(units, math.floor(share + ROUNDING_TOLERANCE))
-        account.recent_requests[forwarder] = RecentRequest(now_ms, units - max(0, granted))
+        account.record_request(now_ms, forwarder, units - max(0, granted))
         if granted >= min_units:
             return self._grant(now_ms, account, forwarder, customer, granted)
         idle_lease = account.revoke_idle_lease(now_ms, forwarder)
@@ -172,13 +168,13 @@
     def _grant(
         self, now_ms: float, account: CustomerAccount, forwarder: str, customer: int, units: int
     ) -> Lease:
-        self.last_lease_id += 1
         self.counters.granted += units
         expires_at_ms = now_ms + self.terms.planner_duration_ms
-        lease = Lease(self.last_lease_id, forwarder, customer, units, expires_at_ms, last_used_at_ms=now_ms)
-        self._add_lease(account, lease)
-        for bucket in account.buckets:
-            bucket.lease(units)
+        lease = Lease(
+            self._next_lease_id(), forwarder, customer, units, expires_at_ms, last_used_at_ms=now_ms
+        )
+        self.leases[lease.lease_id] = lease
+        account.grant_lease(lease)
         return lease
 
     def record_use(self, now_ms: float, forwarder: str, lease_id: int, units: int) -> None:
@@ -186,12 +182,9 @@
         lease = self._lease_of(forwarder, lease_id)
         if lease is None:
             return
-        spent = min(max(0, units), lease.units)
-        lease.units -= spent
-        lease.last_used_at_ms = now_ms
+        spent = lease.record_use(now_ms, units)
         self.counters.spent += spent
-        for bucket in self.accounts[lease.customer].buckets:
-            bucket.settle(now_ms, spent, 0.0)
+        self.accounts[lease.customer].record_spent(now_ms, spent)
 
     def return_lease(self, now_ms: float, forwarder: str, lease_id: int, unused_units: int) -> None:
         """Ends a lease. Units that are not returned as unused count as spent, reported or not."""
@@ -208,11 +201,8 @@
         return lease if lease is not None and lease.forwarder == forwarder else None
 
     def _end_lease(self, now_ms: float, lease: Lease, unused_units: int) -> None:
-        account = self.accounts[lease.customer]
-        for bucket in account.buckets:
-            bucket.settle(now_ms, lease.units, unused_units)
+        self.accounts[lease.customer].end_lease(now_ms, lease, unused_units)
         del self.leases[lease.lease_id]
-        del account.leases[lease.lease_id]
 
     # Time and configuration
 
--- a/onyxpost/planner/leased_token_bucket.py
+++ b/onyxpost/planner/leased_token_bucket.py
@@ -44,6 +44,10 @@
         self.available -= units
         self.leased += units
 
+    def recover_lease(self, units: float) -> None:
+        """Counts tokens as leased that an earlier bucket of this limit leased out."""
+        self.leased += units
+
     def settle(self, now_ms: float, units: float, unused: float) -> None:
         """Ends the lease of `units` tokens, of which `unused` were not spent and become available again."""
         # Refilled first: the time before now must not refill the space that these tokens give up only now.
--- a/onyxpost/rollout/analysis/evidence.py
+++ b/onyxpost/rollout/analysis/evidence.py
@@ -58,6 +58,11 @@
     log_gains: LogGains
     counts: PairedCounts
 
+    def add(self, log_gains: LogGains, counts: PairedCounts) -> None:
+        """Adds the gains and counts of one more cell."""
+        self.log_gains = [before + gain for before, gain in zip(self.log_gains, log_gains, strict=True)]
+        self.counts += counts
+
 
 class Evidence:
     """Evidence of one stage; each stage begins with a new one.
@@ -191,6 +196,5 @@
     update = updates.get((stratum, measure))
     if update is None:
         updates[(stratum, measure)] = _StratumUpdate(gains, counts)
-        return
-    update.log_gains = [before + gain for before, gain in zip(update.log_gains, gains, strict=True)]
-    update.counts += counts
+    else:
+        update.add(gains, counts)
--- a/onyxpost/rollout/analysis/latency_thresholds.py
+++ b/onyxpost/rollout/analysis/latency_thresholds.py
@@ -31,6 +31,12 @@
         for upper_bound_ms, count in counters.latencies.items():
             self.buckets[upper_bound_ms] = self.buckets.get(upper_bound_ms, 0) + count
 
+    def has_doubled(self) -> bool:
+        return self.requests >= 2 * self.requests_at_update
+
+    def start_next_doubling(self) -> None:
+        self.requests_at_update = self.requests
+
     def thresholds(self) -> LatencyThresholds:
         return LatencyThresholds(quantile(self.buckets, SLOW_QUANTILE), quantile(self.buckets, TAIL_QUANTILE))
 
@@ -64,8 +70,8 @@
     def on_period_end(self) -> None:
         """Renews the thresholds of strata whose requests have doubled since."""
         for stratum_name, latencies in self._latencies.items():
-            if latencies.requests >= 2 * latencies.requests_at_update:
-                latencies.requests_at_update = latencies.requests
+            if latencies.has_doubled():
+                latencies.start_next_doubling()
                 self._update(stratum_name, latencies)
 
     def _update(self, stratum_name: str, latencies: _ControlLatencies) -> None:
--- a/onyxpost/rollout/metrics/aggregation.py
+++ b/onyxpost/rollout/metrics/aggregation.py
@@ -110,9 +110,7 @@
         self._incarnations.setdefault(snapshot.node, set()).add(snapshot.incarnation)
         requests_before = state.request_count()
         merged = [_merge(snapshot, state, entry) for entry in snapshot.strata]
-        if state.request_count() > requests_before:
-            state.last_growth_ms = max(state.last_growth_ms, snapshot.clock_ms)
-        state.clock_ms = max(state.clock_ms, snapshot.clock_ms)
+        state.advance_clock(snapshot.clock_ms, has_grown=state.request_count() > requests_before)
         if max(self._incarnations[snapshot.node]) == snapshot.incarnation:
             self._last_snapshot_ms[snapshot.node] = now_ms
         self._forget_old_incarnations(snapshot.node)
@@ -169,8 +167,7 @@
         before.candidate.merged_with(entry.candidate),
         before.control.merged_with(entry.control),
     )
-    state.strata[entry.key] = merged
-    state.stratum_clock_ms[entry.key] = max(snapshot.clock_ms, state.stratum_clock_ms.get(entry.key, 0.0))
+    state.set_counters(snapshot.clock_ms, merged)
     candidate = merged.candidate.minus(before.candidate)
     control = merged.control.minus(before.control)
     if known is None or not any(candidate.scalars() + control.scalars()):
--- a/onyxpost/rollout/metrics/validation.py
+++ b/onyxpost/rollout/metrics/validation.py
@@ -35,6 +35,17 @@
     strata: dict[tuple[str, str], StratumCounters] = field(default_factory=dict)
     stratum_clock_ms: dict[tuple[str, str], float] = field(default_factory=dict)
 
+    def set_counters(self, clock_ms: float, counters: StratumCounters) -> None:
+        """Replaces the counters of one stratum by merged ones."""
+        self.strata[counters.key] = counters
+        self.stratum_clock_ms[counters.key] = max(clock_ms, self.stratum_clock_ms.get(counters.key, 0.0))
+
+    def advance_clock(self, clock_ms: float, *, has_grown: bool) -> None:
+        """Follows the node's clock; `has_grown` tells whether a snapshot of that time added requests."""
+        if has_grown:
+            self.last_growth_ms = max(self.last_growth_ms, clock_ms)
+        self.clock_ms = max(self.clock_ms, clock_ms)
+
     def request_count(self) -> int:
         """Returns the number of requests over both sides of all strata."""
         return sum(entry.candidate.requests + entry.control.requests for entry in self.strata.values())
--- a/tests/cluster/test_connections.py
+++ b/tests/cluster/test_connections.py
@@ -46,7 +46,7 @@
         raise ZeroDivisionError
 
     async def scenario(cluster: VirtualCluster) -> None:
-        cluster.members["n1"].on_message = fail
+        cluster.members["n1"].payloads.on_message = fail
         cluster.members["n0"].send("n1", TOPIC, b"")
         await asyncio.sleep(1.0)
         assert cluster.members["n1"].state_of("n0") is PeerState.ALIVE
--- a/tests/forwarder/test_lease_cache.py
+++ b/tests/forwarder/test_lease_cache.py
@@ -116,7 +116,7 @@
         cache.handle_message(number * 1.0, "p1", protocol.LeaseRevocation(number, "e1"))
         cache.report_units_spent(number * 1.0, number, "p", 1, 0)
     cache.tick(200_000.0)
-    assert cache.seen_leases == {}
+    assert len(cache.seen_leases) == 0
     assert cache.requester.usage == {}
     assert cache.requester.pending_requests == {}
 
--- a/tests/planner/test_lease_ledger.py
+++ b/tests/planner/test_lease_ledger.py
@@ -7,7 +7,7 @@
 import pytest
 
 from onyxpost.core.types import Plan
-from onyxpost.planner.customer_account import Lease
+from onyxpost.planner.lease import Lease
 from onyxpost.planner.lease_ledger import LeaseLedger, Rejection
 from onyxpost.planner.lease_terms import LeaseTerms
 
