--- a/onyxpost/cluster/membership.py
+++ b/onyxpost/cluster/membership.py
@@ -8,7 +8,7 @@
 from onyxpost.config.address import Address, parse_address
 from onyxpost.config.cluster import ClusterSettings
 from onyxpost.config.decoding import decode_as
-from onyxpost.errors import InvalidInputError
+from onyxpost.errors import InvalidInputError, at_key
 
 MAX_NAME_CHARS = 64
 
@@ -70,11 +70,11 @@
         MembershipConflictError: `new` has the same version and other members.
     """
     if new.version < current.version:
-        what = f"version {new.version} is earlier than {current.version}"
-        raise StaleMembershipError(what, "fleet.version")
+        message = f"version {new.version} is earlier than {current.version}"
+        raise StaleMembershipError(message, "fleet.version")
     if new.version == current.version and new.members != current.members:
-        what = f"version {new.version} is in force with other members"
-        raise MembershipConflictError(what, "fleet.members")
+        message = f"version {new.version} is in force with other members"
+        raise MembershipConflictError(message, "fleet.members")
     return new.version > current.version
 
 
@@ -99,5 +99,5 @@
         raise _invalid(str(err), path) from err
 
 
-def _invalid(what: str, path: str) -> InvalidMembershipError:
-    return InvalidMembershipError(f"{what} - at `$.fleet.{path}`")
+def _invalid(message: str, path: str) -> InvalidMembershipError:
+    return InvalidMembershipError(at_key(message, f"fleet.{path}"))
--- a/onyxpost/cluster/protocol.py
+++ b/onyxpost/cluster/protocol.py
@@ -108,20 +108,20 @@
         MalformedFrameError: the incarnation cannot be parsed.
     """
     if hello.protocol_version != PROTOCOL_VERSION:
-        what = f"protocol {hello.protocol_version}, this is {PROTOCOL_VERSION}"
-        raise ProtocolVersionError(what, hello.sender)
+        message = f"protocol {hello.protocol_version}, this is {PROTOCOL_VERSION}"
+        raise ProtocolVersionError(message, hello.sender)
     if own_name not in membership.members:
-        what = f"{own_name} is not in membership version {membership.version}: it has no peers"
-        raise UnknownSenderError(what, hello.sender)
+        message = f"{own_name} is not in membership version {membership.version}: it has no peers"
+        raise UnknownSenderError(message, hello.sender)
     if hello.sender not in membership.members or hello.sender == own_name:
-        what = f"not in membership version {membership.version}; the sender has {hello.membership_version}"
-        raise UnknownSenderError(what, hello.sender)
+        message = f"not in membership version {membership.version}; the sender has {hello.membership_version}"
+        raise UnknownSenderError(message, hello.sender)
     if hello.receiver != own_name:
         raise MemberNameMismatchError(f"the hello is for {hello.receiver}, this is {own_name}", hello.sender)
     order = connection_order(hello)
     if latest is not None and order <= latest:
-        what = (
+        message = (
             f"incarnation {order.incarnation} dial {order.dial_number},"
             f" seen {latest.incarnation} dial {latest.dial_number}"
         )
-        raise StaleIncarnationError(what, hello.sender)
+        raise StaleIncarnationError(message, hello.sender)
--- a/onyxpost/config/deployment.py
+++ b/onyxpost/config/deployment.py
@@ -23,7 +23,7 @@
     Plan,
     SlowStartPolicy,
 )
-from onyxpost.errors import ConflictingValuesError
+from onyxpost.errors import ConflictingValuesError, at_key
 from onyxpost.policy.gateway import Gateway
 
 if TYPE_CHECKING:
@@ -107,8 +107,8 @@
         ConflictingValuesError: the node's index is out of range.
     """
     if settings.node_index >= settings.node_count:
-        what = f"{settings.node_index} of {settings.node_count} nodes, numbered from 0 - at `$.ordinal`"
-        raise ConflictingValuesError(what)
+        message = f"{settings.node_index} of {settings.node_count} nodes, numbered from 0"
+        raise ConflictingValuesError(at_key(message, "ordinal"))
     return Deployment(
         node_index=settings.node_index,
         node_count=settings.node_count,
--- a/onyxpost/leadership/config.py
+++ b/onyxpost/leadership/config.py
@@ -9,7 +9,7 @@
 
 from onyxpost.config.address import Address, parse_address
 from onyxpost.config.decoding import Settings, decode_as
-from onyxpost.errors import InvalidInputError
+from onyxpost.errors import InvalidInputError, at_key
 from onyxpost.leadership.ballots import Name
 from onyxpost.leadership.errors import LeadershipConfigError
 from onyxpost.leadership.lease_timing import LeaseTiming
@@ -95,7 +95,7 @@
 def _check_barred(section: LeadershipSection, nodes: tuple[str, ...]) -> None:
     for role, barred in section.barred.items():
         if role not in section.roles:
-            raise _error("no such duty", f"barred.{role}")
+            raise _error("no such role", f"barred.{role}")
         if set(nodes) <= set(barred):
             raise _error("all nodes are barred", f"barred.{role}")
 
@@ -109,5 +109,5 @@
         raise _error(str(error), "acts") from error
 
 
-def _error(what: str, key: str) -> LeadershipConfigError:
-    return LeadershipConfigError(f"{what} - at `{SECTION_PATH}.{key}`")
+def _error(message: str, key: str) -> LeadershipConfigError:
+    return LeadershipConfigError(at_key(message, f"{SECTION}.{key}"))
--- a/onyxpost/leadership/errors.py
+++ b/onyxpost/leadership/errors.py
@@ -24,7 +24,7 @@
 class MalformedMessageError(LeadershipError):
     """A received message is not one of this protocol version."""
 
-    remedy = "look whether that node runs the same build; the message was dropped"
+    remedy = "see that both nodes run the same release; the message was dropped"
 
 
 class AcceptorLogError(LeadershipError, InvalidInputError):
@@ -36,27 +36,27 @@
 class RecordTooLongError(LeadershipError):
     """A record over 64 KiB."""
 
-    remedy = "a bug of the duty's own code: keep less in the record"
+    remedy = "a bug of the component that leads the role: it must write a smaller record"
 
 
 class NotLeaderError(LeadershipError):
     """A fenced call or a write of a node that does not certainly hold the lease now."""
 
-    remedy = "nothing: another node holds the duty or will soon"
+    remedy = "nothing: another node leads the role, or will soon"
 
 
 class HigherFencingTokenError(LeadershipError):
     """Another leader has made a call: this call was rejected, and this node resigns."""
 
-    remedy = "nothing: another node holds the duty and acts by it"
+    remedy = "nothing: another node leads the role and makes its calls"
 
-    def __init__(self, what: str, where: str = "", fencing_token: int = 0) -> None:
+    def __init__(self, message: str, location: str = "", fencing_token: int = 0) -> None:
         """`fencing_token` is the higher one that the fenced resource knows."""
-        super().__init__(what, where)
+        super().__init__(message, location)
         self.fencing_token = fencing_token
 
 
 class FencedCallError(LeadershipError):
     """The fenced resource did not answer in time, or not as it should: the call may have been executed."""
 
-    remedy = "look at whoever takes the acts, at the address named"
+    remedy = "look at the fenced resource (`acts` in the node's file) at the address named"
--- a/onyxpost/leadership/fenced_call.py
+++ b/onyxpost/leadership/fenced_call.py
@@ -47,7 +47,7 @@
         HigherFencingTokenError: the resource knows a higher token.
         FencedCallError: there was no answer, or an unexpected one: the call may have been executed.
     """
-    where = "{}:{}/acts/{}".format(*call.address, call.role)
+    location = "{}:{}/acts/{}".format(*call.address, call.role)
     http = h11.Connection(h11.CLIENT)
     data = encode_message(http, _request(call), call.body)
     try:
@@ -65,12 +65,14 @@
                 writer.transport.abort()
     except (TimeoutError, OSError, h11.ProtocolError) as error:
         cause = f"no answer: {type(error).__name__} {error}"[:CAUSE_LIMIT_CHARACTERS]
-        raise FencedCallError(cause, where) from error
+        raise FencedCallError(cause, location) from error
     if response.status_code == HTTPStatus.CONFLICT:
         higher = _fencing_token(response)
-        raise HigherFencingTokenError(f"fencing token {call.fencing_token} is below {higher}", where, higher)
+        raise HigherFencingTokenError(
+            f"fencing token {call.fencing_token} is below {higher}", location, higher
+        )
     if response.status_code != HTTPStatus.OK:
-        raise FencedCallError(f"status {response.status_code}", where)
+        raise FencedCallError(f"status {response.status_code}", location)
 
 
 def _request(call: FencedCall) -> h11.Request:
--- a/onyxpost/leadership/service.py
+++ b/onyxpost/leadership/service.py
@@ -128,7 +128,7 @@
         try:
             await fenced_call.execute(self.net, call, lambda: self.fencing_token(role) == token)
         except HigherFencingTokenError as error:
-            self.log.fencing_token_rejected(role, token, error.what)
+            self.log.fencing_token_rejected(role, token, error.message)
             if self.fencing_token(role) == token:
                 now_ms = self.net.clock()
                 self.effects.apply(self.registry.on_higher_fencing_token(now_ms, role, error.fencing_token))
--- a/onyxpost/planner/config.py
+++ b/onyxpost/planner/config.py
@@ -12,7 +12,7 @@
 from onyxpost.config.deployment import build_plans
 from onyxpost.config.planners import PlannerSettings
 from onyxpost.config.settings import PlanSettings
-from onyxpost.errors import ConflictingValuesError, InvalidAddressError
+from onyxpost.errors import ConflictingValuesError, InvalidAddressError, at_key
 from onyxpost.planner.lease_terms import LeaseTerms
 
 if TYPE_CHECKING:
@@ -54,16 +54,18 @@
     return decode_config(read_json_file(path), path)
 
 
-def decode_config(fields: object, where: str = "planner") -> PlannerConfig:
-    """Decodes the content of a planner's file; errors name `where` it comes from."""
-    file = decode_as(fields, PlannerFile, where)
-    listen = _parse_address(file.listen, where, "listen")
+def decode_config(fields: object, source: str = "planner") -> PlannerConfig:
+    """Decodes the content of a planner's file; errors name the `source`."""
+    file = decode_as(fields, PlannerFile, source)
+    listen = _parse_address(file.listen, source, "listen")
     for name, text in file.planners.members.items():
-        _parse_address(text, where, f"planners.members.{name}")
+        _parse_address(text, source, f"planners.members.{name}")
     if file.name not in file.planners.members:
-        raise ConflictingValuesError(f"{file.name} is none of the planners - at `$.planners.members`", where)
+        raise ConflictingValuesError(
+            at_key(f"{file.name} is none of the planners", "planners.members"), source
+        )
     if len(set(file.forwarders)) < len(file.forwarders):
-        raise ConflictingValuesError("a forwarder twice - at `$.forwarders`", where)
+        raise ConflictingValuesError(at_key("a forwarder twice", "forwarders"), source)
     return PlannerConfig(
         name=file.name,
         listen=listen,
@@ -77,11 +79,11 @@
     )
 
 
-def _parse_address(text: str, where: str, key: str) -> Address:
+def _parse_address(text: str, source: str, key: str) -> Address:
     try:
         return parse_address(text)
     except InvalidAddressError as error:
-        raise InvalidAddressError(f"{error.what} - at `$.{key}`", where) from error
+        raise InvalidAddressError(at_key(error.message, key), source) from error
 
 
 def is_planner_file(fields: object) -> bool:
--- a/onyxpost/rollout/routing_rules/file.py
+++ b/onyxpost/rollout/routing_rules/file.py
@@ -6,7 +6,7 @@
 import os
 from typing import TYPE_CHECKING
 
-from onyxpost.errors import FileOpenError, InvalidInputError
+from onyxpost.errors import FileOpenError, InvalidInputError, at_key
 from onyxpost.rollout.routing_rules import schema
 from onyxpost.rollout.routing_rules.compiled import CompiledRules
 from onyxpost.rollout.routing_rules.errors import ConflictingRulesError, StaleRulesError
@@ -56,11 +56,11 @@
     if in_force is None or new.version > in_force.version:
         return True
     if new.version < in_force.version:
-        what = f"version {new.version} is earlier than {in_force.version} - at `$.version`"
-        raise StaleRulesError(what, source)
+        message = f"version {new.version} is earlier than {in_force.version}"
+        raise StaleRulesError(at_key(message, "version"), source)
     if new.digest != in_force.digest:
-        what = f"version {in_force.version} is in force with another text - at `$.version`"
-        raise ConflictingRulesError(what, source)
+        message = f"version {in_force.version} is in force with another text"
+        raise ConflictingRulesError(at_key(message, "version"), source)
     return False
 
 
--- a/onyxpost/simulator_host/host.py
+++ b/onyxpost/simulator_host/host.py
@@ -53,7 +53,7 @@
         except WireError:
             raise
         except InvalidInputError as err:
-            raise WireError(err.what, err.where) from err
+            raise WireError(err.message, err.location) from err
         except Exception as err:  # the simulator continues, and reports the fault
             where = traceback.extract_tb(err.__traceback__)[-1]
             actions.report_fault(f"{type(err).__name__}: {err} ({where.name}, line {where.lineno})")
--- a/tests/config/test_decoding.py
+++ b/tests/config/test_decoding.py
@@ -46,14 +46,14 @@
     with pytest.raises(InvalidInputError) as caught:
         decode_as(data, Example, "a file")
     assert type(caught.value) is error
-    assert caught.value.where == "a file"
+    assert caught.value.location == "a file"
 
 
 def test_a_file_that_cannot_be_opened_is_named(tmp_path: Path) -> None:
     path = str(tmp_path / "none.json")
     with pytest.raises(FileOpenError) as caught:
         read_json_file(path)
-    assert (caught.value.what, caught.value.where) == ("No such file or directory", path)
+    assert (caught.value.message, caught.value.location) == ("No such file or directory", path)
 
 
 def test_a_file_without_an_object_is_rejected(tmp_path: Path) -> None:
--- a/tests/config/test_deployment.py
+++ b/tests/config/test_deployment.py
@@ -64,7 +64,7 @@
 def test_a_node_index_out_of_range_names_its_key() -> None:
     with pytest.raises(ConflictingValuesError) as caught:
         deployment_with(ordinal=5, n_instances=5)
-    assert caught.value.what == "5 of 5 nodes, numbered from 0 - at `$.ordinal`"
+    assert caught.value.message == "5 of 5 nodes, numbered from 0 - at `$.ordinal`"
 
 
 @pytest.mark.parametrize(
@@ -81,5 +81,5 @@
 def test_an_error_names_the_operators_key(changes: dict[str, Any], place: str) -> None:
     with pytest.raises(InvalidValueError) as caught:
         deployment_with(**changes)
-    assert caught.value.what.endswith(place)
-    assert caught.value.where == "settings"
+    assert caught.value.message.endswith(place)
+    assert caught.value.location == "settings"
--- a/tests/rollout/test_routing_rules_file.py
+++ b/tests/rollout/test_routing_rules_file.py
@@ -103,8 +103,8 @@
     with pytest.raises(InvalidInputError) as caught:
         compile_rules(rules_text(line), CONTEXT, "r.toml")
     assert type(caught.value) is kind
-    assert place in caught.value.what
-    assert caught.value.where == "r.toml"
+    assert place in caught.value.message
+    assert caught.value.location == "r.toml"
 
 
 def test_a_check_that_misses_unreachable_fallbacks_is_detected() -> None:
@@ -217,7 +217,7 @@
     try:
         check_reachable(rules, TWO_FRONTENDS)
     except UnreachableRuleError as error:
-        place = error.what.rpartition(" at ")[2]
+        place = error.message.rpartition(" at ")[2]
         rejected = next(index for index in range(len(rules)) if f"rules[{index}]`" in place)
         assert rejected not in reached
     else:
