--- a/onyxpost/leadership/acceptor.py
+++ b/onyxpost/leadership/acceptor.py
@@ -12,9 +12,10 @@
 
 from onyxpost.leadership.acceptor_recovery import AcceptorRecovery
 from onyxpost.leadership.acceptor_state import AcceptorState
-from onyxpost.leadership.ballots import NO_BALLOT, Ballot, may_supersede
+from onyxpost.leadership.ballots import NO_BALLOT, Ballot
 from onyxpost.leadership.effects import Diagnostic, DiagnosticKind, Effect, PersistState, SendMessage
 from onyxpost.leadership.granted_lease import GrantedLease
+from onyxpost.leadership.proposal_validation import find_reject_reason
 from onyxpost.leadership.protocol import (
     EMPTY_RECORD,
     Accept,
@@ -65,7 +66,7 @@
         if saved is not None:
             self.promised = saved.promised
             self.record = saved.record
-            self.era = saved.era
+            self.record_epoch_ms = saved.record_epoch_ms
             self.settled_version = saved.settled_version
             self.silent_until_ms = now_ms + timing.acceptor_lease_ms
             return
@@ -73,7 +74,7 @@
         # clock was set back by at most `skew_ms` since: whatever it promised is at most this number.
         self.promised = Ballot(int(now_ms + 2.0 * timing.skew_ms), NO_BALLOT.node, 0)
         self.record = EMPTY_RECORD
-        self.era = 0
+        self.record_epoch_ms = 0
         self.settled_version = 0
         self.silent_until_ms = now_ms + timing.restart_silence_ms
         self.recovery = AcceptorRecovery(node, role, timing, acceptors, self.silent_until_ms)
@@ -131,25 +132,11 @@
 
     def _reject_reason(self, now_ms: float, message: Prepare | Accept) -> RejectReason | None:
         """Why the proposal is rejected; None if it is not."""
-        ballot = message.ballot
         if message.version != self.acceptors.version:
             return RejectReason.OTHER_VERSION
         if not self.is_voting:
             return RejectReason.NOT_VOTING
-        if ballot.number > now_ms + self.timing.skew_ms:
-            return RejectReason.CLOCK_AHEAD
-        if not may_supersede(ballot, self.promised) or ballot.number <= self.lease.highest_released:
-            return RejectReason.HIGHER_PROMISE
-        if isinstance(message, Accept):
-            return self._accept_reject_reason(message)
-        return RejectReason.LEASE_ACTIVE if self.lease.excludes(now_ms, ballot) else None
-
-    def _accept_reject_reason(self, message: Accept) -> RejectReason | None:
-        if message.lease_ms > self.timing.lease_ms:
-            return RejectReason.LEASE_TOO_LONG
-        is_same_ballot = self.record.ballot_number == message.ballot.number
-        has_record = is_same_ballot and self.record.sequence >= message.sequence
-        return RejectReason.RECORD_MISSING if message.record is None and not has_record else None
+        return find_reject_reason(now_ms, message, self._state(), self.lease, self.timing)
 
     def _reject(self, message: Prepare | Accept, reason: RejectReason) -> Reject:
         return Reject(
@@ -183,7 +170,11 @@
         self.promised = message.ballot
         self.promised_at_ms = now_ms
         promise = Promise(
-            role=self.role, version=message.version, ballot=message.ballot, record=self.record, era=self.era
+            role=self.role,
+            version=message.version,
+            ballot=message.ballot,
+            record=self.record,
+            record_epoch_ms=self.record_epoch_ms,
         )
         return [PersistState(self._state()), SendMessage(sender, promise)]
 
@@ -193,7 +184,7 @@
         self.promised = message.ballot
         if message.record is not None and (number, message.sequence) > self.record.recency():
             self.record = replace(message.record, ballot_number=number, sequence=message.sequence)
-        self.era = max(self.era, message.era)
+        self.record_epoch_ms = max(self.record_epoch_ms, message.record_epoch_ms)
         self.settled_version = max(self.settled_version, message.settled_version)
         self.lease.grant(message.ballot, now_ms + self.timing.acceptor_lease_ms)
         accepted = Accepted(
@@ -219,7 +210,7 @@
             queried_at_ms=query.queried_at_ms,
             is_voting=self.is_voting,
             record=self.record,
-            era=self.era,
+            record_epoch_ms=self.record_epoch_ms,
             settled_version=self.settled_version,
         )
 
@@ -228,7 +219,7 @@
         if recovered is None:
             return []
         self.record = recovered.record
-        self.era = recovered.era
+        self.record_epoch_ms = recovered.record_epoch_ms
         self.settled_version = recovered.settled_version
         return self.start_voting(recovered.reason)
 
@@ -245,6 +236,6 @@
             acceptor_set_version=self.acceptors.version,
             promised=self.promised,
             record=self.record,
-            era=self.era,
+            record_epoch_ms=self.record_epoch_ms,
             settled_version=self.settled_version,
         )
