--- a/onyxpost/edge/descriptor_budget.py
+++ b/onyxpost/edge/descriptor_budget.py
@@ -19,19 +19,27 @@
 
 
 class DescriptorBudget:
-    """Decides whether a connection may be opened or accepted, and closes another one for it if need be.
-
-    `clients` and `servers` are set after construction, as each of them needs this budget for its own.
-    """
-
-    clients: ClientListener
-    servers: UpstreamPool
-
-    def __init__(self, limit: Callable[[], int], count_cluster: Callable[[], int]) -> None:
-        """Takes the functions that return the node's limit and its number of cluster connections."""
+    """Decides whether a connection may be opened or accepted, and closes another one for it if need be."""
+
+    def __init__(
+        self,
+        limit: Callable[[], int],
+        clients: ClientListener,
+        servers: UpstreamPool,
+        count_cluster: Callable[[], int],
+    ) -> None:
+        """Creates the budget of a node.
+
+        Args:
+            limit: returns how many descriptors the node may have open.
+            clients: whose connections are counted and closed.
+            servers: whose connections are counted and closed.
+            count_cluster: returns the number of connections to members of the cluster.
+        """
         self.limit = limit
+        self.clients = clients
+        self.servers = servers
         self.count_cluster = count_cluster
-        self.logged_at_ms = -LOG_INTERVAL_MS  # when exhaustion was last logged
 
     def reserved(self) -> int:
         """Returns how many descriptors are kept for everything but connections."""
@@ -66,6 +74,14 @@
             return True
         return self.clients.abort_oldest_closing() or self.servers.evict_oldest_idle()
 
+
+class ExhaustionLogLimit:
+    """Limits how often exhausted descriptors are logged."""
+
+    def __init__(self) -> None:
+        """Creates a limit under which nothing was logged yet."""
+        self._logged_at_ms = -LOG_INTERVAL_MS
+
     def is_logged_already(self, now_ms: float, error: BaseException | None) -> bool:
         """Returns whether `error` reports exhausted descriptors and was logged a short while ago.
 
@@ -73,7 +89,7 @@
         """
         if not isinstance(error, OSError) or error.errno not in EXHAUSTED:
             return False
-        is_recent = now_ms < self.logged_at_ms + LOG_INTERVAL_MS
+        is_recent = now_ms < self._logged_at_ms + LOG_INTERVAL_MS
         if not is_recent:
-            self.logged_at_ms = now_ms
+            self._logged_at_ms = now_ms
         return is_recent
--- a/onyxpost/edge/discovery_watch.py
+++ b/onyxpost/edge/discovery_watch.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 from onyxpost.edge.discovery_poll import (
     DiscoveryConnection,
@@ -17,33 +17,79 @@
 
 if TYPE_CHECKING:
     from onyxpost.config.address import Address
-    from onyxpost.edge.discovery_client import DiscoveryClient
+    from onyxpost.edge.address_choice import AddressChoice
     from onyxpost.edge.messages import EndpointUpdate
+    from onyxpost.runtime.transport import Transport
 
 TIMER_RESOLUTION_SECONDS = 1e-4  # a shorter wait may end before the loop's clock has advanced
 MS_PER_SECOND = 1000.0
 
 
+class WatchAnswered(NamedTuple):
+    """A poll of a watch was answered.
+
+    `after_move`: it is the first answer after a reload has named the address.
+    """
+
+    watch: DiscoveryWatch
+    address: Address
+    update: EndpointUpdate
+    after_move: bool
+
+
+class WatchFailed(NamedTuple):
+    """A poll of a watch failed, with `cause`, in a way that tells of more than its own connection."""
+
+    watch: DiscoveryWatch
+    address: Address
+    failure: PollFailure
+    cause: Exception
+
+
+class WatchListener(Protocol):
+    """What a watch needs of the client that started it."""
+
+    @property
+    def generation(self) -> int:
+        """Discovery's version of the endpoint list that the node has."""
+
+    def on_watch_answered(self, answered: WatchAnswered) -> None:
+        """Handles an answer."""
+
+    def on_watch_failed(self, failed: WatchFailed) -> None:
+        """Handles a failure, once the watch's tracker has counted it."""
+
+
 class DiscoveryWatch:
-    """Polls one address and reports each update and each failure to its client.
+    """Polls one address and reports each answer and each failure to its listener.
 
     Attributes:
-        address: the address that is polled.
         tracker: times the polls.
-        is_on_alternative: `address` is the alternative one, tried as soon as the first has failed.
-        first_failure: how the poll of the first address failed, if discovery was reached there.
     """
 
     def __init__(
-        self, client: DiscoveryClient, address: Address, tracker: StalenessTracker, moved: bool
+        self,
+        transport: Transport,
+        listener: WatchListener,
+        addresses: AddressChoice,
+        tracker: StalenessTracker,
+        *,
+        after_move: bool = False,
     ) -> None:
-        """Creates a watch; `moved`: a reload has named its address, and it first requests all endpoints."""
-        self.address = address
+        """Creates a watch that does not poll yet.
+
+        Args:
+            transport: the node's transport.
+            listener: receives the events.
+            addresses: the address to poll, and the other one that discovery may have.
+            tracker: times the polls.
+            after_move: a reload has named the address, so the first poll requests all endpoints.
+        """
         self.tracker = tracker
-        self.is_on_alternative = False
-        self.first_failure: PollFailure | None = None
-        self._client = client
-        self._moved = moved
+        self._transport = transport
+        self._listener = listener
+        self._addresses = addresses
+        self._after_move = after_move
         self._open_polls: list[OpenPoll] = []  # oldest first
         self._connection: DiscoveryConnection | None = None  # of the last answer
 
@@ -52,7 +98,9 @@
         try:
             while True:
                 poll = self._start_poll()
-                timeout_ms = self.tracker.on_poll_started(poll.started_at, poll.long_poll_ms, self._moved)
+                timeout_ms = self.tracker.on_poll_started(
+                    poll.started_at, poll.long_poll_ms, after_move=self._after_move
+                )
                 await self._wait_for_answer(poll, timeout_ms)
         finally:
             close_polls(self._open_polls)
@@ -60,15 +108,18 @@
                 self._connection.abort()
 
     def _start_poll(self) -> OpenPoll:
-        started_at = self._client.transport.clock()
+        started_at = self._transport.clock()
         long_poll_ms = self.tracker.long_poll_ms()
         limit_open_polls(self._open_polls, self.tracker.max_open_polls, started_at)
-        query = "" if self._moved else f"?since={self._client.generation}&timeout_ms={int(long_poll_ms)}"
+        query = (
+            "" if self._after_move else f"?since={self._listener.generation}&timeout_ms={int(long_poll_ms)}"
+        )
+        address = self._addresses.address
         task = asyncio.get_running_loop().create_task(
-            poll_endpoints(self._client.transport, self.address, self._connection, query)
+            poll_endpoints(self._transport, address, self._connection, query)
         )
         self._connection = None
-        poll = OpenPoll(task, self.address, started_at, long_poll_ms)
+        poll = OpenPoll(task, address, started_at, long_poll_ms)
         self._open_polls.append(poll)
         return poll
 
@@ -89,7 +140,7 @@
             try:
                 self._connection, update = finished.task.result()
             except PollFailedError as err:
-                pause_ms = self._client.on_poll_failed(self, finished, err.failure, err.cause)
+                pause_ms = self._handle_failure(finished, err.failure, err.cause)
                 due = loop.time() + pause_ms / MS_PER_SECOND
                 continue
             await self._handle_answer(newest, finished, update)
@@ -99,23 +150,35 @@
 
     async def _handle_answer(self, newest: OpenPoll, answered: OpenPoll, update: EndpointUpdate) -> None:
         close_polls(self._open_polls)
-        if self.address == self._client.address:
-            self._client.address = answered.address
-        self.address = answered.address
+        self._addresses.on_poll_answered(answered.address)
         self.tracker.on_poll_answered()
-        elapsed_ms = self._client.transport.clock() - newest.started_at
+        elapsed_ms = self._transport.clock() - newest.started_at
         ignored_long_poll = (
-            newest.long_poll_ms > RETRY_PAUSE_MS > elapsed_ms and update.generation <= self._client.generation
+            newest.long_poll_ms > RETRY_PAUSE_MS > elapsed_ms
+            and update.generation <= self._listener.generation
         )
-        self._client.on_update(update, self._moved, answered.address)
-        self._moved = False
+        self._listener.on_watch_answered(WatchAnswered(self, answered.address, update, self._after_move))
+        self._after_move = False
         if ignored_long_poll:
             # An agent that answers a long poll at once, without a change, must not be polled without pause.
             await asyncio.sleep(self.tracker.retry_pause_ms() / MS_PER_SECOND)
 
     async def _handle_timeout(self) -> None:
         timeout = TimeoutError("no answer")
-        pause_ms = self._client.on_poll_failed(self, self._open_polls[-1], PollFailure.TIMEOUT, timeout)
+        pause_ms = self._handle_failure(self._open_polls[-1], PollFailure.TIMEOUT, timeout)
         if self.tracker.max_open_polls == 1:
             close_polls(self._open_polls)
             await asyncio.sleep(pause_ms / MS_PER_SECOND)
+
+    def _handle_failure(self, poll: OpenPoll, failure: PollFailure, cause: Exception) -> float:
+        """Handles the failure of a poll; returns the time in ms until the next poll."""
+        counted_failure = self._addresses.on_poll_failed(failure)
+        if counted_failure is None:
+            return 0.0
+        now = self._transport.clock()
+        if counted_failure is PollFailure.TIMEOUT and not self.tracker.reconnecting:
+            # Only a poll on a new connection shows whether more than this one connection has failed.
+            return self.tracker.on_poll_failed(now, counted_failure)
+        pause_ms = self.tracker.on_poll_failed(now, counted_failure, poll.started_at)
+        self._listener.on_watch_failed(WatchFailed(self, self._addresses.address, counted_failure, cause))
+        return pause_ms
--- a/onyxpost/edge/staleness.py
+++ b/onyxpost/edge/staleness.py
@@ -55,7 +55,7 @@
         reconnecting: the current poll is the first one on its connection.
     """
 
-    def __init__(self, rng: Random, shared: bool = False) -> None:
+    def __init__(self, rng: Random, *, shared: bool = False) -> None:
         """Creates the tracker of a watch that has not polled yet.
 
         Args:
@@ -92,15 +92,15 @@
         """How many polls may be open at a time."""
         return MAX_OPEN_SHARED_POLLS if self._shared else MAX_OPEN_AGENT_POLLS
 
-    def on_poll_started(self, now: float, long_poll_ms: float, moved: bool = False) -> float:
+    def on_poll_started(self, now: float, long_poll_ms: float, *, after_move: bool = False) -> float:
         """Returns the time until the next poll, if this one has no answer by then.
 
         Args:
             now: the current time.
             long_poll_ms: how long discovery may hold this poll open.
-            moved: it goes to the agent that a SIGHUP has just named.
+            after_move: it goes to the agent that a SIGHUP has just named.
         """
-        if moved:
+        if after_move:
             self._stale_after_ms = STALE_AFTER_RELOAD_MS
         else:
             self._stale_after_ms = max(STALE_AFTER_MS, long_poll_ms + STALE_AFTER_LONG_POLL_MS)
--- a/onyxpost/node/components.py
+++ b/onyxpost/node/components.py
@@ -7,7 +7,7 @@
 
 from onyxpost.edge.client_listener import ClientListener
 from onyxpost.edge.descriptor_budget import DescriptorBudget
-from onyxpost.edge.discovery_client import DiscoveryClient
+from onyxpost.edge.discovery_client import DiscoveryClient, DiscoveryOptions
 from onyxpost.edge.event_processor import EventProcessor
 from onyxpost.edge.messages import (
     CloseAttempt,
@@ -71,29 +71,29 @@
     state_machine = EdgeStateMachine(deployment, deployment.build_gateway(net.clock(), config.seed))
     events = EventProcessor(state_machine, net.clock, node.report_fault)
     extensions: list[Extension] = []
-    descriptors = DescriptorBudget(
-        node.descriptor_limit,
-        lambda: sum(extension.descriptor_count() for extension in extensions),
-    )
     clients = ClientListener(
         deployment,
         net,
         events.post,
         node.is_ready,
-        descriptors.has_client_capacity,
+        lambda: descriptors.has_client_capacity(),  # built below, as it counts these connections
         node.report_fault,
     )
     options = UpstreamPoolOptions(
         connect_timeout_ms=deployment.connect_timeout_ms,
         keep_alive_ms=deployment.keep_alive_ms,
-        has_capacity=descriptors.has_server_capacity,
+        has_capacity=lambda: descriptors.has_server_capacity(),
         accepts_requests=state_machine.endpoints.accepts_attempts,
         may_start=node.may_start_attempt,
         report_fault=node.report_fault,
     )
     servers = UpstreamPool(net, events.post, options)
-    descriptors.clients = clients
-    descriptors.servers = servers
+    descriptors = DescriptorBudget(
+        node.descriptor_limit,
+        clients,
+        servers,
+        lambda: sum(extension.descriptor_count() for extension in extensions),
+    )
     discovery = _build_discovery(config, net, events, node)
     extensions += build_extensions(config, net, events.post, node.log)
     peers = PeerSocket(net, config.peers, deployment.node_index, events.post)
@@ -107,17 +107,14 @@
 def _build_discovery(
     config: NodeConfig, net: Transport, events: EventProcessor, node: NodeCallbacks
 ) -> DiscoveryClient:
-    discovery = DiscoveryClient(
-        net,
-        config.discovery,
-        config.known_endpoints.generation,
-        events.post,
-        node.log,
-        config.seed,
-        config.deployment.polls_endpoints,
+    options = DiscoveryOptions(
+        address=config.discovery,
+        alternative_address=config.alternate_discovery,
+        generation=config.known_endpoints.generation,
+        seed=config.seed,
+        shared=config.deployment.polls_endpoints,
     )
-    discovery.alternative_address = config.alternate_discovery
-    return discovery
+    return DiscoveryClient(net, options, events.post, node.log)
 
 
 def _connect_effects(components: Components, node: NodeCallbacks) -> None:
--- a/onyxpost/node/edge_node.py
+++ b/onyxpost/node/edge_node.py
@@ -8,6 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from onyxpost.core.events import RoutingRulesChanged
+from onyxpost.edge.descriptor_budget import ExhaustionLogLimit
 from onyxpost.edge.messages import ClientDisconnected, SendAttempt
 from onyxpost.errors import InvalidInputError
 from onyxpost.node.components import build_components
@@ -70,6 +71,7 @@
         self.clock = self.net.clock
         self.system_descriptor_limit = self.net.descriptor_limit()
         self.phase = Phase.STARTING
+        self._exhaustion_log_limit = ExhaustionLogLimit()
         components = build_components(config, self.net, self)
         self.state_machine = components.state_machine
         self.events = components.events
@@ -233,5 +235,5 @@
 
     def _handle_loop_error(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
-        if not self.descriptors.is_logged_already(self.clock(), error):
+        if not self._exhaustion_log_limit.is_logged_already(self.clock(), error):
             self.report_fault(str(context.get("message")), error)
