--- /dev/null
+++ b/tests/edge/discovery_agents.py
@@ -0,0 +1,136 @@
+"""Discovery agents on the virtual clock, and runs of a discovery client that watches them."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from math import inf
+from random import Random
+from typing import NamedTuple
+
+from onyxpost.edge.discovery_client import DiscoveryClient, DiscoveryOptions
+from onyxpost.edge.messages import EdgeEvent
+from onyxpost.runtime.log_event import LogEvent
+from onyxpost.simulation.virtual_time import Network, run
+
+NODE_HOST = "n"
+READ_SIZE = 65536
+MAX_ACCEPTS_PER_TURN = 16
+SILENCE_SECONDS = 3600.0  # longer than any test
+AGENT_ADDRESSES = [(f"a{index}", 1) for index in range(4)]
+FIRST_AGENT = DiscoveryOptions(AGENT_ADDRESSES[0], generation=1, seed=7)
+
+Scenario = Callable[[DiscoveryClient, Network], Awaitable[None]]
+
+
+class Poll(NamedTuple):
+    """A poll that the agent has received."""
+
+    at: float  # ms
+    long_poll_ms: float
+
+
+class PostedEvent(NamedTuple):
+    """What the node's state machine was told."""
+
+    at: float  # ms
+    event: EdgeEvent
+
+
+class WatchRun(NamedTuple):
+    """A discovery client after its run, with what it has posted and logged."""
+
+    discovery: DiscoveryClient
+    posted: list[PostedEvent]
+    log: list[LogEvent]
+
+    def events(self) -> list[EdgeEvent]:
+        return [posted.event for posted in self.posted]
+
+    def log_events(self) -> list[str]:
+        return [entry.event for entry in self.log]
+
+
+class Agent:
+    """Answers with a change from `change_at` (ms) on, else at the end of the long poll.
+
+    From `silent_at` on it sends nothing on the connections that are open then, or with `truncated` all but
+    the last byte of an answer; new connections are answered.
+    """
+
+    def __init__(self, silent_at: float = inf, truncated: bool = False) -> None:
+        self.silent_at = silent_at
+        self.truncated = truncated
+        self.change_at = inf
+        self.status = 200
+        self.polls: list[Poll] = []
+        self.fell_silent = False
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        opened_at = now_ms()
+        while True:
+            try:
+                head = await reader.readuntil(b"\r\n\r\n")
+            except (OSError, EOFError):
+                return
+            long_poll_ms = 0.0
+            if b"timeout_ms" in head:
+                long_poll_ms = float(head.split(b"timeout_ms=")[1].split(b" ")[0])
+            self.polls.append(Poll(now_ms(), long_poll_ms))
+            await self.wait_for_change(head, long_poll_ms)
+            answer = self.answer()
+            if now_ms() >= self.silent_at >= opened_at:
+                self.fell_silent = True
+                writer.write(answer[: -1 if self.truncated else 0])
+                await asyncio.sleep(SILENCE_SECONDS)
+            writer.write(answer)
+
+    async def wait_for_change(self, head: bytes, long_poll_ms: float) -> None:
+        knows_the_change = b"since=2" in head
+        knows_the_first_list = b"since=1" in head
+        if not (knows_the_change or (knows_the_first_list and now_ms() < self.change_at)):
+            return
+        end = now_ms() + long_poll_ms
+        if knows_the_first_list and self.change_at < end:
+            end = self.change_at
+        await asyncio.sleep(max(0.0, end - now_ms()) / 1000.0)
+
+    def answer(self) -> bytes:
+        changed = now_ms() >= self.change_at
+        endpoint = b'{"instanceId":"s0","hostPort":"h:1","lifecycle":"draining"}' if changed else b""
+        return encode_list(1 + changed, endpoint, status=self.status)
+
+
+def encode_list(
+    generation: int, endpoint: bytes = b"", *, complete: bool = False, status: int = 200
+) -> bytes:
+    reset = b"true" if complete else b"false"
+    body = b'{"generation":%d,"reset":%s,"instances":[%s]}' % (generation, reset, endpoint)
+    return b"HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n" % (status, len(body)) + body
+
+
+def now_ms() -> float:
+    return asyncio.get_running_loop().time() * 1000.0
+
+
+def run_watch(agents: list[Agent], scenario: Scenario, options: DiscoveryOptions = FIRST_AGENT) -> WatchRun:
+    """Runs a scenario with a client that is not started yet; the agents listen at `AGENT_ADDRESSES`."""
+
+    async def main() -> WatchRun:
+        network = Network(Random(1))
+        posted: list[PostedEvent] = []
+        log: list[LogEvent] = []
+        for index, agent in enumerate(agents):
+            host = network.host(f"agent{index}")
+            await host.listen(agent.serve, AGENT_ADDRESSES[index], READ_SIZE, MAX_ACCEPTS_PER_TURN)
+        discovery = DiscoveryClient(
+            network.host(NODE_HOST),
+            options,
+            lambda event: posted.append(PostedEvent(now_ms(), event)),
+            log.append,
+        )
+        await scenario(discovery, network)
+        discovery.close()
+        return WatchRun(discovery, posted, log)
+
+    return run(main())
--- a/tests/edge/test_attempt_start.py
+++ b/tests/edge/test_attempt_start.py
@@ -15,7 +15,7 @@
 from onyxpost.edge import upstream_pool
 from onyxpost.edge.messages import MAX_BODY_BYTES, AttemptEnded, EdgeEvent, Endpoint, SendAttempt
 from onyxpost.runtime.transport import DialedConnection, FlowControlProtocol
-from tests.edge.event_loop import in_event_loop
+from tests.edge.event_loop import in_event_loop, wait_until
 from tests.edge.harness import (
     CLIENT_REQUEST,
     RunningNode,
@@ -26,66 +26,67 @@
 from tests.policy.gateway_host import Host
 
 
-class Late:
-    """Holds a node's connections back until they are let come up."""
+class HeldDials:
+    """Holds a node's connections to one server back until `release` is called."""
 
-    def __init__(self, net: Any) -> None:
-        self.dial, self.asked, self.up = net.dial, asyncio.Event(), asyncio.Event()
-        net.dial = self.later
+    def __init__(self, net: Any, address: Address) -> None:
+        self.started = asyncio.Event()
+        self._released = asyncio.Event()
+        self._address = address
+        self._original_dial = net.dial
+        net.dial = self._dial
 
-    async def later(self, address: Address, limit: int) -> DialedConnection:
-        self.asked.set()
-        await self.up.wait()
-        line: DialedConnection = await self.dial(address, limit)
-        return line
+    def release(self) -> None:
+        self._released.set()
 
+    async def _dial(self, address: Address, limit: int) -> DialedConnection:
+        if address == self._address:  # not a poll of discovery
+            self.started.set()
+            await self._released.wait()
+        connection: DialedConnection = await self._original_dial(address, limit)
+        return connection
 
-async def connecting(edge: RunningNode, late: Late, **headers: str) -> socket.socket:
-    """A client whose req waits for its connection to an app server."""
-    client = socket.create_connection(edge.address)
-    client.sendall(encode_request(**headers))
-    await asyncio.wait_for(late.asked.wait(), 5.0)
-    return client
 
-
-async def gone(how: str) -> tuple[RunningNode, StubAppServer]:
+async def run_until_attempt_ends(disconnect: str) -> tuple[RunningNode, StubAppServer]:
+    """A client disconnects in the turn in which its attempt's connection is established."""
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        late = Late(edge.program.net)
-        client = await connecting(edge, late)
-        (held,) = edge.program.state_machine.requests.by_id.values()
-        ended = asyncio.Event()
-        post = edge.program.servers.post
-
-        def seen(value: EdgeEvent) -> None:
-            post(value)
-            if isinstance(value, AttemptEnded):
-                ended.set()
-
-        edge.program.servers.post = seen
-        may_begin = edge.program.servers.may_start
-
-        def crossing(send: SendAttempt, left: float) -> bool:
-            # Its end comes in the very turn in which the connection is up: the loop has not read it.
-            if how == "reset":
+        dials = HeldDials(edge.program.net, server.address)
+        client = socket.create_connection(edge.address)
+        client.sendall(encode_request())
+        await asyncio.wait_for(dials.started.wait(), 5.0)
+        (pending,) = edge.program.state_machine.requests.by_id.values()
+        attempt_ended = asyncio.Event()
+        original_post = edge.program.servers.post
+
+        def post(event: EdgeEvent) -> None:
+            original_post(event)
+            if isinstance(event, AttemptEnded):
+                attempt_ended.set()
+
+        edge.program.servers.post = post
+        original_may_start = edge.program.servers.may_start
+
+        def may_start_after_disconnect(attempt: SendAttempt, remaining_ms: float) -> bool:
+            # The event loop has not read the client's end when the attempt's connection is established.
+            if disconnect == "reset":
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             client.close()
-            return may_begin(send, left)
-
-        edge.program.servers.may_start = crossing
-        late.up.set()
-        await asyncio.wait_for(ended.wait(), 5.0)
-        assert held.client_request.trace_id
-        async with asyncio.timeout(5.0):
-            while edge.program.state_machine.requests.by_id:
-                await asyncio.sleep(0.001)
+            return original_may_start(attempt, remaining_ms)
+
+        edge.program.servers.may_start = may_start_after_disconnect
+        dials.release()
+        await asyncio.wait_for(attempt_ended.wait(), 5.0)
+        assert pending.client_request.trace_id
+        await wait_until(lambda: not edge.program.state_machine.requests.by_id)
         return edge, server
 
 
+@pytest.mark.parametrize("disconnect", ["close", "reset"])
 @in_event_loop
-async def test_no_attempt_starts_for_a_client_whose_disconnect_is_unread() -> None:
-    for how in ("close", "reset"):
-        edge, server = await gone(how)
-        assert (server.got, edge.program.state_machine.requests.attempt_count) == ([], 1), how
+async def test_no_attempt_starts_for_a_client_whose_disconnect_is_unread(disconnect: str) -> None:
+    edge, server = await run_until_attempt_ends(disconnect)
+    assert server.got == []
+    assert edge.program.state_machine.requests.attempt_count == 1
 
 
 @in_event_loop
@@ -121,11 +122,11 @@
     ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
     async with StubAppServer() as server:
         pool = create_pool(ends.put_nowait)
-        late = Late(pool.transport)
+        dials = HeldDials(pool.transport, server.address)
         pool.send(SendAttempt(7, Endpoint("s", server.address), CLIENT_REQUEST, 900.0))
-        await late.asked.wait()
+        await dials.started.wait()
         pool.clock = lambda: 900.0
-        late.up.set()
+        dials.release()
         end = await asyncio.wait_for(ends.get(), 5.0)
         assert isinstance(end, AttemptEnded)
         assert (end.result, server.got) == (AttemptResult.UNUSED, [])
--- a/tests/edge/test_readiness.py
+++ b/tests/edge/test_readiness.py
@@ -14,9 +14,9 @@
 from onyxpost.node.edge_node import INITIAL_ENDPOINTS_TIMEOUT_MS, EdgeNode, Phase
 from onyxpost.runtime.structured_log import StructuredLog
 from onyxpost.simulation.virtual_time import Network, run
+from tests.edge.discovery_agents import Agent
 from tests.edge.harness import SETTINGS, node_fields
 from tests.edge.test_overloaded_discovery import NODE_COUNT, OverloadedDiscovery
-from tests.edge.test_silent_discovery import Agent
 
 LONG_DRAIN_GRACE_US = 30_000_000
 NEVER_MS = float("inf")
--- a/tests/edge/test_silent_discovery.py
+++ b/tests/edge/test_silent_discovery.py
@@ -4,17 +4,15 @@
 
 import asyncio
 from collections.abc import Awaitable, Callable
+from dataclasses import replace
 from itertools import pairwise
 from math import inf
-from random import Random
-from typing import NamedTuple
+from typing import TYPE_CHECKING
 
 import pytest
 
-from onyxpost.config.address import Address
-from onyxpost.edge.discovery_client import DiscoveryClient, DiscoveryOptions
 from onyxpost.edge.errors import InvalidEndpointUpdateError
-from onyxpost.edge.messages import EdgeEvent, EndpointUpdate, EndpointUpdateFailed, decode_endpoint_update
+from onyxpost.edge.messages import EndpointUpdate, EndpointUpdateFailed, decode_endpoint_update
 from onyxpost.edge.staleness import (
     ANSWER_TIMEOUT_MS,
     RETRY_PAUSE_MS,
@@ -22,112 +20,40 @@
     STALE_AFTER_MS,
     STALE_AFTER_RELOAD_MS,
 )
-from onyxpost.simulation.virtual_time import Network, run
-
-DRAIN_GRACE_MS = 250.0  # an attempt that starts later on a draining server violates the protocol
-READ_SIZE = 65536
-
-Scenario = Callable[[DiscoveryClient], Awaitable[None]]
-
-
-class Poll(NamedTuple):
-    """A poll that the agent has received."""
-
-    at: float  # ms
-    long_poll_ms: float
-
-
-class PostedEvent(NamedTuple):
-    """What the node's state machine was told."""
-
-    at: float  # ms
-    event: EdgeEvent
-
-
-class Agent:
-    """Answers with a change from `change_at` (ms) on, else at the end of the long poll.
-
-    From `silent_at` on it sends nothing on the connections that are open then, or with `truncated` all but
-    the last byte of an answer; new connections are answered.
-    """
-
-    def __init__(self, silent_at: float = inf, truncated: bool = False) -> None:
-        self.silent_at = silent_at
-        self.truncated = truncated
-        self.change_at = inf
-        self.status = 200
-        self.polls: list[Poll] = []
-        self.fell_silent = False
-
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        opened_at = now_ms()
-        while True:
-            try:
-                head = await reader.readuntil(b"\r\n\r\n")
-            except (OSError, EOFError):
-                return
-            long_poll_ms = 0.0
-            if b"timeout_ms" in head:
-                long_poll_ms = float(head.split(b"timeout_ms=")[1].split(b" ")[0])
-            self.polls.append(Poll(now_ms(), long_poll_ms))
-            await self.wait_for_change(head, long_poll_ms)
-            answer = self.answer()
-            if now_ms() >= self.silent_at >= opened_at:
-                self.fell_silent = True
-                writer.write(answer[: -1 if self.truncated else 0])
-                await asyncio.sleep(3600.0)
-            writer.write(answer)
-
-    async def wait_for_change(self, head: bytes, long_poll_ms: float) -> None:
-        knows_the_change = b"since=2" in head
-        knows_the_first_list = b"since=1" in head
-        if not (knows_the_change or (knows_the_first_list and now_ms() < self.change_at)):
-            return
-        end = now_ms() + long_poll_ms
-        if knows_the_first_list and self.change_at < end:
-            end = self.change_at
-        await asyncio.sleep(max(0.0, end - now_ms()) / 1000.0)
+from tests.edge.discovery_agents import (
+    AGENT_ADDRESSES,
+    FIRST_AGENT,
+    Agent,
+    PostedEvent,
+    now_ms,
+    run_watch,
+)
 
-    def answer(self) -> bytes:
-        changed = now_ms() >= self.change_at
-        endpoint = b'{"instanceId":"s0","hostPort":"h:1","lifecycle":"draining"}' if changed else b""
-        body = b'{"generation":%d,"reset":false,"instances":[%s]}' % (1 + changed, endpoint)
-        return b"HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n" % (self.status, len(body)) + body
+if TYPE_CHECKING:
+    from onyxpost.edge.discovery_client import DiscoveryClient, DiscoveryOptions
+    from onyxpost.simulation.virtual_time import Network
 
+DRAIN_GRACE_MS = 250.0  # an attempt that starts later on a draining server violates the protocol
+SHARED_DISCOVERY = replace(FIRST_AGENT, shared=True)
 
-def now_ms() -> float:
-    return asyncio.get_running_loop().time() * 1000.0
+Scenario = Callable[["DiscoveryClient"], Awaitable[None]]
 
 
 def watch(
     agents: list[Agent],
     until_ms: float,
     scenario: Scenario | None = None,
-    *,
-    shared: bool = False,
-    alternative_address: Address | None = None,
+    options: DiscoveryOptions = FIRST_AGENT,
 ) -> list[PostedEvent]:
-    """Runs a watch on the first agent and returns what was posted until a time."""
-    posted: list[PostedEvent] = []
-
-    async def main() -> None:
-        network = Network(Random(1))
-        for index, agent in enumerate(agents):
-            await network.host(f"agent{index}").listen(agent.serve, (f"a{index}", 1), READ_SIZE, 16)
-        discovery = DiscoveryClient(
-            network.host("n"),
-            DiscoveryOptions(("a0", 1), alternative_address, generation=1, seed=7, shared=shared),
-            lambda event: posted.append(PostedEvent(now_ms(), event)),
-            lambda event: None,
-        )
+    """Runs a started watch on the first agent and returns what was posted until a time."""
+
+    async def run_until(discovery: DiscoveryClient, _network: Network) -> None:
         discovery.start()
         if scenario is not None:
             await scenario(discovery)
         await asyncio.sleep((until_ms - now_ms()) / 1000.0)
-        discovery.close()
 
-    run(main())
-    return posted
+    return run_watch(agents, run_until, options).posted
 
 
 def change_posted_at(posted: list[PostedEvent]) -> float:
@@ -158,7 +84,7 @@
 def test_after_a_move_a_silent_new_agent_is_polled_again_within_4_s() -> None:
     async def move(discovery: DiscoveryClient) -> None:
         await asyncio.sleep(1.0)
-        discovery.change_address(("a1", 1))
+        discovery.change_address(AGENT_ADDRESSES[1])
 
     old = Agent()
     new = Agent(1000.0)
@@ -202,7 +128,7 @@
 def test_after_a_move_to_an_overloaded_agent_the_list_is_stale_after_4_s(old_status: int) -> None:
     async def move_and_recover(discovery: DiscoveryClient) -> None:
         await asyncio.sleep(1.0)
-        discovery.change_address(("a1", 1))
+        discovery.change_address(AGENT_ADDRESSES[1])
         await asyncio.sleep(19.0)
         new.status = 200
 
@@ -218,7 +144,7 @@
 
 def test_after_a_move_an_answer_of_the_old_agent_leaves_the_list_stale() -> None:
     async def move(discovery: DiscoveryClient) -> None:
-        discovery.change_address(("a1", 1))
+        discovery.change_address(AGENT_ADDRESSES[1])
 
     old, new = Agent(), Agent()
     new.status = 503
@@ -231,7 +157,7 @@
 def test_an_unreachable_second_address_does_not_hide_an_overloaded_first_one() -> None:
     agent = Agent()
     agent.status = 503
-    posted = watch([agent], 20_000.0, alternative_address=("nowhere", 1))
+    posted = watch([agent], 20_000.0, options=replace(FIRST_AGENT, alternative_address=("nowhere", 1)))
     assert stale_posted_at(posted) == [pytest.approx(STALE_AFTER_MS, abs=20.0)]
 
 
@@ -240,7 +166,7 @@
         discovery.generation = 5
         await asyncio.sleep(7.0)
         new.status = 200
-        discovery.change_address(("a1", 1))
+        discovery.change_address(AGENT_ADDRESSES[1])
 
     old, new = Agent(), Agent()
     old.status = 503
@@ -259,7 +185,7 @@
 def test_polls_of_an_overloaded_shared_discovery_do_not_postpone_staleness() -> None:
     agent = Agent()
     agent.status = 503
-    posted = watch([agent], 60_000.0, shared=True)
+    posted = watch([agent], 60_000.0, options=SHARED_DISCOVERY)
     assert stale_posted_at(posted) == [pytest.approx(STALE_AFTER_MS, abs=10.0)]
     pauses = [later.at - earlier.at for earlier, later in pairwise(agent.polls)]
     # Whenever discovery has capacity again, a poll and its answer fit into the next 6 s.
--- a/tests/edge/test_staleness.py
+++ b/tests/edge/test_staleness.py
@@ -8,6 +8,7 @@
 
 from onyxpost.edge.staleness import (
     AGENT_BACKOFF_MAX_MS,
+    AGENT_BACKOFF_MIN_MS,
     ANSWER_TIMEOUT_MS,
     RETRY_PAUSE_MS,
     STALE_AFTER_MS,
@@ -124,3 +125,21 @@
         now += pauses[-1]
         tracker.on_poll_started(now, 1.0)
     assert max(pauses) <= (STALE_AFTER_MS - ANSWER_TIMEOUT_MS if shared else AGENT_BACKOFF_MAX_MS)
+
+
+def test_a_malformed_answer_is_retried_soon_and_an_answer_resets_the_backoff(
+    tracker: StalenessTracker,
+) -> None:
+    tracker.on_poll_started(0.0, 1.0)
+    pauses = [tracker.on_poll_failed(1.0, PollFailure.MALFORMED_ANSWER) for _ in range(40)]
+    assert max(pauses) <= 1.25 * RETRY_PAUSE_MS  # within the 200 ms that keep a watch
+    assert max(pauses) - min(pauses) > 0.5 * RETRY_PAUSE_MS  # many nodes do not poll in step
+    for _ in range(4):
+        tracker.on_poll_failed(1.0, PollFailure.OVERLOADED)
+    backoffs = [tracker.on_poll_failed(1.0, PollFailure.OVERLOADED) for _ in range(40)]
+    assert max(backoffs) > AGENT_BACKOFF_MIN_MS
+    tracker.on_poll_answered()
+    for _ in range(40):
+        tracker.on_poll_started(0.0, 1.0)
+        assert tracker.on_poll_failed(1.0, PollFailure.OVERLOADED) <= AGENT_BACKOFF_MIN_MS
+        tracker.on_poll_answered()
