--- /dev/null
+++ b/onyxpost/edge/client_closing.py
@@ -0,0 +1,88 @@
+"""Closes clients' connections whose time is over, and all of them when the node stops."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from typing import TYPE_CHECKING
+
+from onyxpost.edge.client_connection import GRACE_FOR_REQUEST_MS, idle_connections
+from onyxpost.edge.client_connections import LINGER_MS
+
+if TYPE_CHECKING:
+    from onyxpost.edge.client_connections import ClientConnections
+    from onyxpost.edge.client_http import ClientHttp
+    from onyxpost.runtime.transport import Transport
+
+SHUTDOWN_LINGER_MS = 250.0  # as `LINGER_MS`, when the node itself stops
+CLOSE_POLL_SECONDS = 0.01  # between checks whether all connections have closed
+
+
+class ClientCloser:
+    """Decides which connections are closed by their deadlines and by a shutdown."""
+
+    def __init__(self, transport: Transport, connections: ClientConnections, http: ClientHttp) -> None:
+        """Creates the closer of a node that serves."""
+        self._transport = transport
+        self._clock = transport.clock
+        self._connections = connections
+        self._http = http
+        self._reject_incomplete_at = math.inf  # ms, from when on incomplete requests are rejected
+
+    def begin_shutdown(self) -> None:
+        """Makes each further answer close its connection, and closes those that are idle."""
+        self._http.begin_shutdown()
+        self.close_idle()
+
+    def on_accepting_stopped(self) -> None:
+        """Lets requests be completed for a short time; from then on `close_idle` rejects them."""
+        self._reject_incomplete_at = self._clock() + GRACE_FOR_REQUEST_MS
+
+    def close_idle(self) -> None:
+        """Closes connections during a shutdown: idle ones at once, later those without a complete request.
+
+        What has arrived, read or not, is still answered. Connections that stayed open would bring further
+        requests, and a late one could be unanswered when the node is killed.
+        """
+        for connection in idle_connections(self._connections.open.values()):
+            if connection.has_no_unread_input(self._transport):
+                self._connections.begin_closing(connection)
+        if self._clock() >= self._reject_incomplete_at:
+            self._close_incomplete()
+
+    def _close_incomplete(self) -> None:
+        for connection in [c for c in self._connections.open.values() if not c.awaits_answer]:
+            if connection.request_started:
+                self._http.reject_overloaded(connection)
+            elif connection.has_no_unread_input(self._transport):
+                self._connections.begin_closing(connection)
+
+    def close_expired(self) -> None:
+        """Closes connections past their deadline; unread input extends it: the node may have stalled."""
+        now = self._clock()
+        for connection in [c for c in self._connections.closing.values() if now > c.deadline]:
+            if connection.grace_given or connection.has_no_unread_input(self._transport):
+                self._connections.abort(connection)
+            else:
+                connection.extend_deadline(now + LINGER_MS)
+        expired = [
+            connection
+            for connection in self._connections.open.values()
+            if now > connection.deadline and connection.has_no_unread_input(self._transport)
+        ]
+        for connection in expired:
+            if connection.request_started:
+                self._http.reject_late(connection)
+            else:
+                self._connections.begin_closing(connection)
+
+    async def close_all(self) -> None:
+        """Closes all connections, once what is still to be written has been sent."""
+        for connection in list(self._connections.open.values()):
+            self._connections.begin_closing(connection)
+        deadline = self._clock() + SHUTDOWN_LINGER_MS
+        for connection in [c for c in self._connections.closing.values() if not c.unsent_bytes()]:
+            connection.limit_deadline(deadline)
+        while self._connections.closing:
+            self.close_expired()
+            await asyncio.sleep(CLOSE_POLL_SECONDS)
--- a/onyxpost/edge/client_connection.py
+++ b/onyxpost/edge/client_connection.py
@@ -19,6 +19,7 @@
 # For a new connection to send its first request, and for a request that has started to be complete.
 REQUEST_TIMEOUT_MS = 2_500.0
 IDLE_TIMEOUT_MS = 5_000.0  # between requests
+GRACE_FOR_REQUEST_MS = 100.0  # a connection that sends no complete request for longer may be evicted
 
 
 class ClientConnection:
@@ -44,8 +45,15 @@
     """
 
     def __init__(
-        self, connection_id: int, reader: CountingReader, writer: asyncio.StreamWriter, now: float
+        self,
+        connection_id: int,
+        reader: CountingReader,
+        writer: asyncio.StreamWriter,
+        now: float,
+        *,
+        is_over_capacity: bool = False,
     ) -> None:
+        """Creates the state of a connection that was accepted at `now`, in ms."""
         self.connection_id = connection_id
         self.reader = reader
         self.writer = writer
@@ -56,7 +64,7 @@
         self.awaits_answer = False
         self.request_started = False
         self.is_new = True
-        self.is_over_capacity = False
+        self.is_over_capacity = is_over_capacity
         self.has_pipelined = False
         self.grace_given = False
         self.request: h11.Request | None = None
@@ -105,6 +113,10 @@
         self.awaits_answer = True
         self.deadline = math.inf
 
+    def on_abandoned(self) -> None:
+        """Notes that the request in flight needs no answer any more."""
+        self.awaits_answer = False
+
     def on_response(self, now: float) -> None:
         """Notes a response, after which the connection is idle."""
         self.request_started = False
@@ -120,6 +132,15 @@
         self.deadline = now + (IDLE_TIMEOUT_MS if self.unsent_bytes() else linger_ms)
         self.body = bytearray()
 
+    def extend_deadline(self, deadline: float) -> None:
+        """Sets a later deadline, in ms, because of unread input."""
+        self.grace_given = True
+        self.deadline = deadline
+
+    def limit_deadline(self, deadline: float) -> None:
+        """Sets an earlier deadline, in ms, if it is earlier."""
+        self.deadline = min(self.deadline, deadline)
+
     def on_next_cycle(self) -> None:
         """Clears the request that was answered."""
         self.request = None
--- /dev/null
+++ b/onyxpost/edge/client_connections.py
@@ -0,0 +1,87 @@
+"""The connections of all clients, from the accept to the end of closing."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from onyxpost.edge.messages import ClientDisconnected, EdgeEvent
+from onyxpost.runtime.transport import Unread
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from onyxpost.edge.client_connection import ClientConnection
+    from onyxpost.runtime.transport import Transport
+
+LINGER_MS = 1_000.0  # how long a closing connection is still read, for its client to close first
+
+
+class ClientConnections:
+    """Holds clients' connections and takes each from open to closing to closed.
+
+    Attributes:
+        open: those that may send requests, by id.
+        closing: those whose last answer has been sent, by id; each still holds its descriptor.
+        post: receives the event that a client has disconnected.
+    """
+
+    def __init__(self, transport: Transport, post: Callable[[EdgeEvent], None]) -> None:
+        """Creates an empty table."""
+        self.open: dict[int, ClientConnection] = {}
+        self.closing: dict[int, ClientConnection] = {}
+        self.post = post
+        self._transport = transport
+
+    def add(self, connection: ClientConnection) -> None:
+        """Adds a connection that was just accepted."""
+        self.open[connection.connection_id] = connection
+
+    def is_open(self, connection: ClientConnection) -> bool:
+        """Returns whether a connection may still send requests."""
+        return connection.connection_id in self.open and not connection.is_closing()
+
+    def find_unanswered(self, connection_id: int) -> ClientConnection | None:
+        """Returns a connection whose request is not answered yet; None if it has none, or is closing."""
+        connection = self.open.get(connection_id)
+        return connection if connection is not None and connection.awaits_answer else None
+
+    def is_waiting(self, connection_id: int) -> bool:
+        """Returns whether a client still waits for its answer: no end of stream is in its socket either."""
+        connection = self.find_unanswered(connection_id)
+        if connection is None or connection.is_closing():
+            return False
+        return self._transport.unread(connection.writer.transport) is not Unread.END
+
+    def begin_closing(self, connection: ClientConnection) -> None:
+        """Sends the end of stream, then reads and discards input until the client's end or a deadline.
+
+        A connection closed with unread input is reset, and an answer just written may be lost with it. A
+        request that arrives from now on is discarded: its client sees the end of stream and sends it again.
+        """
+        if self.open.pop(connection.connection_id, None) is None:
+            return
+        self.closing[connection.connection_id] = connection
+        connection.on_closing(self._transport.clock(), LINGER_MS)
+        if connection.awaits_answer:
+            connection.on_abandoned()
+            self.post(ClientDisconnected(connection.connection_id))
+        try:
+            connection.writer.write_eof()
+        except OSError:  # reset in the meantime
+            connection.writer.transport.abort()
+
+    async def finish_closing(self, connection: ClientConnection) -> None:
+        """Closes a connection that was read to its end; it is aborted later if it takes no output."""
+        self.begin_closing(connection)
+        connection.writer.close()
+        try:
+            await connection.writer.wait_closed()
+        except OSError:
+            pass
+        finally:
+            self.closing.pop(connection.connection_id, None)
+
+    def abort(self, connection: ClientConnection) -> None:
+        """Closes a closing connection at once and frees its descriptor."""
+        self.closing.pop(connection.connection_id, None)
+        connection.writer.transport.abort()
--- /dev/null
+++ b/onyxpost/edge/client_eviction.py
@@ -0,0 +1,45 @@
+"""Frees descriptors of clients' connections for others."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from onyxpost.edge.client_connection import GRACE_FOR_REQUEST_MS, eviction_candidates
+
+if TYPE_CHECKING:
+    from onyxpost.edge.client_connections import ClientConnections
+    from onyxpost.edge.client_http import ClientHttp
+    from onyxpost.runtime.transport import Transport
+
+
+class ClientEviction:
+    """Closes a client's connection before its time, so that another connection can be opened."""
+
+    def __init__(self, transport: Transport, connections: ClientConnections, http: ClientHttp) -> None:
+        """Creates the eviction of a node's connections."""
+        self._transport = transport
+        self._connections = connections
+        self._http = http
+
+    def evict_connection(self) -> bool:
+        """Closes one connection that is slow to send a request, or else idle; returns whether it did."""
+        latest = self._transport.clock() - GRACE_FOR_REQUEST_MS
+        candidates = eviction_candidates(self._connections.open.values(), latest)
+        evicted = next(
+            (connection for connection in candidates if connection.has_no_unread_input(self._transport)), None
+        )
+        if evicted is None:
+            return False
+        if evicted.request_started:
+            self._http.reject_overloaded(evicted)
+        else:
+            self._connections.begin_closing(evicted)
+        return True
+
+    def abort_oldest_closing(self) -> bool:
+        """Frees the descriptor of the connection that has been closing for longest, if there is one."""
+        closing = self._connections.closing.values()
+        oldest = next((connection for connection in closing if not connection.unsent_bytes()), None)
+        if oldest is not None:
+            self._connections.abort(oldest)
+        return oldest is not None
--- a/onyxpost/edge/client_http.py
+++ b/onyxpost/edge/client_http.py
@@ -66,6 +66,10 @@
         self._is_ready = is_ready
         self._begin_closing = begin_closing
 
+    def begin_shutdown(self) -> None:
+        """Makes each further response close its connection."""
+        self.is_shutting_down = True
+
     def handle_bytes(self, connection: ClientConnection, data: bytes) -> None:
         """Handles bytes that were read from an open connection."""
         if connection.awaits_answer:
--- /dev/null
+++ b/onyxpost/edge/clients.py
@@ -0,0 +1,73 @@
+"""The side of a node that faces its clients: one object of each part, connected with the others."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from onyxpost.edge.client_closing import ClientCloser
+from onyxpost.edge.client_connections import ClientConnections
+from onyxpost.edge.client_eviction import ClientEviction
+from onyxpost.edge.client_http import ClientHttp
+from onyxpost.edge.client_listener import ClientListener
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from onyxpost.config.deployment import Deployment
+    from onyxpost.edge.messages import EdgeEvent, SendAnswer
+    from onyxpost.runtime.transport import Transport
+
+
+@dataclass(frozen=True, slots=True)
+class Clients:
+    """The parts that serve clients.
+
+    Attributes:
+        connections: all open and closing connections.
+        http: decodes requests and writes responses.
+        listener: accepts and reads connections.
+        closer: closes connections by their deadlines and by a shutdown.
+        eviction: closes connections when descriptors run out.
+    """
+
+    connections: ClientConnections
+    http: ClientHttp
+    listener: ClientListener
+    closer: ClientCloser
+    eviction: ClientEviction
+
+    def send_answer(self, answer: SendAnswer) -> None:
+        """Sends an answer, unless its client has disconnected."""
+        connection = self.connections.find_unanswered(answer.connection_id)
+        if connection is not None:
+            self.http.send_answer(connection, answer)
+
+
+def build_clients(
+    deployment: Deployment,
+    transport: Transport,
+    post: Callable[[EdgeEvent], None],
+    is_ready: Callable[[], bool],
+    has_capacity: Callable[[], bool],
+    report_fault: Callable[[str, BaseException], None],
+) -> Clients:
+    """Builds the parts that serve clients; none of them opens a socket yet.
+
+    Args:
+        deployment: what requests are checked against.
+        transport: the node's transport.
+        post: receives requests and the ends of clients' connections.
+        is_ready: returns whether health checks are answered 200.
+        has_capacity: returns whether one more client may be served.
+        report_fault: logs an unexpected exception.
+    """
+    connections = ClientConnections(transport, post)
+    http = ClientHttp(deployment, transport.clock, post, is_ready, connections.begin_closing)
+    return Clients(
+        connections,
+        http,
+        ClientListener(transport, connections, http, has_capacity, report_fault),
+        ClientCloser(transport, connections, http),
+        ClientEviction(transport, connections, http),
+    )
--- a/onyxpost/edge/descriptor_budget.py
+++ b/onyxpost/edge/descriptor_budget.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from onyxpost.edge.client_listener import ClientListener
+    from onyxpost.edge.clients import Clients
     from onyxpost.edge.upstream_pool import UpstreamPool
 
 MAX_RESERVED = 48
@@ -24,7 +24,7 @@
     def __init__(
         self,
         limit: Callable[[], int],
-        clients: ClientListener,
+        clients: Clients,
         servers: UpstreamPool,
         count_cluster: Callable[[], int],
     ) -> None:
@@ -47,8 +47,9 @@
 
     def in_use(self) -> int:
         """Returns how many descriptors are open or reserved."""
-        clients = len(self.clients.open_connections) + len(self.clients.closing_connections)
-        return clients + self.servers.connection_count + self.reserved() + self.count_cluster()
+        connections = self.clients.connections
+        client_count = len(connections.open) + len(connections.closing)
+        return client_count + self.servers.connection_count + self.reserved() + self.count_cluster()
 
     def has_client_capacity(self) -> bool:
         """Returns whether one more client may connect; may close an idle client for it.
@@ -60,10 +61,10 @@
         use.
         """
         limit = self.limit()
-        clients = len(self.clients.open_connections)
-        if clients >= limit // 4 and self.clients.evict_connection():
+        client_count = len(self.clients.connections.open)
+        if client_count >= limit // 4 and self.clients.eviction.evict_connection():
             return self.has_server_capacity()  # the one just closed still holds its descriptor for a while
-        return clients < (limit - self.reserved()) * 3 // 5 and self.has_server_capacity()
+        return client_count < (limit - self.reserved()) * 3 // 5 and self.has_server_capacity()
 
     def has_server_capacity(self) -> bool:
         """Returns whether one more descriptor may be opened.
@@ -72,7 +73,7 @@
         """
         if self.in_use() < self.limit():
             return True
-        return self.clients.abort_oldest_closing() or self.servers.evict_oldest_idle()
+        return self.clients.eviction.abort_oldest_closing() or self.servers.evict_oldest_idle()
 
 
 class ExhaustionLogLimit:
--- a/onyxpost/node/components.py
+++ b/onyxpost/node/components.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
-from onyxpost.edge.client_listener import ClientListener
+from onyxpost.edge.clients import Clients, build_clients
 from onyxpost.edge.descriptor_budget import DescriptorBudget
 from onyxpost.edge.discovery_client import DiscoveryClient, DiscoveryOptions
 from onyxpost.edge.event_processor import EventProcessor
@@ -58,7 +58,7 @@
     state_machine: EdgeStateMachine
     events: EventProcessor
     descriptors: DescriptorBudget
-    clients: ClientListener
+    clients: Clients
     servers: UpstreamPool
     discovery: DiscoveryClient
     peers: PeerSocket
@@ -71,7 +71,7 @@
     state_machine = EdgeStateMachine(deployment, deployment.build_gateway(net.clock(), config.seed))
     events = EventProcessor(state_machine, net.clock, node.report_fault)
     extensions: list[Extension] = []
-    clients = ClientListener(
+    clients = build_clients(
         deployment,
         net,
         events.post,
--- a/onyxpost/node/edge_node.py
+++ b/onyxpost/node/edge_node.py
@@ -125,7 +125,7 @@
     async def _start_serving(self) -> None:
         for extension in self.extensions:
             await extension.start()
-        await self.clients.listen(self.config.listen)
+        await self.clients.listener.listen(self.config.listen)
         self.sweep()
         self.net.freeze_startup_objects()
         self._enter(Phase.SERVING)
@@ -135,20 +135,21 @@
         self._enter(Phase.LEAVING)
         for extension in self.extensions:
             extension.resign()
-        self.clients.begin_shutdown()
+        self.clients.closer.begin_shutdown()
         await asyncio.sleep(ACCEPT_AFTER_STOP_SECONDS)
         self._enter(Phase.CLOSING)
-        await self.clients.stop_accepting()
-        while self.state_machine.unanswered_count or self.clients.open_connections:
-            self.clients.close_idle()
+        await self.clients.listener.stop_accepting()
+        self.clients.closer.on_accepting_stopped()
+        while self.state_machine.unanswered_count or self.clients.connections.open:
+            self.clients.closer.close_idle()
             await asyncio.sleep(DRAIN_POLL_SECONDS)
-        await self.clients.close()
+        await self.clients.closer.close_all()
         for extension in self.extensions:
             await extension.stop()
 
     def close(self) -> None:
         """Closes all sockets at once."""
-        self.clients.close_listener()
+        self.clients.listener.close()
         self.servers.close()
         self.peers.close()
         self.discovery.close()
@@ -207,7 +208,7 @@
         begun to drain, or the deduplication window may have ended. With no more than one tick left, the
         attempt would reach the server after its request was answered.
         """
-        if not self.clients.is_waiting(effect.request.connection_id):
+        if not self.clients.connections.is_waiting(effect.request.connection_id):
             self.events.post(ClientDisconnected(effect.request.connection_id))
             return False
         is_in_time = remaining_ms > self.config.deployment.tick_ms and self.clock() < effect.begin_before
@@ -220,7 +221,7 @@
     def sweep(self) -> None:
         """Closes connections that exceed a timeout, now and in regular intervals."""
         self.servers.close_expired()
-        self.clients.close_expired()
+        self.clients.closer.close_expired()
         asyncio.get_running_loop().call_later(SWEEP_INTERVAL_SECONDS, self.sweep)
 
     # Log
--- a/onyxpost/simulation/mutations.py
+++ b/onyxpost/simulation/mutations.py
@@ -75,14 +75,15 @@
 
 def _sends_for_the_gone(program: EdgeNode) -> None:
     """That a client has gone is not heard of, and not looked at before a first byte."""
-    post = program.clients.post
+    connections = program.clients.connections
+    post = connections.post
 
     def careless(value: Any) -> None:
         if not isinstance(value, ClientDisconnected):
             post(value)
 
-    program.clients.post = careless
-    program.clients.is_waiting = lambda connection_id: True  # type: ignore[method-assign]
+    connections.post = careless
+    connections.is_waiting = lambda connection_id: True  # type: ignore[method-assign]
 
 
 def _deaf_watch(program: EdgeNode) -> None:
--- a/tests/edge/harness.py
+++ b/tests/edge/harness.py
@@ -176,8 +176,8 @@
         self.running = asyncio.get_running_loop().create_task(self.program.run())
         while not self.program.is_ready():
             await asyncio.sleep(0.001)
-        assert self.program.clients.server is not None
-        self.address = self.program.clients.server.sockets[0].getsockname()
+        assert self.program.clients.listener.server is not None
+        self.address = self.program.clients.listener.server.sockets[0].getsockname()
         self.reader, self.writer = await asyncio.open_connection(*self.address)
         return self
 
--- a/tests/edge/test_attempt_start.py
+++ b/tests/edge/test_attempt_start.py
@@ -100,7 +100,7 @@
         send = SendAttempt(
             7, Endpoint("s0", server.address), CLIENT_REQUEST, 900.0, begin_before=now[0] + 100.0
         )
-        with mock.patch.object(program.clients, "is_waiting", lambda client: True):
+        with mock.patch.object(program.clients.connections, "is_waiting", lambda client: True):
             assert program.may_start_attempt(send, 900.0)
             now[0] += 100.0
             assert not program.may_start_attempt(send, 900.0)
@@ -111,7 +111,7 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         program = edge.program
         send = SendAttempt(7, Endpoint("s0", server.address), CLIENT_REQUEST, 900.0)
-        with mock.patch.object(program.clients, "is_waiting", lambda client: True):
+        with mock.patch.object(program.clients.connections, "is_waiting", lambda client: True):
             tick = program.config.deployment.tick_ms
             looks = [program.may_start_attempt(send, left) for left in (tick + 0.1, tick)]
             assert looks == [True, False]
--- a/tests/edge/test_client_connections.py
+++ b/tests/edge/test_client_connections.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from onyxpost.edge import client_http, client_listener
-from onyxpost.edge.client_listener import ClientListener
+from onyxpost.edge import client_connections, client_http
+from onyxpost.edge.clients import build_clients
 from onyxpost.edge.messages import EdgeEvent
 from onyxpost.simulation import virtual_time
 from tests.edge.event_loop import in_event_loop, wait_until
@@ -46,7 +46,7 @@
     client = dial(edge)
     client.sendall(encode_request("toll", Idempotency_Key="k", X_Expires_In="4900m"))
     await wait_until(lambda: server.got)
-    ((number, _),) = [item for item in edge.program.clients.open_connections.items() if item[1].awaits_answer]
+    ((number, _),) = [item for item in edge.program.clients.connections.open.items() if item[1].awaits_answer]
     return client, number
 
 
@@ -55,7 +55,7 @@
 async def test_a_disconnect_is_seen_before_the_loop_has_read_it(how: str) -> None:
     async with StubAppServer(None) as server, RunningNode(server.address) as edge:
         client, number = await waiting(edge, server)
-        there = edge.program.clients.is_waiting
+        there = edge.program.clients.connections.is_waiting
         assert (there(number), there(number + 9)) == (True, False)
         if "ahead" in how:
             client.sendall(encode_request(trace="ahead"))
@@ -77,7 +77,8 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         await edge.ask(encode_request())
         assert [
-            edge.program.clients.is_waiting(number) for number in edge.program.clients.open_connections
+            edge.program.clients.connections.is_waiting(number)
+            for number in edge.program.clients.connections.open
         ] == [False]
 
 
@@ -90,24 +91,24 @@
         def post(value: EdgeEvent) -> None:
             asked.set()
 
-        clients = ClientListener(deployment, host, post, lambda: True, lambda: True, print)
-        await clients.listen(("edge", 80))
+        clients = build_clients(deployment, host, post, lambda: True, lambda: True, print)
+        await clients.listener.listen(("edge", 80))
         seen = []
         for reset in (False, True):
             asked.clear()
             _, writer, *_ = await net.host("client").dial(("edge", 80), 1000)
             writer.write(encode_request())
             await asked.wait()
-            number = clients.accepted_count
-            seen.append(clients.is_waiting(number))
-            clients.open_connections[number].writer.transport.pause_reading()  # as if the loop were late
+            number = clients.listener.accepted_count
+            seen.append(clients.connections.is_waiting(number))
+            clients.connections.open[number].writer.transport.pause_reading()  # as if the loop were late
             if reset:
                 writer.transport.abort()
             else:
                 writer.close()
             await asyncio.sleep(0.1)
-            seen.append(clients.is_waiting(number))
-        clients.close_listener()
+            seen.append(clients.connections.is_waiting(number))
+        clients.listener.close()
         return seen
 
     assert virtual_time.run(main()) == [True, False, True, False]
@@ -117,17 +118,17 @@
 
 
 def leave(edge: RunningNode) -> None:
-    edge.program.clients.begin_shutdown()
+    edge.program.clients.closer.begin_shutdown()
 
 
 def sweep(edge: RunningNode) -> None:
-    for client in edge.program.clients.open_connections.values():
+    for client in edge.program.clients.connections.open.values():
         client.deadline = client.deadline if client.awaits_answer else 0.0
-    edge.program.clients.close_expired()
+    edge.program.clients.closer.close_expired()
 
 
 def make_room(edge: RunningNode) -> None:
-    edge.program.clients.evict_connection()
+    edge.program.clients.eviction.evict_connection()
 
 
 def fed(close: Close, edge: RunningNode) -> Callable[[Any, bytes], None]:
@@ -154,7 +155,7 @@
     while not text.endswith(b"hello"):
         text += await asyncio.get_running_loop().sock_recv(client, 65536)
     client.settimeout(5.0)
-    await wait_until(lambda: len(edge.program.clients.open_connections) == 1)
+    await wait_until(lambda: len(edge.program.clients.connections.open) == 1)
     return client
 
 
@@ -194,8 +195,8 @@
         assert await heard(client) == b""  # its client sends it once more
         client.sendall(encode_request(trace="c"))
         client.close()
-        await wait_until(lambda edge=edge: not edge.program.clients.closing_connections)
-        assert (len(server.got), edge.program.clients.open_connections) == (1, {})
+        await wait_until(lambda edge=edge: not edge.program.clients.connections.closing)
+        assert (len(server.got), edge.program.clients.connections.open) == (1, {})
 
 
 @in_event_loop
@@ -205,11 +206,11 @@
         program = edge.program
         held = program.descriptors.in_use()
         leave(edge)
-        assert (program.descriptors.in_use(), len(program.clients.open_connections)) == (held, 0)
-        (parting,) = program.clients.closing_connections.values()
-        assert parting.deadline <= program.clock() + client_listener.LINGER_MS
+        assert (program.descriptors.in_use(), len(program.clients.connections.open)) == (held, 0)
+        (parting,) = program.clients.connections.closing.values()
+        assert parting.deadline <= program.clock() + client_connections.LINGER_MS
         parting.deadline = 0.0
-        await wait_until(lambda: not program.clients.closing_connections)  # the sweep's
+        await wait_until(lambda: not program.clients.connections.closing)  # the sweep's
         assert (program.descriptors.in_use(), await heard(client)) == (held - 1, b"")
         client.close()
 
@@ -219,12 +220,12 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         client = await rested(edge)
         leave(edge)
-        (parting,) = edge.program.clients.closing_connections.values()
+        (parting,) = edge.program.clients.connections.closing.values()
         for spared in (True, False):
             client.sendall(b"x")
             parting.deadline = 0.0
-            edge.program.clients.close_expired()
-            assert (parting.connection_id in edge.program.clients.closing_connections) == spared
+            edge.program.clients.closer.close_expired()
+            assert (parting.connection_id in edge.program.clients.connections.closing) == spared
         client.close()
 
 
@@ -236,7 +237,7 @@
         with mock.patch.object(edge.program.descriptors, "in_use", lambda: 1 << 30):
             links = edge.program.servers.connection_count
             assert edge.program.descriptors.has_server_capacity()
-        assert (edge.program.clients.closing_connections, edge.program.servers.connection_count) == (
+        assert (edge.program.clients.connections.closing, edge.program.servers.connection_count) == (
             {},
             links,
         )
@@ -264,7 +265,7 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         await edge.ask(encode_request())
         ((link,),) = edge.program.servers.idle_connections.values()
-        (client,) = edge.program.clients.open_connections.values()
+        (client,) = edge.program.clients.connections.open.values()
         for writer in (client.writer, link.writer):
             sock = writer.transport.get_extra_info("socket")
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -275,18 +276,18 @@
     page = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60000
     async with StubAppServer(*[(page, False)] * 400) as server, RunningNode(server.address) as edge:
         edge.writer.close()
-        await wait_until(lambda: not edge.program.clients.open_connections)
+        await wait_until(lambda: not edge.program.clients.connections.open)
         client = socket.socket()
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.connect(edge.address[:2])
         asked = 0
-        await wait_until(lambda: len(edge.program.clients.open_connections) == 1)
-        (there,) = edge.program.clients.open_connections.values()
+        await wait_until(lambda: len(edge.program.clients.connections.open) == 1)
+        (there,) = edge.program.clients.connections.open.values()
         async with asyncio.timeout(10.0):
-            while there.connection_id in edge.program.clients.open_connections and asked < 400:
+            while there.connection_id in edge.program.clients.connections.open and asked < 400:
                 asked += 1
                 client.sendall(encode_request(trace=f"t{asked}"))
-                while there.connection_id in edge.program.clients.open_connections and (
+                while there.connection_id in edge.program.clients.connections.open and (
                     edge.program.state_machine.requests.received_count < asked or there.awaits_answer
                 ):
                     await asyncio.sleep(0)
@@ -312,8 +313,8 @@
                 client.close()
             assert (await edge.ask(encode_request(trace=f"good{turn}")))[1] == b"hello"
         await wait_until(
-            lambda: len(edge.program.clients.open_connections) == 1
-            and not edge.program.clients.closing_connections
+            lambda: len(edge.program.clients.connections.open) == 1
+            and not edge.program.clients.connections.closing
         )
         await wait_until(lambda: not edge.program.state_machine.requests.by_id)
         assert b"fault" not in edge.out.getvalue()
--- a/tests/edge/test_discovery_over_sockets.py
+++ b/tests/edge/test_discovery_over_sockets.py
@@ -93,7 +93,7 @@
         while not agent.got:
             await asyncio.sleep(0.001)
         assert not edge.program.is_ready()  # and nobody is listened to
-        assert edge.program.clients.server is None
+        assert edge.program.clients.listener.server is None
         agent.writers[0].write(told(5, "draining"))
         await asyncio.wait_for(start, 5.0)
         head, _ = await edge.ask(encode_request())
--- a/tests/edge/test_node_over_sockets.py
+++ b/tests/edge/test_node_over_sockets.py
@@ -8,7 +8,7 @@
 import pytest
 
 from onyxpost.core.types import AttemptResult
-from onyxpost.edge import client_connection, client_listener, upstream_pool
+from onyxpost.edge import client_connection, client_eviction, upstream_pool
 from onyxpost.edge.messages import AttemptEnded, EdgeEvent, Endpoint, SendAttempt, SendPeerMessage
 from tests.edge.event_loop import in_event_loop
 from tests.edge.harness import (
@@ -284,7 +284,7 @@
             stay.append(writer)
             writer.write(encode_request(trace=f"t{number}"))
             assert b" 200 " in await asyncio.wait_for(reader.readuntil(b"hello"), 5.0)
-            assert len(edge.program.clients.open_connections) <= 10
+            assert len(edge.program.clients.connections.open) <= 10
         for writer in stay:
             writer.close()
 
@@ -299,13 +299,13 @@
         for reader, writer in others:
             await reader.readuntil(b"hello")
             writer.close()
-        while len(edge.program.clients.open_connections) > 1:
+        while len(edge.program.clients.connections.open) > 1:
             await asyncio.sleep(0.001)
         links = edge.program.servers.connection_count
         edge.file = node_fields(limits={"sockets": 8})  # less than is open
         edge.program.reload()
         _, writer = await asyncio.open_connection(*edge.address)
-        while len(edge.program.clients.open_connections) < 2:
+        while len(edge.program.clients.connections.open) < 2:
             await asyncio.sleep(0.001)
         assert edge.program.servers.connection_count < links
         writer.close()
@@ -316,9 +316,9 @@
     async with StubAppServer() as server, RunningNode(server.address, limits={"sockets": 8}) as edge:
         await edge.ask(encode_request(trace="a"))  # from the third on, one gives way
         silent, _ = await asyncio.open_connection(*edge.address)
-        while len(edge.program.clients.open_connections) < 2:
+        while len(edge.program.clients.connections.open) < 2:
             await asyncio.sleep(0.001)
-        with mock.patch.object(client_listener, "GRACE_FOR_REQUEST_MS", -1.0):
+        with mock.patch.object(client_eviction, "GRACE_FOR_REQUEST_MS", -1.0):
             _, third = await asyncio.open_connection(*edge.address)
             assert await asyncio.wait_for(silent.read(), 5.0) == b""
         assert (await edge.ask(encode_request(trace="b")))[1] == b"hello"
@@ -345,7 +345,7 @@
 @in_event_loop
 async def test_a_client_over_capacity_gets_a_rejection_and_no_reset() -> None:
     async with StubAppServer(None) as server, RunningNode(server.address) as edge:
-        edge.program.clients.has_capacity = lambda: False
+        edge.program.clients.listener.has_capacity = lambda: False
         reader, writer = await asyncio.open_connection(*edge.address)
         writer.write(encode_request())
         text = await asyncio.wait_for(reader.read(), 5.0)
@@ -416,7 +416,7 @@
     monkeypatch.setattr("onyxpost.node.edge_node.ACCEPT_AFTER_STOP_SECONDS", 0.0)
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         reader, writer = await asyncio.open_connection(*edge.address)
-        while len(edge.program.clients.open_connections) < 2:
+        while len(edge.program.clients.connections.open) < 2:
             await asyncio.sleep(0.001)
         signal.raise_signal(signal.SIGTERM)
         while edge.program.phase.value != "closing":
--- a/tests/edge/test_shutdown.py
+++ b/tests/edge/test_shutdown.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from onyxpost.edge import client_connection, client_listener
+from onyxpost.edge import client_connection, client_connections, client_listener
 from onyxpost.edge.discovery_client import DiscoveryClient
 from onyxpost.edge.messages import SendAttempt
 from onyxpost.edge.upstream_pool import UpstreamPool
@@ -81,7 +81,7 @@
 
 
 def has_begun_request(edge: RunningNode) -> bool:
-    return any(client.request_started for client in edge.program.clients.open_connections.values())
+    return any(client.request_started for client in edge.program.clients.connections.open.values())
 
 
 # Outside of the event loop
@@ -231,7 +231,7 @@
         await is_waiting.wait()
         send_sigterm()
         assert await asyncio.wait_for(running, 5.0) == 0
-    assert edge.program.clients.server is None
+    assert edge.program.clients.listener.server is None
     assert b"serving" not in edge.out.getvalue()
 
 
@@ -257,7 +257,7 @@
     async with StubAppServer(None) as server, RunningNode(server.address) as edge:
         reader, writer = await asyncio.open_connection(*edge.address)
         await send_long_request(edge, server)
-        await wait_until(lambda: len(edge.program.clients.open_connections) == 2)
+        await wait_until(lambda: len(edge.program.clients.connections.open) == 2)
         send_sigterm()
         assert await asyncio.wait_for(reader.read(), 5.0) == b""
         writer.write(encode_request(trace="late"))
@@ -344,7 +344,7 @@
     with pytest.MonkeyPatch.context() as patch:
         async with StubAppServer() as server, RunningNode(server.address) as edge:
             await edge.ask(encode_request())
-            patch.setattr(client_listener, "LINGER_MS", 60_000.0)
+            patch.setattr(client_connections, "LINGER_MS", 60_000.0)
             send_sigterm()
             assert await exit_code(edge) == 0
             assert await asyncio.wait_for(edge.reader.read(), 5.0) == b""
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -99,8 +99,8 @@
         while not program.is_ready():
             await asyncio.sleep(0.001)
         place.play(stub_upstreams.script(script, 5), lambda line: None)
-        assert program.clients.server is not None
-        address = program.clients.server.sockets[0].getsockname()
+        assert program.clients.listener.server is not None
+        address = program.clients.listener.server.sockets[0].getsockname()
         counts = await load.Sender(address, told.deployment, load.Load(80.0, 1.2, 9, 50, 3)).run()
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
