--- a/onyxpost/edge/discovery_client.py
+++ b/onyxpost/edge/discovery_client.py
@@ -9,6 +9,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.edge.address_choice import AddressChoice
 from onyxpost.edge.discovery_watch import DiscoveryWatch
 from onyxpost.edge.messages import EdgeEvent, EndpointUpdate, EndpointUpdateFailed
@@ -26,7 +27,6 @@
 # Between log lines about outages: an agent that answers and resets in turn would cause ten lines a second.
 OUTAGE_LOG_INTERVAL_MS = 1000.0
 MAX_LOGGED_CAUSE_CHARS = 200  # of an error's text, which may quote an answer
-MS_PER_SECOND = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/onyxpost/edge/discovery_poll.py
+++ b/onyxpost/edge/discovery_poll.py
@@ -8,6 +8,7 @@
 
 import h11
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.edge.errors import DiscoveryOverloadedError
 from onyxpost.edge.messages import EndpointUpdate, decode_endpoint_update
 from onyxpost.edge.staleness import PollFailure
@@ -22,7 +23,6 @@
 LATE_ANSWER_TIMEOUT_MS = 4000.0  # how long the oldest poll is kept open beside newer ones
 MAX_ANSWER_BYTES = 8 * 1024 * 1024  # bounds the memory for a list of endpoints
 STATUS_OK = 200
-MS_PER_SECOND = 1000.0
 
 
 class DiscoveryConnection(NamedTuple):
--- a/onyxpost/edge/discovery_watch.py
+++ b/onyxpost/edge/discovery_watch.py
@@ -5,6 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.edge.discovery_poll import (
     DiscoveryConnection,
     OpenPoll,
@@ -22,7 +23,6 @@
     from onyxpost.runtime.transport import Transport
 
 TIMER_RESOLUTION_SECONDS = 1e-4  # a shorter wait may end before the loop's clock has advanced
-MS_PER_SECOND = 1000.0
 
 
 class WatchAnswered(NamedTuple):
--- a/onyxpost/edge/effect_sink.py
+++ b/onyxpost/edge/effect_sink.py
@@ -1,28 +1,133 @@
-"""Collects the effects of a round. No I/O."""
+"""Turns the decisions of one round into effects. No I/O and no clock."""
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
+from onyxpost.core.events import AttemptFinished, RequestCancelled
+from onyxpost.core.types import AttemptResult
 from onyxpost.edge.messages import (
+    CloseAttempt,
     Effect,
+    FinalAnswer,
     ReportUnitsSpent,
     ReturnLease,
+    SendAnswer,
+    SendAttempt,
     SendPeerMessage,
     StartTimer,
     WatchEndpoints,
+    WithdrawAttempt,
     encode_datagram,
 )
 from onyxpost.runtime.log_event import LogEvent
 
+if TYPE_CHECKING:
+    from onyxpost.core.events import Event as DecisionEvent
+    from onyxpost.edge.endpoint_table import EndpointTable
+    from onyxpost.edge.pending_requests import PendingRequest, PendingRequests
+
 
 class EffectSink:
-    """Turns the decisions that need no state of the node into effects, in the order in which they are made.
+    """Implements `onyxpost.core.sink.DecisionSink` for the state machine.
+
+    Each request gets at most one final answer, whatever is decided on it.
 
-    It implements the calls of `onyxpost.core.sink.DecisionSink` that refer to no pending request.
+    Attributes:
+        effects: of the current round, in the order of the decisions.
+        deferred_events: events that the decision maker receives in the next round.
     """
 
-    def __init__(self) -> None:
-        """Creates a sink without effects."""
+    def __init__(self, requests: PendingRequests, endpoints: EndpointTable) -> None:
+        """Creates a sink without effects.
+
+        Args:
+            requests: all pending requests.
+            endpoints: the servers that accept new attempts.
+        """
         self.effects: list[Effect] = []
+        self.deferred_events: list[DecisionEvent] = []
+        self._requests = requests
+        self._endpoints = endpoints
+        self._now = 0.0
+
+    def begin_round(self, now: float) -> list[DecisionEvent]:
+        """Starts a round at `now`, in ms, without effects; returns the events deferred to it."""
+        self._now = now
+        self.effects = []
+        deferred_events = self.deferred_events
+        self.deferred_events = []
+        return deferred_events
+
+    def emit(self, effect: Effect) -> None:
+        """Adds an effect that no decision has caused, such as a log event."""
+        self.effects.append(effect)
+
+    # Answers
+
+    def answer(self, request: PendingRequest, answer: SendAnswer) -> None:
+        """Sends the final answer to a request, unless it is settled."""
+        if not request.is_settled:
+            self.effects.append(answer)
+            self.settle(request)
+
+    def settle(self, request: PendingRequest) -> None:
+        """Marks a request as needing no further answer, and withdraws its attempts that are not sent yet."""
+        self._requests.settle(request)
+        self.effects += [WithdrawAttempt(attempt) for attempt in self._requests.ids_in_flight(request)]
+        self._requests.release_if_finished(request)
+
+    def abandon(self, request: PendingRequest) -> None:
+        """Aborts a request that the decision maker has not ended, and cancels it there in the next round."""
+        for attempt_index in range(len(request.attempt_ids)):
+            self.cancel_attempt(request.request_id, attempt_index)
+        self._abort(request)
+        self.deferred_events.append(RequestCancelled(request.request_id))
+
+    # Decisions on requests
+
+    def start_attempt(self, request_id: str, server: str, timeout_ms: float, begin_before: float) -> None:
+        """Sends an attempt to a server; one that cannot be sent any more ends as unused in the next round."""
+        request, attempt_index = self._requests.add_attempt(request_id)
+        remaining_ms = min(timeout_ms, request.deadline - self._now)
+        if request.is_settled or remaining_ms <= 0.0 or server not in self._endpoints.by_server:
+            unused = AttemptFinished(
+                request_id, attempt_index, AttemptResult.UNUSED, 0.0, request.is_settled, 0
+            )
+            self.deferred_events.append(unused)
+            return
+        attempt_id = self._requests.set_in_flight(request, attempt_index)
+        endpoint = self._endpoints.by_server[server]
+        self.effects.append(
+            SendAttempt(attempt_id, endpoint, request.client_request, remaining_ms, begin_before)
+        )
+
+    def reject(self, request_id: str, retry_after_ms: float) -> None:
+        """Answers that the request was not executed and may be sent again after `retry_after_ms`."""
+        request = self._requests.by_id.get(request_id)
+        if request is not None:
+            connection_id = request.client_request.connection_id
+            self.answer(request, SendAnswer(connection_id, FinalAnswer.REJECTED, None, retry_after_ms))
+
+    def abort(self, request_id: str) -> None:
+        """Answers that the request failed and may have been executed."""
+        request = self._requests.by_id.get(request_id)
+        if request is not None:
+            self._abort(request)
+
+    def cancel_attempt(self, request_id: str, attempt_index: int) -> None:
+        """Closes the connection of an attempt that is still in flight."""
+        request = self._requests.by_id.get(request_id)
+        if request is None or attempt_index >= len(request.attempt_ids):
+            return
+        attempt_id = request.attempt_ids[attempt_index]
+        if attempt_id in self._requests.attempts_in_flight:
+            self.effects.append(CloseAttempt(attempt_id))
+
+    def _abort(self, request: PendingRequest) -> None:
+        self.answer(request, SendAnswer(request.client_request.connection_id, FinalAnswer.ABORTED))
+
+    # Decisions that need no state of the node
 
     def send_peer_message(self, peer: int, body: str) -> None:
         """Sends one message to another node."""
--- a/onyxpost/edge/event_processor.py
+++ b/onyxpost/edge/event_processor.py
@@ -6,6 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from onyxpost.core.events import TimerFired
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.edge.messages import EdgeEvent, StartTimer
 
 if TYPE_CHECKING:
@@ -13,8 +14,6 @@
 
     from onyxpost.edge.state_machine import EdgeStateMachine
 
-MS_PER_SECOND = 1000.0
-
 
 class EventProcessor:
     """Collects events and processes them in rounds: the first event schedules one for the next loop turn.
@@ -51,7 +50,7 @@
                 self.effect_handlers[type(effect)](effect)
             except Exception as error:
                 self.report_fault(f"carrying out {type(effect).__name__}", error)
-        if self.state_machine.deferred_events:
+        if self.state_machine.has_deferred_events:
             self._schedule_round()
 
     def start_timer(self, effect: StartTimer) -> None:
--- a/onyxpost/edge/messages/forwarded_headers.py
+++ b/onyxpost/edge/messages/forwarded_headers.py
@@ -7,6 +7,7 @@
 import h11
 
 from onyxpost.core.types import AttemptResult
+from onyxpost.core.units import US_PER_MS
 from onyxpost.edge.messages.request_headers import HOP_BY_HOP_HEADERS
 
 if TYPE_CHECKING:
@@ -37,7 +38,7 @@
 def forwarded_request(request: ClientRequest, remaining_ms: float) -> ForwardedRequest:
     """Encodes a client's request for an app server; X-Expires-In is the time that this node waits, in us."""
     headers = [header for header in request.headers if header[0] not in HEADERS_NOT_FORWARDED]
-    headers.append((b"X-Expires-In", b"%du" % max(1, round(remaining_ms * 1000.0))))
+    headers.append((b"X-Expires-In", b"%du" % max(1, round(remaining_ms * US_PER_MS))))
     if request.body or request.method != b"GET":
         headers.append((b"Content-Length", b"%d" % len(request.body)))
     head = h11.Request(method=request.method, target=request.target, headers=headers)
--- a/onyxpost/edge/messages/request_headers.py
+++ b/onyxpost/edge/messages/request_headers.py
@@ -6,6 +6,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from onyxpost.core.types import Frontend, Idempotency
+from onyxpost.core.units import MS_PER_SECOND, US_PER_MS
 from onyxpost.edge.errors import RequestRejectedError
 from onyxpost.edge.messages.effects import FinalAnswer, SendAnswer
 from onyxpost.edge.messages.events import ClientRequest, Headers
@@ -101,7 +102,7 @@
         headers = [header for header in answer.response.headers if header[0] not in HEADERS_NOT_RETURNED]
         return EncodedAnswer(200, headers, answer.response.body)
     if answer.outcome is FinalAnswer.REJECTED:
-        retry_after_seconds = answer.retry_after_ms / 1000.0
+        retry_after_seconds = answer.retry_after_ms / MS_PER_SECOND
         retry_after = [(b"Retry-After", b"%.3f" % retry_after_seconds)] if retry_after_seconds > 0.0 else []
         return EncodedAnswer(429, retry_after, b"")
     return EncodedAnswer(502, [], b"")
@@ -195,4 +196,4 @@
     duration = DURATION.fullmatch(text)
     if duration is None:
         raise ValueError("x-expires-in")
-    return float(duration[1]) / (1.0 if duration[2] == b"m" else 1000.0)
+    return float(duration[1]) / (1.0 if duration[2] == b"m" else US_PER_MS)
--- a/onyxpost/edge/pending_requests.py
+++ b/onyxpost/edge/pending_requests.py
@@ -17,7 +17,7 @@
         request_id: this node's id of the request.
         client_request: the request as it was received.
         deadline: Unix time in ms at which the answer has to be sent.
-        answered: the final answer has been sent, or the client has disconnected.
+        is_settled: the final answer has been sent, or the client has disconnected.
         attempt_ids: all attempts, by their index.
         in_flight: number of attempts that have not ended.
     """
@@ -25,7 +25,7 @@
     request_id: str
     client_request: ClientRequest
     deadline: float
-    answered: bool = False
+    is_settled: bool = False
     attempt_ids: list[int] = field(default_factory=list)
     in_flight: int = 0
 
@@ -86,10 +86,10 @@
             attempt[0].in_flight -= 1
         return attempt
 
-    def set_answered(self, request: PendingRequest) -> None:
+    def settle(self, request: PendingRequest) -> None:
         """Marks a request as answered, or as needing no answer any more."""
         self.by_connection.pop(request.client_request.connection_id, None)
-        request.answered = True
+        request.is_settled = True
 
     def ids_in_flight(self, request: PendingRequest) -> list[int]:
         """Returns the ids of a request's attempts in flight, in the order of their start."""
@@ -98,11 +98,11 @@
         return [attempt_id for attempt_id in request.attempt_ids if attempt_id in self.attempts_in_flight]
 
     def release_if_finished(self, request: PendingRequest) -> None:
-        """Frees the trace id of an answered request without attempts in flight.
+        """Frees the trace id of a settled request without attempts in flight.
 
         Its id stays known until `remove_finished`: the decision maker may still refer to it in this round.
         """
-        if request.answered and not request.in_flight:
+        if request.is_settled and not request.in_flight:
             self._finished.append(request)
             self.by_trace_id.pop(request.client_request.trace_id, None)
 
--- a/onyxpost/edge/state_machine.py
+++ b/onyxpost/edge/state_machine.py
@@ -22,7 +22,6 @@
     AttemptEnded,
     ClientDisconnected,
     ClientRequest,
-    CloseAttempt,
     EdgeEvent,
     Effect,
     EndpointUpdate,
@@ -30,10 +29,8 @@
     FinalAnswer,
     RetireEndpoint,
     SendAnswer,
-    SendAttempt,
-    WithdrawAttempt,
 )
-from onyxpost.edge.pending_requests import PendingRequest, PendingRequests
+from onyxpost.edge.pending_requests import PendingRequests
 from onyxpost.runtime.log_event import LogEvent, fault_event
 
 if TYPE_CHECKING:
@@ -43,7 +40,7 @@
     from onyxpost.core.sink import DecisionMaker
 
 
-class EdgeStateMachine(EffectSink):
+class EdgeStateMachine:
     """Hosts the decision maker on sockets: passes events to it and carries out its decisions as effects.
 
     Each request gets exactly one final answer, also where the decision maker fails.
@@ -51,16 +48,15 @@
     Attributes:
         requests: all pending requests.
         endpoints: the servers that accept new attempts.
-        deferred_events: events that the decision maker receives in the next round.
+        sink: receives the decisions, and makes effects of them.
     """
 
     def __init__(self, deployment: Deployment, decision_maker: DecisionMaker) -> None:
         """Creates a state machine without requests and endpoints."""
-        super().__init__()
         self.decision_maker = decision_maker
         self.requests = PendingRequests()
         self.endpoints = EndpointTable()
-        self.deferred_events: list[DecisionEvent] = []
+        self.sink = EffectSink(self.requests, self.endpoints)
         self._answer_margin_ms = deployment.tick_ms  # an answer is sent before the client's timeout
         self._now = 0.0
 
@@ -69,12 +65,15 @@
         """The number of requests that are owed an answer."""
         return len(self.requests.by_connection)
 
+    @property
+    def has_deferred_events(self) -> bool:
+        """Whether events wait for the next round."""
+        return bool(self.sink.deferred_events)
+
     def step(self, now: float, events: Sequence[EdgeEvent]) -> list[Effect]:
         """Handles all events of one round; returns the effects in the order of the decisions."""
         self._now = now
-        self.effects = []
-        decision_events = self.deferred_events
-        self.deferred_events = []
+        decision_events = self.sink.begin_round(now)
         for event in events:
             decision_event = self._handle(event)
             if decision_event is not None:
@@ -85,7 +84,7 @@
         if any(isinstance(event, TimerFired) for event in events):
             self._abort_overdue_requests()
         self.requests.remove_finished()
-        return self.effects
+        return self.sink.effects
 
     def _decide(self, remaining: Iterator[DecisionEvent]) -> bool:
         """Passes the remaining events to the decision maker; returns whether no further call is needed.
@@ -101,13 +100,13 @@
                 yield event
 
         try:
-            self.decision_maker.handle(self._now, remember_current(), self)
+            self.decision_maker.handle(self._now, remember_current(), self.sink)
         except Exception as error:
-            self.effects.append(fault_event(type(current).__name__, error))
+            self.sink.emit(fault_event(type(current).__name__, error))
             if isinstance(current, RequestArrived | AttemptFinished):
                 request = self.requests.by_id.get(current.request_id)
                 if request is not None and not request.in_flight:
-                    self._abandon(request)  # nothing else would answer it
+                    self.sink.abandon(request)  # nothing else would answer it
             return current is None  # a failure before the first event would repeat without end
         return True
 
@@ -117,15 +116,8 @@
         overdue = [request for request in requests if self._now >= request.deadline + self._answer_margin_ms]
         for request in overdue:
             trace_id = request.client_request.trace_id
-            self.effects.append(LogEvent("overdue", {"request": trace_id}, logging.ERROR))
-            self._abandon(request)
-
-    def _abandon(self, request: PendingRequest) -> None:
-        """Aborts a request that the decision maker has not ended, and cancels it there in the next round."""
-        for attempt_index in range(len(request.attempt_ids)):
-            self.cancel_attempt(request.request_id, attempt_index)
-        self._abort(request)
-        self.deferred_events.append(RequestCancelled(request.request_id))
+            self.sink.emit(LogEvent("overdue", {"request": trace_id}, logging.ERROR))
+            self.sink.abandon(request)
 
     # Events
 
@@ -149,7 +141,7 @@
         """Adds a request; one with the trace id of a pending request is aborted without an attempt."""
         if client_request.trace_id in self.requests.by_trace_id:
             # Its attempts could be executed beside those of the first request with this trace id.
-            self.effects.append(SendAnswer(client_request.connection_id, FinalAnswer.ABORTED))
+            self.sink.emit(SendAnswer(client_request.connection_id, FinalAnswer.ABORTED))
             return None
         deadline = client_request.received_at + client_request.timeout_ms - self._answer_margin_ms
         request = self.requests.add(client_request, deadline)
@@ -169,12 +161,13 @@
         request = self.requests.by_connection.get(event.connection_id)
         if request is None:
             return None
-        self._settle(request)
+        self.sink.settle(request)
         return RequestCancelled(request.request_id)
 
     def handle_endpoint_update(self, update: EndpointUpdate) -> DecisionEvent:
         """Retires the endpoints that are no longer ready or have moved."""
-        self.effects += [RetireEndpoint(endpoint) for endpoint in self.endpoints.apply(update)]
+        for endpoint in self.endpoints.apply(update):
+            self.sink.emit(RetireEndpoint(endpoint))
         return EndpointsUpdated(update.complete, update.endpoints)
 
     def handle_attempt_ended(self, event: AttemptEnded) -> DecisionEvent | None:
@@ -183,66 +176,10 @@
         if attempt is None:
             return None
         request, attempt_index = attempt
-        settled = request.answered
-        if event.result is AttemptResult.OK and not settled:
-            settled = True
+        if event.result is AttemptResult.OK:
             connection_id = request.client_request.connection_id
-            self._answer(request, SendAnswer(connection_id, FinalAnswer.FORWARDED, event.response))
+            self.sink.answer(request, SendAnswer(connection_id, FinalAnswer.FORWARDED, event.response))
         self.requests.release_if_finished(request)
-        return AttemptFinished(request.request_id, attempt_index, event.result, event.latency_ms, settled, 0)
-
-    # Answers
-
-    def _answer(self, request: PendingRequest, answer: SendAnswer) -> None:
-        if not request.answered:
-            self.effects.append(answer)
-            self._settle(request)
-
-    def _abort(self, request: PendingRequest) -> None:
-        self._answer(request, SendAnswer(request.client_request.connection_id, FinalAnswer.ABORTED))
-
-    def _settle(self, request: PendingRequest) -> None:
-        """Marks a request as needing no further answer, and withdraws its attempts that are not sent yet."""
-        self.requests.set_answered(request)
-        self.effects += [WithdrawAttempt(attempt) for attempt in self.requests.ids_in_flight(request)]
-        self.requests.release_if_finished(request)
-
-    # Decisions on requests (DecisionSink)
-
-    def start_attempt(self, request_id: str, server: str, timeout_ms: float, begin_before: float) -> None:
-        """Sends an attempt to a server; one that cannot be sent any more ends as unused in the next round."""
-        request, attempt_index = self.requests.add_attempt(request_id)
-        remaining_ms = min(timeout_ms, request.deadline - self._now)
-        if request.answered or remaining_ms <= 0.0 or server not in self.endpoints.by_server:
-            unused = AttemptFinished(
-                request_id, attempt_index, AttemptResult.UNUSED, 0.0, request.answered, 0
-            )
-            self.deferred_events.append(unused)
-            return
-        attempt_id = self.requests.set_in_flight(request, attempt_index)
-        endpoint = self.endpoints.by_server[server]
-        self.effects.append(
-            SendAttempt(attempt_id, endpoint, request.client_request, remaining_ms, begin_before)
+        return AttemptFinished(
+            request.request_id, attempt_index, event.result, event.latency_ms, request.is_settled, 0
         )
-
-    def reject(self, request_id: str, retry_after_ms: float) -> None:
-        """Answers that the request was not executed and may be sent again after `retry_after_ms`."""
-        request = self.requests.by_id.get(request_id)
-        if request is not None:
-            connection_id = request.client_request.connection_id
-            self._answer(request, SendAnswer(connection_id, FinalAnswer.REJECTED, None, retry_after_ms))
-
-    def abort(self, request_id: str) -> None:
-        """Answers that the request failed and may have been executed."""
-        request = self.requests.by_id.get(request_id)
-        if request is not None:
-            self._abort(request)
-
-    def cancel_attempt(self, request_id: str, attempt_index: int) -> None:
-        """Closes the connection of an attempt that is still in flight."""
-        request = self.requests.by_id.get(request_id)
-        if request is None or attempt_index >= len(request.attempt_ids):
-            return
-        attempt_id = request.attempt_ids[attempt_index]
-        if attempt_id in self.requests.attempts_in_flight:
-            self.effects.append(CloseAttempt(attempt_id))
--- a/onyxpost/edge/upstream_pool.py
+++ b/onyxpost/edge/upstream_pool.py
@@ -11,6 +11,7 @@
 import h11
 
 from onyxpost.core.types import AttemptResult
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.edge.messages import (
     AttemptEnded,
     EdgeEvent,
@@ -32,7 +33,6 @@
 # An idle connection is reused no sooner than this after its last response: surplus bytes behind a response
 # would be read as the response to the next request.
 MIN_IDLE_MS = 30.0
-MS_PER_SECOND = 1000.0
 COMPLETE_RESPONSES = (AttemptResult.ERROR, AttemptResult.FULL)  # besides OK, whose response is returned
 
 
--- /dev/null
+++ b/onyxpost/node/cluster_extension.py
@@ -0,0 +1,96 @@
+"""Connections to the members of a cluster, with leader elections, as an optional part of an edge node."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from onyxpost.node.extension import Extension
+
+if TYPE_CHECKING:
+    from onyxpost.cluster.connections import PeerConnections
+    from onyxpost.cluster.membership import ClusterConfig
+    from onyxpost.leadership.service import LeadershipService
+    from onyxpost.node.node_config import NodeConfig
+    from onyxpost.runtime.log_event import LogEvent
+    from onyxpost.runtime.transport import Transport
+
+MessageHandler = Callable[[str, bytes], None]
+"""Called with a message's sender and body; must not block."""
+
+LEADERSHIP_TOPIC = "duties"
+"""The topic of election messages; part of the protocol between nodes."""
+
+
+class ClusterExtension(Extension):
+    """Connections to the other members of a cluster, and the leader elections that use them."""
+
+    def __init__(
+        self,
+        net: Transport,
+        name: str,
+        config: ClusterConfig,
+        log: Callable[[LogEvent], None],
+    ) -> None:
+        from onyxpost.cluster.connections import PeerConnections
+        from onyxpost.cluster.incarnation import Incarnation
+
+        self.config = config
+        self.handlers: dict[str, MessageHandler] = {}  # by topic
+        incarnation = Incarnation.starting_at(net.clock())
+        self.connections: PeerConnections = PeerConnections(
+            net, name, incarnation, config.membership, self._on_message, log
+        )
+        self.leadership: LeadershipService | None = None
+
+    def subscribe(self, topic: str, handler: MessageHandler) -> None:
+        """Calls `handler` with each message of the topic from now on."""
+        self.handlers[topic] = handler
+        self.connections.topics.add(topic)
+
+    def add_leadership(self, leadership: LeadershipService) -> None:
+        """Lets this node take part in elections."""
+        self.leadership = leadership
+        self.subscribe(LEADERSHIP_TOPIC, leadership.handle_message)
+
+    def descriptor_count(self) -> int:
+        """Returns the number of connections to members."""
+        return self.connections.descriptor_count()
+
+    async def start(self) -> None:
+        """Accepts and dials members, then takes part in elections."""
+        await self.connections.listen(self.config.listen)
+        self.connections.start()
+        if self.leadership is not None:
+            self.leadership.start()
+
+    def resign(self) -> None:
+        """Gives up every role that this node leads."""
+        if self.leadership is not None:
+            self.leadership.resign_all()
+
+    async def stop(self) -> None:
+        """Ends all connections once their peers have read what was sent, or after a short timeout."""
+        await self.connections.leave()
+
+    def close(self) -> None:
+        """Aborts elections and connections."""
+        if self.leadership is not None:
+            self.leadership.close()
+        self.connections.close()
+
+    def validate_reload(self, new: NodeConfig) -> None:
+        """Raises MembershipChangeError if the acceptors must not change in this way, or not yet."""
+        if self.leadership is not None and new.leadership is not None:
+            self.leadership.validate_reload(new.leadership)
+
+    def apply_reload(self, new: NodeConfig) -> list[str]:
+        """Follows a later membership and a later set of acceptors."""
+        if new.cluster is not None:
+            self.connections.update_membership(new.cluster.membership)
+        if self.leadership is None or new.leadership is None:
+            return []
+        return ["duties"] if self.leadership.reload(new.leadership) else []
+
+    def _on_message(self, sender: str, topic: str, body: bytes) -> None:
+        self.handlers[topic](sender, body)
--- a/onyxpost/node/components.py
+++ b/onyxpost/node/components.py
@@ -24,11 +24,12 @@
 from onyxpost.edge.peers import PeerSocket
 from onyxpost.edge.state_machine import EdgeStateMachine
 from onyxpost.edge.upstream_pool import UpstreamPool, UpstreamPoolOptions
-from onyxpost.node.extensions import Extension, build_extensions
+from onyxpost.node.extensions import build_extensions
 from onyxpost.runtime.log_event import LogEvent
 
 if TYPE_CHECKING:
-    from onyxpost.node.config import NodeConfig
+    from onyxpost.node.extension import Extension
+    from onyxpost.node.node_config import NodeConfig
     from onyxpost.runtime.transport import Transport
 
 
@@ -47,8 +48,8 @@
     def log(self, event: LogEvent) -> None:
         """Writes to the node's log."""
 
-    def report_fault(self, where: str, error: BaseException | None) -> None:
-        """Logs an unexpected exception."""
+    def report_fault(self, operation: str, error: BaseException | None) -> None:
+        """Logs an unexpected exception in an operation."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/onyxpost/node/config.py
+++ b/onyxpost/node/config.py
@@ -1,21 +1,15 @@
-"""The configuration of one edge node: its name, addresses, limits and deployment, read from its file."""
+"""Reads a node's file and builds the node's configuration from it."""
 
 from __future__ import annotations
 
 import os
-from dataclasses import dataclass, replace
-from typing import TYPE_CHECKING, Annotated, Any, Literal
-
-import msgspec
-from msgspec import Meta
+from dataclasses import replace
+from typing import TYPE_CHECKING
 
 from onyxpost.config.address import Address, parse_address
-from onyxpost.config.cluster import ClusterSettings
-from onyxpost.config.decoding import JsonObject, Settings, decode_as, read_json_file
-from onyxpost.config.deployment import Deployment, build_deployment
-from onyxpost.config.planners import PlannerSettings
-from onyxpost.config.settings import DeploymentSettings
-from onyxpost.edge.messages import EndpointUpdate, WireEndpointUpdate, build_endpoint_update
+from onyxpost.config.decoding import JsonObject, decode_as, read_json_file
+from onyxpost.config.deployment import build_deployment
+from onyxpost.edge.messages import build_endpoint_update
 from onyxpost.errors import (
     ConflictingValuesError,
     InvalidAddressError,
@@ -23,13 +17,15 @@
     InvalidValueError,
     NoConfigFileError,
 )
+from onyxpost.node.config_file import NodeFile
+from onyxpost.node.node_config import NodeConfig, PlannerClientConfig
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
     from onyxpost.cluster.membership import ClusterConfig
+    from onyxpost.config.planners import PlannerSettings
     from onyxpost.leadership.config import LeadershipConfig
-    from onyxpost.rollout.routing_rules.compiled import CompiledRules
 
 CONFIG_PATH_VARIABLE = "EDGE_CONFIG"
 OVERRIDES = {"EDGE_NAME": "name", "EDGE_LISTEN": "listen", "EDGE_DISCOVERY": "discovery"}
@@ -38,72 +34,7 @@
 MAX_QUOTED_LENGTH = 80  # characters of an invalid value that an error quotes
 
 
-@dataclass(frozen=True, slots=True)
-class PlannerClientConfig:
-    """The planners that grant leases to this node.
-
-    `safe_share` is the part of each quota that the node may admit without a lease.
-    """
-
-    membership_version: int
-    members: dict[str, Address]
-    safe_share: float
-
-
-@dataclass(frozen=True, slots=True)
-class NodeConfig:
-    """The configuration of one edge node; None for each optional part that its file does not name."""
-
-    name: str
-    listen: Address
-    discovery: Address
-    alternate_discovery: Address | None  # the one in the file, if EDGE_DISCOVERY gives another
-    seed: int
-    max_descriptors: int
-    peer_listen: Address | None
-    peers: list[Address]
-    known_endpoints: EndpointUpdate
-    log_level: str
-    deployment: Deployment
-    planners: PlannerClientConfig | None = None
-    cluster: ClusterConfig | None = None
-    leadership: LeadershipConfig | None = None
-    zone: str | None = None
-    routing_rules_path: str | None = None
-    routing_rules: CompiledRules | None = None  # as read at the start; None in a reloaded configuration
-
-
-class LimitSettings(Settings):
-    """The section `limits` of a node's file."""
-
-    sockets: Annotated[int, Meta(ge=8)] = 1024
-
-
-class NodeFile(Settings):
-    """A node's file as it is written. Other keys are ignored.
-
-    `seed` is a hexadecimal number. `discovery_too` is set by `read`, not by operators.
-    """
-
-    name: str
-    listen: str
-    discovery: str
-    seed: str
-    known: WireEndpointUpdate
-    settings: DeploymentSettings
-    limits: LimitSettings = msgspec.field(default_factory=LimitSettings)
-    peer_listen: str | None = None
-    peers: list[str] = msgspec.field(default_factory=list)
-    discovery_too: str | None = None
-    planners: PlannerSettings | None = None
-    cluster: ClusterSettings | None = msgspec.field(default=None, name="fleet")
-    leadership: dict[str, Any] | None = msgspec.field(default=None, name="duties")  # see leadership.config
-    zone: Annotated[str, Meta(min_length=1)] | None = None
-    rules: Annotated[str, Meta(min_length=1)] | None = None
-    log_level: Literal["debug", "info", "warning", "error"] = "info"
-
-
-def read(environ: Mapping[str, str], is_reload: bool = False) -> NodeConfig:
+def read(environ: Mapping[str, str], *, is_reload: bool = False) -> NodeConfig:
     """Reads the file that `EDGE_CONFIG` names; other environment variables replace some of its keys.
 
     Args:
@@ -124,10 +55,10 @@
     if discovery_in_file is not None and discovery_in_file != fields.get("discovery"):
         # Discovery may have moved while this node was down, and only one of the two addresses answers.
         fields["discovery_too"] = discovery_in_file
-    return decode(fields, path, is_reload)
+    return decode(fields, path, is_reload=is_reload)
 
 
-def decode(fields: JsonObject, source: str = "node", is_reload: bool = False) -> NodeConfig:
+def decode(fields: JsonObject, source: str = "node", *, is_reload: bool = False) -> NodeConfig:
     """Decodes the fields of a node's file, and reads the rules file that it names beside it.
 
     Args:
--- /dev/null
+++ b/onyxpost/node/config_file.py
@@ -0,0 +1,44 @@
+"""A node's file as operators write it: its keys, their types and ranges."""
+
+from __future__ import annotations
+
+from typing import Annotated, Any, Literal
+
+import msgspec
+from msgspec import Meta
+
+from onyxpost.config.cluster import ClusterSettings
+from onyxpost.config.decoding import Settings
+from onyxpost.config.planners import PlannerSettings
+from onyxpost.config.settings import DeploymentSettings
+from onyxpost.edge.messages import WireEndpointUpdate
+
+
+class LimitSettings(Settings):
+    """The section `limits` of a node's file."""
+
+    sockets: Annotated[int, Meta(ge=8)] = 1024
+
+
+class NodeFile(Settings):
+    """A node's file as it is written. Other keys are ignored.
+
+    `seed` is a hexadecimal number. `discovery_too` is set by `read`, not by operators.
+    """
+
+    name: str
+    listen: str
+    discovery: str
+    seed: str
+    known: WireEndpointUpdate
+    settings: DeploymentSettings
+    limits: LimitSettings = msgspec.field(default_factory=LimitSettings)
+    peer_listen: str | None = None
+    peers: list[str] = msgspec.field(default_factory=list)
+    discovery_too: str | None = None
+    planners: PlannerSettings | None = None
+    cluster: ClusterSettings | None = msgspec.field(default=None, name="fleet")
+    leadership: dict[str, Any] | None = msgspec.field(default=None, name="duties")  # see leadership.config
+    zone: Annotated[str, Meta(min_length=1)] | None = None
+    rules: Annotated[str, Meta(min_length=1)] | None = None
+    log_level: Literal["debug", "info", "warning", "error"] = "info"
--- a/onyxpost/node/edge_node.py
+++ b/onyxpost/node/edge_node.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from onyxpost.node.config import NodeConfig
+    from onyxpost.node.node_config import NodeConfig
     from onyxpost.runtime.structured_log import StructuredLog
     from onyxpost.runtime.transport import Transport
 
@@ -230,9 +230,9 @@
         """Writes to the node's log."""
         self.event_log.write(self.clock(), event.event, event.fields, event.level)
 
-    def report_fault(self, where: str, error: BaseException | None) -> None:
-        """Logs an unexpected exception."""
-        self.log(fault_event(where, error))
+    def report_fault(self, operation: str, error: BaseException | None) -> None:
+        """Logs an unexpected exception in an operation."""
+        self.log(fault_event(operation, error))
 
     def _handle_loop_error(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
--- /dev/null
+++ b/onyxpost/node/node_config.py
@@ -0,0 +1,49 @@
+"""The configuration of one edge node, as its parts use it: its name, addresses, limits and deployment."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from onyxpost.cluster.membership import ClusterConfig
+    from onyxpost.config.address import Address
+    from onyxpost.config.deployment import Deployment
+    from onyxpost.edge.messages import EndpointUpdate
+    from onyxpost.leadership.config import LeadershipConfig
+    from onyxpost.rollout.routing_rules.compiled import CompiledRules
+
+
+@dataclass(frozen=True, slots=True)
+class PlannerClientConfig:
+    """The planners that grant leases to this node.
+
+    `safe_share` is the part of each quota that the node may admit without a lease.
+    """
+
+    membership_version: int
+    members: dict[str, Address]
+    safe_share: float
+
+
+@dataclass(frozen=True, slots=True)
+class NodeConfig:
+    """The configuration of one edge node; None for each optional part that its file does not name."""
+
+    name: str
+    listen: Address
+    discovery: Address
+    alternate_discovery: Address | None  # the one in the file, if EDGE_DISCOVERY gives another
+    seed: int
+    max_descriptors: int
+    peer_listen: Address | None
+    peers: list[Address]
+    known_endpoints: EndpointUpdate
+    log_level: str
+    deployment: Deployment
+    planners: PlannerClientConfig | None = None
+    cluster: ClusterConfig | None = None
+    leadership: LeadershipConfig | None = None
+    zone: str | None = None
+    routing_rules_path: str | None = None
+    routing_rules: CompiledRules | None = None  # as read at the start; None in a reloaded configuration
--- /dev/null
+++ b/onyxpost/node/planner_extension.py
@@ -0,0 +1,59 @@
+"""Leases from planners, as an optional part of an edge node."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from onyxpost.edge.messages import ReportUnitsSpent, ReturnLease
+from onyxpost.errors import StaleVersionError
+from onyxpost.node.extension import Extension
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from onyxpost.forwarder.planner_client import PlannerClient
+    from onyxpost.node.node_config import NodeConfig
+
+
+class PlannerExtension(Extension):
+    """Leases from planners. Its few connections are covered by the reserve of `DescriptorBudget`."""
+
+    def __init__(self, client: PlannerClient) -> None:
+        """Creates the part of a node with this client, which is not started yet."""
+        self.client = client
+
+    def effect_handlers(self) -> dict[type, Callable[[Any], None]]:
+        """Returns the client's functions that report spent units and return leases."""
+        return {
+            ReportUnitsSpent: self.client.report_units_spent,
+            ReturnLease: self.client.return_lease,
+        }
+
+    async def start(self) -> None:
+        """Starts to connect to the planners."""
+        self.client.start()
+
+    async def stop(self) -> None:
+        """Returns all leases."""
+        await self.client.stop()
+
+    def close(self) -> None:
+        """Ends all connections at once."""
+        self.client.close()
+
+    def validate_reload(self, new: NodeConfig) -> None:
+        """Raises StaleVersionError if the membership is older than the one in force."""
+        if new.planners is None:
+            return
+        current_version = self.client.membership_version
+        new_version = new.planners.membership_version
+        if new_version < current_version:
+            raise StaleVersionError(
+                f"version {new_version} is older than {current_version} - at `$.planners.version`"
+            )
+
+    def apply_reload(self, new: NodeConfig) -> list[str]:
+        """Follows a later membership."""
+        if new.planners is not None:
+            self.client.update_membership(new.planners.members, new.planners.membership_version)
+        return []
--- a/onyxpost/node/reload.py
+++ b/onyxpost/node/reload.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from onyxpost.node.config import NodeConfig
+    from onyxpost.node.node_config import NodeConfig
 
 RESTART_FIELDS = ("name", "listen", "peer_listen", "peers", "deployment", "zone")
 """Fields of `NodeConfig` whose changes are logged as taking effect after a restart."""
--- a/onyxpost/node/rules_reload.py
+++ b/onyxpost/node/rules_reload.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from onyxpost.node.config import NodeConfig
+    from onyxpost.node.node_config import NodeConfig
     from onyxpost.rollout.routing_rules.compiled import CompiledRules
 
 
--- a/onyxpost/node/serve.py
+++ b/onyxpost/node/serve.py
@@ -13,6 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Coroutine
 
+    from onyxpost.node.node_config import NodeConfig
     from onyxpost.runtime.structured_log import StructuredLog
 
 
@@ -21,6 +22,6 @@
     return process.run_process(partial(config.read, os.environ), _run_node)
 
 
-def _run_node(node_config: config.NodeConfig, event_log: StructuredLog) -> Coroutine[Any, Any, int]:
+def _run_node(node_config: NodeConfig, event_log: StructuredLog) -> Coroutine[Any, Any, int]:
     reread_config = partial(config.read, os.environ, is_reload=True)
     return EdgeNode(node_config, event_log, reread_config).run()
--- a/onyxpost/runtime/log_event.py
+++ b/onyxpost/runtime/log_event.py
@@ -17,7 +17,7 @@
     level: int = logging.INFO
 
 
-def fault_event(where: str, error: BaseException | None) -> LogEvent:
-    """Returns the log event of an unexpected exception, with its traceback."""
+def fault_event(operation: str, error: BaseException | None) -> LogEvent:
+    """Returns the log event of an unexpected exception in an operation, with its traceback."""
     cause = "".join(traceback.format_exception(error)) if error is not None else ""
-    return LogEvent("fault", {"where": where, "cause": cause[-MAX_CAUSE_CHARS:]}, logging.ERROR)
+    return LogEvent("fault", {"where": operation, "cause": cause[-MAX_CAUSE_CHARS:]}, logging.ERROR)
--- a/onyxpost/runtime/socket_transport.py
+++ b/onyxpost/runtime/socket_transport.py
@@ -12,6 +12,7 @@
 import time
 from typing import TYPE_CHECKING
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.errors import ListenError
 from onyxpost.runtime.transport import CountingReader, DialedConnection, FlowControlProtocol, Unread
 
@@ -24,7 +25,6 @@
 # Descriptors that are not sockets of the node: standard streams, the event loop's and the interpreter's.
 RESERVED_DESCRIPTORS = 16
 LISTEN_BACKLOG = 1024  # connections that the kernel holds until they are accepted
-MS_PER_SECOND = 1000.0
 
 
 class SocketTransport:
--- a/onyxpost/runtime/structured_log.py
+++ b/onyxpost/runtime/structured_log.py
@@ -8,6 +8,7 @@
 
 import msgspec
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.runtime.log_event import MAX_CAUSE_CHARS
 
 
@@ -26,7 +27,7 @@
 
     def format(self, record: logging.LogRecord) -> str:
         entry: _Entry | None = getattr(record, "entry", None)
-        at = record.created * 1000.0 if entry is None else entry.at
+        at = record.created * MS_PER_SECOND if entry is None else entry.at
         line: dict[str, Any] = {"at": round(at, 1), "node": self._node, "level": record.levelname.lower()}
         if entry is not None:
             line["event"] = record.msg
--- a/onyxpost/simulation/deterministic/cluster.py
+++ b/onyxpost/simulation/deterministic/cluster.py
@@ -17,6 +17,7 @@
 from onyxpost.edge.messages import LIFECYCLE_STATES
 from onyxpost.node import config as nodes
 from onyxpost.node.edge_node import EdgeNode
+from onyxpost.node.node_config import NodeConfig
 from onyxpost.runtime.http1 import encode_message
 from onyxpost.simulation.deterministic.discovery_agent import FailingAgent
 from onyxpost.simulation.invariants import ANSWERS, InvariantChecker
@@ -63,7 +64,7 @@
         self.task: asyncio.Task[int] | None = None
         self.net: Hosted
 
-    def told(self) -> nodes.NodeConfig:
+    def told(self) -> NodeConfig:
         settings = self.cluster.settings | {"ordinal": self.number, "n_instances": len(self.cluster.edges)}
         return nodes.decode(
             {
--- a/onyxpost/simulation/multiprocess/leadership_mutations.py
+++ b/onyxpost/simulation/multiprocess/leadership_mutations.py
@@ -11,8 +11,9 @@
 from onyxpost.leadership.candidate import Candidate
 from onyxpost.leadership.leader import Leader
 from onyxpost.leadership.protocol import EMPTY_RECORD
+from onyxpost.node.cluster_extension import ClusterExtension
 from onyxpost.node.edge_node import EdgeNode
-from onyxpost.node.extensions import ClusterExtension, find_extension
+from onyxpost.node.extension import find_extension
 
 CARELESS = "careless"  # the taker's: fences are not looked at
 
--- a/tests/cluster/test_loopback.py
+++ b/tests/cluster/test_loopback.py
@@ -18,7 +18,8 @@
 from onyxpost.cluster.membership import Membership
 from onyxpost.cluster.protocol import Hello, Payload, Ping, read_message
 from onyxpost.config.address import Address
-from onyxpost.node.extensions import ClusterExtension, find_extension
+from onyxpost.node.cluster_extension import ClusterExtension
+from onyxpost.node.extension import find_extension
 from onyxpost.runtime.log_event import LogEvent
 from onyxpost.runtime.socket_transport import SocketTransport
 from tests.edge.harness import RunningNode, StubAppServer, node_fields
--- a/tests/compatibility/meanings.py
+++ b/tests/compatibility/meanings.py
@@ -22,6 +22,7 @@
 from onyxpost.leadership.errors import AcceptorLogError
 from onyxpost.leadership.protocol import Record
 from onyxpost.node import config as edge_node
+from onyxpost.node.node_config import NodeConfig, PlannerClientConfig
 from onyxpost.planner import config as planner_file
 from onyxpost.rollout.routing_rules import schema
 from onyxpost.simulation import report, results
@@ -113,7 +114,7 @@
     }
 
 
-def node(read: edge_node.NodeConfig) -> JsonObject:
+def node(read: NodeConfig) -> JsonObject:
     """An edge node's settings."""
     known = read.known_endpoints
     return {
@@ -223,7 +224,7 @@
     }
 
 
-def planners(read: edge_node.PlannerClientConfig) -> JsonObject:
+def planners(read: PlannerClientConfig) -> JsonObject:
     """Who grants a node its allowances."""
     members = {name: list(address) for name, address in read.members.items()}
     return {"membership version": read.membership_version, "members": members, "own share": read.safe_share}
@@ -265,7 +266,7 @@
 SERVERS = [Server(f"s-{i}", "abc"[i % 3], i % 2) for i in range(6)]
 
 
-def decisions(read: edge_node.NodeConfig) -> list[list[Any]]:
+def decisions(read: NodeConfig) -> list[list[Any]]:
     """What the rules leave to customers: servers, attempts and the share of the window."""
     found = []
     assert read.routing_rules is not None
--- a/tests/edge/harness.py
+++ b/tests/edge/harness.py
@@ -11,6 +11,7 @@
 from onyxpost.edge.upstream_pool import UpstreamPool, UpstreamPoolOptions
 from onyxpost.node import config
 from onyxpost.node.edge_node import EdgeNode
+from onyxpost.node.node_config import NodeConfig
 from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.runtime.structured_log import StructuredLog
 
@@ -199,5 +200,5 @@
             length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
             return head, await self.reader.readexactly(length)
 
-    def _reread_config(self) -> config.NodeConfig:
+    def _reread_config(self) -> NodeConfig:
         return config.decode(self.file or {}, is_reload=True)
--- a/tests/edge/test_state_machine.py
+++ b/tests/edge/test_state_machine.py
@@ -120,13 +120,13 @@
     settled = [end.settled for end in node.decisions.attempt_ends()]
     assert settled == ([False, True] if ended_first else [True])
     assert node.machine.requests.by_id == {}
-    assert node.machine.deferred_events == []
+    assert not node.machine.has_deferred_events
 
 
 def test_only_the_first_complete_response_is_forwarded(node: Node) -> None:
     first = node.send_request().attempt_id
     for _ in range(2):
-        node.machine.start_attempt("1", "s0", 500.0, inf)
+        node.machine.sink.start_attempt("1", "s0", 500.0, inf)
     effects = node.step(AttemptEnded(first, AttemptResult.OK, 5.0, RESPONSE))
     assert kinds(effects) == ["passed", "WithdrawAttempt", "WithdrawAttempt"]
     assert node.step(AttemptEnded(first + 1, AttemptResult.OK, 9.0, RESPONSE)) == []
@@ -159,9 +159,9 @@
 def test_an_attempt_for_an_answered_request_is_not_sent(node: Node) -> None:
     node.send_request()
     node.step(ClientDisconnected(1))
-    node.machine.effects = []
-    node.machine.start_attempt("1", "s0", 500.0, inf)
-    assert node.machine.effects == []
+    node.machine.sink.begin_round(node.now)
+    node.machine.sink.start_attempt("1", "s0", 500.0, inf)
+    assert node.machine.sink.effects == []
     node.step()
     last = node.decisions.events[-1]
     assert isinstance(last, AttemptFinished)
--- a/tests/leadership/test_config.py
+++ b/tests/leadership/test_config.py
@@ -12,7 +12,8 @@
 from onyxpost.leadership.config import read_section
 from onyxpost.leadership.errors import LeadershipError
 from onyxpost.node import config
-from onyxpost.node.extensions import ClusterExtension, find_extension
+from onyxpost.node.cluster_extension import ClusterExtension
+from onyxpost.node.extension import find_extension
 from tests.edge.harness import RunningNode, StubAppServer, node_fields
 
 SECTION: dict[str, Any] = {"version": 1, "voters": ["n0", "n1", "n2"], "names": ["a", "b"]}
--- a/tests/rollout/test_routing_rules_deterministic.py
+++ b/tests/rollout/test_routing_rules_deterministic.py
@@ -22,7 +22,7 @@
     from collections.abc import Iterator
     from pathlib import Path
 
-    from onyxpost.node.config import NodeConfig
+    from onyxpost.node.node_config import NodeConfig
 
 RULES = (
     'frontends = ["post"], servers = {zones = {a = 1, b = 2}, fallbacks = ["any"]}',
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -11,6 +11,7 @@
 
 import pytest
 
+from onyxpost.config.deployment import Deployment
 from onyxpost.node import config
 from onyxpost.node.edge_node import EdgeNode
 from onyxpost.runtime.structured_log import StructuredLog
@@ -22,7 +23,7 @@
 
 
 class Loads(unittest.IsolatedAsyncioTestCase):
-    def deployment(self) -> config.Deployment:
+    def deployment(self) -> Deployment:
         """Clients that wait long: where other work holds up the machine, none gives up."""
         told = config.decode(node_fields()).deployment
         return replace(told, frontends=[replace(f, client_timeout_ms=30_000.0) for f in told.frontends])
