--- /dev/null
+++ b/tests/edge/shutdown_steps.py
@@ -0,0 +1,45 @@
+"""Steps of tests that send SIGTERM to a running node."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+
+from onyxpost.node.edge_node import Phase
+from tests.edge.event_loop import wait_until
+from tests.edge.harness import RunningNode, encode_request
+
+ACCEPT_SECONDS = 0.05  # of accepting after SIGTERM, in place of 0.6
+POST_HEAD = encode_request("toll", Idempotency_Key="k", Content_Length="5", X_Expires_In="4900m")
+POST = POST_HEAD + b"12345"
+
+
+def send_sigterm() -> None:
+    """Tells the node of this process to stop."""
+    signal.raise_signal(signal.SIGTERM)
+
+
+async def stop_node(edge: RunningNode) -> None:
+    """Sends SIGTERM and waits until the node has begun to leave."""
+    send_sigterm()
+    await wait_until(lambda: edge.program.phase is Phase.LEAVING)
+
+
+async def exit_code(edge: RunningNode) -> int:
+    """Returns the exit code of a node that has been told to stop."""
+    return await asyncio.wait_for(edge.running, 5.0)
+
+
+async def assert_last_answer(edge: RunningNode, body: bytes = b"hello") -> None:
+    """The client gets its answer, which says that it was the last on its connection; the node exits."""
+    answer = await asyncio.wait_for(edge.reader.read(), 5.0)
+    assert b"connection: close" in answer.lower()
+    assert answer.endswith(body)
+    edge.writer.close()
+    assert await exit_code(edge) == 0
+    assert b"fault" not in edge.out.getvalue()
+
+
+def has_begun_request(edge: RunningNode) -> bool:
+    """Returns whether a client has sent a part of a request."""
+    return any(client.request_started for client in edge.program.clients.connections.open.values())
--- /dev/null
+++ b/tests/edge/test_client_capacity.py
@@ -0,0 +1,95 @@
+"""Which connections give way when a node has many of them, over loopback."""
+
+from __future__ import annotations
+
+import asyncio
+from unittest import mock
+
+from onyxpost.edge import client_eviction
+from tests.edge.event_loop import in_event_loop
+from tests.edge.harness import (
+    RunningNode,
+    StubAppServer,
+    encode_request,
+    node_fields,
+)
+
+
+@in_event_loop
+async def test_idle_clients_leave_descriptors_for_upstream_connections() -> None:
+    async with StubAppServer() as server, RunningNode(server.address, limits={"sockets": 40}) as edge:
+        stay = []
+        for number in range(40):  # each asks once, and stays
+            reader, writer = await asyncio.open_connection(*edge.address)
+            stay.append(writer)
+            writer.write(encode_request(trace=f"t{number}"))
+            assert b" 200 " in await asyncio.wait_for(reader.readuntil(b"hello"), 5.0)
+            assert len(edge.program.clients.connections.open) <= 10
+        for writer in stay:
+            writer.close()
+
+
+@in_event_loop
+async def test_idle_upstream_connections_are_closed_first_when_descriptors_run_out() -> None:
+    async with StubAppServer() as one, StubAppServer() as two, RunningNode(one.address, two.address) as edge:
+        others = [await asyncio.open_connection(*edge.address) for _ in range(6)]
+        for number, (_, writer) in enumerate(others):
+            writer.write(encode_request(trace=f"other{number}"))
+        assert (await edge.ask(encode_request()))[1] == b"hello"
+        for reader, writer in others:
+            await reader.readuntil(b"hello")
+            writer.close()
+        while len(edge.program.clients.connections.open) > 1:
+            await asyncio.sleep(0.001)
+        links = edge.program.servers.connection_count
+        edge.file = node_fields(limits={"sockets": 8})  # less than is open
+        edge.program.reload()
+        _, writer = await asyncio.open_connection(*edge.address)
+        while len(edge.program.clients.connections.open) < 2:
+            await asyncio.sleep(0.001)
+        assert edge.program.servers.connection_count < links
+        writer.close()
+
+
+@in_event_loop
+async def test_a_silent_client_is_evicted_before_one_that_has_sent_a_request() -> None:
+    async with StubAppServer() as server, RunningNode(server.address, limits={"sockets": 8}) as edge:
+        await edge.ask(encode_request(trace="a"))  # from the third on, one gives way
+        silent, _ = await asyncio.open_connection(*edge.address)
+        while len(edge.program.clients.connections.open) < 2:
+            await asyncio.sleep(0.001)
+        with mock.patch.object(client_eviction, "GRACE_FOR_REQUEST_MS", -1.0):
+            _, third = await asyncio.open_connection(*edge.address)
+            assert await asyncio.wait_for(silent.read(), 5.0) == b""
+        assert (await edge.ask(encode_request(trace="b")))[1] == b"hello"
+        third.close()
+
+
+@in_event_loop
+async def test_requests_are_accepted_past_a_quarter_of_the_descriptors() -> None:
+    async with (
+        StubAppServer(*[None] * 9) as server,
+        RunningNode(server.address, limits={"sockets": 24}) as edge,
+    ):
+        writers = []
+        for number in range(9):
+            writers.append((await asyncio.open_connection(*edge.address))[1])
+            writers[-1].write(encode_request(trace=f"t{number}"))
+            async with asyncio.timeout(5.0):
+                while edge.program.state_machine.requests.received_count <= number:
+                    await asyncio.sleep(0.001)
+        for writer in writers:
+            writer.close()
+
+
+@in_event_loop
+async def test_a_client_over_capacity_gets_a_rejection_and_no_reset() -> None:
+    async with StubAppServer(None) as server, RunningNode(server.address) as edge:
+        edge.program.clients.listener.has_capacity = lambda: False
+        reader, writer = await asyncio.open_connection(*edge.address)
+        writer.write(encode_request())
+        text = await asyncio.wait_for(reader.read(), 5.0)
+        writer.close()
+        assert b"503" in text.split(b"\r\n")[0]
+        assert b"retry-after" in text.lower()
+        assert server.got == []
--- /dev/null
+++ b/tests/edge/test_client_closing.py
@@ -0,0 +1,147 @@
+"""A node that closes a client's connection: what has arrived is answered, and nothing is reset."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Any
+from unittest import mock
+
+import pytest
+
+from onyxpost.edge import client_connections, client_http
+from tests.edge.client_sockets import begin_shutdown, connect_client, idle_client, read_to_end
+from tests.edge.event_loop import in_event_loop, wait_until
+from tests.edge.harness import (
+    RunningNode,
+    StubAppServer,
+    encode_request,
+)
+
+Close = Callable[[RunningNode], object]
+
+
+def close_expired(edge: RunningNode) -> None:
+    for client in edge.program.clients.connections.open.values():
+        client.deadline = client.deadline if client.awaits_answer else 0.0
+    edge.program.clients.closer.close_expired()
+
+
+def evict(edge: RunningNode) -> None:
+    edge.program.clients.eviction.evict_connection()
+
+
+def feed_then_close(close: Close, edge: RunningNode) -> Callable[[Any, bytes], None]:
+    """`StreamReader.feed_data`, and a close before the task that reads has its turn."""
+    feed = asyncio.StreamReader.feed_data
+
+    def then_close(reader: Any, data: bytes) -> None:
+        feed(reader, data)
+        if b"/check/" in data:
+            close(edge)
+
+    return then_close
+
+
+CLOSES: tuple[Close, ...] = (begin_shutdown, close_expired, evict)
+
+
+@pytest.mark.parametrize("close", CLOSES)
+@in_event_loop
+async def test_an_unread_request_keeps_its_connection_open_and_is_answered(close: Close) -> None:
+    async with StubAppServer() as server, RunningNode(server.address) as edge:
+        client = await idle_client(edge)
+        client.sendall(encode_request(trace="b"))  # in the kernel: the loop has not run
+        close(edge)
+        begin_shutdown(edge)
+        assert b"hello" in await read_to_end(client)
+        assert len(server.got) == 2
+        client.close()
+
+
+@pytest.mark.parametrize("close", CLOSES)
+@in_event_loop
+async def test_a_buffered_request_keeps_its_connection_open_and_is_answered(close: Close) -> None:
+    async with StubAppServer() as server, RunningNode(server.address) as edge:
+        client = await idle_client(edge)
+        with mock.patch.object(asyncio.StreamReader, "feed_data", feed_then_close(close, edge)):
+            client.sendall(encode_request(trace="b"))
+            await wait_until(lambda server=server: len(server.got) == 2)
+        begin_shutdown(edge)
+        assert b"hello" in await read_to_end(client)
+        client.close()
+
+
+@pytest.mark.parametrize("close", CLOSES)
+@in_event_loop
+async def test_a_request_after_the_close_is_not_forwarded_and_causes_no_reset(close: Close) -> None:
+    async with StubAppServer() as server, RunningNode(server.address) as edge:
+        client = await idle_client(edge)
+        close(edge)
+        client.sendall(encode_request(trace="b"))
+        assert await read_to_end(client) == b""  # its client sends it once more
+        client.sendall(encode_request(trace="c"))
+        client.close()
+        await wait_until(lambda edge=edge: not edge.program.clients.connections.closing)
+        assert (len(server.got), edge.program.clients.connections.open) == (1, {})
+
+
+@in_event_loop
+async def test_a_client_that_never_closes_is_aborted_and_counts_until_then() -> None:
+    async with StubAppServer() as server, RunningNode(server.address) as edge:
+        client = await idle_client(edge)
+        program = edge.program
+        held = program.descriptors.in_use()
+        begin_shutdown(edge)
+        assert (program.descriptors.in_use(), len(program.clients.connections.open)) == (held, 0)
+        (parting,) = program.clients.connections.closing.values()
+        assert parting.deadline <= program.clock() + client_connections.LINGER_MS
+        parting.deadline = 0.0
+        await wait_until(lambda: not program.clients.connections.closing)  # the close_expired's
+        assert (program.descriptors.in_use(), await read_to_end(client)) == (held - 1, b"")
+        client.close()
+
+
+@in_event_loop
+async def test_a_closing_connection_with_unread_bytes_gets_one_extension() -> None:
+    async with StubAppServer() as server, RunningNode(server.address) as edge:
+        client = await idle_client(edge)
+        begin_shutdown(edge)
+        (parting,) = edge.program.clients.connections.closing.values()
+        for spared in (True, False):
+            client.sendall(b"x")
+            parting.deadline = 0.0
+            edge.program.clients.closer.close_expired()
+            assert (parting.connection_id in edge.program.clients.connections.closing) == spared
+        client.close()
+
+
+@in_event_loop
+async def test_a_closing_connection_is_aborted_when_descriptors_run_out() -> None:
+    async with StubAppServer() as server, RunningNode(server.address) as edge:
+        client = await idle_client(edge)
+        begin_shutdown(edge)
+        with mock.patch.object(edge.program.descriptors, "in_use", lambda: 1 << 30):
+            links = edge.program.servers.connection_count
+            assert edge.program.descriptors.has_server_capacity()
+        assert (edge.program.clients.connections.closing, edge.program.servers.connection_count) == (
+            {},
+            links,
+        )
+        client.close()
+
+
+@in_event_loop
+async def test_bytes_that_arrive_with_the_last_answer_do_not_reset_it() -> None:
+    async with StubAppServer() as server, RunningNode(server.address) as edge:
+        client, encode_message = connect_client(edge), client_http.encode_message
+
+        def crossed(*args: Any) -> bytes:
+            client.sendall(encode_request(trace="b"))
+            return encode_message(*args)
+
+        with mock.patch.object(client_http, "encode_message", crossed):
+            client.sendall(encode_request(trace="a", Connection="close"))
+            assert (await read_to_end(client)).endswith(b"hello")
+        client.close()
+        assert len(server.got) == 1
--- /dev/null
+++ b/tests/edge/test_client_disconnects.py
@@ -0,0 +1,93 @@
+"""A client that disconnects while its request is in flight is noticed, read or not."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from random import Random
+from typing import Any
+
+import pytest
+
+from onyxpost.edge.clients import build_clients
+from onyxpost.edge.messages import EdgeEvent
+from onyxpost.simulation import virtual_time
+from tests.edge.client_sockets import RESET, connect_client
+from tests.edge.event_loop import in_event_loop, wait_until
+from tests.edge.harness import (
+    RunningNode,
+    StubAppServer,
+    encode_request,
+)
+
+
+async def send_unanswered_request(edge: RunningNode, server: StubAppServer) -> tuple[socket.socket, int]:
+    client = connect_client(edge)
+    client.sendall(encode_request("toll", Idempotency_Key="k", X_Expires_In="4900m"))
+    await wait_until(lambda: server.got)
+    ((number, _),) = [item for item in edge.program.clients.connections.open.items() if item[1].awaits_answer]
+    return client, number
+
+
+@pytest.mark.parametrize("how", ["close", "reset", "half", "bytes ahead", "bytes ahead of a reset"])
+@in_event_loop
+async def test_a_disconnect_is_seen_before_the_loop_has_read_it(how: str) -> None:
+    async with StubAppServer(None) as server, RunningNode(server.address) as edge:
+        client, number = await send_unanswered_request(edge, server)
+        there = edge.program.clients.connections.is_waiting
+        assert (there(number), there(number + 9)) == (True, False)
+        if "ahead" in how:
+            client.sendall(encode_request(trace="ahead"))
+            assert there(number)  # it may still read its answer
+        if "reset" in how:
+            client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        if how == "half":
+            client.shutdown(socket.SHUT_WR)
+        else:
+            client.close()
+        assert not there(number)
+        await wait_until(lambda server=server: server.closed.is_set())  # its attempt too
+        assert (there(number), edge.program.state_machine.unanswered_count) == (False, 0)
+        client.close()
+
+
+@in_event_loop
+async def test_a_client_with_its_answer_no_longer_waits() -> None:
+    async with StubAppServer() as server, RunningNode(server.address) as edge:
+        await edge.ask(encode_request())
+        assert [
+            edge.program.clients.connections.is_waiting(number)
+            for number in edge.program.clients.connections.open
+        ] == [False]
+
+
+def test_on_the_virtual_network_a_disconnect_is_seen_once_it_has_arrived() -> None:
+    async def main() -> list[bool]:
+        net, asked = virtual_time.Network(Random("net")), asyncio.Event()
+        deployment: Any = RunningNode(("127.0.0.1", 9)).program.config.deployment
+        host = net.host("edge")
+
+        def post(value: EdgeEvent) -> None:
+            asked.set()
+
+        clients = build_clients(deployment, host, post, lambda: True, lambda: True, print)
+        await clients.listener.listen(("edge", 80))
+        seen = []
+        for reset in (False, True):
+            asked.clear()
+            _, writer, *_ = await net.host("client").dial(("edge", 80), 1000)
+            writer.write(encode_request())
+            await asked.wait()
+            number = clients.listener.accepted_count
+            seen.append(clients.connections.is_waiting(number))
+            clients.connections.open[number].writer.transport.pause_reading()  # as if the loop were late
+            if reset:
+                writer.transport.abort()
+            else:
+                writer.close()
+            await asyncio.sleep(0.1)
+            seen.append(clients.connections.is_waiting(number))
+        clients.listener.close()
+        return seen
+
+    assert virtual_time.run(main()) == [True, False, True, False]
--- /dev/null
+++ b/tests/edge/test_client_flow_control.py
@@ -0,0 +1,75 @@
+"""Clients that send too much or read too little delay no other, and their memory is bounded."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+from onyxpost.edge import client_http
+from tests.edge.client_sockets import RESET, connect_client
+from tests.edge.event_loop import in_event_loop, wait_until
+from tests.edge.harness import (
+    RunningNode,
+    StubAppServer,
+    encode_request,
+)
+
+
+@in_event_loop
+async def test_tcp_nodelay_is_set_for_clients_and_servers() -> None:
+    async with StubAppServer() as server, RunningNode(server.address) as edge:
+        await edge.ask(encode_request())
+        ((link,),) = edge.program.servers.idle_connections.values()
+        (client,) = edge.program.clients.connections.open.values()
+        for writer in (client.writer, link.writer):
+            sock = writer.transport.get_extra_info("socket")
+            assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+
+
+@in_event_loop
+async def test_a_client_that_reads_no_answers_is_not_read_on_for_ever() -> None:
+    page = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60000
+    async with StubAppServer(*[(page, False)] * 400) as server, RunningNode(server.address) as edge:
+        edge.writer.close()
+        await wait_until(lambda: not edge.program.clients.connections.open)
+        client = socket.socket()
+        client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        client.connect(edge.address[:2])
+        asked = 0
+        await wait_until(lambda: len(edge.program.clients.connections.open) == 1)
+        (there,) = edge.program.clients.connections.open.values()
+        async with asyncio.timeout(10.0):
+            while there.connection_id in edge.program.clients.connections.open and asked < 400:
+                asked += 1
+                client.sendall(encode_request(trace=f"t{asked}"))
+                while there.connection_id in edge.program.clients.connections.open and (
+                    edge.program.state_machine.requests.received_count < asked or there.awaits_answer
+                ):
+                    await asyncio.sleep(0)
+        assert asked < 400
+        untaken = there.writer.transport.get_write_buffer_size()
+        assert untaken < client_http.MAX_UNSENT_BYTES + 2 * 65536
+        client.close()
+
+
+@in_event_loop
+async def test_clients_that_flood_and_disconnect_delay_no_other_and_leak_nothing() -> None:
+    endless = encode_request()[:-2] + b"A: b\r\n" * 9000
+    heaps = (encode_request("other") * 500, encode_request() * 500, b"\0" * 90000, endless)
+    async with StubAppServer(*[None] * 600) as server, RunningNode(server.address) as edge:
+        server.answers.clear()
+        for turn in range(20):  # each comes again at once
+            for number, heap in enumerate(heaps):
+                client = connect_client(edge)
+                client.setblocking(False)
+                client.send(heap)
+                if number % 2:
+                    client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                client.close()
+            assert (await edge.ask(encode_request(trace=f"good{turn}")))[1] == b"hello"
+        await wait_until(
+            lambda: len(edge.program.clients.connections.open) == 1
+            and not edge.program.clients.connections.closing
+        )
+        await wait_until(lambda: not edge.program.state_machine.requests.by_id)
+        assert b"fault" not in edge.out.getvalue()
--- /dev/null
+++ b/tests/edge/test_shutdown_of_node.py
@@ -0,0 +1,90 @@
+"""A node that is told to stop, from its last accepted connection to its exit."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+import socket
+from unittest import mock
+
+import pytest
+
+from onyxpost.edge.messages import SendPeerMessage
+from tests.edge.event_loop import in_event_loop
+from tests.edge.harness import (
+    RunningNode,
+    StubAppServer,
+    encode_request,
+)
+
+
+@in_event_loop
+async def test_a_node_told_to_stop_answers_accepted_and_late_requests() -> None:
+    async with StubAppServer(None) as server, RunningNode(server.address) as edge:
+        idle_reader, idle_writer = await asyncio.open_connection(*edge.address)
+        edge.writer.write(encode_request(X_Expires_In="900m"))
+        idle_writer.write(b"GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n")
+        assert b"200 " in await idle_reader.readuntil(b"\r\n\r\n")
+        while not server.got:
+            await asyncio.sleep(0.001)
+        signal.raise_signal(signal.SIGTERM)
+        assert await asyncio.wait_for(idle_reader.read(), 5.0) == b""
+        idle_writer.close()
+        late_reader, late_writer = await asyncio.open_connection(*edge.address)
+        late_writer.write(encode_request(trace="late"))
+        late = await asyncio.wait_for(late_reader.read(), 5.0)
+        late_writer.close()
+        assert b"hello" in late
+        assert b"connection: close" in late.lower()
+        head, _ = await edge.answer()  # the server never answered: given up on in time
+        assert head.split(b" ")[1] in (b"429", b"502")
+        assert await asyncio.wait_for(edge.running, 5.0) == 0
+
+
+@in_event_loop
+async def test_a_client_accepted_in_the_turn_in_which_the_listener_closes_is_answered() -> None:
+    turn, sleep, late = [0.0], asyncio.sleep, socket.socket()
+
+    async def until_accepted(seconds: float) -> None:
+        if seconds != 0.6:
+            return await sleep(seconds)
+        late.connect(edge.address)  # the kernel takes it at once
+        late.sendall(encode_request(trace="late"))
+        again = asyncio.get_running_loop().create_future()
+        asyncio.get_running_loop().call_soon(again.set_result, None)
+        await again  # the listener's turn was the same
+        turn[0] += 1
+
+    async with StubAppServer() as server, RunningNode(server.address) as edge:
+        with mock.patch("onyxpost.node.edge_node.asyncio.sleep", until_accepted):
+            signal.raise_signal(signal.SIGTERM)
+            assert await asyncio.wait_for(edge.running, 5.0) == 0
+        assert (turn, len(server.got)) == ([1.0], 1)
+        assert b"hello" in late.recv(65536)
+        late.close()
+
+
+@in_event_loop
+async def test_a_peer_message_after_the_end_is_no_fault() -> None:
+    async with StubAppServer() as server, RunningNode(server.address) as edge:
+        edge.program.close()
+        await asyncio.sleep(0.01)
+        edge.program.peers.send(SendPeerMessage(1, b"x"))
+
+
+@in_event_loop
+async def test_a_node_told_to_stop_still_reads_a_request_of_a_new_connection(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr("onyxpost.node.edge_node.ACCEPT_AFTER_STOP_SECONDS", 0.0)
+    async with StubAppServer() as server, RunningNode(server.address) as edge:
+        reader, writer = await asyncio.open_connection(*edge.address)
+        while len(edge.program.clients.connections.open) < 2:
+            await asyncio.sleep(0.001)
+        signal.raise_signal(signal.SIGTERM)
+        while edge.program.phase.value != "closing":
+            await asyncio.sleep(0)
+        writer.write(encode_request(trace="late"))
+        assert b"hello" in await asyncio.wait_for(reader.read(), 5.0)
+        writer.close()
+        assert await asyncio.wait_for(edge.running, 5.0) == 0
--- /dev/null
+++ b/tests/edge/test_shutdown_requests.py
@@ -0,0 +1,132 @@
+"""SIGTERM at each stage of a request: what was accepted is answered, then the node exits with 0."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+from typing import Any
+
+import pytest
+
+from onyxpost.edge.messages import SendAttempt
+from onyxpost.edge.upstream_pool import UpstreamPool
+from onyxpost.node.edge_node import Phase
+from tests.edge.event_loop import in_event_loop, wait_until
+from tests.edge.harness import UPSTREAM_ANSWER, RunningNode, StubAppServer, encode_request, node_fields
+from tests.edge.shutdown_steps import (
+    POST,
+    assert_last_answer,
+    exit_code,
+    has_begun_request,
+    send_sigterm,
+    stop_node,
+)
+
+LONG_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60000
+ACCEPT_SECONDS = 0.05  # of accepting after SIGTERM, in place of 0.6
+
+
+@pytest.mark.usefixtures("short_accept")
+@pytest.mark.parametrize("missing_bytes", [30, 3], ids=["head", "body"])
+@in_event_loop
+async def test_a_request_that_is_half_read_is_answered(missing_bytes: int) -> None:
+    async with StubAppServer() as server, RunningNode(server.address) as edge:
+        edge.writer.write(POST[:-missing_bytes])
+        await wait_until(lambda: has_begun_request(edge))
+        await stop_node(edge)
+        edge.writer.write(POST[-missing_bytes:])
+        await assert_last_answer(edge)
+
+
+@pytest.mark.usefixtures("short_accept")
+@in_event_loop
+async def test_a_request_that_is_not_forwarded_yet_is_answered() -> None:
+    async with StubAppServer() as server, RunningNode(server.address) as edge:
+        attempts: list[SendAttempt] = []
+        edge.program.events.effect_handlers[SendAttempt] = attempts.append
+        edge.writer.write(encode_request())
+        await wait_until(lambda: attempts)
+        await stop_node(edge)
+        edge.program.servers.send(attempts[0])
+        await assert_last_answer(edge)
+
+
+@pytest.mark.usefixtures("short_accept")
+@in_event_loop
+async def test_an_attempt_that_is_still_connecting_is_answered() -> None:
+    is_opening = asyncio.Event()
+    may_open = asyncio.Event()
+    original_open = UpstreamPool.open_connection
+
+    async def open_slowly(servers: UpstreamPool, endpoint: Any) -> Any:
+        is_opening.set()
+        await may_open.wait()
+        return await original_open(servers, endpoint)
+
+    with pytest.MonkeyPatch.context() as patch:
+        patch.setattr(UpstreamPool, "open_connection", open_slowly)
+        async with StubAppServer() as server, RunningNode(server.address) as edge:
+            edge.writer.write(encode_request())
+            await is_opening.wait()
+            await stop_node(edge)
+            may_open.set()
+            await assert_last_answer(edge)
+
+
+@pytest.mark.usefixtures("short_accept")
+@pytest.mark.parametrize("received_bytes", [0, 40, len(UPSTREAM_ANSWER) - 2])
+@in_event_loop
+async def test_an_attempt_whose_answer_is_half_received_is_answered(received_bytes: int) -> None:
+    async with StubAppServer(None) as server, RunningNode(server.address) as edge:
+        edge.writer.write(encode_request())
+        await wait_until(lambda: server.got)
+        server.writers[0].write(UPSTREAM_ANSWER[:received_bytes])
+        await stop_node(edge)
+        server.writers[0].write(UPSTREAM_ANSWER[received_bytes:])
+        await assert_last_answer(edge)
+
+
+@pytest.mark.usefixtures("short_accept")
+@in_event_loop
+async def test_an_answer_that_is_half_sent_to_its_client_is_completed() -> None:
+    async with StubAppServer((LONG_ANSWER, False)) as server, RunningNode(server.address) as edge:
+        edge.writer.transport.pause_reading()
+        edge.writer.write(encode_request())
+        await wait_until(
+            lambda: edge.program.state_machine.requests.received_count
+            and not edge.program.state_machine.unanswered_count
+        )
+        await stop_node(edge)
+        edge.writer.transport.resume_reading()
+        answer = await asyncio.wait_for(edge.reader.read(), 5.0)
+        assert answer.endswith(LONG_ANSWER[-60000:])
+        edge.writer.close()
+        assert await exit_code(edge) == 0
+
+
+@pytest.mark.usefixtures("short_accept")
+@in_event_loop
+async def test_a_request_that_arrives_together_with_the_signal_is_answered() -> None:
+    async with StubAppServer() as server, RunningNode(server.address) as edge:
+        await edge.ask(encode_request(trace="a"))
+        send_sigterm()  # the event loop finds the signal and the request in the same turn
+        edge.writer.write(encode_request(trace="b"))
+        await assert_last_answer(edge)
+        assert len(server.got) == 2
+
+
+@pytest.mark.usefixtures("short_accept")
+@in_event_loop
+async def test_a_second_sigterm_and_sighups_around_it_change_nothing() -> None:
+    async with StubAppServer(None) as server, RunningNode(server.address) as edge:
+        edge.file = node_fields(server.address, discovery="127.0.0.1:2")
+        edge.writer.write(encode_request())
+        await wait_until(lambda: server.got)
+        for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
+            signal.raise_signal(number)
+        await wait_until(lambda: edge.out.getvalue().count(b'"reloaded"') == 2)
+        await wait_until(lambda: edge.program.phase is not Phase.SERVING)
+        send_sigterm()
+        server.writers[0].write(UPSTREAM_ANSWER)
+        await assert_last_answer(edge)
+        assert edge.out.getvalue().count(b'"leaving"') == 1
--- /dev/null
+++ b/tests/edge/test_upstream_attempts.py
@@ -0,0 +1,80 @@
+"""Attempts that end before their request is written, over loopback."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+from onyxpost.core.types import AttemptResult
+from onyxpost.edge.messages import AttemptEnded, EdgeEvent, Endpoint, SendAttempt
+from tests.edge.event_loop import in_event_loop
+from tests.edge.harness import (
+    CLIENT_REQUEST,
+    RunningNode,
+    StubAppServer,
+    encode_request,
+)
+from tests.edge.harness import upstream_pool as create_pool
+
+
+@in_event_loop
+async def test_a_client_that_disconnects_cancels_its_attempt() -> None:
+    async with StubAppServer(None) as server, RunningNode(server.address) as edge:
+        edge.writer.write(encode_request("toll", Idempotency_Key="k", X_Expires_In="4900m"))
+        while not server.got:
+            await asyncio.sleep(0.001)
+        edge.writer.close()
+        async with asyncio.timeout(3.0):  # well before its time-out
+            await server.closed.wait()
+            while edge.program.state_machine.requests.by_id:
+                await asyncio.sleep(0.001)
+
+
+@in_event_loop
+async def test_an_attempt_cancelled_before_its_first_step_still_reports_its_end() -> None:
+    ends: list[EdgeEvent] = []
+    servers = create_pool(ends.append)
+    servers.send(SendAttempt(7, Endpoint("s", ("127.0.0.1", 9)), CLIENT_REQUEST, 900.0))
+    servers.cancel(7)
+    await asyncio.sleep(0.01)
+    assert ends == [AttemptEnded(7, AttemptResult.UNUSED, 0.0)]
+
+
+@in_event_loop
+async def test_an_attempt_that_is_connecting_is_not_written_once_its_request_is_answered() -> None:
+    ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
+    servers = create_pool(ends.put_nowait)
+    async with StubAppServer() as server:
+        servers.send(SendAttempt(7, Endpoint("s", server.address), CLIENT_REQUEST, 900.0))
+        await asyncio.sleep(0)  # it connects
+        servers.withdraw(7)
+        assert await asyncio.wait_for(ends.get(), 5.0) == AttemptEnded(7, AttemptResult.UNUSED, 0.0)
+        assert server.got == []
+
+
+@in_event_loop
+async def test_a_server_that_drains_while_an_attempt_connects_receives_no_byte_of_it() -> None:
+    ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
+    drains: set[Endpoint] = set()
+    servers = create_pool(ends.put_nowait, wanted=lambda place: place not in drains)
+    async with StubAppServer() as server:
+        servers.send(SendAttempt(7, Endpoint("s", server.address), CLIENT_REQUEST, 900.0))
+        await asyncio.sleep(0)  # it connects
+        drains.add(Endpoint("s", server.address))
+        assert await asyncio.wait_for(ends.get(), 5.0) == AttemptEnded(7, AttemptResult.UNUSED, 0.0)
+        assert (server.got, servers.connection_count) == ([], 0)
+
+
+@in_event_loop
+async def test_a_server_that_cannot_be_connected_never_executed_the_request() -> None:
+    ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
+    servers = create_pool(ends.put_nowait, connect=20.0)
+    with socket.socket() as silent:  # its one place in the queue is taken: a further one never comes up
+        silent.bind(("127.0.0.1", 0))
+        silent.listen(0)
+        with socket.create_connection(silent.getsockname()):
+            for address in (silent.getsockname(), ("127.0.0.1", 9)):
+                servers.send(SendAttempt(7, Endpoint("s", address), CLIENT_REQUEST, 900.0))
+                end = await asyncio.wait_for(ends.get(), 5.0)
+                assert isinstance(end, AttemptEnded)
+                assert end.result is AttemptResult.NO_CONNECTION
