--- a/onyxpost/edge/client_http.py
+++ b/onyxpost/edge/client_http.py
@@ -105,8 +105,8 @@
         """Rejects the current request, complete or not, with status 503 and closes the connection."""
         self._respond(connection, SERVICE_UNAVAILABLE, [(b"Retry-After", b"1")], b"", close=True)
 
-    def _reject(self, connection: ClientConnection, status: int, reason: str, close: bool) -> None:
-        self._respond(connection, status, [], reason.encode()[:MAX_ERROR_TEXT_BYTES], close)
+    def _reject(self, connection: ClientConnection, status: int, reason: str, *, close: bool) -> None:
+        self._respond(connection, status, [], reason.encode()[:MAX_ERROR_TEXT_BYTES], close=close)
 
     def _decode(self, connection: ClientConnection) -> None:
         """Decodes the complete parts of what has been received; an invalid request is rejected."""
@@ -121,7 +121,8 @@
                     pass
             # Hundreds of pipelined requests, each answered with an error, would delay all other clients.
             connection.has_pipelined = bool(http.trailing_data[0])
-            self._reject(connection, err.status, str(err), err.framing_unknown or connection.has_pipelined)
+            closes = err.framing_unknown or connection.has_pipelined
+            self._reject(connection, err.status, str(err), close=closes)
 
     def _handle_http_events(self, connection: ClientConnection, http: h11.Connection) -> None:
         while not connection.awaits_answer and (event := http.next_event()) is not h11.NEED_DATA:
@@ -166,6 +167,7 @@
         status: int,
         headers: Headers,
         body: bytes,
+        *,
         close: bool = False,
     ) -> None:
         http = connection.http
--- a/onyxpost/edge/discovery_client.py
+++ b/onyxpost/edge/discovery_client.py
@@ -163,7 +163,7 @@
         if update.generation < self.generation and (answered.after_move or not update.complete):
             # Older than the list that this node has: the newer changes are still to come. A complete list
             # that was not requested is accepted, as discovery has restarted.
-            update = EndpointUpdate(self.generation, False, [], {})
+            update = EndpointUpdate(self.generation, complete=False, endpoints=[], addresses={})
         self.generation = update.generation
         was_stale = self.is_stale
         self.is_stale = self.is_stale and self._stale_in_ms() == 0.0  # by a later watch's tracker
--- a/onyxpost/edge/errors.py
+++ b/onyxpost/edge/errors.py
@@ -11,7 +11,9 @@
 class InvalidEndpointUpdateError(InvalidInputError):
     """Discovery answered, but not with a list of servers: the whole answer is rejected."""
 
-    remedy = "look at what discovery's agent answers to GET /v1/servers; the node keeps the list that it has"
+    remedy = (
+        "check what discovery's agent answers to GET /v1/servers; the node keeps the endpoints that it has"
+    )
 
 
 class DiscoveryOverloadedError(InvalidInputError):
@@ -20,7 +22,7 @@
     It stays overloaded if all nodes poll again at once.
     """
 
-    remedy = "wait 20 s, the node asks again by itself; if it lasts, give discovery room for more questions"
+    remedy = "wait 20 s, the node polls again by itself; if it lasts, give discovery more capacity"
 
 
 class RequestRejectedError(Exception):
@@ -31,7 +33,7 @@
         framing_unknown: where the request ends is unknown, so its connection has to be closed.
     """
 
-    def __init__(self, status: int, reason: str, framing_unknown: bool = False) -> None:
+    def __init__(self, status: int, reason: str, *, framing_unknown: bool = False) -> None:
         super().__init__(reason)
         self.status = status
         self.framing_unknown = framing_unknown
--- a/onyxpost/errors.py
+++ b/onyxpost/errors.py
@@ -93,10 +93,10 @@
 class ListenError(OperatorError):
     """An address that this process should listen on cannot be bound."""
 
-    remedy = "end the process that holds it, or name another address of this machine in the file"
+    remedy = "stop the process that uses it, or name another address of this machine in the file"
 
 
 class OperatingSystemError(OperatorError):
     """The operating system refused something that a process needs."""
 
-    remedy = "look at this process's limits, of descriptors (`ulimit -n`) and of memory"
+    remedy = "check this process's limits of descriptors (`ulimit -n`) and of memory"
