--- a/onyxpost/edge/messages/endpoint_updates.py
+++ b/onyxpost/edge/messages/endpoint_updates.py
@@ -47,7 +47,7 @@
     try:
         return build_endpoint_update(decode_as(data, WireEndpointUpdate, "list of servers"))
     except InvalidInputError as error:
-        raise InvalidEndpointUpdateError(error.what, "list of servers") from error
+        raise InvalidEndpointUpdateError(error.message, "list of servers") from error
 
 
 def build_endpoint_update(update: WireEndpointUpdate, path: str = "$") -> EndpointUpdate:
@@ -63,7 +63,7 @@
                 addresses[endpoint.instance_id] = parse_address(endpoint.host_port)
             except InvalidAddressError as error:
                 key = f"{path}.instances[{index}].hostPort"
-                raise InvalidAddressError(f"{error.what} - at `{key}`") from error
+                raise InvalidAddressError(f"{error.message} - at `{key}`") from error
     statuses = [_endpoint_status(endpoint) for endpoint in update.instances]
     return EndpointUpdate(update.generation, update.reset, statuses, addresses)
 
--- a/onyxpost/errors.py
+++ b/onyxpost/errors.py
@@ -16,24 +16,34 @@
     """An error with a remedy for the operator.
 
     Attributes:
-        what: what went wrong; for a file it ends with the path of the key.
-        where: a file, a peer or an option; may be empty.
+        message: what went wrong; for a file it ends with the path of the key.
+        location: a file, a peer or an option; may be empty.
         remedy: what the operator can do; fixed for each type of error.
     """
 
     remedy: ClassVar[str] = ""
 
-    def __init__(self, what: str, where: str = "") -> None:
-        super().__init__(what, where)
-        self.what = what
-        self.where = where
+    def __init__(self, message: str, location: str = "") -> None:
+        super().__init__(message, location)
+        self.message = message
+        self.location = location
 
     def __str__(self) -> str:
-        return f"{self.where}: {self.what}" if self.where else self.what
+        return f"{self.location}: {self.message}" if self.location else self.message
 
-    def with_location(self, where: str) -> Self:
+    @property
+    def what(self) -> str:
+        """The former name of `message`."""
+        return self.message
+
+    @property
+    def where(self) -> str:
+        """The former name of `location`."""
+        return self.location
+
+    def with_location(self, location: str) -> Self:
         """Returns the same error for a file or peer that the code that raised it did not know."""
-        return type(self)(self.what, where)
+        return type(self)(self.message, location)
 
     def to_line(self) -> str:
         """Returns one line for the command line, the remedy last."""
@@ -67,7 +77,7 @@
 
 
 class InvalidValueError(InvalidInputError):
-    """A key is missing, of another type, or out of its range; `what` ends with its path."""
+    """A key is missing, of another type, or out of its range; `message` ends with its path."""
 
     remedy = "give the key at that place a value of the type and range that it names"
 
@@ -79,7 +89,7 @@
 
 
 class ConflictingValuesError(InvalidInputError):
-    """Two values are valid, but not together; `what` ends with the path of one."""
+    """Two values are valid, but not together; `message` ends with the path of one."""
 
     remedy = "bring the key at that place into line with the rest of the file"
 
--- a/onyxpost/node/config.py
+++ b/onyxpost/node/config.py
@@ -163,7 +163,7 @@
     try:
         return parse_address(text)
     except InvalidAddressError as error:
-        raise InvalidAddressError(f"{error.what} - at `$.{key}`") from error
+        raise InvalidAddressError(f"{error.message} - at `$.{key}`") from error
 
 
 def _parse_optional_address(key: str, text: str | None) -> Address | None:
--- a/tests/process/operator_errors.py
+++ b/tests/process/operator_errors.py
@@ -13,9 +13,9 @@
 PLANNER: dict[str, Any] = json.loads(Path("deploy/example-planner.json").read_text())
 
 
-def assert_one_line(output: str, where: str, what: str, kind: type[OperatorError]) -> None:
+def assert_one_line(output: str, location: str, message: str, kind: type[OperatorError]) -> None:
     """The output is one line that names the place and the cause and ends with the remedy."""
-    assert re.search(rf"\Aonyxpost: {re.escape(where)}.*{re.escape(what)}.*\n\Z", output)
+    assert re.search(rf"\Aonyxpost: {re.escape(location)}.*{re.escape(message)}.*\n\Z", output)
     assert output.endswith(f" ({kind.remedy})\n")
 
 
