--- a/tests/edge/discovery_agents.py
+++ b/tests/edge/discovery_agents.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Sequence
 from math import inf
 from random import Random
-from typing import NamedTuple
+from typing import NamedTuple, Protocol
 
 from onyxpost.edge.discovery_client import DiscoveryClient, DiscoveryOptions
 from onyxpost.edge.messages import EdgeEvent
@@ -23,6 +23,13 @@
 Scenario = Callable[[DiscoveryClient, Network], Awaitable[None]]
 
 
+class ServingAgent(Protocol):
+    """An agent that the client can watch."""
+
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serves one connection."""
+
+
 class Poll(NamedTuple):
     """A poll that the agent has received."""
 
@@ -113,7 +120,9 @@
     return asyncio.get_running_loop().time() * 1000.0
 
 
-def run_watch(agents: list[Agent], scenario: Scenario, options: DiscoveryOptions = FIRST_AGENT) -> WatchRun:
+def run_watch(
+    agents: Sequence[ServingAgent], scenario: Scenario, options: DiscoveryOptions = FIRST_AGENT
+) -> WatchRun:
     """Runs a scenario with a client that is not started yet; the agents listen at `AGENT_ADDRESSES`."""
 
     async def main() -> WatchRun:
