--- a/onyxpost/node/edge_node.py
+++ b/onyxpost/node/edge_node.py
@@ -8,6 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from onyxpost.core.events import RoutingRulesChanged
+from onyxpost.edge.descriptor_budget import ExhaustionLogLimit
 from onyxpost.edge.messages import ClientDisconnected, SendAttempt
 from onyxpost.errors import InvalidInputError
 from onyxpost.node.components import build_components
@@ -19,7 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from onyxpost.node.config import NodeConfig
+    from onyxpost.node.node_config import NodeConfig
     from onyxpost.runtime.structured_log import StructuredLog
     from onyxpost.runtime.transport import Transport
 
@@ -70,6 +71,7 @@
         self.clock = self.net.clock
         self.system_descriptor_limit = self.net.descriptor_limit()
         self.phase = Phase.STARTING
+        self._exhaustion_log_limit = ExhaustionLogLimit()
         components = build_components(config, self.net, self)
         self.state_machine = components.state_machine
         self.events = components.events
@@ -123,7 +125,7 @@
     async def _start_serving(self) -> None:
         for extension in self.extensions:
             await extension.start()
-        await self.clients.listen(self.config.listen)
+        await self.clients.listener.listen(self.config.listen)
         self.sweep()
         self.net.freeze_startup_objects()
         self._enter(Phase.SERVING)
@@ -133,20 +135,21 @@
         self._enter(Phase.LEAVING)
         for extension in self.extensions:
             extension.resign()
-        self.clients.begin_shutdown()
+        self.clients.closer.begin_shutdown()
         await asyncio.sleep(ACCEPT_AFTER_STOP_SECONDS)
         self._enter(Phase.CLOSING)
-        await self.clients.stop_accepting()
-        while self.state_machine.unanswered_count or self.clients.open_connections:
-            self.clients.close_idle()
+        await self.clients.listener.stop_accepting()
+        self.clients.closer.on_accepting_stopped()
+        while self.state_machine.unanswered_count or self.clients.connections.open:
+            self.clients.closer.close_idle()
             await asyncio.sleep(DRAIN_POLL_SECONDS)
-        await self.clients.close()
+        await self.clients.closer.close_all()
         for extension in self.extensions:
             await extension.stop()
 
     def close(self) -> None:
         """Closes all sockets at once."""
-        self.clients.close_listener()
+        self.clients.listener.close()
         self.servers.close()
         self.peers.close()
         self.discovery.close()
@@ -205,7 +208,7 @@
         begun to drain, or the deduplication window may have ended. With no more than one tick left, the
         attempt would reach the server after its request was answered.
         """
-        if not self.clients.is_waiting(effect.request.connection_id):
+        if not self.clients.connections.is_waiting(effect.request.connection_id):
             self.events.post(ClientDisconnected(effect.request.connection_id))
             return False
         is_in_time = remaining_ms > self.config.deployment.tick_ms and self.clock() < effect.begin_before
@@ -218,7 +221,7 @@
     def sweep(self) -> None:
         """Closes connections that exceed a timeout, now and in regular intervals."""
         self.servers.close_expired()
-        self.clients.close_expired()
+        self.clients.closer.close_expired()
         asyncio.get_running_loop().call_later(SWEEP_INTERVAL_SECONDS, self.sweep)
 
     # Log
@@ -227,11 +230,11 @@
         """Writes to the node's log."""
         self.event_log.write(self.clock(), event.event, event.fields, event.level)
 
-    def report_fault(self, where: str, error: BaseException | None) -> None:
-        """Logs an unexpected exception."""
-        self.log(fault_event(where, error))
+    def report_fault(self, operation: str, error: BaseException | None) -> None:
+        """Logs an unexpected exception in an operation."""
+        self.log(fault_event(operation, error))
 
     def _handle_loop_error(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
-        if not self.descriptors.is_logged_already(self.clock(), error):
+        if not self._exhaustion_log_limit.is_logged_already(self.clock(), error):
             self.report_fault(str(context.get("message")), error)
