--- a/onyxpost/core/server_records.py
+++ b/onyxpost/core/server_records.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
@@ -27,7 +26,6 @@
     failures: float = 0.0
 
 
-@dataclass(slots=True)
 class LatencyStatistics:
     """A server's results, and the means that were last worked out from them.
 
@@ -37,12 +35,14 @@
         mean_in_flight: mean number of attempts in flight within the window, plus 1.
     """
 
-    window: SlidingWindowCounter[AnswerCounts]
-    mean_latency_ms: float = 0.0
-    mean_in_flight: float = 1.0
+    __slots__ = ("mean_in_flight", "mean_latency_ms", "window")
+
+    def __init__(self, window: SlidingWindowCounter[AnswerCounts]) -> None:
+        self.window = window
+        self.mean_latency_ms = 0.0
+        self.mean_in_flight = 1.0
 
 
-@dataclass(slots=True)
 class CircuitBreaker:
     """Whether a server is ejected.
 
@@ -51,11 +51,13 @@
         successes_to_close: successful trials until it closes; 0: it is closed. Each trip adds one.
     """
 
-    open_until: float = 0.0
-    successes_to_close: int = 0
+    __slots__ = ("open_until", "successes_to_close")
+
+    def __init__(self) -> None:
+        self.open_until = 0.0
+        self.successes_to_close = 0
 
 
-@dataclass(slots=True)
 class SlowStartTurn:
     """When a server that warms up gets its next request from this node.
 
@@ -63,4 +65,7 @@
         intervals_left: intervals between requests that the server still waits for; from 0 on it is its turn.
     """
 
-    intervals_left: float = 0.0
+    __slots__ = ("intervals_left",)
+
+    def __init__(self) -> None:
+        self.intervals_left = 0.0
