--- a/onyxpost/simulation/deterministic/cluster.py
+++ b/onyxpost/simulation/deterministic/cluster.py
@@ -23,7 +23,7 @@
 from onyxpost.simulation.invariants.endpoint_knowledge import COUNTS
 from onyxpost.simulation.settings import PATIENT as PATIENT
 from onyxpost.simulation.settings import SETTINGS as SETTINGS
-from onyxpost.simulation.stubs import AppServer
+from onyxpost.simulation.stubs import AppServer, AttemptKey, ServerIdentity
 from onyxpost.simulation.virtual_time import EPOCH, Hosted, Network
 
 # Servers as small as the load: 5 calls a second each, of which 4 are allowed in a second once it has started.
@@ -89,17 +89,17 @@
         self.agent = 1 - self.agent
         self.named.counts_from = self.cluster.now() + MOVED
         self.cluster.checker.on_discovery_replaced(self.name)
-        self.cluster.held(self.named, list(self.named.held.values()))
+        self.cluster.held(self.named, list(self.named.endpoints.values()))
         self.net.reread()
 
     def known(self) -> list[dict[str, Any]]:
-        return [row for row in self.agents[self.agent].held.values() if row["lifecycle"] != "removed"]
+        return [row for row in self.agents[self.agent].endpoints.values() if row["lifecycle"] != "removed"]
 
     def start(self) -> None:
         self.life += 1
         self.net = self.cluster.net.host(f"{self.name}.{self.life}")
         self.named.counts_from = 0.0
-        self.cluster.list_told(self.number, self.known())
+        self.cluster.on_endpoints_sent(self.number, self.known())
         program = self.program = EdgeNode(self.told(), Lines(self.cluster, self.name), self.told, self.net)  # type: ignore[arg-type]
         if self.cluster.plant is not None:
             self.cluster.plant(program)
@@ -167,7 +167,7 @@
     def server(self, number: int, life: int) -> AppServer:
         address, zone = (f"10.1.0.{number}", 9000), ZONES[number % len(ZONES)]
         server = AppServer(self.net.host(""), self, number, life, address, zone)
-        server.net = self.net.host(server.host)
+        server.transport = self.net.host(server.host)
         return server
 
     def now(self) -> float:
@@ -179,40 +179,42 @@
         for edge in self.edges:
             for agent in edge.agents:
                 for server in self.servers:
-                    agent.held[server.id] = server.row()
+                    agent.endpoints[server.id] = server.endpoint_row()
                 await agent.open()
             edge.start()
 
     # Told to the rules
 
-    def reached(self, writer: asyncio.StreamWriter, trace: str, server: AppServer) -> tuple[str, int]:
+    def on_attempt_received(
+        self, writer: asyncio.StreamWriter, trace_id: str, server: ServerIdentity
+    ) -> AttemptKey:
         node = str(writer.transport.other.name).split(".")[0]  # type: ignore[attr-defined]
-        plan = self.meta.get(trace, ("", ""))[0]
+        plan = self.meta.get(trace_id, ("", ""))[0]
         self.checker.on_attempt_sent(
-            self.now(), node, trace, server.id, server.zone, server.number % 2, plan, self.now()
+            self.now(), node, trace_id, server.id, server.zone, server.cell, plan, self.now()
         )
-        self.checker.on_call_received(self.now(), server.id, node, trace)
-        taken = self.checker.requests.get((node, trace))
-        return node, len(taken.sent) - 1 if taken is not None else 0
+        self.checker.on_call_received(self.now(), server.id, node, trace_id)
+        taken = self.checker.requests.get((node, trace_id))
+        return AttemptKey(node, len(taken.sent) - 1 if taken is not None else 0)
 
-    def never_ran(self, node: str, trace: str, number: int) -> None:
-        self.checker.on_attempt_ended(self.now(), node, trace, number, True)
+    def on_attempt_not_executed(self, attempt: AttemptKey, trace_id: str) -> None:
+        self.checker.on_attempt_ended(self.now(), attempt.sender, trace_id, attempt.attempt_index, True)
 
-    def list_told(self, number: int, rows: list[dict[str, Any]]) -> None:
+    def on_endpoints_sent(self, node_index: int, rows: list[dict[str, Any]]) -> None:
         for row in rows:
             self.checker.on_endpoint_notified(
-                self.now(), f"n{number}", row["instanceId"], LIFECYCLE_STATES[row["lifecycle"]]
+                self.now(), f"n{node_index}", row["instanceId"], LIFECYCLE_STATES[row["lifecycle"]]
             )
 
     def held(self, agent: FailingAgent, rows: list[dict[str, Any]]) -> None:
         """What the named agent has counts as told at once; after a call that may have failed, in a while."""
-        edge = self.edges[agent.number]
+        edge = self.edges[agent.node_index]
         if edge.program is None or agent is not edge.named or not agent.reachable:
             return
         now = self.now()
         within = max(COUNTS if agent.disturbed else 0.0, agent.counts_from - now)
         if within <= 0.0:
-            self.list_told(agent.number, rows)
+            self.on_endpoints_sent(agent.node_index, rows)
             return
         for row in rows:
             standing = LIFECYCLE_STATES[row["lifecycle"]]
@@ -223,11 +225,11 @@
 
     def change(self, server: AppServer) -> None:
         """Each node's agents hear of it in their time."""
-        row = server.row()
+        row = server.endpoint_row()
         for edge in self.edges:
             for agent in edge.agents:
                 late = self.lateness + self.net.chance.uniform(0.01, 0.2)
-                self.net.loop.call_later(late, agent.learn, row)
+                self.net.loop.call_later(late, agent.update_endpoint, row)
 
     # Clients
 
--- a/onyxpost/simulation/deterministic/discovery_agent.py
+++ b/onyxpost/simulation/deterministic/discovery_agent.py
@@ -8,19 +8,19 @@
 
 from onyxpost.config.address import Address
 from onyxpost.runtime.transport import Transport
-from onyxpost.simulation.stubs import Agent, Watching
+from onyxpost.simulation.stubs import DiscoveryAgent, EndpointsResponse, RequestObserver
 
 LIFE = ("up", "draining", "removed")
 BUSY = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
 
-class Holding(Watching, Protocol):
+class Holding(RequestObserver, Protocol):
     """Whoever wants to know as well what an agent holds, told or not."""
 
     def held(self, agent: FailingAgent, rows: list[dict[str, Any]]) -> None: ...
 
 
-class FailingAgent(Agent):
+class FailingAgent(DiscoveryAgent):
     """Silent, it is discovery that is down: it learns nothing until it speaks again. Else it learns, and
 
     `how` says what becomes of calls: `refuse`, `busy` (503), `cut` in the middle of an answer; a watch that
@@ -39,25 +39,25 @@
 
     @property
     def reachable(self) -> bool:
-        return not self.silent and self.how != "refuse"
+        return not self.is_silent and self.how != "refuse"
 
-    def learn(self, row: dict[str, Any]) -> None:
-        if self.silent:
+    def update_endpoint(self, row: dict[str, Any]) -> None:
+        if self.is_silent:
             self.missed.append(row)
             return
-        held = self.held.get(row["instanceId"])
+        held = self.endpoints.get(row["instanceId"])
         if held is not None and LIFE.index(held["lifecycle"]) > LIFE.index(row["lifecycle"]):
             return  # that list was late, and a newer one is here
-        super().learn(row)
+        super().update_endpoint(row)
         self.holding.held(self, [row])
 
     def speak(self) -> None:
         """Discovery is up again, and what it had to tell is here at once."""
-        self.silent = False
+        self.is_silent = False
         missed, self.missed = self.missed, []
         for row in missed:
-            self.learn(row)
-        self.holding.held(self, list(self.held.values()))
+            self.update_endpoint(row)
+        self.holding.held(self, list(self.endpoints.values()))
 
     def hush(self) -> None:
         """The open watches fall silent."""
@@ -82,7 +82,7 @@
         self.how = ""
         if how == "refuse":
             await self.open()
-            self.holding.held(self, list(self.held.values()))
+            self.holding.held(self, list(self.endpoints.values()))
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
@@ -107,15 +107,15 @@
         writer.write(text)
         if text is not BUSY:
             self.disturbed, self.counts_from = False, 0.0
-            self.watching.list_told(self.number, rows)
+            self.observer.on_endpoints_sent(self.node_index, rows)
         return True
 
-    async def answer(self, head: bytes) -> tuple[list[dict[str, Any]], bytes]:
+    async def answer(self, head: bytes) -> EndpointsResponse:
         while True:
-            while self.silent:
+            while self.is_silent:
                 await asyncio.sleep(0.05)
             if self.how == "busy":
-                return [], BUSY
-            told = await self.newer(head)
-            if not self.silent and self.how != "busy":
+                return EndpointsResponse([], BUSY)
+            told = await self.wait_for_update(head)
+            if not self.is_silent and self.how != "busy":
                 return told
--- a/onyxpost/simulation/deterministic/faults.py
+++ b/onyxpost/simulation/deterministic/faults.py
@@ -12,7 +12,7 @@
 from onyxpost.simulation.deterministic.cluster import ZONES, Cluster
 from onyxpost.simulation.deterministic.discovery_agent import FailingAgent
 from onyxpost.simulation.deterministic.fault_script import EDGES, SERVERS, Fault
-from onyxpost.simulation.stubs import AppServer
+from onyxpost.simulation.stubs import AppServer, Malformation, ServerBehavior
 
 
 class Playing(Protocol):
@@ -42,8 +42,8 @@
 
     def behave(self, fault: Fault, how: str) -> None:
         server = self.server(fault)
-        server.how = how
-        self.later(fault, setattr, server, "how", "serve")
+        server.behavior = ServerBehavior(how)
+        self.later(fault, setattr, server, "behavior", ServerBehavior.SERVE)
 
     def hang(self, fault: Fault) -> None:
         self.behave(fault, "hang")
@@ -59,8 +59,8 @@
 
     def slow(self, fault: Fault) -> None:
         server = self.server(fault)
-        server.delay = 20.0 + 900.0 * fault.more
-        self.later(fault, setattr, server, "delay", 20.0)
+        server.latency_ms = 20.0 + 900.0 * fault.more
+        self.later(fault, setattr, server, "latency_ms", 20.0)
 
     def break_(self, fault: Fault) -> None:
         """The next connections to it break at some byte, of the req or of the answer."""
@@ -72,7 +72,7 @@
         self.cluster.net.reset_some(self.server(fault).host)
 
     def spoil(self, fault: Fault) -> None:
-        self.server(fault).spoil += ["short", "twice", "noise", "long"][: 1 + int(4 * fault.more)]
+        self.server(fault).malformations += [*Malformation][: 1 + int(4 * fault.more)]
 
     def cut(self, fault: Fault) -> None:
         self.cut_off(fault, self.server(fault).host)
@@ -88,8 +88,8 @@
 
     def drain(self, fault: Fault) -> None:
         server = self.server(fault)
-        if server.standing is EndpointState.READY:
-            server.standing = EndpointState.DRAINING
+        if server.state is EndpointState.READY:
+            server.state = EndpointState.DRAINING
             self.cluster.change(server)
             self.later(fault, self.spawn_renew, server)
 
@@ -104,13 +104,13 @@
     async def renew(self, old: AppServer) -> None:
         """Another process at the address, under an id of its own."""
         c = self.cluster
-        if c.servers[old.number] is not old:
+        if c.servers[old.index] is not old:
             return
         c.net.die(old.host)
-        old.standing = EndpointState.GONE
+        old.state = EndpointState.GONE
         c.change(old)
-        new = c.servers[old.number] = c.server(old.number, old.life + 1)
-        new.started = new.net.clock()
+        new = c.servers[old.index] = c.server(old.index, old.incarnation + 1)
+        new.started_at_ms = new.transport.clock()
         c.server_started(new)
         with contextlib.suppress(OSError):
             await new.open()
@@ -118,12 +118,12 @@
 
     def drain_on(self, fault: Fault) -> None:
         """Of each zone the server that served most: they stay up, draining, to the end."""
-        ready = [server for server in self.cluster.servers if server.standing is EndpointState.READY]
+        ready = [server for server in self.cluster.servers if server.state is EndpointState.READY]
         for zone in ZONES:
             of_zone = [server for server in ready if server.zone == zone]
             if of_zone:
-                server = max(of_zone, key=lambda one: one.served)
-                server.standing = EndpointState.DRAINING
+                server = max(of_zone, key=lambda one: one.served_count)
+                server.state = EndpointState.DRAINING
                 self.cluster.change(server)
 
     def cold_burst(self, fault: Fault) -> None:
@@ -146,13 +146,13 @@
     def drain_on_reset(self, fault: Fault) -> None:
         """A keyed req may have run on a server, and in the same tick every node is told that it drains."""
         server = self.cluster.servers[fault.whom]
-        if server.standing is not EndpointState.READY:
+        if server.state is not EndpointState.READY:
             return
-        server.standing = EndpointState.DRAINING
-        row = server.row()
+        server.state = EndpointState.DRAINING
+        row = server.endpoint_row()
         for edge in self.cluster.edges:
             for agent in edge.agents:
-                agent.learn(row)
+                agent.update_endpoint(row)
         self.cluster.net.reset_some(server.host)
         self.later(fault, self.spawn_renew, server)
 
@@ -178,7 +178,7 @@
 
     def agent_silent(self, fault: Fault) -> None:
         for agent in self.cluster.edges[fault.whom].agents:
-            agent.silent = True
+            agent.is_silent = True
             self.later(fault, agent.speak)
 
     def watch_silent(self, fault: Fault) -> None:
--- a/onyxpost/simulation/multiprocess/edge_environment.py
+++ b/onyxpost/simulation/multiprocess/edge_environment.py
@@ -22,7 +22,7 @@
 from onyxpost.simulation.multiprocess.fault_script import Fault
 from onyxpost.simulation.multiprocess.load_generator import Asking
 from onyxpost.simulation.multiprocess.scenario_environment import Counts, Ground, text
-from onyxpost.simulation.stubs import Agent, AppServer, Nobody
+from onyxpost.simulation.stubs import AppServer, AttemptKey, DiscoveryAgent, NullObserver, ServerIdentity
 
 TRACE = re.compile(rb"x-trace-id: ([^\r\n]+)", re.IGNORECASE)
 STANDINGS = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.GONE}
@@ -31,14 +31,14 @@
 DELAY = 20.0  # ms
 
 
-class EdgeStage(Nobody):
+class EdgeStage(NullObserver):
     def __init__(self, ground: Ground) -> None:
         self.ground, self.net = ground, SocketTransport()
         self.chance = Random(f"{ground.seed}/stage")
         settings = SETTINGS | {"ordinal": 0, "n_instances": ground.scenario.nodes}
         self.told = deployment.decode_deployment(settings)
         self.servers = {i: self.server(i, 0) for i in range(ground.scenario.servers)}
-        self.agents = [Agent(self.net, self, i, ("127.0.0.1", 0)) for i in ground.numbers]
+        self.agents = [DiscoveryAgent(self.net, self, i, ("127.0.0.1", 0)) for i in ground.numbers]
         self.rows: dict[tuple[int, str], str] = {}  # where each node finds each life of a server
         self.files: list[dict[str, Any]] = []
         self.reach = 0
@@ -46,7 +46,7 @@
 
     def server(self, number: int, life: int) -> AppServer:
         server = AppServer(self.net, self, number, life, ("127.0.0.1", 0), ZONES[number % len(ZONES)])
-        server.delay = DELAY
+        server.latency_ms = DELAY
         return server
 
     async def listen(self, server: AppServer) -> None:
@@ -62,7 +62,7 @@
         peers = await self.ground.peers()
         for i, agent in enumerate(self.agents):
             for server in self.servers.values():
-                agent.learn(self.row(i, server))
+                agent.update_endpoint(self.row(i, server))
             await agent.open()
             assert agent.listener is not None
             self.ground.addresses[f"d{i}"] = agent.listener.sockets[0].getsockname()
@@ -76,7 +76,7 @@
                     "limits": {"sockets": 512},
                     "peer_listen": text(self.ground.addresses[f"n{i}/udp"]),
                     "peers": peers[i],
-                    "known": {"generation": agent.generation, "instances": list(agent.held.values())},
+                    "known": {"generation": agent.generation, "instances": list(agent.endpoints.values())},
                     "settings": SETTINGS | {"ordinal": i, "n_instances": self.ground.scenario.nodes},
                 }
             )
@@ -85,7 +85,7 @@
         return self.files[number]
 
     def row(self, node: int, server: AppServer) -> dict[str, Any]:
-        return server.row() | {"hostPort": self.rows[node, server.id]}
+        return server.endpoint_row() | {"hostPort": self.rows[node, server.id]}
 
     async def beside(self, seconds: float) -> None:
         await Asking(self.ground, self.told.frontends, LARGEST).run(seconds)
@@ -112,21 +112,23 @@
                 standing = STANDINGS[row["lifecycle"]].value
                 self.ground.record("told", node=base(b), server=row["instanceId"], standing=standing)
 
-    def reached(self, writer: asyncio.StreamWriter, trace: str, server: AppServer) -> tuple[str, int]:
+    def on_attempt_received(
+        self, writer: asyncio.StreamWriter, trace_id: str, server: ServerIdentity
+    ) -> AttemptKey:
         self.reach += 1
         self.ground.record(
             "reached",
-            trace=trace,
+            trace=trace_id,
             server=server.id,
             zone=server.zone,
-            cell=server.number % 2,
+            cell=server.cell,
             number=self.reach,
             work=DELAY,
         )
-        return server.id, self.reach
+        return AttemptKey(server.id, self.reach)
 
-    def never_ran(self, node: str, trace: str, number: int) -> None:
-        self.ground.record("never ran", trace=trace, server=node, number=number)
+    def on_attempt_not_executed(self, attempt: AttemptKey, trace_id: str) -> None:
+        self.ground.record("never ran", trace=trace_id, server=attempt.sender, number=attempt.attempt_index)
 
     # Faults of app servers
 
@@ -136,11 +138,11 @@
     async def fault(self, fault: Fault) -> None:
         server = self.servers[int(fault.whom[1:])]
         if fault.kind == "slow":
-            server.delay = DELAY + 900.0 * fault.more
+            server.latency_ms = DELAY + 900.0 * fault.more
             await asyncio.sleep(fault.lasts)
-            server.delay = DELAY
-        elif fault.kind == "drain" and server.standing is EndpointState.READY:
-            server.standing = EndpointState.DRAINING
+            server.latency_ms = DELAY
+        elif fault.kind == "drain" and server.state is EndpointState.READY:
+            server.state = EndpointState.DRAINING
             await self.spread(server)
             await asyncio.sleep(fault.lasts)
             await self.renew(server)
@@ -152,19 +154,19 @@
         for after, i in late:
             await asyncio.sleep(after - gone)
             gone = after
-            self.agents[i].learn(self.row(i, server))
+            self.agents[i].update_endpoint(self.row(i, server))
 
     async def renew(self, old: AppServer) -> None:
         """Another process under an id and an address of its own takes its place."""
         assert old.listener is not None
         old.listener.close()
-        old.standing = EndpointState.GONE
+        old.state = EndpointState.GONE
         self.ground.relays.reset_all(base(old.host), old.host)
-        new = self.server(old.number, old.life + 1)
-        new.started = time.time() * 1000.0
+        new = self.server(old.index, old.incarnation + 1)
+        new.started_at_ms = time.time() * 1000.0
         self.ground.record("server", server=new.id, capacity=CORES, call=DELAY)
         await self.listen(new)
-        self.servers[old.number] = new
+        self.servers[old.index] = new
         await self.spread(old)
         await self.spread(new)
 
--- a/onyxpost/simulation/multiprocess/fenced_resource.py
+++ b/onyxpost/simulation/multiprocess/fenced_resource.py
@@ -14,7 +14,7 @@
 import h11
 
 from onyxpost.runtime.http1 import encode_message
-from onyxpost.simulation.stubs import whole
+from onyxpost.simulation.stubs import read_request
 
 DUTY = re.compile(rb"/acts/([A-Za-z0-9_.-]{1,100})")
 BODY_MOST = 65536
@@ -65,7 +65,7 @@
     async def one(
         self, http: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        came = await whole(http, reader, BODY_MOST)
+        came = await read_request(http, reader, BODY_MOST)
         if came is None:
             return False
         head, body = came
--- a/onyxpost/simulation/multiprocess/leadership_environment.py
+++ b/onyxpost/simulation/multiprocess/leadership_environment.py
@@ -19,7 +19,7 @@
 from onyxpost.simulation.multiprocess.leadership_failover import handed, words_a_second
 from onyxpost.simulation.multiprocess.leadership_mutations import CARELESS
 from onyxpost.simulation.multiprocess.scenario_environment import Counts, Ground, text
-from onyxpost.simulation.stubs import Agent, Nobody
+from onyxpost.simulation.stubs import DiscoveryAgent, NullObserver
 
 ACT = re.compile(rb"POST /acts/(\S+) .*?\r\nfence: (\d+)\r\n", re.IGNORECASE | re.DOTALL)
 SKEW = 200.0  # ms
@@ -28,13 +28,13 @@
 HELD_UP = 1_000_000  # number of a late act's manner: after those of the script
 
 
-class DutyStage(Nobody):
+class DutyStage(NullObserver):
     def __init__(self, ground: Ground) -> None:
         self.ground = ground
         self.duties = [f"d{i}" for i in range(max(1, ground.scenario.duties))]
         self.lease = ground.scenario.lease_s * 1000.0
         self.taker = Taker(self.record, careless=ground.plant == CARELESS)
-        self.agent = Agent(SocketTransport(), self, 0, ("127.0.0.1", 0))
+        self.agent = DiscoveryAgent(SocketTransport(), self, 0, ("127.0.0.1", 0))
         self.holders: dict[str, str] = {}  # whose act was taken last
         self.sent: dict[str, int] = {}  # pieces of acts that each node's relay took
         self.late = 0
@@ -55,7 +55,7 @@
     async def open(self) -> None:
         ground, numbers = self.ground, self.ground.numbers
         ground.addresses["s0"] = await self.taker.open()
-        self.agent.learn(
+        self.agent.update_endpoint(
             {
                 "instanceId": "s-1",
                 "hostPort": "127.0.0.1:9",
@@ -92,7 +92,7 @@
                     "peers": [udp[i]],
                     "known": {
                         "generation": self.agent.generation,
-                        "instances": list(self.agent.held.values()),
+                        "instances": list(self.agent.endpoints.values()),
                     },
                     "settings": SETTINGS | {"ordinal": 0, "n_instances": 1},
                     "fleet": {
--- a/onyxpost/simulation/planner_cluster/runner.py
+++ b/onyxpost/simulation/planner_cluster/runner.py
@@ -25,7 +25,7 @@
 from onyxpost.simulation.planner_cluster.options import ClusterOptions, check_options
 from onyxpost.simulation.planner_cluster.processes import ProcessGroup
 from onyxpost.simulation.planner_cluster.usage_counter import UsageCounter
-from onyxpost.simulation.stubs import Agent, AppServer, Nobody
+from onyxpost.simulation.stubs import AppServer, AttemptKey, DiscoveryAgent, NullObserver, ServerIdentity
 
 if TYPE_CHECKING:
     from onyxpost.config.address import Address
@@ -69,7 +69,7 @@
         return [sock.getsockname()[1] for sock in sockets]
 
 
-class PlannerCluster(Nobody):
+class PlannerCluster(NullObserver):
     """Stub upstreams in this process, planners and forwarders as processes."""
 
     def __init__(self, options: ClusterOptions, folder: Path) -> None:
@@ -82,15 +82,17 @@
         )
         net = SocketTransport()
         self.app_servers = [AppServer(net, self, index, 0, ANY_PORT, "a") for index in range(APP_SERVERS)]
-        self.discovery_agent = Agent(net, self, 0, ANY_PORT)
+        self.discovery_agent = DiscoveryAgent(net, self, 0, ANY_PORT)
         self.processes = ProcessGroup(folder)
         self.counter = UsageCounter(options)
         self.load = LoadGenerator(options, self.ports.forwarders, self.counter)
 
-    def reached(self, writer: asyncio.StreamWriter, trace: str, server: AppServer) -> tuple[str, int]:
+    def on_attempt_received(
+        self, writer: asyncio.StreamWriter, trace_id: str, server: ServerIdentity
+    ) -> AttemptKey:
         """A request arrived at a stub app server."""
-        self.load.handle_arrival(trace)
-        return "", 0
+        self.load.handle_arrival(trace_id)
+        return super().on_attempt_received(writer, trace_id, server)
 
     async def run(self) -> ClusterReport:
         """Starts everything, sends the load, and stops everything."""
@@ -111,10 +113,10 @@
 
     async def _start_upstreams(self) -> None:
         for server in self.app_servers:
-            server.delay = APP_SERVER_DELAY_MS
+            server.latency_ms = APP_SERVER_DELAY_MS
             await server.open()
             server.address = _bound_address(server.listener)
-            self.discovery_agent.learn(server.row())
+            self.discovery_agent.update_endpoint(server.endpoint_row())
         await self.discovery_agent.open()
         self.discovery_agent.address = _bound_address(self.discovery_agent.listener)
 
@@ -123,7 +125,7 @@
             self._write_file(planner_name(index), planner_file(self.options, self.ports, index))
             await self._start_planner(index)
         agent = self.discovery_agent
-        known = {"generation": agent.generation, "instances": list(agent.held.values())}
+        known = {"generation": agent.generation, "instances": list(agent.endpoints.values())}
         for index in range(self.options.forwarders):
             fields = node_file(self.options, self.ports, index, agent.address, known)
             path = self._write_file(forwarder_name(index), fields)
--- a/onyxpost/simulation/stub_upstreams.py
+++ b/onyxpost/simulation/stub_upstreams.py
@@ -17,7 +17,7 @@
 from onyxpost.core.types import EndpointState
 from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.simulation.errors import InvalidFaultScriptError, ResultsNotWrittenError, SimulationFileError
-from onyxpost.simulation.stubs import Agent, AppServer, Nobody
+from onyxpost.simulation.stubs import AppServer, DiscoveryAgent, Malformation, NullObserver, ServerBehavior
 
 Kind = Literal["hang", "fail", "busy", "drop", "slow", "spoil", "drain", "crash", "discovery-silent"]
 
@@ -53,14 +53,14 @@
 
     def __init__(self, servers: int, delay: float, first_port: int, discovery: Address) -> None:
         self.net, self.first_port = SocketTransport(), first_port
-        self.agent = Agent(self.net, Nobody(), 0, discovery)
+        self.agent = DiscoveryAgent(self.net, NullObserver(), 0, discovery)
         self.servers = [self.server(number, 0, delay) for number in range(servers)]
         self.tasks: set[asyncio.Task[Any]] = set()
 
     def server(self, number: int, life: int, delay: float) -> AppServer:
         port = self.first_port + number if self.first_port else 0
-        server = AppServer(self.net, Nobody(), number, life, ("127.0.0.1", port), "ab"[number % 2])
-        server.delay = delay
+        server = AppServer(self.net, NullObserver(), number, life, ("127.0.0.1", port), "ab"[number % 2])
+        server.latency_ms = delay
         return server
 
     async def open(self) -> None:
@@ -74,10 +74,10 @@
         await server.open()
         assert server.listener is not None
         server.address = server.listener.sockets[0].getsockname()
-        self.agent.learn(server.row())
+        self.agent.update_endpoint(server.endpoint_row())
 
     def known(self) -> dict[str, Any]:
-        return {"generation": self.agent.generation, "instances": list(self.agent.held.values())}
+        return {"generation": self.agent.generation, "instances": list(self.agent.endpoints.values())}
 
     def play(self, told: Script, log: Callable[[str], None]) -> None:
         loop = asyncio.get_running_loop()
@@ -89,32 +89,32 @@
         server, loop = self.servers[fault.server], asyncio.get_running_loop()
         match fault.kind:
             case "slow":
-                before, server.delay = server.delay, fault.delay_ms
-                loop.call_later(fault.for_s, setattr, server, "delay", before)
+                before, server.latency_ms = server.latency_ms, fault.delay_ms
+                loop.call_later(fault.for_s, setattr, server, "latency_ms", before)
             case "spoil":
-                server.spoil += ["short", "twice", "noise", "long"]
+                server.malformations += Malformation
             case "discovery-silent":
-                self.agent.silent = True
-                loop.call_later(fault.for_s, setattr, self.agent, "silent", False)
+                self.agent.is_silent = True
+                loop.call_later(fault.for_s, setattr, self.agent, "is_silent", False)
             case "drain" | "crash":
                 if fault.kind == "drain":
-                    server.standing = EndpointState.DRAINING
-                    self.agent.learn(server.row())
+                    server.state = EndpointState.DRAINING
+                    self.agent.update_endpoint(server.endpoint_row())
                 elif server.listener is not None:
                     server.listener.close()
                 loop.call_later(fault.for_s, self.renew, fault.server)
             case how:
-                server.how = how
-                loop.call_later(fault.for_s, setattr, server, "how", "serve")
+                server.behavior = ServerBehavior(how)
+                loop.call_later(fault.for_s, setattr, server, "behavior", ServerBehavior.SERVE)
 
     def renew(self, number: int) -> None:
         old = self.servers[number]
         if old.listener is not None:
             old.listener.close()
-        old.standing = EndpointState.GONE
-        self.agent.learn(old.row())
-        new = self.servers[number] = self.server(number, old.life + 1, old.delay)
-        new.address, new.started = ("127.0.0.1", 0), time.time() * 1000.0
+        old.state = EndpointState.GONE
+        self.agent.update_endpoint(old.endpoint_row())
+        new = self.servers[number] = self.server(number, old.incarnation + 1, old.latency_ms)
+        new.address, new.started_at_ms = ("127.0.0.1", 0), time.time() * 1000.0
         task = asyncio.get_running_loop().create_task(self.listen(new))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -138,4 +138,4 @@
     stand.play(told, log)
     with contextlib.suppress(asyncio.CancelledError):
         await asyncio.sleep(seconds)
-    return sum(server.served for server in stand.servers)
+    return sum(server.served_count for server in stand.servers)
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -10,6 +10,7 @@
 
 from onyxpost.simulation import demo
 from onyxpost.simulation.stub_upstreams import Stand
+from onyxpost.simulation.stubs import ServerBehavior
 
 pytestmark = pytest.mark.xdist_group("quiet")  # a process of its own, and a quota that fills meanwhile
 WORDS = [sys.executable, "-m", "onyxpost.simulation.demo"]
@@ -30,7 +31,7 @@
 
 def test_it_says_so_where_a_req_was_not_passed() -> None:
     place, said = Stand(1, 5.0, 0, ("127.0.0.1", 0)), list[str]()
-    place.servers[0].how = "fail"
+    place.servers[0].behavior = ServerBehavior.FAIL
     assert not asyncio.run(demo.play(place, said.append))
     assert said[-1].startswith("not as it should be")
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -107,7 +107,7 @@
         program.close()
         self.assertEqual(set(counts.finals) - {"passed", "denied", "aborted"}, set())
         self.assertGreater(counts.finals["passed"], 0)
-        self.assertEqual(sorted(s.life for s in place.servers), [0, 0, 0, 1, 1])
+        self.assertEqual(sorted(s.incarnation for s in place.servers), [0, 0, 0, 1, 1])
 
     def test_a_script_that_cannot_be_used_names_the_place(self) -> None:
         folder = pathlib.Path(self.enterContext(tempfile.TemporaryDirectory()))
--- a/tests/test_seeds.py
+++ b/tests/test_seeds.py
@@ -78,8 +78,8 @@
         virtual_time.run(main())
 
     def drain(self, c: Cluster, agent: FailingAgent, number: int = 0) -> None:
-        c.servers[number].standing = EndpointState.DRAINING
-        agent.learn(c.servers[number].row())
+        c.servers[number].state = EndpointState.DRAINING
+        agent.update_endpoint(c.servers[number].endpoint_row())
 
     def told(self, c: Cluster, server: str = "s0-0") -> tuple[float, bool] | None:
         told = c.checker.endpoint_knowledge.not_to_send("n0", server)
@@ -123,7 +123,7 @@
 
     def test_discovery_that_is_down_learns_nothing_and_all_counts_at_its_return(self) -> None:
         async def story(c: Cluster, edge: Edge) -> None:
-            edge.named.silent = True
+            edge.named.is_silent = True
             self.drain(c, edge.named)
             self.assertIsNone(self.told(c))
             edge.named.speak()
@@ -134,7 +134,7 @@
     def test_what_the_new_agent_holds_after_a_move_and_nothing_by_a_connection_that_ended(self) -> None:
         async def story(c: Cluster, edge: Edge) -> None:
             old, new = edge.agents
-            new.silent = True
+            new.is_silent = True
             edge.move()
             self.drain(c, old)
             self.assertIsNone(self.told(c))
@@ -154,10 +154,10 @@
 
     def test_a_late_list_takes_nothing_back(self) -> None:
         async def story(c: Cluster, edge: Edge) -> None:
-            was = c.servers[0].row()
+            was = c.servers[0].endpoint_row()
             self.drain(c, edge.named)
-            edge.named.learn(was)
-            self.assertEqual(edge.named.held["s0-0"]["lifecycle"], "draining")
+            edge.named.update_endpoint(was)
+            self.assertEqual(edge.named.endpoints["s0-0"]["lifecycle"], "draining")
 
         self.play(story)
 
