--- a/onyxpost/simulation/model_checking/__init__.py
+++ b/onyxpost/simulation/model_checking/__init__.py
@@ -1,1 +1,1 @@
-"""Small worlds played through: every order of what can happen, up to a depth (docs/lab.md)."""
+"""Bounded model checking: every order of the actions of a small model, up to a depth (docs/lab.md)."""
--- a/onyxpost/simulation/model_checking/failover_timing.py
+++ b/onyxpost/simulation/model_checking/failover_timing.py
@@ -1,4 +1,4 @@
-"""Failover times of a lease on the virtual clock.
+"""Measures failover times of a lease on the virtual clock.
 
 Usage: `python -m onyxpost.simulation.model_checking.failover_timing NODES SEEDS`.
 """
@@ -9,75 +9,119 @@
 import json
 import statistics
 import sys
+from enum import StrEnum
+from typing import NamedTuple
 
 from onyxpost.leadership.service_log import LEASE_ACQUIRED
 from onyxpost.simulation import virtual_time
-from onyxpost.simulation.model_checking.virtual_nodes import Town
-
-FAULTS = ("sigterm", "kill", "stall", "cut")
-
-
-async def story(seed: int, size: int, fault: str) -> tuple[float, int, bool]:
-    """ms from the fault to the next holder; overlaps; do fences grow, and the confirmed write arrive?"""
-    town = Town(seed, size)
-    await town.start()
-    holder = await town.until_held("d0")
-    await asyncio.sleep(3.0 + town.net.chance.random() * 2.0)
-    holder = town.holders("d0")[0]
-    town.nodes[holder].leadership.write("d0", b"kept %d" % seed)
-    await asyncio.sleep(0.1)
-    begun = town.now()
-    if fault == "sigterm":
-        await town.leave(holder)
-    elif fault == "kill":
-        await town.kill(holder)
-    elif fault == "stall":
-        town.stall(holder)
-    else:
-        town.part(holder)
-    await town.until_held("d0", other_than=holder)
-    took = town.now() - begun
-    if fault == "stall":
-        await asyncio.sleep(1.0)
-        town.wake(holder)
-    for _ in range(500):
-        town.look()
-        await asyncio.sleep(0.002)
-    kept = [fields["record"] for fields in town.said(LEASE_ACQUIRED)][-1] == f"kept {seed}"
-    await town.close()
-    return took, town.overlaps, kept and town.fences_grow()
-
-
-async def idle(size: int, duties: int = 1, seconds: float = 20.0) -> float:
-    """Words a second of duties, all nodes together, once a holder is there."""
-    town = Town(1, size, duties)
-    await town.start()
-    await asyncio.sleep(8.0)
-    before = sum(node.leadership.counters.sent for node in town.nodes.values())
-    await asyncio.sleep(seconds)
-    after = sum(node.leadership.counters.sent for node in town.nodes.values())
-    await town.close()
-    return (after - before) / seconds
+from onyxpost.simulation.model_checking.virtual_cluster import VirtualCluster
+
+ROLE = "d0"
+MIN_LEASE_SECONDS = 3.0  # from the first lease to the fault
+MAX_EXTRA_LEASE_SECONDS = 2.0  # drawn in addition
+WRITE_SECONDS = 0.1  # for the record to be committed before the fault
+PAUSE_SECONDS = 1.0  # that a paused leader stays paused after its successor was elected
+SAMPLES_AFTER_FAILOVER = 500
+SAMPLE_INTERVAL_SECONDS = 0.002
+ELECTION_SECONDS = 8.0  # until a cluster is idle
+IDLE_SECONDS = 20.0
+
+
+class LeaderFault(StrEnum):
+    """What happens to the leader; the values stand in results."""
+
+    TERMINATED = "sigterm"
+    KILLED = "kill"
+    PAUSED = "stall"
+    ISOLATED = "cut"
+
+
+FAULTS = tuple(LeaderFault)
+
+
+class FailoverMeasurement(NamedTuple):
+    """What one fault of a leader caused.
+
+    Attributes:
+        duration_ms: From the fault to the next leader.
+        overlaps: Number of samples at which more than one node led.
+        is_consistent: Whether the committed record was read by the next leader, and all fencing tokens grew.
+    """
+
+    duration_ms: float
+    overlaps: int
+    is_consistent: bool
+
+
+async def measure_failover(seed: int, size: int, fault: LeaderFault | str) -> FailoverMeasurement:
+    """Runs a cluster of `size` nodes whose leader has a fault."""
+    cluster = VirtualCluster(seed, size)
+    await cluster.start()
+    await cluster.wait_for_leader(ROLE)
+    await asyncio.sleep(MIN_LEASE_SECONDS + cluster.network.chance.random() * MAX_EXTRA_LEASE_SECONDS)
+    leader = cluster.leaders_of(ROLE)[0]
+    cluster.nodes[leader].leadership.write(ROLE, b"kept %d" % seed)
+    await asyncio.sleep(WRITE_SECONDS)
+    fault_at_ms = cluster.now_ms()
+    await _inject(cluster, leader, LeaderFault(fault))
+    await cluster.wait_for_leader(ROLE, other_than=leader)
+    duration_ms = cluster.now_ms() - fault_at_ms
+    if fault == LeaderFault.PAUSED:
+        await asyncio.sleep(PAUSE_SECONDS)
+        cluster.nodes[leader].resume()
+    for _ in range(SAMPLES_AFTER_FAILOVER):
+        cluster.sample_state()
+        await asyncio.sleep(SAMPLE_INTERVAL_SECONDS)
+    latest_record = cluster.logged_fields(LEASE_ACQUIRED)[-1]["record"]
+    await cluster.close()
+    is_consistent = latest_record == f"kept {seed}" and cluster.tokens_increase()
+    return FailoverMeasurement(duration_ms, cluster.overlaps, is_consistent)
+
+
+async def measure_idle_messages(size: int, roles: int = 1, duration_seconds: float = IDLE_SECONDS) -> float:
+    """Returns the messages a second of leader election, of all nodes together, while leaders stay."""
+    cluster = VirtualCluster(1, size, roles)
+    await cluster.start()
+    await asyncio.sleep(ELECTION_SECONDS)
+    before = _count_sent_messages(cluster)
+    await asyncio.sleep(duration_seconds)
+    after = _count_sent_messages(cluster)
+    await cluster.close()
+    return (after - before) / duration_seconds
+
+
+async def _inject(cluster: VirtualCluster, leader: str, fault: LeaderFault) -> None:
+    match fault:
+        case LeaderFault.TERMINATED:
+            await cluster.terminate(leader)
+        case LeaderFault.KILLED:
+            await cluster.kill(leader)
+        case LeaderFault.PAUSED:
+            cluster.nodes[leader].pause()
+        case LeaderFault.ISOLATED:
+            cluster.isolate(leader)
+
+
+def _count_sent_messages(cluster: VirtualCluster) -> int:
+    return sum(node.leadership.counters.sent for node in cluster.nodes.values())
 
 
 def main(size: int, seeds: int) -> None:
+    """Prints a JSON line for each fault, and one for the messages of an idle cluster."""
     for fault in FAULTS:
-        done = [virtual_time.run(story(seed, size, fault)) for seed in range(seeds)]
-        times = sorted(took for took, _, _ in done)
-        print(
-            json.dumps(
-                {
-                    "fault": fault,
-                    "nodes": size,
-                    "seeds": seeds,
-                    "median": round(statistics.median(times)),
-                    "worst": round(times[-1]),
-                    "overlaps": sum(overlaps for _, overlaps, _ in done),
-                    "records or fences wrong": sum(not right for _, _, right in done),
-                }
-            )
-        )
-    print(json.dumps({"nodes": size, "idle words a second": round(virtual_time.run(idle(size)), 1)}))
+        runs = [virtual_time.run(measure_failover(seed, size, fault)) for seed in range(seeds)]
+        figures = {
+            "fault": fault,
+            "nodes": size,
+            "seeds": seeds,
+            "median": round(statistics.median(run.duration_ms for run in runs)),
+            "worst": round(max(run.duration_ms for run in runs)),
+            "overlaps": sum(run.overlaps for run in runs),
+            "records or fences wrong": sum(not run.is_consistent for run in runs),
+        }
+        print(json.dumps(figures))
+    idle_rate = virtual_time.run(measure_idle_messages(size))
+    print(json.dumps({"nodes": size, "idle words a second": round(idle_rate, 1)}))
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/onyxpost/simulation/model_checking/initial_states.py
@@ -0,0 +1,33 @@
+"""States of the leadership model from which explorations and random runs start."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, TypeVar
+
+from onyxpost.simulation.model_checking.actions import Exchange
+
+if TYPE_CHECKING:
+    from onyxpost.simulation.model_checking.leadership_model import LeadershipModel
+
+MAX_ELECTION_TICKS = 40
+
+ModelT = TypeVar("ModelT", bound="LeadershipModel")
+
+
+def elect_leader(model: ModelT, *, writes: int = 1) -> ModelT:
+    """Returns `model` once a candidate leads and its records are committed; nothing is in flight.
+
+    Raises StopIteration if nobody leads after `MAX_ELECTION_TICKS` ticks.
+    """
+    for _ in range(MAX_ELECTION_TICKS):
+        model.tick(model.timing.renew_interval_ms / 2.0)
+        for name in model.participants:
+            model.apply(Exchange(name))
+        if any(participant.leader for participant in model.participants.values()):
+            break
+    leader = next(name for name, participant in model.participants.items() if participant.leader)
+    for _ in range(writes):
+        model.write_record(leader)
+        model.apply(Exchange(leader))
+    model.in_flight.clear()
+    return model
--- a/onyxpost/simulation/model_checking/leadership_model.py
+++ b/onyxpost/simulation/model_checking/leadership_model.py
@@ -1,12 +1,12 @@
-"""A few voters and candidates of one duty, a taker of acts, and messages that come in any order, late, twice
-or never; clocks at both ends of the drift; voters that restart with nothing. For the explorer and for seeds.
+"""A model of leader election for one role: acceptors, candidates, a fenced resource, messages in flight.
+
+Messages arrive in any order, late, twice or never; clocks run at both ends of the allowed drift; acceptors
+restart without state. `explorer` explores it, and tests draw random runs of it.
 """
 
 from __future__ import annotations
 
-from bisect import insort
-from collections.abc import Sequence
-from typing import NamedTuple
+from typing import TYPE_CHECKING, assert_never
 
 from onyxpost.leadership import protocol
 from onyxpost.leadership.acceptor import Acceptor
@@ -16,201 +16,231 @@
 from onyxpost.leadership.lease_timing import LeaseTiming
 from onyxpost.leadership.membership import AcceptorSet
 from onyxpost.leadership.participant import Participant, RoleSettings
-
-DUTY = "d"
-EPOCH = 1_000_000.0  # ms, by all clocks at the start
-FLYING_MOST = 60
-TERMS = LeaseTiming(lease_ms=800.0, drift=0.1, skew_ms=40.0)
-
-
-class Flying(NamedTuple):
-    sender: str
-    to: str
-    word: bytes
-
-
-class DutyWorld:
-    """Moves: `("deliver", i)`, `("twice", i)`, `("run", seat, left out)`, `("hear", seat)`,
-    `("answer", seat)`, `("tick", ms)`, `("arrive", i)` of an act, `("restart", voter)`, `("write", seat)`,
-    `("act", seat)`. What is never delivered is lost."""
-
-    voter: type[Acceptor] = Acceptor
-    seat: type[Participant] = Participant
-    heeds_fences = True  # the taker of acts
-    ticks = (TERMS.renew_interval_ms, TERMS.acceptor_lease_ms)  # ms
+from onyxpost.simulation.model_checking.actions import (
+    Action,
+    CallResource,
+    DeliverCall,
+    DeliverDuplicate,
+    DeliverMessage,
+    DeliverReplies,
+    DeliverRequests,
+    Delivery,
+    Exchange,
+    ExchangeAmongAcceptors,
+    RestartAcceptor,
+    Tick,
+    WriteRecord,
+)
+from onyxpost.simulation.model_checking.history import LeadershipHistory
+from onyxpost.simulation.model_checking.messages import (
+    RESOURCE,
+    MessageInFlight,
+    add_message,
+    single_deliveries,
+)
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
+
+ROLE = "d"
+EPOCH_MS = 1_000_000.0  # by all clocks at the start
+TIMING = LeaseTiming(lease_ms=800.0, drift=0.1, skew_ms=40.0)
+MAX_DELIVERIES = 200  # in one exchange
+
+
+class LeadershipModel:
+    """The state of the model. Subclasses replace the classes of its nodes by mutants.
+
+    Attributes:
+        now_ms: Time since the start, by a clock without drift.
+        clock_rates: Rate of each node's clock, 1 without drift.
+        in_flight: Messages in flight, sorted; equal ones are in it once.
+        acceptors: By name.
+        participants: The candidates by name; one of them may lead.
+        restarts_left: How many acceptors may still restart without state.
+        history: What happened so far, and the first violation.
+    """
+
+    acceptor_type: type[Acceptor] = Acceptor
+    participant_type: type[Participant] = Participant
+    checks_fencing_tokens = True
+    tick_durations_ms = (TIMING.renew_interval_ms, TIMING.acceptor_lease_ms)
 
     def __init__(
-        self, voters: int = 3, seats: int = 2, restarts: int = 2, terms: LeaseTiming = TERMS
+        self, acceptors: int = 3, candidates: int = 2, restarts: int = 2, timing: LeaseTiming = TIMING
     ) -> None:
-        self.now, self.terms, self.restarts_left = 0.0, terms, restarts
-        names = tuple(f"v{i}" for i in range(voters))
-        people = tuple(f"c{i}" for i in range(seats))
-        self.membership = AcceptorSet(1, names)
-        self.rates = {name: 1.0 + terms.drift for name in names}
-        self.rates |= {name: 1.0 - terms.drift if i % 2 == 0 else 1.0 for i, name in enumerate(people)}
-        self.flying: list[Flying] = []
-        self.voters = {name: self.new_voter(name) for name in names}
-        self.settings = RoleSettings(DUTY, terms, people)
-        self.seats = {name: self.new_seat(name) for name in people}
-        self.fence = 0  # of the last grant
-        self.confirmed: tuple[int, bytes] = (0, b"")
-        self.wrote: dict[tuple[int, int], bytes] = {}  # by fence and seq
-        self.taken: list[int] = []  # fences of the acts that were taken
-        self.refused = 0
-        self.fault: str | None = None
-
-    def new_voter(self, name: str) -> Acceptor:
-        return self.voter(self.at(name), name, DUTY, self.terms, self.membership)
-
-    def new_seat(self, name: str) -> Participant:
-        return self.seat(self.at(name), NodeIdentity(name, 1), self.settings, self.membership)
-
-    def at(self, name: str) -> float:
-        return EPOCH + self.now * self.rates[name]
+        acceptor_names = tuple(f"v{index}" for index in range(acceptors))
+        candidate_names = tuple(f"c{index}" for index in range(candidates))
+        self.now_ms = 0.0
+        self.timing = timing
+        self.restarts_left = restarts
+        self.acceptor_set = AcceptorSet(1, acceptor_names)
+        self.clock_rates = {name: 1.0 + timing.drift for name in acceptor_names}
+        for index, name in enumerate(candidate_names):
+            self.clock_rates[name] = 1.0 - timing.drift if index % 2 == 0 else 1.0
+        self.in_flight: list[MessageInFlight] = []
+        self.acceptors = {name: self.create_acceptor(name) for name in acceptor_names}
+        self.role_settings = RoleSettings(ROLE, timing, candidate_names)
+        self.participants = {name: self.create_participant(name) for name in candidate_names}
+        self.history = LeadershipHistory()
+
+    def create_acceptor(self, name: str) -> Acceptor:
+        """Returns an acceptor without state."""
+        return self.acceptor_type(self.clock_ms(name), name, ROLE, self.timing, self.acceptor_set)
+
+    def create_participant(self, name: str) -> Participant:
+        """Returns a candidate without state."""
+        identity = NodeIdentity(name, 1)
+        return self.participant_type(self.clock_ms(name), identity, self.role_settings, self.acceptor_set)
+
+    def clock_ms(self, name: str) -> float:
+        """The time that a node's clock shows."""
+        return EPOCH_MS + self.now_ms * self.clock_rates[name]
+
+    def fencing_token(self, name: str) -> int | None:
+        """The fencing token of a candidate; None unless it leads by its own clock."""
+        return self.participants[name].fencing_token(self.clock_ms(name))
+
+    # The explorer's view
+
+    def actions(self) -> list[Action]:
+        """The actions that are possible in this state."""
+        possible: list[Action] = [Tick(duration_ms) for duration_ms in self.tick_durations_ms]
+        possible += single_deliveries(self.in_flight)
+        for name in self.participants:
+            if any(message.involves(name) for message in self.in_flight):
+                possible += [Exchange(name, unreachable) for unreachable in ("", *self.acceptors)]
+                possible += [DeliverRequests(name), DeliverReplies(name)]
+            if self.fencing_token(name) is not None:
+                possible += [WriteRecord(name), CallResource(name)]
+        if self.restarts_left:
+            possible += [RestartAcceptor(name) for name in self.acceptors]
+        return possible
+
+    def apply(self, action: Action) -> None:
+        """Changes the state by one action."""
+        match action:
+            case Tick(duration_ms):
+                self.tick(duration_ms)
+            case RestartAcceptor(name):
+                self.restart_acceptor(name)
+            case WriteRecord(name):
+                self.write_record(name)
+            case CallResource(name):
+                self.call_resource(name)
+            case _:
+                self._apply_delivery(action)
+
+    def shared_values(self) -> tuple[object, ...]:
+        """The values that no action changes."""
+        return self.timing, self.acceptor_set, self.role_settings
+
+    def violation(self) -> str | None:
+        """The violation in the history so far, or of the lease's mutual exclusion in this state."""
+        if self.history.violation is None:
+            leaders = [name for name in self.participants if self.fencing_token(name) is not None]
+            if len(leaders) > 1:
+                self.history.violation = f"{' and '.join(leaders)} both hold the lease"
+        return self.history.violation
+
+    # Actions
+
+    def tick(self, duration_ms: float) -> None:
+        """Time passes; the acceptors' messages to each other arrive before the candidates' timers run."""
+        self.now_ms += duration_ms
+        for name, acceptor in self.acceptors.items():
+            self.run_effects(name, acceptor.tick(self.clock_ms(name)))
+        self._apply_delivery(ExchangeAmongAcceptors())
+        for name, participant in self.participants.items():
+            self.run_effects(name, participant.tick(self.clock_ms(name)))
+
+    def restart_acceptor(self, name: str) -> None:
+        """The acceptor forgets all; if a majority has no state now, the record may be lost."""
+        self.restarts_left -= 1
+        self.acceptors[name] = self.create_acceptor(name)
+        voting = sum(acceptor.is_voting for acceptor in self.acceptors.values())
+        if voting < self.acceptor_set.majority:
+            self.history.record_state_lost()
+
+    def write_record(self, name: str) -> None:
+        """The candidate writes a new record, if it leads."""
+        participant = self.participants[name]
+        body = b"%s %d" % (name.encode(), len(self.history.written))
+        try:
+            effects = participant.write(self.clock_ms(name), body)
+        except NotLeaderError:
+            return
+        leader = participant.leader
+        assert leader is not None
+        self.history.record_write(leader.fencing_token, leader.record.sequence, body)
+        self.run_effects(name, effects)
+
+    def call_resource(self, name: str) -> None:
+        """The candidate sends its fencing token to the resource, if it leads."""
+        fencing_token = self.fencing_token(name)
+        if fencing_token is not None:
+            self.send(MessageInFlight(name, RESOURCE, str(fencing_token).encode()))
 
     # Effects and messages
 
-    def carry(self, who: str, effects: Sequence[Effect]) -> None:
+    def run_effects(self, name: str, effects: Sequence[Effect]) -> None:
+        """Runs the effects that the node `name` returned."""
         for effect in effects:
             match effect:
                 case SendMessage():
-                    self.fly(Flying(who, effect.recipient, protocol.encode(effect.message)))
+                    body = protocol.encode(effect.message)
+                    self.send(MessageInFlight(name, effect.recipient, body))
                 case LeaseAcquired():
-                    self.granted(effect)
+                    self.history.record_lease(effect)
                 case RecordCommitted():
-                    self.confirmed = max(
-                        self.confirmed, (effect.sequence, self.wrote[effect.fencing_token, effect.sequence])
-                    )
-
-    def fly(self, message: Flying) -> None:
-        if message not in self.flying:  # one copy waits; "twice" delivers it and keeps it
-            insort(self.flying, message)
-            if len(self.flying) > FLYING_MOST:
-                del self.flying[len(self.wrote) % FLYING_MOST]  # lost
-
-    def granted(self, held: LeaseAcquired) -> None:
-        if held.fencing_token <= self.fence:
-            self.fault = f"fence {held.fencing_token} granted after {self.fence}"
-        self.fence = held.fencing_token
-        seq, body = self.confirmed
-        if held.record.sequence < seq or (held.record.sequence == seq and held.record.body != body):
-            self.fault = f"confirmed write {seq} lost: {held.record.sequence} was read"
-
-    def hand(self, message: Flying) -> None:
-        if message.to == "taker":
-            self.act_arrives(int(message.word))
-            return
-        decoded, now = protocol.decode(message.word), self.at(message.to)
-        here = self.voters.get(message.to) or self.seats[message.to]
-        self.carry(message.to, here.handle(now, message.sender, decoded))
+                    self.history.record_commit(effect)
 
-    def act_arrives(self, fence: int) -> None:
-        if self.heeds_fences and self.taken and fence < self.taken[-1]:
-            self.refused += 1
-            return
-        if self.taken and fence < self.taken[-1]:
-            self.fault = f"act with fence {fence} taken after {self.taken[-1]}"
-        if not self.taken or self.taken[-1] != fence:
-            self.taken.append(fence)
-
-    # Moves
-
-    def moves(self) -> list[tuple[object, ...]]:
-        found: list[tuple[object, ...]] = [("tick", ms) for ms in self.ticks]
-        for i, message in enumerate(self.flying):
-            found += [("arrive", i)] if message.to == "taker" else [("deliver", i), ("twice", i)]
-        for name, seat in self.seats.items():
-            if any(name in (f.sender, f.to) for f in self.flying):
-                found += [("run", name, out) for out in ("", *self.voters)]
-                found += [("hear", name), ("answer", name)]
-            if seat.fencing_token(self.at(name)) is not None:
-                found += [("write", name), ("act", name)]
-        if self.restarts_left:
-            found += [("restart", name) for name in self.voters]
-        return found
-
-    def make(self, move: object) -> None:
-        match move:
-            case ("tick", float(ms)):
-                self.tick(ms)
-            case ("deliver" | "arrive" | "twice" as how, int(i)):
-                self.hand(self.flying[i] if how == "twice" else self.flying.pop(i))
-            case ("run", str(seat), str(out)):
-                self.run(lambda f: seat in (f.sender, f.to) and out not in (f.sender, f.to))
-            case ("learn",):
-                self.run(lambda f: f.sender in self.voters and f.to in self.voters)
-            case ("hear" | "answer" as how, str(seat)):  # its words arrive, the answers wait; or they arrive
-                for message in [f for f in self.flying if seat == (f.sender if how == "hear" else f.to)]:
-                    self.flying.remove(message)
-                    self.hand(message)
-            case ("restart", str(name)):
-                self.restart(name)
-            case ("write", str(name)):
-                self.write(name)
-            case ("act", str(name)):
-                fence = self.seats[name].fencing_token(self.at(name))
-                if fence is not None:
-                    self.fly(Flying(name, "taker", str(fence).encode()))
-
-    def run(self, which: object) -> None:
-        assert callable(which)
-        for _ in range(200):
-            some = [f for f in self.flying if f.to != "taker" and which(f)]
-            if not some:
-                return
-            self.flying.remove(some[0])
-            self.hand(some[0])
-
-    def tick(self, ms: float) -> None:
-        self.now += ms
-        for name, voter in self.voters.items():
-            self.carry(name, voter.tick(self.at(name)))
-        self.run(lambda f: f.sender in self.voters and f.to in self.voters)
-        for name, seat in self.seats.items():
-            self.carry(name, seat.tick(self.at(name)))
-
-    def restart(self, name: str) -> None:
-        self.restarts_left -= 1
-        self.voters[name] = self.new_voter(name)
-        if sum(voter.is_voting for voter in self.voters.values()) < self.membership.majority:
-            self.confirmed = (0, b"")  # gone by nature
+    def send(self, message: MessageInFlight) -> None:
+        """Puts a message in flight; above the limit one is lost. Duplicates are an action of their own."""
+        add_message(self.in_flight, message, lost_index=len(self.history.written))
 
-    def write(self, name: str) -> None:
-        body = b"%s %d" % (name.encode(), len(self.wrote))
-        try:
-            said = self.seats[name].write(self.at(name), body)
-        except NotLeaderError:
+    def deliver(self, message: MessageInFlight) -> None:
+        """Hands a message to its recipient; the caller has removed it from those in flight."""
+        if message.recipient == RESOURCE:
+            self.history.record_call(int(message.body), checks_tokens=self.checks_fencing_tokens)
             return
-        holder = self.seats[name].leader
-        assert holder is not None
-        self.wrote[holder.fencing_token, holder.record.sequence] = body
-        self.carry(name, said)
-
-    def fixed(self) -> tuple[object, ...]:
-        return self.terms, self.membership, self.settings
-
-    def broken(self) -> str | None:
-        if self.fault is None:
-            holding = [
-                name for name, seat in self.seats.items() if seat.fencing_token(self.at(name)) is not None
-            ]
-            if len(holding) > 1:
-                self.fault = f"{' and '.join(holding)} both hold"
-        return self.fault
-
-    # A start from which to explore
-
-    def settle(self, *, writes: int = 1) -> DutyWorld:
-        """The voters vote, one candidate holds, and its record is confirmed."""
-        for _ in range(40):
-            self.tick(self.terms.renew_interval_ms / 2.0)
-            for name in self.seats:
-                self.make(("run", name, ""))
-            if any(seat.leader for seat in self.seats.values()):
-                break
-        holder = next(name for name, seat in self.seats.items() if seat.leader)
-        for _ in range(writes):
-            self.write(holder)
-            self.make(("run", holder, ""))
-        self.flying.clear()
-        return self
+        recipient = self.acceptors.get(message.recipient) or self.participants[message.recipient]
+        now_ms = self.clock_ms(message.recipient)
+        effects = recipient.handle(now_ms, message.sender, protocol.decode(message.body))
+        self.run_effects(message.recipient, effects)
+
+    def _apply_delivery(self, action: Delivery) -> None:
+        match action:
+            case DeliverMessage(index) | DeliverCall(index):
+                self.deliver(self.in_flight.pop(index))
+            case DeliverDuplicate(index):
+                self.deliver(self.in_flight[index])
+            case Exchange(candidate, unreachable):
+                self._exchange(
+                    lambda message: message.involves(candidate) and not message.involves(unreachable)
+                )
+            case ExchangeAmongAcceptors():
+                self._exchange(
+                    lambda message: message.sender in self.acceptors and message.recipient in self.acceptors
+                )
+            case DeliverRequests(candidate):
+                self._deliver_all([message for message in self.in_flight if message.sender == candidate])
+            case DeliverReplies(candidate):
+                self._deliver_all([message for message in self.in_flight if message.recipient == candidate])
+            case _:
+                assert_never(action)
+
+    def _deliver_all(self, messages: list[MessageInFlight]) -> None:
+        for message in messages:
+            self.in_flight.remove(message)
+            self.deliver(message)
+
+    def _exchange(self, is_delivered: Callable[[MessageInFlight], bool]) -> None:
+        """Delivers such messages, and those that follow from them, until none is in flight."""
+        for _ in range(MAX_DELIVERIES):
+            message = next(
+                (each for each in self.in_flight if each.recipient != RESOURCE and is_delivered(each)), None
+            )
+            if message is None:
+                return
+            self._deliver_all([message])
--- /dev/null
+++ b/onyxpost/simulation/model_checking/virtual_node.py
@@ -0,0 +1,95 @@
+"""A node that takes part in leader election, on the virtual clock and network."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
+
+from onyxpost.cluster.connections import PeerConnections
+from onyxpost.cluster.incarnation import Incarnation
+from onyxpost.leadership.service import LeadershipService
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from onyxpost.cluster.membership import Membership
+    from onyxpost.leadership.config import LeadershipConfig
+    from onyxpost.runtime.log_event import LogEvent
+    from onyxpost.simulation.virtual_time import Network
+
+TOPIC = "duties"  # of the messages of leader election between nodes
+MS_PER_SECOND = 1000.0
+
+
+class ReceivedMessage(NamedTuple):
+    """A message that waits while its recipient is paused."""
+
+    sender: str
+    body: bytes
+
+
+class VirtualNode:
+    """The connections and the leadership service of one node, without its part as a gateway.
+
+    Args:
+        network: The virtual network that it is a host of.
+        name: Its name in the membership.
+        start_index: Number of nodes started before; makes its incarnation unique.
+        membership: All nodes, with their addresses.
+        config: The roles and acceptors.
+        log: Is called with each log event.
+    """
+
+    def __init__(
+        self,
+        network: Network,
+        name: str,
+        start_index: int,
+        membership: Membership,
+        config: LeadershipConfig,
+        log: Callable[[LogEvent], None],
+    ) -> None:
+        self.host = network.host(name)
+        started_at_ms = int(self.host.clock() + start_index / MS_PER_SECOND)
+        incarnation = Incarnation(started_at_ms, f"{start_index:04x}")
+        self.address = membership.members[name]
+        self.connections = PeerConnections(self.host, name, incarnation, membership, self._on_message, log)
+        self.connections.topics.add(TOPIC)
+        self.leadership = LeadershipService(self.host, name, config, self.connections, log)
+        self.is_paused = False
+        self._received_in_pause: list[ReceivedMessage] = []
+
+    async def start(self) -> None:
+        """Listens, connects and takes part in elections."""
+        await self.connections.listen(self.address)
+        self.connections.start()
+        self.leadership.start()
+
+    def close(self) -> None:
+        """Stops without a message to anyone."""
+        self.leadership.close()
+        self.connections.close()
+
+    async def terminate(self) -> None:
+        """Resigns from all roles and leaves the cluster, as on SIGTERM."""
+        self.leadership.resign_all()
+        await self.connections.leave()
+        self.close()
+
+    def pause(self) -> None:
+        """Stops as on SIGSTOP: nothing runs, and what is received waits."""
+        self.is_paused = True
+        self._received_in_pause = []
+        self.leadership.close()
+
+    def resume(self) -> None:
+        """Goes on as on SIGCONT, with what was received meanwhile."""
+        self.is_paused = False
+        self.leadership.start()
+        for message in self._received_in_pause:
+            self.leadership.handle_message(message.sender, message.body)
+
+    def _on_message(self, sender: str, topic: str, body: bytes) -> None:  # noqa: ARG002 - one topic only
+        if self.is_paused:
+            self._received_in_pause.append(ReceivedMessage(sender, body))
+        else:
+            self.leadership.handle_message(sender, body)
--- a/tests/compatibility/record_simulation_digests.py
+++ b/tests/compatibility/record_simulation_digests.py
@@ -35,8 +35,23 @@
 from onyxpost.simulation.discrete_event.scenario import load, read, resized
 from onyxpost.simulation.discrete_event.server_model import Server
 from onyxpost.simulation.discrete_event.world import World, totals
-from onyxpost.simulation.model_checking.failover_timing import story
-from onyxpost.simulation.model_checking.leadership_model import TERMS, DutyWorld
+from onyxpost.simulation.model_checking.actions import (
+    Action,
+    CallResource,
+    DeliverCall,
+    DeliverDuplicate,
+    DeliverMessage,
+    DeliverReplies,
+    DeliverRequests,
+    Exchange,
+    RestartAcceptor,
+    Tick,
+    WriteRecord,
+)
+from onyxpost.simulation.model_checking.failover_timing import measure_failover
+from onyxpost.simulation.model_checking.initial_states import elect_leader
+from onyxpost.simulation.model_checking.leadership_model import TIMING, LeadershipModel
+from onyxpost.simulation.model_checking.messages import RESOURCE
 from onyxpost.simulation.mutations import PLANTS
 from onyxpost.simulation.rollout_analysis.cluster import EmulatedCluster
 from onyxpost.simulation.rollout_analysis.scenario import Scenario
@@ -409,71 +424,65 @@
 # Leases: random walks of the explored world, and whole nodes that fail over
 
 
-def observe_lease_world(digest: EventDigest, world: DutyWorld) -> None:
+def observe_lease_model(digest: EventDigest, model: LeadershipModel) -> None:
     """Digest what a step left behind: messages under way, who holds the lease, what was confirmed."""
     digest.add(
-        world.now,
-        world.fence,
-        *world.confirmed,
-        world.refused,
-        *world.taken,
+        model.now_ms,
+        model.history.latest_token,
+        *model.history.committed,
+        model.history.rejected_calls,
+        *model.history.accepted_tokens,
     )
-    for name, candidate in world.seats.items():
-        digest.add(name, candidate.fencing_token(world.at(name)))
-    for message in world.flying:
-        digest.add(message.sender, message.to, message.word)
+    for name in model.participants:
+        digest.add(name, model.fencing_token(name))
+    for message in model.in_flight:
+        digest.add(message.sender, message.recipient, message.body)
 
 
-def lease_moves(chance: Random, world: DutyWorld) -> list[tuple[object, ...]]:
-    """The next moves of a random walk; `moves` are tuples as `DutyWorld.make` takes them."""
-    candidate = chance.choice(list(world.seats))
-    absent = chance.choice(["", "", *world.voters])
-    in_flight = range(len(world.flying))
+def lease_actions(chance: Random, model: LeadershipModel) -> list[Action]:
+    """The next actions of a random walk."""
+    candidate = chance.choice(list(model.participants))
+    absent = chance.choice(["", "", *model.acceptors])
+    in_flight = range(len(model.in_flight))
     kind = chance.randrange(10)
     if kind <= 1:
-        return [
-            (
-                "tick",
-                chance.choice(
-                    [
-                        TERMS.rank_delay_ms,
-                        TERMS.renew_interval_ms,
-                        TERMS.lease_ms / 2.0,
-                        TERMS.acceptor_lease_ms,
-                    ]
-                ),
-            )
+        durations_ms = [
+            TIMING.rank_delay_ms,
+            TIMING.renew_interval_ms,
+            TIMING.lease_ms / 2.0,
+            TIMING.acceptor_lease_ms,
         ]
+        return [Tick(chance.choice(durations_ms))]
     if kind <= 3:
-        return [("run", candidate, absent)]
+        return [Exchange(candidate, absent)]
     if kind == 4:
-        return [("tick", TERMS.renew_interval_ms), ("run", candidate, "")] * 4
+        return [Tick(TIMING.renew_interval_ms), Exchange(candidate)] * 4
     if kind == 5:
-        return [(chance.choice(["hear", "answer"]), candidate)]
+        return [chance.choice([DeliverRequests, DeliverReplies])(candidate)]
     if kind == 6 and in_flight:
         index = chance.choice(in_flight)
-        if world.flying[index].to == "taker":
-            return [("arrive", index)]
-        return [(chance.choice(["deliver", "twice"]), index)]
-    if kind == 7 and world.restarts_left and chance.random() < 0.3:
-        return [("restart", chance.choice(list(world.voters)))]
-    return [(chance.choice(["write", "act"]), candidate)]
+        if model.in_flight[index].recipient == RESOURCE:
+            return [DeliverCall(index)]
+        return [chance.choice([DeliverMessage, DeliverDuplicate])(index)]
+    if kind == 7 and model.restarts_left and chance.random() < 0.3:
+        return [RestartAcceptor(chance.choice(list(model.acceptors)))]
+    return [chance.choice([WriteRecord, CallResource])(candidate)]
 
 
 def lease_record(seed: int) -> Record:
     """A random walk of five voters and three candidates of one lease."""
     chance = Random(f"{seed}/lease")
     digest = EventDigest()
-    world = DutyWorld(5, 3, 6).settle()
+    model = elect_leader(LeadershipModel(5, 3, 6))
     for _ in range(LEASE_STEPS):
-        for move in lease_moves(chance, world):
-            world.make(move)
-            observe_lease_world(digest, world)
+        for action in lease_actions(chance, model):
+            model.apply(action)
+            observe_lease_model(digest, model)
     return {
         "sha256": digest.hexdigest(),
         "events": digest.events,
-        "grants": world.fence,
-        "violations": int(world.broken() is not None),
+        "grants": model.history.latest_token,
+        "violations": int(model.violation() is not None),
     }
 
 
@@ -509,7 +518,9 @@
     """Whole nodes with one lease on the virtual network; its holder leaves, dies, stalls or is cut off."""
     digest = EventDigest()
     with without_collector(), observe_network(digest), observe_leases(digest):
-        result, sha256, events = virtual_time.run(final_digest(digest, story(seed, FAILOVER_NODES, fault)))
+        result, sha256, events = virtual_time.run(
+            final_digest(digest, measure_failover(seed, FAILOVER_NODES, fault))
+        )
     took_ms, overlaps, kept = result
     return {
         "sha256": sha256,
--- a/tests/leadership/cluster.py
+++ b/tests/leadership/cluster.py
@@ -8,24 +8,26 @@
 
 from onyxpost.runtime.http1 import encode_message
 from onyxpost.simulation import virtual_time
-from onyxpost.simulation.model_checking.virtual_nodes import ACTS, Town
+from onyxpost.simulation.model_checking.virtual_cluster import FENCED_RESOURCE_ADDRESS, VirtualCluster
 
 SETTLING_SECONDS = 5.0
 READ_BYTES = 65536
 TIMEOUT_MS = 500.0
 
 
-def run_cluster(scenario: Callable[[Town], Coroutine[Any, Any, None]], size: int = 5, **options: Any) -> None:
+def run_cluster(
+    scenario: Callable[[VirtualCluster], Coroutine[Any, Any, None]], size: int = 5, **options: Any
+) -> None:
     """Plays `scenario` in a settled cluster; no two nodes may lead a role at once, and tokens grow."""
 
     async def main() -> None:
-        town = Town(1, size, **options)
-        await town.start()
+        cluster = VirtualCluster(1, size, **options)
+        await cluster.start()
         await asyncio.sleep(SETTLING_SECONDS)
-        await scenario(town)
-        await town.close()
-        assert not town.overlaps
-        assert town.fences_grow()
+        await scenario(cluster)
+        await cluster.close()
+        assert not cluster.overlaps
+        assert cluster.tokens_increase()
 
     virtual_time.run(main())
 
@@ -39,8 +41,8 @@
         self.accepted: list[int] = []
         self.is_stuck = False
 
-    async def listen(self, town: Town) -> None:
-        await town.net.host("taker").listen(self._serve, ACTS, READ_BYTES, 16)
+    async def listen(self, cluster: VirtualCluster) -> None:
+        await cluster.network.host("taker").listen(self._serve, FENCED_RESOURCE_ADDRESS, READ_BYTES, 16)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         http = h11.Connection(h11.SERVER)
--- a/tests/leadership/test_acceptor_log.py
+++ b/tests/leadership/test_acceptor_log.py
@@ -12,15 +12,15 @@
 from onyxpost.leadership.errors import AcceptorLogError
 from onyxpost.leadership.membership import AcceptorSet
 from onyxpost.leadership.protocol import Record
-from onyxpost.simulation.model_checking.leadership_model import DUTY, EPOCH, TERMS
+from onyxpost.simulation.model_checking.leadership_model import EPOCH_MS, ROLE, TIMING
 
-LAST_STATE = AcceptorState(DUTY, 1, Ballot(7, "c0", 1), Record(7, 3, 7, b"kept"), 0, 1)
+LAST_STATE = AcceptorState(ROLE, 1, Ballot(7, "c0", 1), Record(7, 3, 7, b"kept"), 0, 1)
 
 OpenLog = Callable[[bytes], AcceptorLog]
 
 
 def earlier_state(sequence: int) -> AcceptorState:
-    return AcceptorState(DUTY, 1, Ballot(6, "c0", 1), Record(6, sequence, 6, b"old"), 0, 1)
+    return AcceptorState(ROLE, 1, Ballot(6, "c0", 1), Record(6, sequence, 6, b"old"), 0, 1)
 
 
 @pytest.fixture
@@ -56,18 +56,18 @@
 def test_an_acceptor_with_a_log_waits_a_lease_and_votes_without_recovery(
     data: bytes, open_log: OpenLog
 ) -> None:
-    saved = open_log(data).states[DUTY]
+    saved = open_log(data).states[ROLE]
     assert saved == LAST_STATE
-    acceptor = Acceptor(EPOCH, "v0", DUTY, TERMS, AcceptorSet(1, ("v0", "v1", "v2")), saved)
-    assert acceptor.tick(EPOCH + TERMS.acceptor_lease_ms - 1.0) == []
-    acceptor.tick(EPOCH + TERMS.acceptor_lease_ms)
+    acceptor = Acceptor(EPOCH_MS, "v0", ROLE, TIMING, AcceptorSet(1, ("v0", "v1", "v2")), saved)
+    assert acceptor.tick(EPOCH_MS + TIMING.acceptor_lease_ms - 1.0) == []
+    acceptor.tick(EPOCH_MS + TIMING.acceptor_lease_ms)
     assert acceptor.is_voting
     assert acceptor.record == LAST_STATE.record
     assert acceptor.promised == LAST_STATE.promised
 
 
 def test_a_truncated_last_entry_is_removed(data: bytes, open_log: OpenLog) -> None:
-    assert open_log(data[:-3]).states[DUTY].record.sequence == 2
+    assert open_log(data[:-3]).states[ROLE].record.sequence == 2
 
 
 @pytest.mark.parametrize("offset", [1, 5, 9, 20, -1])
--- a/tests/leadership/test_fenced_calls.py
+++ b/tests/leadership/test_fenced_calls.py
@@ -7,37 +7,37 @@
 from onyxpost.leadership.errors import FencedCallError, HigherFencingTokenError, NotLeaderError
 from onyxpost.leadership.fenced_call import FencedCall, execute
 from onyxpost.leadership.service_log import RECORD_COMMITTED
-from onyxpost.simulation.model_checking.virtual_nodes import ACTS, Town
+from onyxpost.simulation.model_checking.virtual_cluster import FENCED_RESOURCE_ADDRESS, VirtualCluster
 from tests.leadership.cluster import TIMEOUT_MS, FencedResource, run_cluster
 
 ROLE = "d0"
 
 
-async def call_as(town: Town, name: str) -> None:
-    await town.nodes[name].leadership.call(ACTS, ROLE, b"x", TIMEOUT_MS)
+async def call_as(cluster: VirtualCluster, name: str) -> None:
+    await cluster.nodes[name].leadership.call(FENCED_RESOURCE_ADDRESS, ROLE, b"x", TIMEOUT_MS)
 
 
 def test_calls_carry_the_token_and_a_higher_one_ends_the_leadership() -> None:
     resource = FencedResource()
 
-    async def scenario(town: Town) -> None:
-        await resource.listen(town)
-        (leader,) = town.holders(ROLE)
-        service = town.nodes[leader].leadership
-        other = next(name for name in town.nodes if name != leader)
-        await call_as(town, leader)
+    async def scenario(cluster: VirtualCluster) -> None:
+        await resource.listen(cluster)
+        (leader,) = cluster.leaders_of(ROLE)
+        service = cluster.nodes[leader].leadership
+        other = next(name for name in cluster.nodes if name != leader)
+        await call_as(cluster, leader)
         assert resource.accepted == [service.fencing_token(ROLE)]
         with pytest.raises(NotLeaderError):
-            await call_as(town, other)
+            await call_as(cluster, other)
         resource.is_stuck = True
         with pytest.raises(FencedCallError):
-            await call_as(town, leader)
+            await call_as(cluster, leader)
         resource.is_stuck = False
         resource.highest += 100
         with pytest.raises(HigherFencingTokenError):
-            await call_as(town, leader)
+            await call_as(cluster, leader)
         assert service.fencing_token(ROLE) is None
-        await call_as(town, await town.until_held(ROLE))
+        await call_as(cluster, await cluster.wait_for_leader(ROLE))
         assert resource.rejected == 1
         assert len(resource.accepted) == 2
 
@@ -47,12 +47,12 @@
 def test_a_lease_that_ends_while_the_call_connects_sends_nothing() -> None:
     resource = FencedResource()
 
-    async def scenario(town: Town) -> None:
-        await resource.listen(town)
-        (leader,) = town.holders(ROLE)
-        calling = asyncio.ensure_future(call_as(town, leader))
+    async def scenario(cluster: VirtualCluster) -> None:
+        await resource.listen(cluster)
+        (leader,) = cluster.leaders_of(ROLE)
+        calling = asyncio.ensure_future(call_as(cluster, leader))
         await asyncio.sleep(0.0)
-        town.nodes[leader].leadership.resign_all()
+        cluster.nodes[leader].leadership.resign_all()
         with pytest.raises(NotLeaderError):
             await calling
         assert resource.accepted == []
@@ -63,18 +63,18 @@
 def test_a_call_in_flight_when_its_leader_was_stopped_is_rejected() -> None:
     resource = FencedResource()
 
-    async def scenario(town: Town) -> None:
-        await resource.listen(town)
-        (leader,) = town.holders(ROLE)
-        stopped = town.nodes[leader]
+    async def scenario(cluster: VirtualCluster) -> None:
+        await resource.listen(cluster)
+        (leader,) = cluster.leaders_of(ROLE)
+        stopped = cluster.nodes[leader]
         token = stopped.leadership.fencing_token(ROLE)
         assert token is not None
-        town.stall(leader)
-        await call_as(town, await town.until_held(ROLE, other_than=leader))
-        late_call = FencedCall(ACTS, ROLE, token, leader, b"x", TIMEOUT_MS)
+        cluster.nodes[leader].pause()
+        await call_as(cluster, await cluster.wait_for_leader(ROLE, other_than=leader))
+        late_call = FencedCall(FENCED_RESOURCE_ADDRESS, ROLE, token, leader, b"x", TIMEOUT_MS)
         with pytest.raises(HigherFencingTokenError):  # its bytes were written before the stop
-            await execute(stopped.net, late_call, lambda: True)
-        town.wake(leader)
+            await execute(stopped.host, late_call, lambda: True)
+        cluster.nodes[leader].resume()
         assert stopped.leadership.fencing_token(ROLE) is None
         assert resource.rejected == 1
         assert len(resource.accepted) == 1
@@ -85,13 +85,13 @@
 def test_the_resource_gets_reports_of_each_leader() -> None:
     resource = FencedResource()
 
-    async def scenario(town: Town) -> None:
-        await resource.listen(town)
+    async def scenario(cluster: VirtualCluster) -> None:
+        await resource.listen(cluster)
         await asyncio.sleep(2.0)
-        await town.leave(town.holders(ROLE)[0])
+        await cluster.terminate(cluster.leaders_of(ROLE)[0])
         await asyncio.sleep(2.0)
         assert len(set(resource.accepted)) == 2
         assert len(resource.accepted) > 8
-        assert town.said(RECORD_COMMITTED)
+        assert cluster.logged_fields(RECORD_COMMITTED)
 
-    run_cluster(scenario, acts=ACTS)
+    run_cluster(scenario, resource=FENCED_RESOURCE_ADDRESS)
--- a/tests/leadership/test_membership.py
+++ b/tests/leadership/test_membership.py
@@ -4,8 +4,10 @@
 
 from onyxpost.leadership.errors import MembershipChangeError
 from onyxpost.leadership.membership import AcceptorSet, validate_transition
-from onyxpost.simulation.model_checking.leadership_model import TERMS, DutyWorld
-from tests.leadership.world import run_for, token_of
+from onyxpost.simulation.model_checking.actions import Exchange
+from onyxpost.simulation.model_checking.initial_states import elect_leader
+from onyxpost.simulation.model_checking.leadership_model import TIMING, LeadershipModel
+from tests.leadership.model_steps import run_for, token_of
 
 OLD = AcceptorSet(4, ("a", "b", "c"))
 
@@ -38,19 +40,19 @@
 
 
 def test_acceptors_change_while_the_leader_is_cut_off() -> None:
-    world = DutyWorld().settle()
-    run_for(world, TERMS.renew_interval_ms, lambda: world.make(("run", "c0", "")))
-    new = AcceptorSet(2, ("v0", "v1", "v2", "v3"), world.membership.names)
-    world.rates["v3"] = 1.0 + TERMS.drift
-    world.membership = new
-    for name, acceptor in world.voters.items():
+    model = elect_leader(LeadershipModel())
+    run_for(model, TIMING.renew_interval_ms, lambda: model.apply(Exchange("c0")))
+    new = AcceptorSet(2, ("v0", "v1", "v2", "v3"), model.acceptor_set.names)
+    model.clock_rates["v3"] = 1.0 + TIMING.drift
+    model.acceptor_set = new
+    for name, acceptor in model.acceptors.items():
         validate_transition(acceptor.acceptors, new, acceptor.is_settled, name)
-        acceptor.change_acceptors(world.at(name), new)
-    world.voters["v3"] = world.new_voter("v3")
-    world.seats["c1"].change_acceptors(world.at("c1"), new)
-    confirmed = world.confirmed
-    run_for(world, 5 * TERMS.lease_ms, lambda: world.make(("run", "c1", "")))
-    assert token_of(world, "c0") is None
-    assert token_of(world, "c1") is not None
-    assert world.voters["v3"].is_voting
-    assert world.confirmed == confirmed
+        acceptor.change_acceptors(model.clock_ms(name), new)
+    model.acceptors["v3"] = model.create_acceptor("v3")
+    model.participants["c1"].change_acceptors(model.clock_ms("c1"), new)
+    confirmed = model.history.committed
+    run_for(model, 5 * TIMING.lease_ms, lambda: model.apply(Exchange("c1")))
+    assert token_of(model, "c0") is None
+    assert token_of(model, "c1") is not None
+    assert model.acceptors["v3"].is_voting
+    assert model.history.committed == confirmed
--- a/tests/leadership/test_model_checking.py
+++ b/tests/leadership/test_model_checking.py
@@ -1,9 +1,21 @@
-"""Every order of events in small worlds of one role, to a depth; and mutants, which must be found."""
+"""Every order of actions in small models of one role, to a depth; and mutants, which must be found."""
 
 import pytest
 
-from onyxpost.simulation.model_checking.explorer import Explored, explore
-from onyxpost.simulation.model_checking.leadership_model import TERMS, DutyWorld
+from onyxpost.simulation.model_checking.actions import (
+    Action,
+    CallResource,
+    DeliverCall,
+    DeliverReplies,
+    DeliverRequests,
+    Exchange,
+    RestartAcceptor,
+    Tick,
+    WriteRecord,
+)
+from onyxpost.simulation.model_checking.explorer import ExplorationResult, explore
+from onyxpost.simulation.model_checking.initial_states import elect_leader
+from onyxpost.simulation.model_checking.leadership_model import TIMING, LeadershipModel
 from tests.leadership.mutants import (
     AcceptorWithoutRecovery,
     AcceptorWithoutSilence,
@@ -11,79 +23,87 @@
     ParticipantWithoutRecord,
 )
 
-HALF_LEASE_MS = TERMS.lease_ms / 2.0
-STATE_LIMIT = 20_000
+HALF_LEASE_MS = TIMING.lease_ms / 2.0
+MAX_STATES = 20_000
 
-Move = tuple[object, ...]
+ActionType = type[Action]
 
 
-class LimitedWorld(DutyWorld):
-    """Starts with a leader and a committed write; has the few moves by which a mutant could show."""
+class LimitedModel(LeadershipModel):
+    """Starts with a leader and a committed write; has the few actions by which a mutant could show."""
 
-    outs: tuple[str, ...] = ("", "v1")
-    kinds: tuple[str, ...] = ("tick", "run", "hear", "restart", "write")
+    unreachable_acceptors: tuple[str, ...] = ("", "v1")
+    action_types: tuple[ActionType, ...] = (Tick, Exchange, DeliverRequests, RestartAcceptor, WriteRecord)
 
-    def moves(self) -> list[Move]:
+    def actions(self) -> list[Action]:
         return [
-            move
-            for move in super().moves()
-            if move[0] in self.kinds and (move[0] != "run" or move[2] in self.outs)
+            action
+            for action in super().actions()
+            if type(action) in self.action_types
+            and (
+                not isinstance(action, Exchange) or action.unreachable_acceptor in self.unreachable_acceptors
+            )
         ]
 
 
-def explore_mutant(depth: int, *first_moves: Move, **attributes: object) -> Explored:
-    """Explores from a settled world after `first_moves`; `attributes` replace those of the world's class."""
-    kind = type("MutatedWorld", (LimitedWorld,), attributes)
+def explore_mutant(depth: int, *first_actions: Action, **attributes: object) -> ExplorationResult[Action]:
+    """Explores from a settled model after `first_actions`; `attributes` replace those of its class."""
+    kind = type("MutatedModel", (LimitedModel,), attributes)
     kind.__module__ = __name__  # pickling finds the class by its name
-    kind.__qualname__ = "MutatedWorld"
-    globals()["MutatedWorld"] = kind
+    kind.__qualname__ = "MutatedModel"
+    globals()["MutatedModel"] = kind
 
-    def start() -> DutyWorld:
-        world = kind().settle()
-        for move in first_moves:
-            world.make(move)
-        return world
+    def start() -> LeadershipModel:
+        model = elect_leader(kind())
+        for action in first_actions:
+            model.apply(action)
+        return model
 
-    return explore(start, depth, STATE_LIMIT)
+    return explore(start, depth, MAX_STATES)
 
 
-def test_no_order_of_single_messages_breaks_a_rule_to_depth_3() -> None:
-    explored = explore(lambda: DutyWorld().settle(), 3)
-    assert explored.broken is None
-    assert explored.depth == 3
-    assert explored.states > 500
+def test_no_order_of_single_messages_violates_an_invariant_to_depth_3() -> None:
+    result = explore(lambda: elect_leader(LeadershipModel()), 3)
+    assert result.violation is None
+    assert result.depth == 3
+    assert result.states > 500
 
 
-def test_no_order_of_rounds_breaks_a_rule_to_depth_4() -> None:
-    explored = explore_mutant(4)
-    assert explored.broken is None
-    assert explored.depth == 4
-    assert explored.states > 500
+def test_no_order_of_exchanges_violates_an_invariant_to_depth_4() -> None:
+    result = explore_mutant(4)
+    assert result.violation is None
+    assert result.depth == 4
+    assert result.states > 500
 
 
 def test_finds_an_acceptor_that_votes_at_once_after_a_restart() -> None:
-    explored = explore_mutant(6, voter=AcceptorWithoutSilence, kinds=("tick", "run", "restart"), outs=("",))
-    assert explored.broken is not None, explored
+    result = explore_mutant(
+        6,
+        acceptor_type=AcceptorWithoutSilence,
+        action_types=(Tick, Exchange, RestartAcceptor),
+        unreachable_acceptors=("",),
+    )
+    assert result.violation is not None, result
 
 
 @pytest.mark.parametrize(
-    ("depth", "first_moves", "attributes", "violation"),
+    ("depth", "first_actions", "attributes", "violation"),
     [
         pytest.param(
             5,
-            [("write", "c0"), ("run", "c0", "v2"), ("restart", "v0")],
-            {"voter": AcceptorWithoutRecovery, "kinds": ("tick", "run")},
+            [WriteRecord("c0"), Exchange("c0", "v2"), RestartAcceptor("v0")],
+            {"acceptor_type": AcceptorWithoutRecovery, "action_types": (Tick, Exchange)},
             "lost",
             id="acceptor votes without recovery",
         ),
         pytest.param(
             6,
-            [("tick", HALF_LEASE_MS), ("hear", "c0"), ("tick", HALF_LEASE_MS), ("answer", "c0")],
+            [Tick(HALF_LEASE_MS), DeliverRequests("c0"), Tick(HALF_LEASE_MS), DeliverReplies("c0")],
             {
-                "seat": ParticipantCountingFromReply,
-                "kinds": ("tick", "run"),
-                "outs": ("",),
-                "ticks": (TERMS.renew_interval_ms,),
+                "participant_type": ParticipantCountingFromReply,
+                "action_types": (Tick, Exchange),
+                "unreachable_acceptors": ("",),
+                "tick_durations_ms": (TIMING.renew_interval_ms,),
             },
             "both hold",
             id="lease counted from the reply",
@@ -91,21 +111,21 @@
         pytest.param(
             6,
             [],
-            {"seat": ParticipantWithoutRecord, "kinds": ("tick", "run")},
+            {"participant_type": ParticipantWithoutRecord, "action_types": (Tick, Exchange)},
             "lost",
             id="record not carried on",
         ),
         pytest.param(
             6,
-            [("act", "c0"), ("tick", TERMS.acceptor_lease_ms)],
-            {"heeds_fences": False, "kinds": ("tick", "run", "act", "arrive")},
-            "act with fence",
+            [CallResource("c0"), Tick(TIMING.acceptor_lease_ms)],
+            {"checks_fencing_tokens": False, "action_types": (Tick, Exchange, CallResource, DeliverCall)},
+            "call with token",
             id="fencing token not checked",
         ),
     ],
 )
 def test_finds_the_violation_of_a_mutant(
-    depth: int, first_moves: list[Move], attributes: dict[str, object], violation: str
+    depth: int, first_actions: list[Action], attributes: dict[str, object], violation: str
 ) -> None:
-    explored = explore_mutant(depth, *first_moves, **attributes)
-    assert violation in (explored.broken or ""), explored
+    result = explore_mutant(depth, *first_actions, **attributes)
+    assert violation in (result.violation or ""), result
--- a/tests/leadership/test_races.py
+++ b/tests/leadership/test_races.py
@@ -36,7 +36,7 @@
     StatusQuery,
 )
 from onyxpost.simulation import virtual_time
-from onyxpost.simulation.model_checking.virtual_nodes import Town
+from onyxpost.simulation.model_checking.virtual_cluster import VirtualCluster
 from tests.leadership.cluster import run_cluster
 
 ROLE = "d0"
@@ -46,10 +46,10 @@
 
 @pytest.mark.parametrize("phase", [Phase.PREPARING, Phase.ACCEPTING])
 def test_a_node_that_leaves_before_it_hears_of_its_election_is_followed_at_once(phase: Phase) -> None:
-    async def scenario(town: Town) -> None:
-        await town.kill(town.holders(ROLE)[0])
+    async def scenario(cluster: VirtualCluster) -> None:
+        await cluster.kill(cluster.leaders_of(ROLE)[0])
         participants = {
-            name: node.leadership.registry.participants[ROLE] for name, node in town.nodes.items()
+            name: node.leadership.registry.participants[ROLE] for name, node in cluster.nodes.items()
         }
         in_phase: list[str] = []
         while not in_phase:
@@ -57,10 +57,10 @@
             in_phase = [name for name, one in participants.items() if one.candidate.phase is phase]
         await asyncio.sleep(0.002)  # its messages are under way, no answer is here
         assert participants[in_phase[0]].candidate.phase is phase
-        await town.leave(in_phase[0])
-        left_at_ms = town.now()
-        await town.until_held(ROLE)
-        assert town.now() - left_at_ms < 250.0
+        await cluster.terminate(in_phase[0])
+        left_at_ms = cluster.now_ms()
+        await cluster.wait_for_leader(ROLE)
+        assert cluster.now_ms() - left_at_ms < 250.0
 
     run_cluster(scenario)
 
@@ -68,10 +68,10 @@
 def test_messages_of_another_acceptor_set_cause_one_log_line_and_change_nothing() -> None:
     """As while a file with other acceptors is brought to one node after the other."""
 
-    async def scenario(town: Town) -> None:
-        service = town.nodes["n00"].leadership
+    async def scenario(cluster: VirtualCluster) -> None:
+        service = cluster.nodes["n00"].leadership
         before = service.registry.fencing_tokens(service.net.clock())
-        for role in town.given.roles:
+        for role in cluster.config.roles:
             for message in (
                 StatusQuery(role=role, version=2, queried_at_ms=1),
                 Release(role=role, version=3, ballot=NO_BALLOT, was_leader=True),
@@ -79,11 +79,11 @@
             ):
                 service.handle_message("n01", protocol.encode(message))
         assert service.registry.fencing_tokens(service.net.clock()) == before
-        logs = [log for _, name, log in town.logs if name == "n00"]
+        logs = [log.event for log in cluster.logs if log.node == "n00"]
         (dropped,) = [log.fields for log in logs if log.event == DiagnosticKind.MESSAGE_DROPPED.value]
         assert dropped["reason"] == "acceptor set version 2, here 1, from n01"
 
-    run_cluster(scenario, duties=20)
+    run_cluster(scenario, roles=20)
 
 
 def test_a_release_that_overtakes_the_request_it_releases_is_not_undone_by_it() -> None:
@@ -117,28 +117,28 @@
         raise ZeroDivisionError(change)
 
     async def main() -> None:
-        town = Town(1, 5)
-        await town.start()
+        cluster = VirtualCluster(1, 5)
+        await cluster.start()
         await asyncio.sleep(5.0)
-        leader = town.holders(ROLE)[0]
-        service = town.nodes[leader].leadership
+        leader = cluster.leaders_of(ROLE)[0]
+        service = cluster.nodes[leader].leadership
         service.subscribe(ROLE, fail)
-        town.part(leader)
-        await town.until_held(ROLE, other_than=leader)
-        town.cut.clear()
+        cluster.isolate(leader)
+        await cluster.wait_for_leader(ROLE, other_than=leader)
+        cluster.blocked_links.clear()
         await asyncio.sleep(1.0)
         assert service.tasks
-        assert "fault" in [log.event for _, name, log in town.logs if name == leader]
-        await town.close()
+        assert "fault" in [log.event.event for log in cluster.logs if log.node == leader]
+        await cluster.close()
 
     virtual_time.run(main())
 
 
 def test_a_lease_lost_in_the_step_in_which_the_disk_fails_is_reported() -> None:
     async def main() -> None:
-        town = Town(1, 3)
-        await town.start()
-        service = town.nodes["n00"].leadership
+        cluster = VirtualCluster(1, 3)
+        await cluster.start()
+        service = cluster.nodes["n00"].leadership
         changes: list[LeadershipChange] = []
         service.subscribe(ROLE, changes.append)
         acceptor_log = mock.Mock()
@@ -155,7 +155,7 @@
         )
         assert changes == [LeaseLost(ROLE, 4, "over")]
         assert service.counters.sent + service.counters.send_failed == 0
-        await town.close()
+        await cluster.close()
 
     virtual_time.run(main())
 
--- a/tests/leadership/test_random_runs.py
+++ b/tests/leadership/test_random_runs.py
@@ -14,7 +14,21 @@
 )
 
 from onyxpost.leadership.acceptor import Acceptor
-from onyxpost.simulation.model_checking.leadership_model import TERMS, DutyWorld
+from onyxpost.leadership.participant import Participant
+from onyxpost.simulation.model_checking.actions import (
+    CallResource,
+    DeliverDuplicate,
+    DeliverMessage,
+    DeliverReplies,
+    DeliverRequests,
+    Exchange,
+    RestartAcceptor,
+    Tick,
+    WriteRecord,
+)
+from onyxpost.simulation.model_checking.initial_states import elect_leader
+from onyxpost.simulation.model_checking.leadership_model import TIMING, LeadershipModel
+from onyxpost.simulation.model_checking.messages import RESOURCE
 from tests.leadership.mutants import AcceptorWithoutSilence, ParticipantWithoutRecord
 
 RUN_SETTINGS = settings(
@@ -33,72 +47,73 @@
 ACCEPTORS = [f"v{index}" for index in range(5)]
 CANDIDATES = [f"c{index}" for index in range(3)]
 TICKS_MS = [
-    TERMS.rank_delay_ms,
-    TERMS.renew_interval_ms,
-    TERMS.lease_ms / 2.0,
-    TERMS.acceptor_lease_ms,
+    TIMING.rank_delay_ms,
+    TIMING.renew_interval_ms,
+    TIMING.lease_ms / 2.0,
+    TIMING.acceptor_lease_ms,
 ]
 
 
-class WorldWithoutFencing(DutyWorld):
-    heeds_fences = False
+class ModelWithoutFencing(LeadershipModel):
+    checks_fencing_tokens = False
 
 
 class RandomRun(RuleBasedStateMachine):
-    kind: type[DutyWorld] = DutyWorld
-    voter: type[Acceptor] = Acceptor
-    seat: Any = DutyWorld.seat
+    model_type: type[LeadershipModel] = LeadershipModel
+    acceptor_type: type[Acceptor] = Acceptor
+    participant_type: type[Participant] = Participant
     restarts = 6
 
     def __init__(self) -> None:
         super().__init__()
-        kind = type("MutatedWorld", (self.kind,), {"voter": self.voter, "seat": self.seat})
-        self.world = kind(5, 3, self.restarts).settle()
+        node_types = {"acceptor_type": self.acceptor_type, "participant_type": self.participant_type}
+        mutated_type = type("MutatedModel", (self.model_type,), node_types)
+        self.model = elect_leader(mutated_type(5, 3, self.restarts))
 
-    @rule(ms=st.sampled_from(TICKS_MS))
-    def tick(self, ms: float) -> None:
-        self.world.make(("tick", ms))
+    @rule(duration_ms=st.sampled_from(TICKS_MS))
+    def tick(self, duration_ms: float) -> None:
+        self.model.apply(Tick(duration_ms))
 
-    @rule(how=st.sampled_from(["hear", "answer"]), seat=st.sampled_from(CANDIDATES))
-    def half_a_round(self, how: str, seat: str) -> None:
-        self.world.make((how, seat))
+    @rule(action=st.sampled_from([DeliverRequests, DeliverReplies]), candidate=st.sampled_from(CANDIDATES))
+    def half_a_round(self, action: type[DeliverRequests | DeliverReplies], candidate: str) -> None:
+        self.model.apply(action(candidate))
 
-    @rule(seat=st.sampled_from(CANDIDATES), out=st.sampled_from(["", *ACCEPTORS]))
-    def rounds(self, seat: str, out: str) -> None:
-        self.world.make(("run", seat, out))
+    @rule(candidate=st.sampled_from(CANDIDATES), unreachable=st.sampled_from(["", *ACCEPTORS]))
+    def rounds(self, candidate: str, unreachable: str) -> None:
+        self.model.apply(Exchange(candidate, unreachable))
 
-    @rule(seat=st.sampled_from(CANDIDATES))
-    def only_one_connected(self, seat: str) -> None:
+    @rule(candidate=st.sampled_from(CANDIDATES))
+    def only_one_connected(self, candidate: str) -> None:
         """For three leases no other candidate is heard."""
         for _ in range(12):
-            self.world.make(("tick", TERMS.renew_interval_ms))
-            self.world.make(("run", seat, ""))
+            self.model.apply(Tick(TIMING.renew_interval_ms))
+            self.model.apply(Exchange(candidate))
 
-    @precondition(lambda self: self.world.flying)
-    @rule(how=st.sampled_from(["deliver", "twice"]), at=st.integers(0, 1000))
-    def one_message(self, how: str, at: int) -> None:
-        self.world.make((how, at % len(self.world.flying)))
+    @precondition(lambda self: self.model.in_flight)
+    @rule(action=st.sampled_from([DeliverMessage, DeliverDuplicate]), at=st.integers(0, 1000))
+    def one_message(self, action: type[DeliverMessage | DeliverDuplicate], at: int) -> None:
+        self.model.apply(action(at % len(self.model.in_flight)))
 
-    @precondition(lambda self: self.world.restarts_left)
-    @rule(voter=st.sampled_from(ACCEPTORS))
-    def restart(self, voter: str) -> None:
-        self.world.make(("restart", voter))
+    @precondition(lambda self: self.model.restarts_left)
+    @rule(acceptor=st.sampled_from(ACCEPTORS))
+    def restart(self, acceptor: str) -> None:
+        self.model.apply(RestartAcceptor(acceptor))
 
-    @rule(how=st.sampled_from(["write", "act"]))
-    def act_as_leader(self, how: str) -> None:
-        for name, participant in self.world.seats.items():
-            if participant.fencing_token(self.world.at(name)) is not None:
-                self.world.make((how, name))
+    @rule(action=st.sampled_from([WriteRecord, CallResource]))
+    def act_as_leader(self, action: type[WriteRecord | CallResource]) -> None:
+        for name in self.model.participants:
+            if self.model.fencing_token(name) is not None:
+                self.model.apply(action(name))
 
     @rule(last=st.booleans())
     def call_arrives(self, last: bool) -> None:
-        calls = [index for index, message in enumerate(self.world.flying) if message.to == "taker"]
+        calls = [index for index, message in enumerate(self.model.in_flight) if message.recipient == RESOURCE]
         if calls:
-            self.world.make(("twice", calls[-last]))
+            self.model.apply(DeliverDuplicate(calls[-last]))
 
     @invariant()
-    def no_rule_is_broken(self) -> None:
-        assert self.world.broken() is None, self.world.fault
+    def no_invariant_is_violated(self) -> None:
+        assert self.model.violation() is None, self.model.history.violation
 
 
 def run_randomly(examples: int, **attributes: Any) -> None:
@@ -106,7 +121,7 @@
     run_state_machine_as_test(machine, settings=settings(RUN_SETTINGS, max_examples=examples))
 
 
-def test_no_random_run_breaks_a_rule() -> None:
+def test_no_random_run_violates_an_invariant() -> None:
     run_randomly(RUNS)
 
 
@@ -114,12 +129,12 @@
     ("attributes", "violation"),
     [
         pytest.param(
-            {"voter": AcceptorWithoutSilence, "restarts": 40},
+            {"acceptor_type": AcceptorWithoutSilence, "restarts": 40},
             "hold|lost|granted",
             id="acceptor votes at once after a restart",
         ),
-        pytest.param({"seat": ParticipantWithoutRecord}, "lost", id="record not carried on"),
-        pytest.param({"kind": WorldWithoutFencing}, "act with fence", id="fencing token not checked"),
+        pytest.param({"participant_type": ParticipantWithoutRecord}, "lost", id="record not carried on"),
+        pytest.param({"model_type": ModelWithoutFencing}, "call with token", id="fencing token not checked"),
     ],
 )
 def test_finds_the_violation_of_a_mutant(attributes: dict[str, Any], violation: str) -> None:
