--- a/onyxpost/simulation/multiprocess/__init__.py
+++ b/onyxpost/simulation/multiprocess/__init__.py
@@ -1,1 +1,1 @@
-"""Real processes on loopback under faults from a seed; one checker reads what all of them wrote."""
+"""Real processes on loopback under faults drawn from a seed; a checker judges the recorded history."""
--- /dev/null
+++ b/onyxpost/simulation/multiprocess/client_invariants.py
@@ -0,0 +1,123 @@
+"""Invariants of requests as clients and app servers see them. No I/O."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
+
+from onyxpost.core.types import DeduplicationScope, Frontend, Idempotency
+from onyxpost.simulation.invariants import ANSWERS, EFFECTS
+from onyxpost.simulation.multiprocess.checker import Finding, events_of_type
+from onyxpost.simulation.multiprocess.history import (
+    DISCONNECTED,
+    TIMED_OUT,
+    AttemptNotExecuted,
+    AttemptReceived,
+    ConnectionRefused,
+    RequestUnanswered,
+    UnexpectedResponse,
+)
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator, Mapping, Sequence
+
+    from onyxpost.simulation.multiprocess.history import HistoryEvent, RequestSent
+    from onyxpost.simulation.multiprocess.process_availability import ProcessAvailability
+    from onyxpost.simulation.multiprocess.scheduling_lag import SchedulingLag
+
+ACCEPTING_AFTER_SIGTERM_MS = 400.0  # in which clients still connect
+
+
+class FailedConnection(NamedTuple):
+    """A connection of a client that a node refused or ended without a response."""
+
+    trace: str
+    node: str
+    begin_ms: float
+    end_ms: float
+    cause: str
+
+
+def responses_are_complete(
+    events: Sequence[HistoryEvent], requests: Mapping[str, RequestSent]
+) -> Iterator[Finding]:
+    """A client receives its own response, once, and nothing after it."""
+    for event in events_of_type(events, UnexpectedResponse):
+        node = requests[event.trace].node
+        yield Finding(ANSWERS, event.at_ms, node, f"request {event.trace}: {event.description}")
+
+
+def connections_are_answered(
+    events: Sequence[HistoryEvent],
+    requests: Mapping[str, RequestSent],
+    availability: ProcessAvailability,
+    lag: SchedulingLag,
+) -> Iterator[Finding]:
+    """No node that runs refuses a client or ends its connection without a response."""
+    for event in events:
+        match event:
+            case RequestUnanswered() if event.cause not in (TIMED_OUT, DISCONNECTED):
+                request = requests[event.trace]
+                failure = FailedConnection(event.trace, request.node, request.at_ms, event.at_ms, event.cause)
+            case ConnectionRefused():
+                failure = FailedConnection(event.trace, event.node, event.at_ms, event.at_ms, "refused")
+            case _:
+                continue
+        if not _is_excused(failure, availability, lag):
+            description = f"request {failure.trace}: {failure.cause} without an answer"
+            yield Finding(ANSWERS, failure.end_ms, failure.node, description)
+
+
+def _is_excused(failure: FailedConnection, availability: ProcessAvailability, lag: SchedulingLag) -> bool:
+    """Whether the node was closing or did not run; lag of the machine widens these times."""
+    lag_ms = lag.tolerance_ms + lag.total_ms(
+        failure.node, failure.begin_ms - ACCEPTING_AFTER_SIGTERM_MS, failure.end_ms
+    )
+    was_closing = any(
+        terminating.begin_ms + ACCEPTING_AFTER_SIGTERM_MS - lag_ms <= failure.begin_ms <= terminating.end_ms
+        for terminating in availability.terminating.get(failure.node, ())
+    )
+    return was_closing or availability.is_unavailable(
+        failure.node, failure.begin_ms - lag_ms, failure.end_ms + lag_ms
+    )
+
+
+def effects_are_not_repeated(
+    events: Sequence[HistoryEvent],
+    requests: Mapping[str, RequestSent],
+    frontends: Mapping[str, Frontend],
+) -> Iterator[Finding]:
+    """App servers execute a request that is not idempotent once, one with a key only in its scope again."""
+    rejected = {
+        (event.trace, event.server, event.attempt_number)
+        for event in events_of_type(events, AttemptNotExecuted)
+    }
+    first_executed: dict[str, AttemptReceived] = {}
+    for attempt in events_of_type(events, AttemptReceived):
+        if (attempt.trace, attempt.server, attempt.attempt_number) in rejected:
+            continue
+        first = first_executed.setdefault(attempt.trace, attempt)
+        request = requests.get(attempt.trace)
+        if first is attempt or request is None:
+            continue
+        if not may_execute_again(frontends[request.frontend], first, attempt):
+            description = (
+                f"request {attempt.trace} was executed at {first.server} and again at {attempt.server}"
+            )
+            yield Finding(EFFECTS, attempt.at_ms, request.node, description)
+
+
+def may_execute_again(frontend: Frontend, first: AttemptReceived, attempt: AttemptReceived) -> bool:
+    """Whether a second execution of a request has no further effect."""
+    match frontend.idempotency:
+        case Idempotency.IDEMPOTENT:
+            return True
+        case Idempotency.NON_IDEMPOTENT:
+            return False
+    match frontend.deduplication_scope:
+        case DeduplicationScope.ALL:
+            return True
+        case DeduplicationScope.ZONE:
+            return attempt.zone == first.zone
+        case DeduplicationScope.CELL:
+            return attempt.cell == first.cell
+    return False
--- a/onyxpost/simulation/multiprocess/edge_environment.py
+++ b/onyxpost/simulation/multiprocess/edge_environment.py
@@ -1,195 +1,133 @@
-"""The stage `edge`: edge nodes that gossip, stand-in app servers, a discovery for each, open-loop load."""
+"""The environment `edge`: nodes that gossip, stub app servers, a discovery stub for each node, clients."""
 
 from __future__ import annotations
 
 import asyncio
-import re
 import time
 from collections import Counter
-from collections.abc import Sequence
 from random import Random
-from typing import Any
-
-import msgspec
+from typing import TYPE_CHECKING, Any
 
 from onyxpost.config import deployment
 from onyxpost.core.types import EndpointState
 from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.simulation.deterministic.cluster import LARGEST, SETTINGS, ZONES
-from onyxpost.simulation.multiprocess.checker import Event, Judge, faults
-from onyxpost.simulation.multiprocess.edge_invariants import Edge
-from onyxpost.simulation.multiprocess.fault_proxy import base
-from onyxpost.simulation.multiprocess.fault_script import Fault
-from onyxpost.simulation.multiprocess.load_generator import Asking
-from onyxpost.simulation.multiprocess.scenario_environment import Counts, Ground, text
+from onyxpost.simulation.free_ports import ANY_PORT
+from onyxpost.simulation.multiprocess.edge_invariants import EdgeInvariants, EdgeLimits
+from onyxpost.simulation.multiprocess.edge_traffic import EdgeTrafficObserver
+from onyxpost.simulation.multiprocess.history import (
+    TIMED_OUT,
+    AttemptForwarded,
+    AttemptNotExecuted,
+    AttemptReceived,
+    ConnectionRefused,
+    RequestAnswered,
+    RequestSent,
+    RequestUnanswered,
+    ServerStarted,
+)
+from onyxpost.simulation.multiprocess.link import endpoint_of
+from onyxpost.simulation.multiprocess.load_generator import LoadGenerator
+from onyxpost.simulation.multiprocess.node_file import node_file
+from onyxpost.simulation.multiprocess.process_invariants import no_process_failures
+from onyxpost.simulation.multiprocess.run_context import format_address
 from onyxpost.simulation.stubs import Agent, AppServer, Nobody
 
-TRACE = re.compile(rb"x-trace-id: ([^\r\n]+)", re.IGNORECASE)
-STANDINGS = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.GONE}
-LATE = 0.2  # s within which each discovery hears of a change
-CORES = 4.0
-DELAY = 20.0  # ms
-
-
-class EdgeStage(Nobody):
-    def __init__(self, ground: Ground) -> None:
-        self.ground, self.net = ground, SocketTransport()
-        self.chance = Random(f"{ground.seed}/stage")
-        settings = SETTINGS | {"ordinal": 0, "n_instances": ground.scenario.nodes}
-        self.told = deployment.decode_deployment(settings)
-        self.servers = {i: self.server(i, 0) for i in range(ground.scenario.servers)}
-        self.agents = [Agent(self.net, self, i, ("127.0.0.1", 0)) for i in ground.numbers]
-        self.rows: dict[tuple[int, str], str] = {}  # where each node finds each life of a server
-        self.files: list[dict[str, Any]] = []
-        self.reach = 0
-        ground.hear = self.heard
-
-    def server(self, number: int, life: int) -> AppServer:
-        server = AppServer(self.net, self, number, life, ("127.0.0.1", 0), ZONES[number % len(ZONES)])
-        server.delay = DELAY
-        return server
-
-    async def listen(self, server: AppServer) -> None:
-        await server.open()
-        assert server.listener is not None
-        self.ground.addresses[server.host] = server.listener.sockets[0].getsockname()
-        for i in self.ground.numbers:
-            self.rows[i, server.id] = text(await self.ground.relays.tcp(f"n{i}", server.host))
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from onyxpost.simulation.multiprocess.checker import Invariant
+    from onyxpost.simulation.multiprocess.fault_script import Fault
+    from onyxpost.simulation.multiprocess.history import HistoryEvent
+    from onyxpost.simulation.multiprocess.run_context import RunContext
+    from onyxpost.simulation.multiprocess.scenario_environment import Counts
+
+DISCOVERY_DELAY_SECONDS = 0.2  # within which each discovery stub learns of a change
+SERVER_CAPACITY = 4.0  # cores
+CALL_DURATION_MS = 20.0
+MAX_SLOWDOWN_MS = 900.0  # that the fault `slow` adds, at intensity 1
+MS_PER_SECOND = 1000.0
+
+
+class EdgeEnvironment(Nobody):
+    """Stub app servers, each node's discovery stub, and clients."""
+
+    def __init__(self, context: RunContext) -> None:
+        self.context = context
+        self.transport = SocketTransport()
+        self.rng = Random(f"{context.seed}/stage")
+        settings = SETTINGS | {"ordinal": 0, "n_instances": context.scenario.nodes}
+        self.deployment = deployment.decode_deployment(settings)
+        self.servers = {index: self._create_server(index, 0) for index in range(context.scenario.servers)}
+        self.agents = [Agent(self.transport, self, index, ANY_PORT) for index in context.node_indexes]
+        self.attempts_received = 0
+        # The address at which each node finds each incarnation of a server.
+        self._server_addresses: dict[tuple[int, str], str] = {}
+        context.observe_bytes(EdgeTrafficObserver(context).observe)
 
     async def open(self) -> None:
+        """Starts the app servers, the discovery stubs and the proxies."""
+        context = self.context
         for server in self.servers.values():
-            await self.listen(server)
-        peers = await self.ground.peers()
-        for i, agent in enumerate(self.agents):
+            await self._open_server(server)
+        peers = await context.open_peer_proxies()
+        for index, agent in enumerate(self.agents):
             for server in self.servers.values():
-                agent.learn(self.row(i, server))
+                agent.learn(self._endpoint_row(index, server))
             await agent.open()
             assert agent.listener is not None
-            self.ground.addresses[f"d{i}"] = agent.listener.sockets[0].getsockname()
-            discovery = text(await self.ground.relays.tcp(f"n{i}", f"d{i}"))
-            self.files.append(
-                {
-                    "name": f"n{i}",
-                    "listen": text(self.ground.addresses[f"n{i}"]),
-                    "discovery": discovery,
-                    "seed": f"{self.ground.seed * 1000 + i:x}",
-                    "limits": {"sockets": 512},
-                    "peer_listen": text(self.ground.addresses[f"n{i}/udp"]),
-                    "peers": peers[i],
-                    "known": {"generation": agent.generation, "instances": list(agent.held.values())},
-                    "settings": SETTINGS | {"ordinal": i, "n_instances": self.ground.scenario.nodes},
-                }
-            )
-
-    def file(self, number: int) -> dict[str, Any]:
-        return self.files[number]
-
-    def row(self, node: int, server: AppServer) -> dict[str, Any]:
-        return server.row() | {"hostPort": self.rows[node, server.id]}
-
-    async def beside(self, seconds: float) -> None:
-        await Asking(self.ground, self.told.frontends, LARGEST).run(seconds)
-
-    # What is heard
-
-    def heard(self, a: str, b: str, data: bytes, passed: bool) -> None:
-        if b.startswith("s") and not passed and (trace := TRACE.search(data)):
-            server, life = (int(part) for part in b[1:].split("."))
-            self.ground.record(
-                "sent",
-                node=a,
-                trace=trace[1].decode(),
-                server=f"s{server}-{life}",
-                zone=ZONES[server % len(ZONES)],
-                cell=server % 2,
-            )
-        elif a.startswith("d") and passed and b"\r\n\r\n" in data:
-            try:
-                rows = msgspec.json.decode(data.split(b"\r\n\r\n", 1)[1])["instances"]
-            except (msgspec.DecodeError, KeyError, TypeError):
-                return
-            for row in rows:
-                standing = STANDINGS[row["lifecycle"]].value
-                self.ground.record("told", node=base(b), server=row["instanceId"], standing=standing)
-
-    def reached(self, writer: asyncio.StreamWriter, trace: str, server: AppServer) -> tuple[str, int]:
-        self.reach += 1
-        self.ground.record(
-            "reached",
-            trace=trace,
-            server=server.id,
-            zone=server.zone,
-            cell=server.number % 2,
-            number=self.reach,
-            work=DELAY,
-        )
-        return server.id, self.reach
-
-    def never_ran(self, node: str, trace: str, number: int) -> None:
-        self.ground.record("never ran", trace=trace, server=node, number=number)
-
-    # Faults of app servers
-
-    def whom(self, place: str) -> str:
-        return place
-
-    async def fault(self, fault: Fault) -> None:
-        server = self.servers[int(fault.whom[1:])]
+            context.addresses[f"d{index}"] = agent.listener.sockets[0].getsockname()
+            discovery = format_address(await context.proxy.open_tcp(f"n{index}", f"d{index}"))
+            fields = node_file(context, index, agent, discovery, peers[index])
+            fields["settings"] = SETTINGS | {"ordinal": index, "n_instances": context.scenario.nodes}
+            context.processes.set_file(f"n{index}", fields)
+
+    async def run_load(self, seconds: float) -> None:
+        """Clients send requests to all nodes."""
+        await LoadGenerator(self.context, self.deployment.frontends, LARGEST).run(seconds)
+
+    def resolve_target(self, name: str) -> str:
+        """Returns the name itself: no node has a role here."""
+        return name
+
+    async def inject_fault(self, fault: Fault) -> None:
+        """Slows an app server down, or drains it and replaces it by another process."""
+        server = self.servers[int(fault.target[1:])]
         if fault.kind == "slow":
-            server.delay = DELAY + 900.0 * fault.more
-            await asyncio.sleep(fault.lasts)
-            server.delay = DELAY
+            server.delay = CALL_DURATION_MS + MAX_SLOWDOWN_MS * fault.intensity
+            await asyncio.sleep(fault.duration_seconds)
+            server.delay = CALL_DURATION_MS
         elif fault.kind == "drain" and server.standing is EndpointState.READY:
             server.standing = EndpointState.DRAINING
-            await self.spread(server)
-            await asyncio.sleep(fault.lasts)
-            await self.renew(server)
-
-    async def spread(self, server: AppServer) -> None:
-        """Each discovery hears of it in its time."""
-        late = sorted((self.chance.uniform(0.0, LATE), i) for i in self.ground.numbers)
-        gone = 0.0
-        for after, i in late:
-            await asyncio.sleep(after - gone)
-            gone = after
-            self.agents[i].learn(self.row(i, server))
-
-    async def renew(self, old: AppServer) -> None:
-        """Another process under an id and an address of its own takes its place."""
-        assert old.listener is not None
-        old.listener.close()
-        old.standing = EndpointState.GONE
-        self.ground.relays.reset_all(base(old.host), old.host)
-        new = self.server(old.number, old.life + 1)
-        new.started = time.time() * 1000.0
-        self.ground.record("server", server=new.id, capacity=CORES, call=DELAY)
-        await self.listen(new)
-        self.servers[old.number] = new
-        await self.spread(old)
-        await self.spread(new)
-
-    # The end
-
-    def judges(self) -> Sequence[Judge]:
-        t = self.told
-        return faults, Edge(t.frontends, t.plans, t.slow_start, t.drain_grace_ms, LARGEST)
+            await self._notify_discovery(server)
+            await asyncio.sleep(fault.duration_seconds)
+            await self._replace_server(server)
+
+    def invariants(self) -> Sequence[Invariant]:
+        """Returns the invariants of requests, drains, limits and slow start, and that no process fails."""
+        settings = self.deployment
+        limits = EdgeLimits(
+            settings.frontends, settings.plans, settings.slow_start, settings.drain_grace_ms, LARGEST
+        )
+        return no_process_failures, EdgeInvariants(limits)
 
-    def counts(self, events: Sequence[Event]) -> Counts:
-        events = self.ground.events
-        finals = Counter(e["final"] for e in events if e["event"] == "answered")
-        kinds = Counter(e["event"] for e in events)
-        late = sum(e["event"] == "gone" and e["how"] == "timed out" for e in events)
+    def count(self, events: Sequence[HistoryEvent]) -> Counts:
+        """Returns the number of requests by outcome, and of attempts."""
+        kinds = Counter(type(event) for event in events)
+        outcomes = Counter(event.outcome for event in events if isinstance(event, RequestAnswered))
+        timed_out = sum(isinstance(event, RequestUnanswered) and event.cause == TIMED_OUT for event in events)
         return {
-            "asked": kinds["asked"],
-            **{f: finals[f] for f in ("passed", "denied", "aborted")},
-            "cut": kinds["gone"] - late,
-            "timed_out": late,
-            "refused": kinds["refused"],
-            "sent": kinds["sent"],
-            "reached": kinds["reached"],
+            "asked": kinds[RequestSent],
+            **{outcome: outcomes[outcome] for outcome in ("passed", "denied", "aborted")},
+            "cut": kinds[RequestUnanswered] - timed_out,
+            "timed_out": timed_out,
+            "refused": kinds[ConnectionRefused],
+            "sent": kinds[AttemptForwarded],
+            "reached": kinds[AttemptReceived],
         }
 
     async def close(self) -> None:
+        """Stops the app servers and discovery stubs."""
         for server in self.servers.values():
             if server.listener is not None:
                 server.listener.close()
@@ -198,3 +136,78 @@
                 agent.listener.close()
             for writer in list(agent.writers):
                 writer.transport.abort()
+
+    # --- called by the stubs ---
+
+    def reached(self, writer: asyncio.StreamWriter, trace: str, server: AppServer) -> tuple[str, int]:  # noqa: ARG002
+        """A request arrived at an app server; returns what `never_ran` is called with."""
+        self.attempts_received += 1
+        self.context.record(
+            AttemptReceived(
+                self.context.now_ms(),
+                trace=trace,
+                server=server.id,
+                zone=server.zone,
+                cell=server.number % 2,
+                attempt_number=self.attempts_received,
+                work_ms=CALL_DURATION_MS,
+            )
+        )
+        return server.id, self.attempts_received
+
+    def never_ran(self, node: str, trace: str, number: int) -> None:
+        """An app server rejected a request unexecuted; `node` is what `reached` returned: the server."""
+        self.context.record(
+            AttemptNotExecuted(self.context.now_ms(), trace=trace, server=node, attempt_number=number)
+        )
+
+    # --- app servers ---
+
+    def _create_server(self, index: int, incarnation: int) -> AppServer:
+        zone = ZONES[index % len(ZONES)]
+        server = AppServer(self.transport, self, index, incarnation, ANY_PORT, zone)
+        server.delay = CALL_DURATION_MS
+        return server
+
+    async def _open_server(self, server: AppServer) -> None:
+        await server.open()
+        assert server.listener is not None
+        self.context.addresses[server.host] = server.listener.sockets[0].getsockname()
+        for index in self.context.node_indexes:
+            address = await self.context.proxy.open_tcp(f"n{index}", server.host)
+            self._server_addresses[index, server.id] = format_address(address)
+
+    def _endpoint_row(self, node_index: int, server: AppServer) -> dict[str, Any]:
+        return server.row() | {"hostPort": self._server_addresses[node_index, server.id]}
+
+    async def _notify_discovery(self, server: AppServer) -> None:
+        """Each discovery stub learns of the server's state at a time of its own."""
+        delays = sorted(
+            (self.rng.uniform(0.0, DISCOVERY_DELAY_SECONDS), index) for index in self.context.node_indexes
+        )
+        elapsed_seconds = 0.0
+        for delay_seconds, index in delays:
+            await asyncio.sleep(delay_seconds - elapsed_seconds)
+            elapsed_seconds = delay_seconds
+            self.agents[index].learn(self._endpoint_row(index, server))
+
+    async def _replace_server(self, old: AppServer) -> None:
+        """Another process takes the server's place, with an id and an address of its own."""
+        assert old.listener is not None
+        old.listener.close()
+        old.standing = EndpointState.GONE
+        self.context.proxy.reset_all(endpoint_of(old.host), old.host)
+        new = self._create_server(old.number, old.life + 1)
+        new.started = time.time() * MS_PER_SECOND
+        self.context.record(
+            ServerStarted(
+                self.context.now_ms(),
+                server=new.id,
+                capacity=SERVER_CAPACITY,
+                work_per_call_ms=CALL_DURATION_MS,
+            )
+        )
+        await self._open_server(new)
+        self.servers[old.number] = new
+        await self._notify_discovery(old)
+        await self._notify_discovery(new)
--- a/onyxpost/simulation/multiprocess/edge_invariants.py
+++ b/onyxpost/simulation/multiprocess/edge_invariants.py
@@ -1,171 +1,234 @@
-"""The rules as they can be seen from outside: at clients, at relays and at app servers. Pure.
+"""Feeds the history of the environment `edge` to the shared invariant checker. No I/O.
 
-What a node sent is judged as its relay took it; what ran, as it reached the app server. The order within
-`CROSSING` ms of an answer is not known: two sockets are read in any order.
+What a node sent is judged as its fault proxy received it; what was executed, as it reached the app server.
+The order of two events within `REORDERING_MS` of an answer is not known: two sockets are read in any order.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Sequence
+from itertools import chain
+from math import inf
+from typing import TYPE_CHECKING, NamedTuple
 
-from onyxpost.core.types import (
-    DeduplicationScope,
-    EndpointState,
-    Frontend,
-    Idempotency,
-    Plan,
-    SlowStartPolicy,
+from onyxpost.simulation.invariants import InvariantChecker
+from onyxpost.simulation.multiprocess.checker import Finding, events_of_type
+from onyxpost.simulation.multiprocess.client_invariants import (
+    connections_are_answered,
+    effects_are_not_repeated,
+    responses_are_complete,
 )
-from onyxpost.simulation.invariants import ANSWERS, EFFECTS, InvariantChecker
-from onyxpost.simulation.multiprocess.checker import Away, Event, Found, Late
+from onyxpost.simulation.multiprocess.history import (
+    DISCONNECTED,
+    PROCESS_ENDS,
+    TIMED_OUT,
+    AttemptForwarded,
+    AttemptNotExecuted,
+    AttemptReceived,
+    EndpointNotified,
+    ProcessChanged,
+    RequestAnswered,
+    RequestSent,
+    RequestUnanswered,
+    ServerStarted,
+)
+from onyxpost.simulation.multiprocess.process_availability import ProcessAvailability
+from onyxpost.simulation.multiprocess.scheduling_lag import SchedulingLag
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Sequence
+
+    from onyxpost.core.types import Frontend, Plan, SlowStartPolicy
+    from onyxpost.simulation.multiprocess.history import HistoryEvent
+
+DEADLINE_TOLERANCE_MS = 50.0  # past a client's timeout
+REORDERING_MS = 30.0
+FED_EVENTS = (
+    RequestSent,
+    RequestAnswered,
+    RequestUnanswered,
+    AttemptForwarded,
+    AttemptNotExecuted,
+    AttemptReceived,
+    EndpointNotified,
+    ServerStarted,
+    ProcessChanged,
+)
+
+
+class EdgeLimits(NamedTuple):
+    """The part of the nodes' deployment that their invariants go by."""
+
+    frontends: Sequence[Frontend]
+    plans: Sequence[Plan]
+    slow_start: SlowStartPolicy
+    drain_grace_ms: float
+    max_request_units: int
+
+
+class ScheduledEvent(NamedTuple):
+    """An event and the time from which on it counts; equal times keep the order of the history."""
+
+    at_ms: float
+    position: int
+    event: HistoryEvent
+
+
+class EdgeInvariants:
+    """All invariants of edge nodes that can be checked from outside of them."""
+
+    def __init__(self, limits: EdgeLimits) -> None:
+        self.limits = limits
+        self.frontends = {frontend.name: frontend for frontend in limits.frontends}
 
-SLACK = 50.0  # ms past a client timeout
-CROSSING = 30.0  # ms
-ACCEPTS = 400.0  # ms after SIGTERM in which clients still come
+    def __call__(self, events: Sequence[HistoryEvent]) -> Iterable[Finding]:
+        """Returns where an invariant does not hold in the history of a run."""
+        availability = ProcessAvailability(events)
+        lag = SchedulingLag(events)
+        requests = {request.trace: request for request in events_of_type(events, RequestSent)}
+        feed = _CheckerFeed(self.limits, self.frontends, availability, lag)
+        return chain(
+            feed.run(events),
+            responses_are_complete(events, requests),
+            connections_are_answered(events, requests, availability, lag),
+            effects_are_not_repeated(events, requests, self.frontends),
+        )
 
 
-class Edge:
-    """One run's judge, by the deployment that its nodes were told."""
+class _CheckerFeed:
+    """Passes one history on to one `InvariantChecker`, each event at the time from which on it counts."""
 
     def __init__(
         self,
-        frontends: Iterable[Frontend],
-        plans: Iterable[Plan],
-        cold: SlowStartPolicy,
-        grace: float,
-        largest: int,
+        limits: EdgeLimits,
+        frontends: dict[str, Frontend],
+        availability: ProcessAvailability,
+        lag: SchedulingLag,
     ) -> None:
-        self.frontends = {f.name: f for f in frontends}
-        self.plans, self.cold, self.grace, self.largest = list(plans), cold, grace, largest
-
-    def __call__(self, events: Sequence[Event]) -> Found:
-        away, late = Away(events), Late(events)
-        lag = late.slack
-        checker = InvariantChecker(
-            grace=self.grace, cold=self.cold, plans=self.plans, slack=SLACK + lag, largest=self.largest
+        self.limits = limits
+        self.frontends = frontends
+        self.availability = availability
+        self.lag = lag
+        self.requests: dict[str, RequestSent] = {}
+        self.checker = InvariantChecker(
+            grace=limits.drain_grace_ms,
+            cold=limits.slow_start,
+            plans=limits.plans,
+            slack=DEADLINE_TOLERANCE_MS + lag.tolerance_ms,
+            largest=limits.max_request_units,
         )
-        told: dict[str, Event] = {}
-        play: dict[str, Callable[[Event], None]] = {
-            "asked": lambda e: self.asked(checker, told, away, late, e),
-            "answered": lambda e: self.answered(checker, told, e),
-            "sent": lambda e: self.sent(checker, told, e),
-            "never ran": lambda e: self.never_ran(checker, told, e),
-            "told": lambda e: checker.on_endpoint_notified(
-                e["t"], e["node"], e["server"], EndpointState(e["standing"])
-            ),
-            "process": lambda e: self.process(checker, e),
-            "gone": lambda e: self.gone(checker, told, e),
-            "server": lambda e: checker.on_server_started(e["t"], e["server"], e["capacity"], e["call"]),
-            "reached": lambda e: self.reached(checker, told, e),
-        }
-        moved = [
-            (self.moment(e, away, late), i, e)
-            for i, e in enumerate(events)
-            if e["event"] in play and not (e["event"] == "told" and self.unheard(e, away))
-        ]
-        for t, _, event in sorted(moved, key=lambda one: one[:2]):
-            checker.check_deadlines(t - CROSSING - lag)  # answers are read that much later
-            play[event["event"]](event | {"t": t} if event["event"] == "told" else event)
-        checker.finish(float("inf"))
-        last = float(events[-1]["t"]) if events else 0.0
-        found = [
-            (b.rule, min(b.at, last), b.node, f"req {b.req} {b.server}: {b.what}") for b in checker.violations
-        ]
-        return found + self.outside(events, told, away, late) + self.ran(events, told)
 
-    def moment(self, event: Event, away: Away, late: Late) -> float:
-        t = float(event["t"])
-        if event["event"] == "told":
-            t = away.back(event["node"], t)
-            return t + late.within(event["node"], t, t + self.grace + SLACK)
-        return t + CROSSING + late.slack if event["event"] in ("answered", "gone") else t
-
-    def asked(
-        self, checker: InvariantChecker, told: dict[str, Event], away: Away, late: Late, e: Event
-    ) -> None:
-        told[e["trace"]] = e
-        f = self.frontends[e["frontend"]]
-        leaves = e["t"] + f.client_timeout_ms
-        checker.on_request_received(e["t"], e["node"], e["trace"], f, e["customer"], e["units"], leaves)
-        if away.within(e["node"], e["t"], leaves + SLACK) or late.within(e["node"], e["t"], leaves + SLACK):
-            checker.excuse_answer(e["node"], e["trace"])  # nothing is owed in time by who does not run
-
-    def answered(self, checker: InvariantChecker, told: dict[str, Event], e: Event) -> None:
-        asked = told[e["trace"]]
-        checker.on_final_answer(e["t"], asked["node"], e["trace"], e["final"])
-
-    def sent(self, checker: InvariantChecker, told: dict[str, Event], e: Event) -> None:
-        asked = told.get(e["trace"])
-        if asked is not None:  # else of an earlier run
-            zone, cell = e["zone"], e["cell"]
-            checker.on_attempt_sent(
-                e["t"], e["node"], e["trace"], e["server"], zone, cell, asked["plan"], e["t"]
+    def run(self, events: Sequence[HistoryEvent]) -> list[Finding]:
+        """Returns the checker's violations, none of them later than the last event."""
+        scheduled = sorted(
+            ScheduledEvent(self._counts_from_ms(event), position, event)
+            for position, event in enumerate(events)
+            if isinstance(event, FED_EVENTS) and not self._is_lost(event)
+        )
+        for at_ms, _, event in scheduled:
+            # Answers are read later by so much, so deadlines are checked for that earlier time.
+            self.checker.check_deadlines(at_ms - REORDERING_MS - self.lag.tolerance_ms)
+            self._feed(at_ms, event)
+        self.checker.finish(inf)
+        last_ms = events[-1].at_ms if events else 0.0
+        return [
+            Finding(
+                violation.rule,
+                min(violation.at, last_ms),
+                violation.node,
+                f"request {violation.req} {violation.server}: {violation.what}",
             )
+            for violation in self.checker.violations
+        ]
 
-    def never_ran(self, checker: InvariantChecker, told: dict[str, Event], e: Event) -> None:
-        asked = told.get(e["trace"])
-        taken = checker.requests.get((asked["node"], e["trace"])) if asked is not None else None
-        for number, sent in enumerate(taken.sent if taken is not None else ()):
-            if sent.server == e["server"] and sent.may_have_run:
-                checker.on_attempt_ended(
-                    e["t"], taken.node if taken is not None else "", e["trace"], number, True
+    def _is_lost(self, event: HistoryEvent) -> bool:
+        """Whether the event was meant for a node that was dead."""
+        return isinstance(event, EndpointNotified) and self.availability.is_dead(event.node, event.at_ms)
+
+    def _counts_from_ms(self, event: HistoryEvent) -> float:
+        match event:
+            case EndpointNotified():
+                read_at_ms = self.availability.available_from(event.node, event.at_ms)
+                latest_ms = read_at_ms + self.limits.drain_grace_ms + DEADLINE_TOLERANCE_MS
+                return read_at_ms + self.lag.total_ms(event.node, read_at_ms, latest_ms)
+            case RequestAnswered() | RequestUnanswered():
+                return event.at_ms + REORDERING_MS + self.lag.tolerance_ms
+        return event.at_ms
+
+    def _feed(self, at_ms: float, event: HistoryEvent) -> None:
+        match event:
+            case RequestSent():
+                self._on_request_sent(event)
+            case RequestAnswered():
+                node = self.requests[event.trace].node
+                self.checker.on_final_answer(event.at_ms, node, event.trace, event.outcome)
+            case RequestUnanswered():
+                self._on_request_unanswered(event)
+            case AttemptForwarded():
+                self._on_attempt_forwarded(event)
+            case AttemptNotExecuted():
+                self._on_attempt_not_executed(event)
+            case AttemptReceived():
+                self._on_attempt_received(event)
+            case EndpointNotified():
+                self.checker.on_endpoint_notified(at_ms, event.node, event.server, event.state)
+            case ServerStarted():
+                self.checker.on_server_started(
+                    event.at_ms, event.server, event.capacity, event.work_per_call_ms
                 )
+            case ProcessChanged() if event.change in PROCESS_ENDS:
+                self.checker.on_node_killed(event.at_ms, event.node)
+
+    def _on_request_sent(self, event: RequestSent) -> None:
+        self.requests[event.trace] = event
+        frontend = self.frontends[event.frontend]
+        deadline_ms = event.at_ms + frontend.client_timeout_ms
+        self.checker.on_request_received(
+            event.at_ms, event.node, event.trace, frontend, event.customer, event.units, deadline_ms
+        )
+        latest_ms = deadline_ms + DEADLINE_TOLERANCE_MS
+        if self.availability.is_unavailable(event.node, event.at_ms, latest_ms) or self.lag.has_long_lag(
+            event.node, event.at_ms, latest_ms
+        ):
+            self.checker.excuse_answer(event.node, event.trace)
+
+    def _on_request_unanswered(self, event: RequestUnanswered) -> None:
+        """A timeout is judged by the client's deadline, an error by `connections_are_answered`."""
+        node = self.requests[event.trace].node
+        if event.cause == DISCONNECTED:
+            self.checker.on_client_disconnected(event.at_ms, node, event.trace)
+        elif event.cause != TIMED_OUT:
+            self.checker.excuse_answer(node, event.trace)
+
+    def _on_attempt_forwarded(self, event: AttemptForwarded) -> None:
+        request = self.requests.get(event.trace)
+        if request is None:  # of a run before a restart
+            return
+        self.checker.on_attempt_sent(
+            event.at_ms,
+            event.node,
+            event.trace,
+            event.server,
+            event.zone,
+            event.cell,
+            request.plan,
+            event.at_ms,
+        )
+
+    def _on_attempt_not_executed(self, event: AttemptNotExecuted) -> None:
+        """Marks the first attempt at that server that may have been executed."""
+        request = self.requests.get(event.trace)
+        if request is None:
+            return
+        record = self.checker.requests.get((request.node, event.trace))
+        if record is None:
+            return
+        for index, attempt in enumerate(record.sent):
+            if attempt.server == event.server and attempt.may_have_run:
+                self.checker.on_attempt_ended(event.at_ms, record.node, event.trace, index, True)
                 return
 
-    def process(self, checker: InvariantChecker, e: Event) -> None:
-        if e["what"] in ("killed", "crashed", "left"):
-            checker.on_node_killed(e["t"], e["node"])
-
-    def gone(self, checker: InvariantChecker, told: dict[str, Event], e: Event) -> None:
-        """Cut or timed out: judged in `outside`, and by the client timeout. One that left is gone."""
-        if e["how"] == "left":
-            checker.on_client_disconnected(e["t"], told[e["trace"]]["node"], e["trace"])
-        elif e["how"] != "timed out":
-            checker.excuse_answer(told[e["trace"]]["node"], e["trace"])
-
-    def reached(self, checker: InvariantChecker, told: dict[str, Event], e: Event) -> None:
-        asked = told.get(e["trace"])
-        node = asked["node"] if asked else ""
-        checker.on_work_received(e["t"], e["server"], e["work"], node, e["trace"])
-        checker.on_call_received(e["t"], e["server"], node, e["trace"])
-
-    def unheard(self, e: Event, away: Away) -> bool:
-        return any(a <= e["t"] <= b for a, b in away.dead.get(e["node"], ()))
-
-    def outside(self, events: Sequence[Event], told: dict[str, Event], away: Away, late: Late) -> Found:
-        """Connections that ended without an answer or brought more than one; those not taken at all."""
-        found: Found = []
-        for e in events:
-            if e["event"] == "more":
-                found.append((ANSWERS, e["t"], told[e["trace"]]["node"], f"req {e['trace']}: {e['what']}"))
-            if e["event"] not in ("gone", "refused") or e.get("how") in ("timed out", "left"):
-                continue
-            asked = told[e["trace"]] if e["event"] == "gone" else e
-            node, begin = asked["node"], float(asked["t"])
-            lag = late.slack + late.within(node, begin - ACCEPTS, float(e["t"]))
-            leaving = any(a + ACCEPTS - lag <= begin <= b for a, b in away.leaving.get(node, ()))
-            if not leaving and not away.within(node, begin - lag, float(e["t"]) + lag):
-                how = e.get("how", "refused")
-                found.append((ANSWERS, e["t"], node, f"req {e['trace']}: {how} without an answer"))
-        return found
-
-    def ran(self, events: Sequence[Event], told: dict[str, Event]) -> Found:
-        """At the app servers: what must not run twice; what may, only within its group."""
-        found: Found = []
-        never = {(e["trace"], e["server"], e["number"]) for e in events if e["event"] == "never ran"}
-        first: dict[str, Event] = {}
-        for e in events:
-            if e["event"] != "reached" or (e["trace"], e["server"], e["number"]) in never:
-                continue
-            before, asked = first.setdefault(e["trace"], e), told.get(e["trace"])
-            f = self.frontends[asked["frontend"]] if asked is not None else None
-            if before is e or f is None or f.idempotency is Idempotency.IDEMPOTENT:
-                continue
-            inside = (
-                f.deduplication_scope is DeduplicationScope.ALL
-                or e[f.deduplication_scope.value] == before[f.deduplication_scope.value]
-            )
-            if f.idempotency is Idempotency.NON_IDEMPOTENT or not inside:
-                what = f"req {e['trace']} ran at {before['server']} and again at {e['server']}"
-                found.append((EFFECTS, e["t"], asked["node"] if asked else "", what))
-        return found
+    def _on_attempt_received(self, event: AttemptReceived) -> None:
+        request = self.requests.get(event.trace)
+        node = request.node if request is not None else ""
+        self.checker.on_work_received(event.at_ms, event.server, event.work_ms, node, event.trace)
+        self.checker.on_call_received(event.at_ms, event.server, node, event.trace)
--- a/onyxpost/simulation/multiprocess/environments.py
+++ b/onyxpost/simulation/multiprocess/environments.py
@@ -1,21 +1,41 @@
-"""The stages by name, each loaded only where it is played."""
+"""The environments by name; each is imported only where it is used."""
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 from onyxpost.simulation.multiprocess.errors import InvalidScenarioError
-from onyxpost.simulation.multiprocess.scenario_environment import Ground, Stage
 
-NAMES = ("edge", "duties")
+if TYPE_CHECKING:
+    from onyxpost.simulation.multiprocess.run_context import RunContext
+    from onyxpost.simulation.multiprocess.scenario import Scenario
+    from onyxpost.simulation.multiprocess.scenario_environment import Environment
+
+EDGE = "edge"
+LEADERSHIP = "leadership"
+OLD_NAMES = {"duties": LEADERSHIP}  # in scenario files of earlier builds
+
+
+def environment_name(scenario: Scenario) -> str:
+    """Returns the present name of a scenario's environment."""
+    return OLD_NAMES.get(scenario.environment, scenario.environment)
+
 
+def create_environment(context: RunContext) -> Environment:
+    """Returns the environment of a run.
 
-def made(ground: Ground) -> Stage:
-    if ground.scenario.stage == "edge":
-        from onyxpost.simulation.multiprocess.edge_environment import EdgeStage
+    Raises:
+        InvalidScenarioError: the scenario names none that there is.
+    """
+    match environment_name(context.scenario):
+        case "edge":
+            from onyxpost.simulation.multiprocess.edge_environment import EdgeEnvironment
 
-        return EdgeStage(ground)
-    if ground.scenario.stage == "duties":
-        from onyxpost.simulation.multiprocess.leadership_environment import DutyStage
+            return EdgeEnvironment(context)
+        case "leadership":
+            from onyxpost.simulation.multiprocess.leadership_environment import LeadershipEnvironment
 
-        return DutyStage(ground)
-    why = f"no stage {ground.scenario.stage!r}; there are {', '.join(NAMES)} - at `$.stage`"
-    raise InvalidScenarioError(why, ground.scenario.name)
+            return LeadershipEnvironment(context)
+        case name:
+            what = f"no environment {name!r}; there are {EDGE}, {LEADERSHIP} - at `$.stage`"
+            raise InvalidScenarioError(what, context.scenario.name)
--- a/onyxpost/simulation/multiprocess/errors.py
+++ b/onyxpost/simulation/multiprocess/errors.py
@@ -1,4 +1,4 @@
-"""What the rig tells an operator when it cannot play."""
+"""Errors of the multi-process simulation that an operator sees."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class InvalidScenarioError(InvalidSimulationInputError):
-    """A scenario, a kept script or a bound that cannot be played."""
+    """A scenario, a fault script or an option is not valid."""
 
     remedy = "name a shipped scenario or a TOML file as docs/rig.md has it; 1 to 64 nodes, up to 600 s"
 
 
 class ProcessNotReadyError(InvalidSimulationInputError):
-    """A process of the program did not come to listen."""
+    """A process of the program does not listen."""
 
     remedy = "read the process's log, kept with --kept DIR; fewer --nodes on a busy machine"
--- a/onyxpost/simulation/multiprocess/fenced_resource.py
+++ b/onyxpost/simulation/multiprocess/fenced_resource.py
@@ -1,7 +1,7 @@
-"""Who takes acts: a stand-in that keeps the highest fence of each duty and refuses lower ones. I/O.
+"""A stub of a resource that leaders call: it accepts no lower fencing token than it has seen. I/O.
 
-`POST /acts/DUTY` with `Fence: N`, `Holder: name` and a body: 200, or 409 where a higher fence was seen; both
-say the highest in `Fence`. Anything else is 400 with 0. Every act is recorded with its time.
+`POST /acts/ROLE` with `Fence: TOKEN`, `Holder: NODE` and a body is answered 200, or 409 where a higher token
+was seen; `Fence` of the response has the highest one. Anything else is answered 400 with token 0.
 """
 
 from __future__ import annotations
@@ -9,74 +9,130 @@
 import asyncio
 import contextlib
 import re
-from collections.abc import Callable
+from typing import TYPE_CHECKING, NamedTuple
 
 import h11
 
 from onyxpost.runtime.http1 import encode_message
-from onyxpost.simulation.stubs import whole
+from onyxpost.simulation.free_ports import LOOPBACK
+from onyxpost.simulation.multiprocess.history import FencedCallReceived
+from onyxpost.simulation.stubs import whole as read_request
 
-DUTY = re.compile(rb"/acts/([A-Za-z0-9_.-]{1,100})")
-BODY_MOST = 65536
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
+    from onyxpost.config.address import Address
 
-class Taker:
-    """`record` is told each act; `careless`: a planted bug, fences are not looked at."""
+TARGET = re.compile(rb"/acts/([A-Za-z0-9_.-]{1,100})")
+MAX_BODY_BYTES = 65536
+MAX_TOKEN_DIGITS = 19
+RECORDED_BODY_BYTES = 200
+ACCEPTED_STATUS = 200
+MALFORMED_STATUS = 400
+STALE_TOKEN_STATUS = 409
 
-    def __init__(self, record: Callable[..., None], careless: bool = False) -> None:
-        self.record, self.careless = record, careless
-        self.highest: dict[str, int] = {}
-        self.acts = self.refused = 0
-        self.server: asyncio.Server | None = None
 
-    async def open(self) -> tuple[str, int]:
-        self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
-        host, port = self.server.sockets[0].getsockname()
+class FencedCall(NamedTuple):
+    """A leader's call."""
+
+    role: str
+    fencing_token: int
+    leader: str
+    body: bytes
+
+
+def decode_call(head: h11.Request, body: bytes) -> FencedCall | None:
+    """Returns the call of a request; None if the request is malformed."""
+    headers = dict(head.headers)
+    target = TARGET.fullmatch(head.target)
+    token = headers.get(b"fence", b"")
+    leader = headers.get(b"holder", b"")
+    if target is None or head.method != b"POST" or not leader:
+        return None
+    if not token.isdigit() or len(token) > MAX_TOKEN_DIGITS:
+        return None
+    return FencedCall(target[1].decode(), int(token), leader.decode("latin-1"), body)
+
+
+class FencedResource:
+    """Keeps the highest fencing token of each role.
+
+    Args:
+        on_call: is called with the event of each call.
+        now_ms: the clock of the events.
+        checks_tokens: False is a mutation that accepts any token.
+    """
+
+    def __init__(
+        self,
+        on_call: Callable[[FencedCallReceived], None],
+        now_ms: Callable[[], float],
+        *,
+        checks_tokens: bool = True,
+    ) -> None:
+        self.on_call = on_call
+        self.now_ms = now_ms
+        self.checks_tokens = checks_tokens
+        self.highest_tokens: dict[str, int] = {}
+        self.accepted_calls = 0
+        self.rejected_calls = 0
+        self._listener: asyncio.Server | None = None
+
+    async def open(self) -> Address:
+        """Starts to listen; returns the address."""
+        self._listener = await asyncio.start_server(self._serve, LOOPBACK, 0)
+        host, port = self._listener.sockets[0].getsockname()
         return host, port
 
     def close(self) -> None:
-        if self.server is not None:
-            self.server.close()
-
-    def take(self, duty: str, fence: int, holder: str, body: bytes) -> bool:
-        highest = self.highest.get(duty, 0)
-        accepted = fence >= highest or self.careless
-        self.highest[duty] = max(highest, fence)
-        self.acts += accepted
-        self.refused += not accepted
-        self.record(
-            "act",
-            duty=duty,
-            fence=fence,
-            holder=holder,
-            accepted=accepted,
-            highest=self.highest[duty],
-            body=body[:200].decode("latin-1"),
+        """Stops to listen."""
+        if self._listener is not None:
+            self._listener.close()
+
+    def handle_call(self, call: FencedCall) -> bool:
+        """Records a call; returns whether it is accepted."""
+        highest = self.highest_tokens.get(call.role, 0)
+        is_accepted = call.fencing_token >= highest or not self.checks_tokens
+        self.highest_tokens[call.role] = max(highest, call.fencing_token)
+        if is_accepted:
+            self.accepted_calls += 1
+        else:
+            self.rejected_calls += 1
+        self.on_call(
+            FencedCallReceived(
+                self.now_ms(),
+                leader=call.leader,
+                role=call.role,
+                fencing_token=call.fencing_token,
+                accepted=is_accepted,
+                highest_token=self.highest_tokens[call.role],
+                body=call.body[:RECORDED_BODY_BYTES].decode("latin-1"),
+            )
         )
-        return accepted
+        return is_accepted
 
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         http = h11.Connection(h11.SERVER)
         with contextlib.suppress(OSError, h11.ProtocolError, asyncio.CancelledError):
-            while await self.one(http, reader, writer):
+            while await self._answer_next(http, reader, writer):
                 http.start_next_cycle()
         writer.close()
 
-    async def one(
+    async def _answer_next(
         self, http: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        came = await whole(http, reader, BODY_MOST)
-        if came is None:
+        """Answers one request; returns whether another one may follow on the connection."""
+        received = await read_request(http, reader, MAX_BODY_BYTES)
+        if received is None:
             return False
-        head, body = came
-        named = dict(head.headers)
-        found = DUTY.fullmatch(head.target)
-        fence, holder = named.get(b"fence", b""), named.get(b"holder", b"")
-        status, duty = 400, ""
-        if found is not None and head.method == b"POST" and fence.isdigit() and len(fence) < 20 and holder:
-            duty = found[1].decode()
-            status = 200 if self.take(duty, int(fence), holder.decode("latin-1"), body) else 409
-        headers = [("Fence", str(self.highest.get(duty, 0))), ("Content-Length", "0")]
+        call = decode_call(*received)
+        if call is None:
+            status = MALFORMED_STATUS
+            highest = 0
+        else:
+            status = ACCEPTED_STATUS if self.handle_call(call) else STALE_TOKEN_STATUS
+            highest = self.highest_tokens[call.role]
+        headers = [("Fence", str(highest)), ("Content-Length", "0")]
         writer.write(encode_message(http, h11.Response(status_code=status, headers=headers)))
         await writer.drain()
         return http.our_state is h11.DONE and http.their_state is h11.DONE
--- /dev/null
+++ b/onyxpost/simulation/multiprocess/history.py
@@ -0,0 +1,175 @@
+"""The events of a run's history, as the simulation itself records them.
+
+Field names on disk are those of `history.jsonl` of earlier builds. Times are in milliseconds since all nodes
+served, by the machine's one monotonic clock; events before that moment have time 0.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+from msgspec import field
+
+from onyxpost.core.types import EndpointState
+from onyxpost.simulation.process_group import ProcessChange
+
+PROCESS_ENDS = (ProcessChange.KILLED, ProcessChange.CRASHED, ProcessChange.EXITED)
+
+
+class HistoryEvent(msgspec.Struct, frozen=True, tag_field="event"):
+    """Something that happened at a moment of the run."""
+
+    at_ms: float = field(name="t")
+
+
+# --- clients ---
+
+
+class RequestSent(HistoryEvent, frozen=True, kw_only=True, tag="asked"):
+    """A client connected to a node and sends a request."""
+
+    node: str
+    trace: str
+    frontend: str
+    customer: str
+    plan: str
+    units: int
+
+
+class RequestAnswered(HistoryEvent, frozen=True, kw_only=True, tag="answered"):
+    """A client has read a complete response."""
+
+    trace: str
+    outcome: str = field(name="final")
+
+
+class ConnectionRefused(HistoryEvent, frozen=True, kw_only=True, tag="refused"):
+    """A client could not connect to a node."""
+
+    node: str
+    trace: str
+
+
+class RequestUnanswered(HistoryEvent, frozen=True, kw_only=True, tag="gone"):
+    """A client's connection ended without a response.
+
+    `cause` is `TIMED_OUT`, `DISCONNECTED` (the client itself closed it), or names the error.
+    """
+
+    trace: str
+    cause: str = field(name="how")
+
+
+TIMED_OUT = "timed out"
+DISCONNECTED = "left"
+
+
+class UnexpectedResponse(HistoryEvent, frozen=True, kw_only=True, tag="more"):
+    """A response had another request's body, or bytes came after it."""
+
+    trace: str
+    description: str = field(name="what")
+
+
+# --- fault proxies and stub app servers ---
+
+
+class AttemptForwarded(HistoryEvent, frozen=True, kw_only=True, tag="sent"):
+    """A fault proxy received a node's request to an app server."""
+
+    node: str
+    trace: str
+    server: str
+    zone: str
+    cell: int
+
+
+class AttemptReceived(HistoryEvent, frozen=True, kw_only=True, tag="reached"):
+    """A request reached an app server."""
+
+    trace: str
+    server: str
+    zone: str
+    cell: int
+    attempt_number: int = field(name="number")
+    work_ms: float = field(name="work")
+
+
+class AttemptNotExecuted(HistoryEvent, frozen=True, kw_only=True, tag="never ran"):
+    """An app server rejected a request that it had received, without executing it."""
+
+    trace: str
+    server: str
+    attempt_number: int = field(name="number")
+
+
+class EndpointNotified(HistoryEvent, frozen=True, kw_only=True, tag="told"):
+    """A fault proxy passed an app server's state from discovery on to a node."""
+
+    node: str
+    server: str
+    state: EndpointState = field(name="standing")
+
+
+class ServerStarted(HistoryEvent, frozen=True, kw_only=True, tag="server"):
+    """An app server was started; `capacity` is the work in ms that it does in one ms when warm."""
+
+    server: str
+    capacity: float
+    work_per_call_ms: float = field(name="call")
+
+
+# --- the fenced resource ---
+
+
+class FencedCallSent(HistoryEvent, frozen=True, kw_only=True, tag="act sent"):
+    """A fault proxy received a leader's call to the fenced resource."""
+
+    node: str
+    role: str = field(name="duty")
+    fencing_token: int = field(name="fence")
+
+
+class FencedCallReceived(HistoryEvent, frozen=True, kw_only=True, tag="act"):
+    """A leader's call reached the fenced resource; `highest_token` is the role's highest one after it."""
+
+    leader: str = field(name="holder")
+    role: str = field(name="duty")
+    fencing_token: int = field(name="fence")
+    accepted: bool
+    highest_token: int = field(name="highest", default=0)
+    body: str = ""
+
+
+# --- the simulation itself ---
+
+
+class ProcessChanged(HistoryEvent, frozen=True, kw_only=True, tag="process"):
+    """A node's process was started or signalled, or ended."""
+
+    node: str
+    change: ProcessChange = field(name="what")
+
+
+class LagMeasured(HistoryEvent, frozen=True, kw_only=True, tag="lag", omit_defaults=True):
+    """The machine delayed a node's process, or the simulation's own loop if no node is named."""
+
+    lag_ms: float = field(name="ms")
+    node: str = ""
+
+
+class FaultStarted(HistoryEvent, frozen=True, kw_only=True, tag="fault played"):
+    """A fault of the script was started; `target` is the node or link that it was resolved to."""
+
+    index: int = field(name="number")
+    kind: str
+    target: str = field(name="whom")
+    duration_seconds: float = field(name="lasts")
+
+
+class HistoryRecord(msgspec.Struct, frozen=True):
+    """One line of `history.jsonl`, and the event that it is decoded to; None: no invariant reads it."""
+
+    line: dict[str, Any]
+    event: HistoryEvent | None
--- a/onyxpost/simulation/multiprocess/leadership_environment.py
+++ b/onyxpost/simulation/multiprocess/leadership_environment.py
@@ -1,182 +1,150 @@
-"""The stage `duties`: nodes that hold duties and act on one taker, each by a relay of its own. No reqs."""
+"""The environment `leadership`: nodes that lead roles and call one fenced resource. No requests are sent."""
 
 from __future__ import annotations
 
-import asyncio
-import re
-from collections.abc import Sequence
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from onyxpost.leadership.service_log import LEASE_ACQUIRED, RECORD_COMMITTED
 from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.simulation.deterministic.cluster import SETTINGS
-from onyxpost.simulation.multiprocess import leadership_invariants
-from onyxpost.simulation.multiprocess.checker import Event, Judge, faults
-from onyxpost.simulation.multiprocess.fault_proxy import Manner
-from onyxpost.simulation.multiprocess.fault_script import VOTERS, Fault
-from onyxpost.simulation.multiprocess.fenced_resource import Taker
-from onyxpost.simulation.multiprocess.leadership_eras import Eras
-from onyxpost.simulation.multiprocess.leadership_failover import handed, words_a_second
-from onyxpost.simulation.multiprocess.leadership_mutations import CARELESS
-from onyxpost.simulation.multiprocess.scenario_environment import Counts, Ground, text
+from onyxpost.simulation.free_ports import ANY_PORT
+from onyxpost.simulation.multiprocess.fault_script import ACCEPTOR_COUNT
+from onyxpost.simulation.multiprocess.fenced_resource import FencedResource
+from onyxpost.simulation.multiprocess.leadership_failover import failover_durations_ms, messages_per_second
+from onyxpost.simulation.multiprocess.leadership_faults import LeadershipFaults
+from onyxpost.simulation.multiprocess.leadership_invariants import LEADERSHIP_INVARIANTS
+from onyxpost.simulation.multiprocess.leadership_mutations import RESOURCE_MUTATIONS, current_name
+from onyxpost.simulation.multiprocess.leadership_traffic import FencedCallObserver
+from onyxpost.simulation.multiprocess.node_file import node_file
+from onyxpost.simulation.multiprocess.node_log import LeadershipAcquired, RecordCommitted
+from onyxpost.simulation.multiprocess.process_invariants import no_process_failures
+from onyxpost.simulation.multiprocess.recovery_epochs import RecoveryEpochsJustified
+from onyxpost.simulation.multiprocess.run_context import format_address
 from onyxpost.simulation.stubs import Agent, Nobody
 
-ACT = re.compile(rb"POST /acts/(\S+) .*?\r\nfence: (\d+)\r\n", re.IGNORECASE | re.DOTALL)
-SKEW = 200.0  # ms
-EVERY = 200.0  # ms between a holder's acts
-LATER = 3.0  # s more in which another holder may come to act, before what is held up is let go
-HELD_UP = 1_000_000  # number of a late act's manner: after those of the script
-
-
-class DutyStage(Nobody):
-    def __init__(self, ground: Ground) -> None:
-        self.ground = ground
-        self.duties = [f"d{i}" for i in range(max(1, ground.scenario.duties))]
-        self.lease = ground.scenario.lease_s * 1000.0
-        self.taker = Taker(self.record, careless=ground.plant == CARELESS)
-        self.agent = Agent(SocketTransport(), self, 0, ("127.0.0.1", 0))
-        self.holders: dict[str, str] = {}  # whose act was taken last
-        self.sent: dict[str, int] = {}  # pieces of acts that each node's relay took
-        self.late = 0
-        self.files: list[dict[str, Any]] = []
-        ground.hear = self.heard
-
-    def record(self, event: str, **fields: Any) -> None:
-        if event == "act" and fields["accepted"]:
-            self.holders[fields["duty"]] = fields["holder"]
-        self.ground.record(event, **fields)
-
-    def heard(self, a: str, b: str, data: bytes, passed: bool) -> None:
-        if b == "s0" and not passed:
-            self.sent[a] = self.sent.get(a, 0) + 1
-            if (act := ACT.search(data)) is not None:
-                self.ground.record("act sent", node=a, duty=act[1].decode(), fence=int(act[2]))
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from onyxpost.simulation.multiprocess.checker import Invariant
+    from onyxpost.simulation.multiprocess.fault_script import Fault
+    from onyxpost.simulation.multiprocess.history import FencedCallReceived, HistoryEvent
+    from onyxpost.simulation.multiprocess.run_context import RunContext
+    from onyxpost.simulation.multiprocess.scenario_environment import Counts
+
+SKEW_MS = 200.0  # bound of the difference between two clocks, in the nodes' files
+DRIFT = 0.01  # bound of the error of a clock's rate, in the nodes' files
+CALL_INTERVAL_MS = 200.0  # between a leader's fenced calls
+REPORT_VALIDITY_LEASES = 3.0  # for how many leases and skews an acceptor goes by a report of another one
+MS_PER_SECOND = 1000.0
+# No request is sent, but a node must know an app server.
+UNUSED_SERVER = {
+    "instanceId": "s-1",
+    "hostPort": "127.0.0.1:9",
+    "zone": "a",
+    "cell": 0,
+    "lifecycle": "up",
+    "startedAtMs": 0,
+}
+
+
+class LeadershipEnvironment(Nobody):
+    """The fenced resource, which each node reaches by a proxy of its own, and one discovery stub."""
+
+    def __init__(self, context: RunContext) -> None:
+        self.context = context
+        self.roles = [f"d{index}" for index in range(max(1, context.scenario.roles))]
+        self.lease_ms = context.scenario.lease_seconds * MS_PER_SECOND
+        self.acceptors = context.node_names[:ACCEPTOR_COUNT]
+        checks_tokens = current_name(context.script.mutation) not in RESOURCE_MUTATIONS
+        self.resource = FencedResource(self._on_fenced_call, context.now_ms, checks_tokens=checks_tokens)
+        self.agent = Agent(SocketTransport(), self, 0, ANY_PORT)
+        self.leaders: dict[str, str] = {}  # the node whose call was accepted last, by role
+        self.calls = FencedCallObserver(context)
+        self.faults = LeadershipFaults(context, self.acceptors, self.leaders, self.calls.pieces_sent)
+        context.observe_bytes(self.calls.observe)
 
     async def open(self) -> None:
-        ground, numbers = self.ground, self.ground.numbers
-        ground.addresses["s0"] = await self.taker.open()
-        self.agent.learn(
-            {
-                "instanceId": "s-1",
-                "hostPort": "127.0.0.1:9",
-                "zone": "a",
-                "cell": 0,
-                "lifecycle": "up",
-                "startedAtMs": 0,
-            }
-        )
+        """Starts the fenced resource, the discovery stub and the proxies."""
+        context = self.context
+        context.addresses["s0"] = await self.resource.open()
+        self.agent.learn(UNUSED_SERVER)
         await self.agent.open()
         assert self.agent.listener is not None
-        discovery = text(self.agent.listener.sockets[0].getsockname())
-        fleet, udp = await ground.fleet(), [text(ground.addresses[f"n{i}/udp"]) for i in numbers]
-        for i in numbers:
-            duties = {
-                "version": 1,
-                "voters": [f"n{j}" for j in range(min(VOTERS, len(numbers)))],
-                "names": self.duties,
-                "lease_ms": self.lease,
-                "drift": 0.01,
-                "skew_ms": SKEW,
-                "acts": text(await ground.relays.tcp(f"n{i}", "s0")),
-                "act_ms": EVERY,
-            }
-            members = {f"n{j}": fleet[i][j] for j in numbers}
-            self.files.append(
-                {
-                    "name": f"n{i}",
-                    "listen": text(ground.addresses[f"n{i}"]),
-                    "discovery": discovery,
-                    "seed": f"{ground.seed * 1000 + i:x}",
-                    "limits": {"sockets": 512},
-                    "peer_listen": udp[i],
-                    "peers": [udp[i]],
-                    "known": {
-                        "generation": self.agent.generation,
-                        "instances": list(self.agent.held.values()),
-                    },
-                    "settings": SETTINGS | {"ordinal": 0, "n_instances": 1},
-                    "fleet": {
-                        "version": 1,
-                        "listen": text(ground.addresses[f"n{i}/fleet"]),
-                        "members": members,
-                    },
-                    "duties": duties,
-                }
-            )
-
-    def file(self, number: int) -> dict[str, Any]:
-        return self.files[number]
-
-    async def beside(self, seconds: float) -> None:
-        """Holders act by themselves."""
-
-    def whom(self, place: str) -> str:
-        if not place.startswith("h"):
-            return place
-        number = int(place[1:])
-        return self.holders.get(self.duties[number % len(self.duties)], f"n{number % len(self.files)}")
-
-    # Faults
-
-    async def fault(self, fault: Fault) -> None:
+        discovery = format_address(self.agent.listener.sockets[0].getsockname())
+        cluster_addresses = await context.open_cluster_proxies()
+        for index in context.node_indexes:
+            own_udp = format_address(context.addresses[f"n{index}/udp"])
+            fields = node_file(context, index, self.agent, discovery, [own_udp])
+            fields["settings"] = SETTINGS | {"ordinal": 0, "n_instances": 1}
+            fields["fleet"] = self._cluster_section(index, cluster_addresses[index])
+            fields["duties"] = await self._leadership_section(index)
+            context.processes.set_file(f"n{index}", fields)
+
+    async def run_load(self, seconds: float) -> None:
+        """Leaders call the fenced resource by themselves."""
+
+    def resolve_target(self, name: str) -> str:
+        """Returns the node that leads a role now, as the resource knows it; for `h1` that of role 1."""
+        if not name.startswith("h"):
+            return name
+        index = int(name[1:])
+        role = self.roles[index % len(self.roles)]
+        return self.leaders.get(role, f"n{index % self.context.scenario.nodes}")
+
+    async def inject_fault(self, fault: Fault) -> None:
+        """Kills acceptors, or delays a leader's fenced call."""
         if fault.kind == "voters-killed":
-            voters = [i for i in range(min(VOTERS, len(self.files))) if f"n{i}" != fault.whom]
-            await asyncio.gather(*(self.kill(i, fault) for i in voters))
+            await self.faults.kill_acceptors(fault, self.lease_ms)
         elif fault.kind == "late-act":
-            await self.late_act(fault)
-
-    async def kill(self, number: int, fault: Fault) -> None:
-        """All of them within `more` of a lease."""
-        await asyncio.sleep(fault.more * self.lease / 1000.0 * number / VOTERS)
-        if await self.ground.processes.kill(f"n{number}"):
-            await asyncio.sleep(fault.lasts)
-            await self.ground.boot(f"n{number}")
-
-    async def late_act(self, fault: Fault) -> None:
-        """An act is on its way as its holder stops; it comes once another has acted."""
-        name, processes = fault.whom, self.ground.processes
-        held = [duty for duty, holder in self.holders.items() if holder == name]
-        way, before = self.ground.relays.way(name, "s0"), self.sent.get(name, 0)
-        self.late += 1
-        number = HELD_UP + self.late
-        way.put(number, Manner(stall=True))
-        try:
-            await self.until(lambda: self.sent.get(name, 0) > before, 3.0 * EVERY / 1000.0)
-            if processes.stop(name):
-                await asyncio.sleep(fault.lasts)
-                await self.until(lambda: all(self.holders[duty] != name for duty in held), LATER)
-        finally:
-            way.put(number, None)
-            await asyncio.sleep(0.05)
-            processes.go_on(name)
-
-    async def until(self, true: Any, seconds: float) -> None:
-        end = self.ground.now() + seconds * 1000.0
-        while not true() and self.ground.now() < end:
-            await asyncio.sleep(0.01)
-
-    # The end
-
-    def judges(self) -> Sequence[Judge]:
-        voters = [f"n{i}" for i in range(min(VOTERS, len(self.files)))]
-        return faults, *leadership_invariants.JUDGES, Eras(voters, 3.0 * (self.lease + SKEW))
-
-    def counts(self, events: Sequence[Event]) -> Counts:
-        kinds = [str(e["event"]) for e in events]
-        told: Counts = {
-            "held": kinds.count(LEASE_ACQUIRED),
-            "wrote": kinds.count(RECORD_COMMITTED),
-            "acts": self.taker.acts,
-            "refused_by_fence": self.taker.refused,
-            "words_a_second": words_a_second(events),
+            await self.faults.delay_fenced_call(fault, CALL_INTERVAL_MS)
+
+    def invariants(self) -> Sequence[Invariant]:
+        """Returns the invariants of leader election, and that no process fails."""
+        report_validity_ms = REPORT_VALIDITY_LEASES * (self.lease_ms + SKEW_MS)
+        epochs = RecoveryEpochsJustified(self.acceptors, report_validity_ms)
+        return no_process_failures, *LEADERSHIP_INVARIANTS, epochs
+
+    def count(self, events: Sequence[HistoryEvent]) -> Counts:
+        """Returns the number of elections, committed records and calls, and the durations of failovers."""
+        counts: Counts = {
+            "held": sum(isinstance(event, LeadershipAcquired) for event in events),
+            "wrote": sum(isinstance(event, RecordCommitted) for event in events),
+            "acts": self.resource.accepted_calls,
+            "refused_by_fence": self.resource.rejected_calls,
+            "words_a_second": messages_per_second(events),
         }
-        for kind, times in handed(events, self.lease).items():
-            told[f"{kind}_ms"] = sorted(times)
-        return told
+        for fault, durations_ms in failover_durations_ms(events, self.lease_ms).items():
+            counts[f"{fault}_ms"] = sorted(durations_ms)
+        return counts
 
     async def close(self) -> None:
-        self.taker.close()
+        """Stops the fenced resource and the discovery stub."""
+        self.resource.close()
         if self.agent.listener is not None:
             self.agent.listener.close()
         for writer in list(self.agent.writers):
             writer.transport.abort()
+
+    def _on_fenced_call(self, call: FencedCallReceived) -> None:
+        if call.accepted:
+            self.leaders[call.role] = call.leader
+        self.context.record(call)
+
+    def _cluster_section(self, index: int, addresses: list[str]) -> dict[str, Any]:
+        return {
+            "version": 1,
+            "listen": format_address(self.context.addresses[f"n{index}/fleet"]),
+            "members": dict(zip(self.context.node_names, addresses, strict=True)),
+        }
+
+    async def _leadership_section(self, index: int) -> dict[str, Any]:
+        resource = await self.context.proxy.open_tcp(f"n{index}", "s0")
+        return {
+            "version": 1,
+            "voters": self.acceptors,
+            "names": self.roles,
+            "lease_ms": self.lease_ms,
+            "drift": DRIFT,
+            "skew_ms": SKEW_MS,
+            "acts": format_address(resource),
+            "act_ms": CALL_INTERVAL_MS,
+        }
--- a/onyxpost/simulation/multiprocess/leadership_failover.py
+++ b/onyxpost/simulation/multiprocess/leadership_failover.py
@@ -1,52 +1,94 @@
-"""From a run's events: how long until a duty is held again after its holder's fault; words a second. Pure."""
+"""Figures of leader election, from the history: durations of failovers, and rate of messages. No I/O."""
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+from typing import TYPE_CHECKING, NamedTuple
 
-from onyxpost.leadership.service_log import STATISTICS
-from onyxpost.simulation.multiprocess.checker import Event
-from onyxpost.simulation.multiprocess.leadership_invariants import holdings
+from onyxpost.simulation.multiprocess.checker import events_of_type
+from onyxpost.simulation.multiprocess.history import FaultStarted, ProcessChanged
+from onyxpost.simulation.multiprocess.leadership_terms import leadership_terms
+from onyxpost.simulation.multiprocess.node_log import LeadershipStatistics
+from onyxpost.simulation.process_group import ProcessChange
 
-SLACK = 100.0  # ms
-FAULTS = {"terminated": "term", "killed": "kill", "stopped": "stop"}
+if TYPE_CHECKING:
+    from collections.abc import Sequence
 
+    from onyxpost.simulation.multiprocess.history import HistoryEvent
+    from onyxpost.simulation.multiprocess.leadership_terms import LeadershipTerm
 
-def hurt(events: Sequence[Event]) -> list[tuple[float, str, str]]:
-    """Moment, node, kind: SIGTERM, kill, stop, and cut off from all other nodes; but for the run's end."""
-    last = max((float(e["t"]) for e in events if e["event"] == "fault played"), default=0.0)
-    found = []
+KEPT_ROLE_TOLERANCE_MS = 100.0  # past the lease, in which a leader that is back may still log its end
+SHUTDOWN_MS = 1000.0  # after the start of the last fault; signals after that belong to the end of the run
+MS_PER_SECOND = 1000.0
+FAULT_NAMES = {
+    ProcessChange.TERMINATING: "term",
+    ProcessChange.KILLED: "kill",
+    ProcessChange.PAUSED: "stop",
+}
+ISOLATION = "cut"
+
+
+class LeaderFault(NamedTuple):
+    """A fault that may end a node's leadership; `name` is a key of the run's counts."""
+
+    at_ms: float
+    node: str
+    name: str
+
+
+def leader_faults(events: Sequence[HistoryEvent]) -> list[LeaderFault]:
+    """Returns SIGTERM, SIGKILL, SIGSTOP and isolation of nodes, but for the signals at the end of the run."""
+    last_fault_ms = max((event.at_ms for event in events_of_type(events, FaultStarted)), default=0.0)
+    found: list[LeaderFault] = []
     for event in events:
-        t = float(event["t"])
-        if event["event"] == "process" and event["what"] in FAULTS and t <= last + 1000.0:
-            found.append((t, event["node"], FAULTS[event["what"]]))
-        elif event["event"] == "fault played" and event["kind"] == "alone":
-            found.append((t, event["whom"], "cut"))
+        match event:
+            case ProcessChanged() if (
+                event.change in FAULT_NAMES and event.at_ms <= last_fault_ms + SHUTDOWN_MS
+            ):
+                found.append(LeaderFault(event.at_ms, event.node, FAULT_NAMES[event.change]))
+            case FaultStarted(kind="alone"):
+                found.append(LeaderFault(event.at_ms, event.target, ISOLATION))
     return found
 
 
-def handed(events: Sequence[Event], lease: float) -> dict[str, list[int]]:
-    """By kind, ms until the next `held`, for each duty held at that moment. Left out: a holder that was back
-    in time (`lease` ms) and kept its duty, and a duty that nobody held again before the end."""
-    found: dict[str, list[int]] = {}
-    for t, node, kind in hurt(events):
-        for all_ in holdings(events).values():
-            mine = [h for h in all_ if h.node == node and h.begin <= t and h.end >= t]
-            after = [h.begin for h in all_ if h.begin > t]
-            if mine and after and all(h.end <= t + lease + SLACK for h in mine):
-                found.setdefault(kind, []).append(round(min(after) - t))
-    return found
+def failover_durations_ms(events: Sequence[HistoryEvent], lease_ms: float) -> dict[str, list[int]]:
+    """Returns by fault how long each role of the affected leader was without a new leader.
 
+    Left out are leaders that were back within a lease and kept the role, and roles that nobody led again
+    before the end of the run.
+    """
+    terms_by_role = leadership_terms(events)
+    durations: dict[str, list[int]] = {}
+    for fault in leader_faults(events):
+        for terms in terms_by_role.values():
+            duration_ms = _failover_duration_ms(fault, terms, lease_ms)
+            if duration_ms is not None:
+                durations.setdefault(fault.name, []).append(round(duration_ms))
+    return durations
 
-def words_a_second(events: Sequence[Event]) -> int:
-    """Between the first and the last line of figures of each node's lives; 0 where there are not two."""
-    lives: dict[tuple[str, str], list[Event]] = {}
-    for event in events:
-        if event["event"] == STATISTICS:
-            lives.setdefault((event["node"], str(event.get("life", ""))), []).append(event)
-    rates: list[float] = [
-        (lines[-1]["sent"] - lines[0]["sent"]) / (lines[-1]["t"] - lines[0]["t"]) * 1000.0
-        for lines in lives.values()
-        if len(lines) > 1 and lines[-1]["sent"] >= lines[0]["sent"]
+
+def _failover_duration_ms(
+    fault: LeaderFault, terms: Sequence[LeadershipTerm], lease_ms: float
+) -> float | None:
+    affected = [term for term in terms if term.node == fault.node and term.contains(fault.at_ms)]
+    later_begins_ms = [term.begin_ms for term in terms if term.begin_ms > fault.at_ms]
+    latest_end_ms = fault.at_ms + lease_ms + KEPT_ROLE_TOLERANCE_MS
+    if not affected or not later_begins_ms or any(term.end_ms > latest_end_ms for term in affected):
+        return None
+    return min(later_begins_ms) - fault.at_ms
+
+
+def messages_per_second(events: Sequence[HistoryEvent]) -> int:
+    """Returns the messages that all nodes sent in a second.
+
+    They are counted between the first and the last statistics line of each incarnation; one that wrote fewer
+    than two lines counts as 0.
+    """
+    lines_by_incarnation: dict[tuple[str, int | str], list[LeadershipStatistics]] = {}
+    for line in events_of_type(events, LeadershipStatistics):
+        lines_by_incarnation.setdefault((line.node, line.incarnation), []).append(line)
+    rates = [
+        (lines[-1].sent - lines[0].sent) / (lines[-1].at_ms - lines[0].at_ms) * MS_PER_SECOND
+        for lines in lines_by_incarnation.values()
+        if len(lines) > 1 and lines[-1].sent >= lines[0].sent
     ]
     return round(sum(rates))
--- a/onyxpost/simulation/multiprocess/leadership_invariants.py
+++ b/onyxpost/simulation/multiprocess/leadership_invariants.py
@@ -1,137 +1,175 @@
-"""The rules of duties: one acting holder, fences that only grow, confirmed writes kept. Pure.
-
-Nodes write `{"event": E, "role": R, "fencing_token": T, "monotonic_ms": ms}` with the events of
-`onyxpost.leadership.service_log`: `LEASE_ACQUIRED` (with `sequence` and `record` of what was read, and its
-`era`, Unix ms: what was committed before it may be missing), `LEASE_LOST` (`ended_ms_ago`: ms since the lease
-was over by the node's clock, if it was), `RECORD_COMMITTED` (`sequence`, `record`). `monotonic_ms` is
-`time.monotonic()`: one clock for all processes of a machine. The relays write
-`{"event": "act sent", "node", "duty", "fence"}`, the taker
-`{"event": "act", "duty", "fence", "holder", "accepted"}`.
+"""Invariants of leader election. No I/O.
+
+They read the nodes' logs (`node_log.py`; all processes of a machine have one monotonic clock), what the fault
+proxies saw leave a node, and what the fenced resource received.
 """
 
 from __future__ import annotations
 
-from collections.abc import Sequence
-
-from onyxpost.leadership.service_log import LEASE_ACQUIRED, LEASE_LOST, RECORD_COMMITTED
-from onyxpost.simulation.multiprocess.checker import LONG, Away, Event, Found, Late
-
-HOLDERS, FENCES, RECORDS = "one holder", "fences", "records"
-
-
-class Held:
-    def __init__(self, node: str, fence: int, begin: float, number: int, record: str, era: float) -> None:
-        self.node, self.fence, self.begin, self.end = node, fence, begin, float("inf")
-        self.number, self.record, self.era = number, record, era
-
-
-def holdings(events: Sequence[Event]) -> dict[str, list[Held]]:
-    """By duty, each from its `held` to its `lost`, or to the end of the process."""
-    found: dict[str, list[Held]] = {}
-    for event in events:
-        t, node = float(event["t"]), str(event.get("node", ""))
-        if event["event"] == "process" and event["what"] in ("killed", "crashed", "left"):
-            for held in (one for all_ in found.values() for one in all_):
-                if held.node == node:
-                    held.end = min(held.end, t)
-        elif event["event"] == LEASE_ACQUIRED:
-            number, record = int(event.get("sequence", 0)), str(event.get("record", ""))
-            one = Held(node, int(event["fencing_token"]), t, number, record, float(event.get("era", 0)))
-            found.setdefault(event["role"], []).append(one)
-        elif event["event"] == LEASE_LOST:
-            for held in found.get(event["role"], ()):
-                if held.node == node and held.end == float("inf"):
-                    held.end = t - float(event.get("ended_ms_ago", 0.0))
-    return found
-
-
-def one_holder(events: Sequence[Event]) -> Found:
-    """At no moment do two act. While a process is stopped, or just awake, it does not."""
-    away, found = Away(events), []
-    for duty, all_ in holdings(events).items():
-        parts = sorted(
-            (begin, end, held.node, held.fence)
-            for held in all_
-            for begin, end in _without(held.begin, held.end, away.spans.get(held.node, []))
+from typing import TYPE_CHECKING, NamedTuple
+
+from onyxpost.simulation.multiprocess.checker import Finding, Invariant, events_of_type
+from onyxpost.simulation.multiprocess.history import FencedCallReceived, FencedCallSent
+from onyxpost.simulation.multiprocess.leadership_terms import LeadershipTerm, leadership_terms
+from onyxpost.simulation.multiprocess.node_log import LeadershipAcquired, RecordCommitted
+from onyxpost.simulation.multiprocess.process_availability import ProcessAvailability
+from onyxpost.simulation.multiprocess.scheduling_lag import LONG_LAG_MS, SchedulingLag
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator, Sequence
+
+    from onyxpost.simulation.multiprocess.history import HistoryEvent
+    from onyxpost.simulation.multiprocess.process_availability import Interval
+
+SINGLE_LEADER = "single leader"
+FENCING_TOKENS = "fencing tokens"
+COMMITTED_RECORDS = "committed records"
+
+
+class ActiveSpan(NamedTuple):
+    """A part of a leadership term in which the leader's process ran; ordered by its begin."""
+
+    begin_ms: float
+    end_ms: float
+    node: str
+    fencing_token: int
+
+
+def single_leader(events: Sequence[HistoryEvent]) -> Iterator[Finding]:
+    """At no moment do two nodes lead a role; a node whose process is paused or just resumed does not lead."""
+    availability = ProcessAvailability(events)
+    for role, terms in leadership_terms(events).items():
+        spans = sorted(
+            span for term in terms for span in active_spans(term, availability.unavailable.get(term.node, []))
         )
-        latest: tuple[float, float, str, int] | None = None
-        for part in parts:
-            if latest is not None and part[0] < latest[1] and part[2] != latest[2]:
-                what = f"holds {duty} with fence {part[3]}, and so does {latest[2]} with {latest[3]}"
-                found.append((HOLDERS, part[0], part[2], what))
-            if latest is None or part[1] > latest[1]:
-                latest = part
-    return found
-
-
-def _without(begin: float, end: float, spans: Sequence[tuple[float, float]]) -> list[tuple[float, float]]:
-    parts = []
-    for a, b in sorted(spans):
-        if begin < a < end:
-            parts.append((begin, a))
-        if a <= end and b > begin:
-            begin = max(begin, b)
-    return [*parts, (begin, end)] if begin < end else parts
-
-
-def after_its_end(events: Sequence[Event]) -> Found:
-    """What a node says of its lease's end is held against what left it: no act later, also not just awake."""
-    late, found = Late(events), []
-    ends = {(duty, h.node, h.fence): h.end for duty, all_ in holdings(events).items() for h in all_}
-    for event in events:
-        if event["event"] != "act sent":
+        latest: ActiveSpan | None = None
+        for span in spans:
+            if latest is not None and span.begin_ms < latest.end_ms and span.node != latest.node:
+                description = (
+                    f"leads {role} with fencing token {span.fencing_token},"
+                    f" and so does {latest.node} with {latest.fencing_token}"
+                )
+                yield Finding(SINGLE_LEADER, span.begin_ms, span.node, description)
+            if latest is None or span.end_ms > latest.end_ms:
+                latest = span
+
+
+def active_spans(term: LeadershipTerm, unavailable: Sequence[Interval]) -> list[ActiveSpan]:
+    """Returns the parts of a term outside of the intervals in which its node did not run."""
+    spans: list[ActiveSpan] = []
+    begin_ms = term.begin_ms
+    for interval in sorted(unavailable):
+        if begin_ms < interval.begin_ms < term.end_ms:
+            spans.append(ActiveSpan(begin_ms, interval.begin_ms, term.node, term.fencing_token))
+        if interval.begin_ms <= term.end_ms and interval.end_ms > begin_ms:
+            begin_ms = max(begin_ms, interval.end_ms)
+    if begin_ms < term.end_ms:
+        spans.append(ActiveSpan(begin_ms, term.end_ms, term.node, term.fencing_token))
+    return spans
+
+
+def no_call_after_lease(events: Sequence[HistoryEvent]) -> Iterator[Finding]:
+    """No fenced call leaves a node after its lease, also just resumed; the end is the one that it logged."""
+    lag = SchedulingLag(events)
+    ends_ms = {
+        (role, term.node, term.fencing_token): term.end_ms
+        for role, terms in leadership_terms(events).items()
+        for term in terms
+    }
+    for call in events_of_type(events, FencedCallSent):
+        end_ms = ends_ms.get((call.role, call.node, call.fencing_token))
+        if end_ms is None or call.at_ms <= end_ms + LONG_LAG_MS + lag.tolerance_ms:
+            continue
+        if not lag.has_long_lag(call.node, end_ms, call.at_ms):
+            description = (
+                f"calls for {call.role} with fencing token {call.fencing_token},"
+                f" {call.at_ms - end_ms:.0f} ms after its lease ended"
+            )
+            yield Finding(SINGLE_LEADER, call.at_ms, call.node, description)
+
+
+def tokens_of_terms_increase(events: Sequence[HistoryEvent]) -> Iterator[Finding]:
+    """Each term of a role has a higher fencing token than all terms before it."""
+    highest: dict[str, LeadershipAcquired] = {}
+    for acquired in events_of_type(events, LeadershipAcquired):
+        previous = highest.get(acquired.role)
+        if previous is not None and acquired.fencing_token <= previous.fencing_token:
+            description = (
+                f"leads {acquired.role} with fencing token {acquired.fencing_token}"
+                f" after {previous.node} had {previous.fencing_token}"
+            )
+            yield Finding(FENCING_TOKENS, acquired.at_ms, acquired.node, description)
+        if previous is None or _token_and_node(acquired) > _token_and_node(previous):
+            highest[acquired.role] = acquired
+
+
+def _token_and_node(acquired: LeadershipAcquired) -> tuple[int, str]:
+    return acquired.fencing_token, acquired.node
+
+
+def accepted_tokens_never_decrease(events: Sequence[HistoryEvent]) -> Iterator[Finding]:
+    """The fenced resource accepts no lower token than before, and each token from one leader only."""
+    latest: dict[str, FencedCallReceived] = {}
+    for call in events_of_type(events, FencedCallReceived):
+        if not call.accepted:
+            continue
+        previous = latest.setdefault(call.role, call)
+        accepted = f"a call for {call.role} with fencing token {call.fencing_token}"
+        if call.fencing_token < previous.fencing_token:
+            description = f"{accepted} was accepted after {previous.fencing_token} of {previous.leader}"
+            yield Finding(FENCING_TOKENS, call.at_ms, call.leader, description)
             continue
-        t, node, duty = float(event["t"]), str(event["node"]), str(event["duty"])
-        end = ends.get((duty, node, int(event["fence"])), float("inf"))
-        if t > end + LONG + late.slack and not late.within(node, end, t):
-            what = f"acts for {duty} with fence {event['fence']}, {t - end:.0f} ms after its lease's end"
-            found.append((HOLDERS, t, node, what))
-    return found
-
-
-def fences(events: Sequence[Event]) -> Found:
-    """Each holding has a fence of its own above all earlier; who takes acts never goes back."""
-    found: Found = []
-    given: dict[str, tuple[int, str]] = {}
-    taken: dict[str, tuple[int, str]] = {}
-    for event in events:
-        if event["event"] == LEASE_ACQUIRED:
-            duty, fence, node = event["role"], int(event["fencing_token"]), str(event["node"])
-            if duty in given and fence <= given[duty][0]:
-                what = f"holds {duty} with fence {fence} after {given[duty][1]} had {given[duty][0]}"
-                found.append((FENCES, event["t"], node, what))
-            given[duty] = max(given.get(duty, (0, "")), (fence, node))
-        elif event["event"] == "act" and event["accepted"]:
-            duty, fence, holder = event["duty"], int(event["fence"]), str(event["holder"])
-            highest, whose = taken.get(duty, (0, holder))
-            if fence < highest:
-                what = f"an act for {duty} with fence {fence} was taken after {highest} of {whose}"
-                found.append((FENCES, event["t"], holder, what))
-            elif fence == highest and holder != whose:
-                what = f"an act for {duty} with fence {fence}, which is {whose}'s, was taken"
-                found.append((FENCES, event["t"], holder, what))
-            if fence >= highest:
-                taken[duty] = fence, holder
-    return found
-
-
-def records(events: Sequence[Event]) -> Found:
-    """What was confirmed to a holder, each one with a higher fence has read, or what came after it."""
-    found: Found = []
-    written: dict[str, list[tuple[int, int, str, float]]] = {}
-    for event in events:
-        if event["event"] == RECORD_COMMITTED:
-            at = float(event.get("at", event["t"]))
-            one = int(event["fencing_token"]), int(event["sequence"]), str(event.get("record", "")), at
-            written.setdefault(event["role"], []).append(one)
-    for duty, all_ in holdings(events).items():
-        for held in all_:
-            before = [(n, r) for f, n, r, at in written.get(duty, ()) if f < held.fence and at >= held.era]
-            number, record = max(before, default=(0, ""))
-            if held.number < number or (held.number == number and number and held.record != record):
-                what = f"took {duty} with record {held.number}, and {number} had been confirmed"
-                found.append((RECORDS, held.begin, held.node, what))
-    return found
-
-
-JUDGES = (one_holder, after_its_end, fences, records)
+        if call.fencing_token == previous.fencing_token and call.leader != previous.leader:
+            description = f"{accepted}, which is {previous.leader}'s, was accepted"
+            yield Finding(FENCING_TOKENS, call.at_ms, call.leader, description)
+        latest[call.role] = call
+
+
+def committed_records_survive(events: Sequence[HistoryEvent]) -> Iterator[Finding]:
+    """Each leader has read what earlier leaders committed, or what replaced it.
+
+    Records that were committed before the recovery epoch that the leader read may be missing.
+    """
+    committed: dict[str, list[RecordCommitted]] = {}
+    for record in events_of_type(events, RecordCommitted):
+        committed.setdefault(record.role, []).append(record)
+    for role, terms in leadership_terms(events).items():
+        for term in terms:
+            read = term.acquired
+            newest = _newest_committed_before(read, committed.get(role, []))
+            if newest is None or not _is_missing(newest, read):
+                continue
+            description = (
+                f"leads {role} with record {read.sequence}, and {newest.sequence} had been committed"
+            )
+            yield Finding(COMMITTED_RECORDS, term.begin_ms, term.node, description)
+
+
+def _newest_committed_before(
+    read: LeadershipAcquired, committed: Sequence[RecordCommitted]
+) -> RecordCommitted | None:
+    candidates = [
+        record
+        for record in committed
+        if record.fencing_token < read.fencing_token and record.committed_at_ms >= read.recovery_epoch_ms
+    ]
+    if not candidates:
+        return None
+    return max(candidates, key=lambda record: (record.sequence, record.record))
+
+
+def _is_missing(newest: RecordCommitted, read: LeadershipAcquired) -> bool:
+    if newest.sequence == 0:
+        return False
+    return read.sequence < newest.sequence or (
+        read.sequence == newest.sequence and read.record != newest.record
+    )
+
+
+LEADERSHIP_INVARIANTS: tuple[Invariant, ...] = (
+    single_leader,
+    no_call_after_lease,
+    tokens_of_terms_increase,
+    accepted_tokens_never_decrease,
+    committed_records_survive,
+)
--- a/onyxpost/simulation/multiprocess/leadership_mutations.py
+++ b/onyxpost/simulation/multiprocess/leadership_mutations.py
@@ -1,64 +1,113 @@
-"""Bugs of duties, to see that they are found: put into the program's classes in a process of the rig."""
+"""Mutations of leader election: known bugs that the invariants must find (mutation testing)."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
+from functools import wraps
+from math import inf
+from typing import TYPE_CHECKING, Any
 
 from msgspec.structs import replace
 
+from onyxpost.leadership.acceptor import Acceptor
 from onyxpost.leadership.ballots import NO_BALLOT
 from onyxpost.leadership.candidate import Candidate
 from onyxpost.leadership.leader import Leader
 from onyxpost.leadership.protocol import EMPTY_RECORD
-from onyxpost.node.edge_node import EdgeNode
 from onyxpost.node.extensions import ClusterExtension, find_extension
+from onyxpost.simulation.multiprocess.fenced_resource import FencedResource
 
-CARELESS = "careless"  # the taker's: fences are not looked at
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
+    from onyxpost.leadership.effects import Effect
+    from onyxpost.node.edge_node import EdgeNode
 
-def _careless(program: EdgeNode) -> None:
-    """Nothing in the nodes."""
 
+@dataclass(frozen=True, slots=True)
+class LeadershipMutation:
+    """A known bug.
 
-def _forgets(program: EdgeNode) -> None:
-    """A voter that restarted with nothing votes at once."""
-    cluster = find_extension(program.extensions, ClusterExtension)
-    assert cluster is not None
-    assert cluster.leadership is not None
-    for voter in cluster.leadership.registry.acceptors.values():
-        voter.is_voting = True
-        voter.recovery = None
-        voter.promised = NO_BALLOT
-
-
-def _overstays(program: EdgeNode) -> None:
-    """A holder that does not know its lease's end."""
-    put: Any = Leader
-    made = Leader.__init__
-
-    def endless(self: Leader, *given: Any) -> None:
-        made(self, *given)
-        self.lease_ends_at_ms = float("inf")
-
-    put.__init__ = endless
+    Attributes:
+        name: on the command line and in scripts.
+        old_name: the name that scripts of earlier builds have.
+        seam: the function whose behavior is changed.
+        inject: changes it, in the process of a node that is about to run; None: the node itself is unchanged.
+    """
 
+    name: str
+    old_name: str
+    seam: Callable[..., Any]
+    inject: Callable[[EdgeNode], None] | None
 
-def _begins_anew(program: EdgeNode) -> None:
-    """A holder that does not carry the record on."""
-    put: Any = Candidate
-    asked = Candidate.request_acceptance
 
-    def without(self: Candidate, now: float) -> Any:
-        self.promises = {name: replace(p, record=EMPTY_RECORD) for name, p in self.promises.items()}
-        return asked(self, now)
-
-    put.request_acceptance = without
+def _vote_without_recovery(node: EdgeNode) -> None:
+    """An acceptor that restarted without state votes at once."""
+    cluster = find_extension(node.extensions, ClusterExtension)
+    assert cluster is not None
+    assert cluster.leadership is not None
+    for acceptor in cluster.leadership.registry.acceptors.values():
+        acceptor.is_voting = True
+        acceptor.recovery = None
+        acceptor.promised = NO_BALLOT
+
+
+def _ignore_lease_expiry(node: EdgeNode) -> None:  # noqa: ARG001 - changes a class
+    """A leader does not notice the end of its lease."""
+    initialize = Leader.__init__
+
+    @wraps(initialize)
+    def initialize_without_expiry(self: Leader, *arguments: Any, **options: Any) -> None:  # noqa: ANN401 - passed on
+        initialize(self, *arguments, **options)
+        self.lease_ends_at_ms = inf
+
+    _replace_method(Leader, initialize, initialize_without_expiry)
+
+
+def _drop_committed_record(node: EdgeNode) -> None:  # noqa: ARG001 - changes a class
+    """A new leader starts with an empty record instead of the committed one."""
+    request_acceptance = Candidate.request_acceptance
+
+    @wraps(request_acceptance)
+    def request_with_empty_record(self: Candidate, now_ms: float) -> list[Effect]:
+        self.promises = {
+            name: replace(promise, record=EMPTY_RECORD) for name, promise in self.promises.items()
+        }
+        return request_acceptance(self, now_ms)
+
+    _replace_method(Candidate, request_acceptance, request_with_empty_record)
+
+
+def _replace_method(owner: type, method: Callable[..., Any], replacement: Callable[..., Any]) -> None:
+    setattr(owner, method.__name__, replacement)
+
+
+IGNORE_FENCING_TOKENS = LeadershipMutation(
+    "ignore-fencing-tokens", "careless", FencedResource.handle_call, inject=None
+)
+VOTE_WITHOUT_RECOVERY = LeadershipMutation(
+    "vote-without-recovery", "forgets", Acceptor.handle, _vote_without_recovery
+)
+IGNORE_LEASE_EXPIRY = LeadershipMutation(
+    "ignore-lease-expiry", "overstays", Leader.__init__, _ignore_lease_expiry
+)
+DROP_COMMITTED_RECORD = LeadershipMutation(
+    "drop-committed-record", "begins-anew", Candidate.request_acceptance, _drop_committed_record
+)
+
+LEADERSHIP_MUTATIONS = {
+    mutation.name: mutation
+    for mutation in (
+        IGNORE_FENCING_TOKENS,
+        VOTE_WITHOUT_RECOVERY,
+        IGNORE_LEASE_EXPIRY,
+        DROP_COMMITTED_RECORD,
+    )
+}
+RESOURCE_MUTATIONS = frozenset({IGNORE_FENCING_TOKENS.name})  # of the fenced resource, not of the nodes
+_CURRENT_NAMES = {mutation.old_name: mutation.name for mutation in LEADERSHIP_MUTATIONS.values()}
 
 
-PLANTS: dict[str, Callable[[EdgeNode], None] | None] = {
-    CARELESS: _careless,
-    "forgets": _forgets,
-    "overstays": _overstays,
-    "begins-anew": _begins_anew,
-}
+def current_name(name: str) -> str:
+    """Returns the present name of a mutation that was given by its present or its old name."""
+    return _CURRENT_NAMES.get(name, name)
--- /dev/null
+++ b/onyxpost/simulation/multiprocess/leadership_terms.py
@@ -0,0 +1,72 @@
+"""Which node led which role when, from the history. No I/O."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from math import inf
+from typing import TYPE_CHECKING
+
+from onyxpost.simulation.multiprocess.history import PROCESS_ENDS, ProcessChanged
+from onyxpost.simulation.multiprocess.node_log import LeadershipAcquired, LeadershipLost
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Sequence
+
+    from onyxpost.simulation.multiprocess.history import HistoryEvent
+
+
+@dataclass(slots=True)
+class LeadershipTerm:
+    """A node's leadership of a role, from the node's log.
+
+    It ends when the lease ends by the node's clock, when the node gives it up, or with the process.
+    """
+
+    acquired: LeadershipAcquired
+    end_ms: float = inf
+
+    @property
+    def node(self) -> str:
+        """The leader."""
+        return self.acquired.node
+
+    @property
+    def begin_ms(self) -> float:
+        """When the node was elected."""
+        return self.acquired.at_ms
+
+    @property
+    def fencing_token(self) -> int:
+        """The number of the elected ballot."""
+        return self.acquired.fencing_token
+
+    def contains(self, at_ms: float) -> bool:
+        """Whether the node led the role at the moment."""
+        return self.begin_ms <= at_ms <= self.end_ms
+
+
+def leadership_terms(events: Sequence[HistoryEvent]) -> dict[str, list[LeadershipTerm]]:
+    """Returns the terms of each role, in the order in which they began."""
+    terms: dict[str, list[LeadershipTerm]] = {}
+    for event in events:
+        match event:
+            case LeadershipAcquired():
+                terms.setdefault(event.role, []).append(LeadershipTerm(event))
+            case LeadershipLost():
+                _end_open_terms(terms.get(event.role, ()), event)
+            case ProcessChanged() if event.change in PROCESS_ENDS:
+                _end_terms_of_process(terms, event)
+    return terms
+
+
+def _end_open_terms(terms: Iterable[LeadershipTerm], event: LeadershipLost) -> None:
+    for term in terms:
+        if term.node == event.node and term.end_ms == inf:
+            term.end_ms = event.at_ms - event.ended_ms_ago
+
+
+def _end_terms_of_process(terms: dict[str, list[LeadershipTerm]], event: ProcessChanged) -> None:
+    for terms_of_role in terms.values():
+        for term in terms_of_role:
+            if term.node == event.node:
+                term.end_ms = min(term.end_ms, event.at_ms)
--- /dev/null
+++ b/onyxpost/simulation/multiprocess/leadership_traffic.py
@@ -0,0 +1,40 @@
+"""Reads from proxied bytes which fenced calls leave a node. No I/O."""
+
+from __future__ import annotations
+
+import re
+from collections import Counter
+from typing import TYPE_CHECKING
+
+from onyxpost.simulation.multiprocess.history import FencedCallSent
+from onyxpost.simulation.multiprocess.tcp_proxy import TransferStage
+
+if TYPE_CHECKING:
+    from onyxpost.simulation.multiprocess.run_context import RunContext
+
+CALL = re.compile(rb"POST /acts/(\S+) .*?\r\nfence: (\d+)\r\n", re.IGNORECASE | re.DOTALL)
+RESOURCE = "s0"
+
+
+class FencedCallObserver:
+    """Records the fenced calls that the proxies received.
+
+    Attributes:
+        pieces_sent: by node, how many pieces of calls its proxy has received.
+    """
+
+    def __init__(self, context: RunContext) -> None:
+        self.context = context
+        self.pieces_sent: Counter[str] = Counter()
+
+    def observe(self, source: str, destination: str, data: bytes, stage: TransferStage) -> None:
+        """Receives all bytes of TCP from the fault proxy."""
+        if destination != RESOURCE or stage is not TransferStage.RECEIVED:
+            return
+        self.pieces_sent[source] += 1
+        call = CALL.search(data)
+        if call is not None:
+            event = FencedCallSent(
+                self.context.now_ms(), node=source, role=call[1].decode(), fencing_token=int(call[2])
+            )
+            self.context.record(event)
--- a/onyxpost/simulation/multiprocess/link_faults.py
+++ b/onyxpost/simulation/multiprocess/link_faults.py
@@ -1,38 +1,73 @@
-"""What a fault of the script does to which ways. Pure."""
+"""Which links a fault of the script affects, and how they behave then. No I/O."""
 
 from __future__ import annotations
 
-from onyxpost.simulation.multiprocess.fault_proxy import Manner
-from onyxpost.simulation.multiprocess.fault_script import Fault
+from typing import TYPE_CHECKING, NamedTuple
 
+from onyxpost.simulation.multiprocess.fault_script import link_ends
+from onyxpost.simulation.multiprocess.link import LinkBehavior
 
-def ways(fault: Fault, nodes: list[str], servers: list[str]) -> list[tuple[str, str]]:
-    if fault.kind in ("groups", "bridge"):
-        return [
-            (a, b)
-            for a in nodes
-            for b in nodes
-            if a != b and not any(a in group and b in group for group in fault.groups)
-        ]
-    if fault.kind == "alone":
-        return [way for n in nodes if n != fault.whom for way in ((fault.whom, n), (n, fault.whom))]
-    if fault.kind == "servers-cut":
-        return [way for s in servers for way in ((fault.whom, s), (s, fault.whom))]
-    a, b = fault.whom.split(">")
-    return [(a, b), (b, a)] if fault.kind == "stall" else [(a, b)]
+if TYPE_CHECKING:
+    from collections.abc import Sequence
 
+    from onyxpost.simulation.multiprocess.fault_script import Fault
 
-def of(fault: Fault) -> Manner:
+MIN_DELAY_MS = 5.0
+MAX_DELAY_MS = 300.0
+
+
+class LinkEnds(NamedTuple):
+    """One direction between two endpoints."""
+
+    source: str
+    destination: str
+
+
+def affected_links(fault: Fault, nodes: Sequence[str], servers: Sequence[str]) -> list[LinkEnds]:
+    """Returns the links of a fault of the network."""
+    match fault.kind:
+        case "groups" | "bridge":
+            return _links_between_groups(fault.groups, nodes)
+        case "alone":
+            return _links_of(fault.target, [node for node in nodes if node != fault.target])
+        case "servers-cut":
+            return _links_of(fault.target, servers)
+    source, destination = link_ends(fault.target)
+    if fault.kind == "stall":
+        return [LinkEnds(source, destination), LinkEnds(destination, source)]
+    return [LinkEnds(source, destination)]
+
+
+def behavior_of(fault: Fault) -> LinkBehavior:
+    """Returns the behavior of the links that a fault of the network affects."""
     match fault.kind:
         case "stall":
-            return Manner(stall=True)
+            return LinkBehavior(stall=True)
         case "delay":
-            return Manner(delay=5.0 + 295.0 * fault.more)
+            return LinkBehavior(delay_ms=MIN_DELAY_MS + (MAX_DELAY_MS - MIN_DELAY_MS) * fault.intensity)
         case "lose":
-            return Manner(lose=fault.more)
+            return LinkBehavior(loss=fault.intensity)
         case "duplicate":
-            return Manner(duplicate=fault.more)
+            return LinkBehavior(duplication=fault.intensity)
         case "reorder":
-            return Manner(reorder=fault.more)
+            return LinkBehavior(reordering=fault.intensity)
         case _:
-            return Manner(cut=True)
+            return LinkBehavior(cut=True)
+
+
+def _links_between_groups(groups: Sequence[Sequence[str]], nodes: Sequence[str]) -> list[LinkEnds]:
+    """Returns all links between nodes that are in no common group."""
+    return [
+        LinkEnds(source, destination)
+        for source in nodes
+        for destination in nodes
+        if source != destination and not any(source in group and destination in group for group in groups)
+    ]
+
+
+def _links_of(endpoint: str, others: Sequence[str]) -> list[LinkEnds]:
+    """Returns the links between an endpoint and others, in both directions."""
+    links: list[LinkEnds] = []
+    for other in others:
+        links += [LinkEnds(endpoint, other), LinkEnds(other, endpoint)]
+    return links
--- a/onyxpost/simulation/multiprocess/load_generator.py
+++ b/onyxpost/simulation/multiprocess/load_generator.py
@@ -1,85 +1,160 @@
-"""Open-loop load on all nodes; what becomes of each req is recorded as its client sees it. I/O."""
+"""Open-loop load on all nodes; the outcome of each request is recorded as its client sees it. I/O."""
 
 from __future__ import annotations
 
 import asyncio
 from random import Random
+from typing import TYPE_CHECKING, NamedTuple
 
 import h11
 
 from onyxpost.core.types import Frontend, Idempotency
 from onyxpost.runtime.http1 import READ_CHUNK_BYTES, encode_message, read_response
-from onyxpost.simulation.multiprocess.scenario_environment import Ground
+from onyxpost.simulation.multiprocess.history import (
+    TIMED_OUT,
+    ConnectionRefused,
+    RequestAnswered,
+    RequestSent,
+    RequestUnanswered,
+    UnexpectedResponse,
+)
+from onyxpost.simulation.open_loop import BackgroundTasks, poisson_arrivals
 
-CROSSING = 250.0  # ms past its time in which an answer is still heard
-LINGER = 0.1  # s after an answer in which nothing more may come
-FINALS = {200: "passed", 429: "denied", 503: "denied", 502: "aborted"}
+if TYPE_CHECKING:
+    from collections.abc import Sequence
 
+    from onyxpost.simulation.multiprocess.run_context import RunContext
 
-class Asking:
-    def __init__(self, ground: Ground, frontends: list[Frontend], largest: int) -> None:
-        self.ground, self.frontends, self.largest = ground, frontends, largest
-        self.chance = Random(f"{ground.seed}/load")
-        self.tasks: set[asyncio.Task[None]] = set()
+ANSWER_GRACE_MS = 250.0  # past the client's timeout, in which an answer is still read
+LINGER_SECONDS = 0.1  # after an answer, in which nothing more may arrive
+MAX_RESPONSE_BYTES = 65536
+MAX_DESCRIPTION_CHARS = 200
+MS_PER_SECOND = 1000.0
+OUTCOMES = {200: "passed", 429: "denied", 503: "denied", 502: "aborted"}  # by HTTP status
+BODY = b"xx"
+TIGHT_PLAN_INTERVAL = 3  # each third customer has the plan with the low hard limit
 
-    async def run(self, seconds: float) -> None:
-        load, due, number = self.ground.scenario.load, 0.0, 0
-        while (due := due + self.chance.expovariate(load.rate)) < seconds:
-            await asyncio.sleep(max(0.0, due - self.ground.now() / 1000.0))
-            number += 1
-            task = asyncio.create_task(self.one(f"r{self.ground.seed:x}.{number}"))
-            self.tasks.add(task)
-            task.add_done_callback(self.tasks.discard)
-        if self.tasks:
-            await asyncio.wait(self.tasks)
-
-    async def one(self, trace: str) -> None:
-        ground, chance = self.ground, self.chance
-        f, node = chance.choice(self.frontends), f"n{chance.randrange(ground.scenario.nodes)}"
-        customer, units = chance.randrange(ground.scenario.load.customers), chance.randint(1, self.largest)
-        plan = "open" if customer % 3 else "tight"
-        post = f.idempotency is not Idempotency.IDEMPOTENT
+
+class DrawnRequest(NamedTuple):
+    """A request of a client, as it is drawn."""
+
+    trace: str
+    frontend: Frontend
+    node: str
+    customer: int
+    units: int
+
+    @property
+    def plan(self) -> str:
+        """The customer's plan."""
+        return "open" if self.customer % TIGHT_PLAN_INTERVAL else "tight"
+
+    @property
+    def body(self) -> bytes:
+        """Empty for a GET."""
+        return b"" if self.frontend.idempotency is Idempotency.IDEMPOTENT else BODY
+
+    def to_http(self, nodes: int) -> h11.Request:
+        """Returns the head of the request; its customer's load is spread over all nodes."""
         headers = [
             ("Host", "onyxpost"),
-            ("X-Trace-Id", trace),
-            ("Plan", plan),
-            ("Cookie", f"key={customer:016x}"),
-            ("X-Expires-In", f"{f.client_timeout_ms:.0f}m"),
-            ("Quota-Info", f"units={units},spread={ground.scenario.nodes},first=0"),
-            *([("Idempotency-Key", trace), ("Content-Length", "2")] if post else []),
+            ("X-Trace-Id", self.trace),
+            ("Plan", self.plan),
+            ("Cookie", f"key={self.customer:016x}"),
+            ("X-Expires-In", f"{self.frontend.client_timeout_ms:.0f}m"),
+            ("Quota-Info", f"units={self.units},spread={nodes},first=0"),
         ]
-        head = h11.Request(method="POST" if post else "GET", target=f"/{f.name}/1", headers=headers)
+        if self.body:
+            headers += [("Idempotency-Key", self.trace), ("Content-Length", str(len(self.body)))]
+        method = "POST" if self.body else "GET"
+        return h11.Request(method=method, target=f"/{self.frontend.name}/1", headers=headers)
+
+
+class LoadGenerator:
+    """Clients of all nodes: each sends one request on a connection of its own."""
+
+    def __init__(self, context: RunContext, frontends: Sequence[Frontend], max_units: int) -> None:
+        self.context = context
+        self.frontends = frontends
+        self.max_units = max_units
+        self.rng = Random(f"{context.seed}/load")
+
+    async def run(self, seconds: float) -> None:
+        """Sends requests for that time, and waits until all have ended."""
+        tasks = BackgroundTasks()
+        rate = self.context.scenario.load.rate
+        async for number in poisson_arrivals(self.rng, rate, seconds, self.context.now_seconds):
+            tasks.start(self._send(f"r{self.context.seed:x}.{number}"))
+        await tasks.wait()
+
+    def _draw_request(self, trace: str) -> DrawnRequest:
+        scenario = self.context.scenario
+        frontend = self.rng.choice(self.frontends)
+        node = f"n{self.rng.randrange(scenario.nodes)}"
+        customer = self.rng.randrange(scenario.load.customers)
+        units = self.rng.randint(1, self.max_units)
+        return DrawnRequest(trace, frontend, node, customer, units)
+
+    async def _send(self, trace: str) -> None:
+        context = self.context
+        request = self._draw_request(trace)
         try:
-            reader, writer = await asyncio.open_connection(*ground.addresses[node])
+            reader, writer = await asyncio.open_connection(*context.addresses[request.node])
         except OSError:
-            ground.record("refused", node=node, trace=trace)
+            context.record(ConnectionRefused(context.now_ms(), node=request.node, trace=trace))
             return
-        http = h11.Connection(h11.CLIENT)
-        ground.record(
-            "asked", node=node, trace=trace, frontend=f.name, customer=f"{customer:x}", plan=plan, units=units
+        context.record(
+            RequestSent(
+                context.now_ms(),
+                node=request.node,
+                trace=trace,
+                frontend=request.frontend.name,
+                customer=f"{request.customer:x}",
+                plan=request.plan,
+                units=request.units,
+            )
         )
         try:
-            writer.write(encode_message(http, head, b"xx" * post))
-            async with asyncio.timeout((f.client_timeout_ms + CROSSING) / 1000.0):
-                response, body = await read_response(http, lambda: reader.read(READ_CHUNK_BYTES), 65536)
-            final = FINALS.get(response.status_code, str(response.status_code))
-            ground.record("answered", trace=trace, final=final)
-            if final == "passed" and body != b"page of " + trace.encode():
-                ground.record("more", trace=trace, what=f"passed {bytes(body)!r}"[:200])
-            await self.nothing_more(trace, http, reader)
+            await self._exchange(request, reader, writer)
         except TimeoutError:
-            ground.record("gone", trace=trace, how="timed out")
-        except (OSError, h11.ProtocolError) as err:
-            ground.record("gone", trace=trace, how=f"cut ({type(err).__name__})")
+            context.record(RequestUnanswered(context.now_ms(), trace=trace, cause=TIMED_OUT))
+        except (OSError, h11.ProtocolError) as error:
+            cause = f"cut ({type(error).__name__})"
+            context.record(RequestUnanswered(context.now_ms(), trace=trace, cause=cause))
         finally:
             writer.transport.abort()
 
-    async def nothing_more(self, trace: str, http: h11.Connection, reader: asyncio.StreamReader) -> None:
-        late = http.trailing_data[0]
-        try:
-            async with asyncio.timeout(LINGER):
-                late += await reader.read(READ_CHUNK_BYTES)
-        except (TimeoutError, OSError):
-            pass
-        if late:
-            self.ground.record("more", trace=trace, what=f"after its answer {late!r}"[:200])
+    async def _exchange(
+        self, request: DrawnRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        context = self.context
+        trace = request.trace
+        http = h11.Connection(h11.CLIENT)
+        writer.write(encode_message(http, request.to_http(context.scenario.nodes), request.body))
+        timeout_ms = request.frontend.client_timeout_ms + ANSWER_GRACE_MS
+        async with asyncio.timeout(timeout_ms / MS_PER_SECOND):
+            response, body = await read_response(
+                http, lambda: reader.read(READ_CHUNK_BYTES), MAX_RESPONSE_BYTES
+            )
+        outcome = OUTCOMES.get(response.status_code, str(response.status_code))
+        context.record(RequestAnswered(context.now_ms(), trace=trace, outcome=outcome))
+        if outcome == "passed" and body != b"page of " + trace.encode():
+            self._record_unexpected(trace, f"passed {bytes(body)!r}")
+        extra = http.trailing_data[0] + await _read_extra(reader)
+        if extra:
+            self._record_unexpected(trace, f"after its answer {extra!r}")
+
+    def _record_unexpected(self, trace: str, description: str) -> None:
+        event = UnexpectedResponse(
+            self.context.now_ms(), trace=trace, description=description[:MAX_DESCRIPTION_CHARS]
+        )
+        self.context.record(event)
+
+
+async def _read_extra(reader: asyncio.StreamReader) -> bytes:
+    """Returns what arrives within the time in which nothing more may arrive."""
+    try:
+        async with asyncio.timeout(LINGER_SECONDS):
+            return await reader.read(READ_CHUNK_BYTES)
+    except (TimeoutError, OSError):
+        return b""
--- a/onyxpost/simulation/multiprocess/mutated_program.py
+++ b/onyxpost/simulation/multiprocess/mutated_program.py
@@ -1,31 +1,65 @@
-"""A mutated build: `python -m onyxpost.simulation.multiprocess.mutated_program NAME serve`."""
+"""A node with a known bug: `python -m onyxpost.simulation.multiprocess.mutated_program MUTATION serve`."""
 
 from __future__ import annotations
 
 import sys
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from onyxpost.node import serve
 from onyxpost.node.edge_node import EdgeNode
-from onyxpost.simulation.multiprocess import leadership_mutations
-from onyxpost.simulation.mutations import PLANTS as OF_REQS
+from onyxpost.simulation.multiprocess.leadership_mutations import LEADERSHIP_MUTATIONS, current_name
+from onyxpost.simulation.mutations import PLANTS as EDGE_MUTATIONS
 
-PLANTS = OF_REQS | leadership_mutations.PLANTS
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
+ARGUMENT_COUNT = 2
 
-def planted(plant: Callable[[EdgeNode], None]) -> type[EdgeNode]:
-    class Planted(EdgeNode):
-        def __init__(self, *args: Any, **kwargs: Any) -> None:
-            super().__init__(*args, **kwargs)
-            plant(self)
 
-    return Planted
+def mutation_names() -> list[str]:
+    """Returns the names of all mutations, those of edge nodes first."""
+    return [name for name in EDGE_MUTATIONS if name] + list(LEADERSHIP_MUTATIONS)
+
+
+def is_known_mutation(name: str) -> bool:
+    """Whether there is a mutation of that present or old name."""
+    return current_name(name) in mutation_names()
+
+
+def find_injection(name: str) -> Callable[[EdgeNode], None] | None:
+    """Returns what injects a mutation into a node; None if the mutation is not one of nodes.
+
+    Raises:
+        KeyError: there is no such mutation.
+    """
+    leadership_mutation = LEADERSHIP_MUTATIONS.get(current_name(name))
+    if leadership_mutation is not None:
+        return leadership_mutation.inject
+    return EDGE_MUTATIONS[name]
+
+
+def mutated_node(inject: Callable[[EdgeNode], None]) -> type[EdgeNode]:
+    """Returns a node type that injects a mutation when a node has been built."""
+
+    class MutatedNode(EdgeNode):
+        """A node with a known bug."""
+
+        def __init__(self, *arguments: Any, **options: Any) -> None:  # noqa: ANN401 - passed on
+            super().__init__(*arguments, **options)
+            inject(self)
+
+    return MutatedNode
+
+
+def main(arguments: list[str]) -> int:
+    """Runs the node whose file `EDGE_CONFIG` names; returns the exit code, or a message if not called so."""
+    if len(arguments) != ARGUMENT_COUNT or arguments[1] != "serve" or not is_known_mutation(arguments[0]):
+        sys.exit(f"one of {', '.join(mutation_names())}, then serve")
+    inject = find_injection(arguments[0])
+    if inject is not None:
+        vars(serve)["EdgeNode"] = mutated_node(inject)
+    return serve.serve()
 
 
 if __name__ == "__main__":
-    found = PLANTS.get(sys.argv[1]) if sys.argv[2:] == ["serve"] else None
-    if found is None:
-        sys.exit(f"one of {', '.join(name for name in PLANTS if name)}, then serve")
-    vars(serve)["EdgeNode"] = planted(found)
-    sys.exit(serve.serve())
+    sys.exit(main(sys.argv[1:]))
--- /dev/null
+++ b/onyxpost/simulation/multiprocess/scheduling_lag.py
@@ -0,0 +1,53 @@
+"""When the machine, not a fault, delayed the simulation or one process, from the history. No I/O."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from typing import TYPE_CHECKING
+
+from onyxpost.simulation.multiprocess.checker import events_of_type
+from onyxpost.simulation.multiprocess.history import LagMeasured
+from onyxpost.simulation.multiprocess.process_availability import Interval
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from onyxpost.simulation.multiprocess.history import HistoryEvent
+
+LONG_LAG_MS = 40.0  # from here on what the lag touches is excused; below, each limit is extended
+SIMULATION = ""  # the node of lag that the simulation's own loop had, and so all
+
+
+class SchedulingLag:
+    """Lag of a run.
+
+    Attributes:
+        intervals: long lags, by node.
+        tolerance_ms: the longest of the other lags; it is added to each limit in time.
+    """
+
+    def __init__(self, events: Sequence[HistoryEvent]) -> None:
+        self.intervals: dict[str, list[Interval]] = defaultdict(list)
+        self.tolerance_ms = 0.0
+        for event in events_of_type(events, LagMeasured):
+            if event.lag_ms < LONG_LAG_MS:
+                self.tolerance_ms = max(self.tolerance_ms, event.lag_ms)
+                continue
+            begin_ms = event.at_ms - event.lag_ms - LONG_LAG_MS
+            self.intervals[event.node].append(Interval(begin_ms, event.at_ms))
+
+    def total_ms(self, node: str, begin_ms: float, end_ms: float) -> float:
+        """Returns the sum of the long lags of the node and of the simulation that overlap the interval."""
+        intervals = [*self.intervals.get(SIMULATION, ()), *self.intervals.get(node, ())]
+        return sum(
+            (
+                interval.end_ms - interval.begin_ms
+                for interval in intervals
+                if interval.overlaps(begin_ms, end_ms)
+            ),
+            0.0,
+        )
+
+    def has_long_lag(self, node: str, begin_ms: float, end_ms: float) -> bool:
+        """Whether a long lag of the node or of the simulation overlaps the interval."""
+        return self.total_ms(node, begin_ms, end_ms) > 0.0
--- /dev/null
+++ b/onyxpost/simulation/multiprocess/tcp_proxy.py
@@ -0,0 +1,161 @@
+"""A proxied TCP connection: each direction goes by the faults of its link. I/O."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import socket
+import struct
+from collections import deque
+from collections.abc import Callable
+from enum import Enum, auto
+from typing import TYPE_CHECKING, NamedTuple
+
+from onyxpost.simulation.multiprocess.link import endpoint_of
+
+if TYPE_CHECKING:
+    from onyxpost.simulation.multiprocess.fault_proxy import FaultProxy
+    from onyxpost.simulation.multiprocess.link import Link
+
+MAX_BUFFERED_BYTES = 1 << 20  # in one direction of a connection; beyond that nothing more is read
+BUFFER_POLL_SECONDS = 0.01
+READ_CHUNK_BYTES = 65536
+MS_PER_SECOND = 1000.0
+LINGER_ZERO = struct.pack("ii", 1, 0)  # close sends RST
+
+
+class TransferStage(Enum):
+    """Where in a proxy bytes are observed."""
+
+    RECEIVED = auto()
+    FORWARDED = auto()
+
+
+# Receives the source and destination of the bytes, the bytes, and the stage.
+ByteObserver = Callable[[str, str, bytes, TransferStage], None]
+
+
+class Chunk(NamedTuple):
+    """Bytes on their way; none: the sender has closed its direction."""
+
+    due_seconds: float
+    data: bytes
+
+
+class ProxiedConnection:
+    """A connection that an endpoint opened to the proxy, and the proxy's own to the destination."""
+
+    def __init__(
+        self,
+        proxy: FaultProxy,
+        source: str,
+        destination: str,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+    ) -> None:
+        self.proxy = proxy
+        self.source = source
+        self.destination = destination
+        self.reader = reader
+        self.writers = [writer]
+        self.task: asyncio.Task[None] | None = None
+
+    async def run(self) -> None:
+        """Connects to the destination, and forwards in both directions until both have ended."""
+        ends = endpoint_of(self.source), endpoint_of(self.destination)
+        connections = self.proxy.connections.setdefault(ends, set())
+        connections.add(self)
+        self.task = asyncio.current_task()
+        try:
+            await self._forward_both_ways()
+        except (OSError, ExceptionGroup):
+            self.reset()
+        except asyncio.CancelledError:
+            pass  # `reset` cancels the task
+        finally:
+            connections.discard(self)
+            for writer in self.writers:
+                writer.close()
+
+    def reset(self) -> None:
+        """Ends both connections with RST."""
+        for writer in self.writers:
+            sock = writer.get_extra_info("socket")
+            if sock is not None and not writer.transport.is_closing():
+                with contextlib.suppress(OSError):
+                    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
+            writer.transport.abort()
+        if self.task is not None and self.task is not asyncio.current_task():
+            self.task.cancel()
+
+    async def _forward_both_ways(self) -> None:
+        address = self.proxy.address_of(self.destination)
+        if address is None:
+            raise ConnectionRefusedError(self.destination)
+        client_writer = self.writers[0]
+        server_reader, server_writer = await asyncio.open_connection(*address)
+        self.writers.append(server_writer)
+        requests = _Direction(self.proxy, self.source, self.destination)
+        responses = _Direction(self.proxy, self.destination, self.source)
+        async with asyncio.TaskGroup() as group:
+            group.create_task(requests.run(self.reader, server_writer))
+            group.create_task(responses.run(server_reader, client_writer))
+
+
+class _Direction:
+    """One direction of a connection: a queue between a task that reads and a task that writes."""
+
+    def __init__(self, proxy: FaultProxy, source: str, destination: str) -> None:
+        self.proxy = proxy
+        self.source = source
+        self.destination = destination
+        self.link: Link = proxy.link(endpoint_of(source), endpoint_of(destination))
+        self.queue: deque[Chunk] = deque()
+        self.queued_bytes = 0
+        self.has_chunk = asyncio.Event()
+
+    async def run(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async with asyncio.TaskGroup() as group:
+            group.create_task(self._write(writer))
+            await self._read(reader)
+
+    async def _read(self, reader: asyncio.StreamReader) -> None:
+        loop = asyncio.get_running_loop()
+        while True:
+            data = await reader.read(READ_CHUNK_BYTES)
+            if data:
+                self.proxy.observe(self.source, self.destination, data, TransferStage.RECEIVED)
+            due_seconds = loop.time() + self.link.behavior.delay_ms / MS_PER_SECOND
+            self.queue.append(Chunk(due_seconds, data))
+            self.queued_bytes += len(data)
+            self.has_chunk.set()
+            if not data:
+                return
+            while self.queued_bytes > MAX_BUFFERED_BYTES:  # noqa: ASYNC110 - rare, simpler than an event
+                await asyncio.sleep(BUFFER_POLL_SECONDS)
+
+    async def _write(self, writer: asyncio.StreamWriter) -> None:
+        while True:
+            data = await self._next_chunk()
+            if not data:
+                writer.write_eof()
+                return
+            self.proxy.observe(self.source, self.destination, data, TransferStage.FORWARDED)
+            writer.write(data)
+            await writer.drain()
+
+    async def _next_chunk(self) -> bytes:
+        """Returns the next bytes once they are due and the link is open."""
+        loop = asyncio.get_running_loop()
+        while True:
+            while not self.queue:
+                self.has_chunk.clear()
+                await self.has_chunk.wait()
+            wait_seconds = self.queue[0].due_seconds - loop.time()
+            if wait_seconds > 0.0:
+                await asyncio.sleep(wait_seconds)
+            await self.link.is_open.wait()
+            if self.link.is_open.is_set():  # else cut again in the turn of the loop in which it healed
+                data = self.queue.popleft().data
+                self.queued_bytes -= len(data)
+                return data
--- a/tests/compatibility/meanings.py
+++ b/tests/compatibility/meanings.py
@@ -28,9 +28,9 @@
 from onyxpost.simulation.discrete_event.batch import one as emulate
 from onyxpost.simulation.discrete_event.scenario import load, packed, resized
 from onyxpost.simulation.invariants.records import Violation as EmulatorBreach
-from onyxpost.simulation.multiprocess import fault_script as fault_script
-from onyxpost.simulation.multiprocess.checker import Violation as RigBreach
-from onyxpost.simulation.multiprocess.runner import Outcome
+from onyxpost.simulation.multiprocess.checker import Violation
+from onyxpost.simulation.multiprocess.fault_script import Fault, FaultScript, decode_script, encode_script
+from onyxpost.simulation.multiprocess.run_result import RunResult
 
 JsonObject = dict[str, Any]
 
@@ -341,37 +341,43 @@
 
 
 FAULTS = [
-    fault_script.Fault(at=1.5, kind="groups", whom="all", lasts=0.5, groups=(("n0", "n1"), ("n1", "n2"))),
-    fault_script.Fault(at=2.25, kind="cut", whom="n0>s1", lasts=1.0, more=0.25),
+    Fault(
+        start_seconds=1.5,
+        kind="groups",
+        target="all",
+        duration_seconds=0.5,
+        groups=(("n0", "n1"), ("n1", "n2")),
+    ),
+    Fault(start_seconds=2.25, kind="cut", target="n0>s1", duration_seconds=1.0, intensity=0.25),
 ]
-SCRIPT = fault_script.Script("edge-cuts", 7, 3, 4.0, FAULTS, plant="")
+SCRIPT = FaultScript("edge-cuts", 7, 3, 4.0, FAULTS, mutation="")
 
 
 def rig_results() -> bytes:
     """Results of a play with real processes."""
-    breach = RigBreach(rule="once", seed=7, at=812.5, who="n0", what="ran twice")
+    violation = Violation(invariant="once", seed=7, at_ms=812.5, node="n0", description="ran twice")
     played = {"cut": 1, "groups": 1}
-    broken = Outcome(SCRIPT, [breach], {"requests": 120, "answers": [100, 20]}, played, 1.26)
-    clean = Outcome(SCRIPT, [], {"requests": 9}, {}, 0.0)
+    broken = RunResult(SCRIPT, [violation], {"requests": 120, "answers": [100, 20]}, played, 1.26)
+    clean = RunResult(SCRIPT, [], {"requests": 9}, {}, 0.0)
     total = {"kind": "total", "scenario": "edge-cuts", "seeds": 2, "broken": 1}
-    return results.encode([broken.line(), clean.line(), total])
+    return results.encode([broken.to_result_line(), clean.to_result_line(), total])
 
 
 def fault_script_bytes() -> bytes:
     """A kept fault script."""
-    return fault_script.encode(SCRIPT)
+    return encode_script(SCRIPT)
 
 
 def read_fault_script(data: bytes) -> JsonObject:
     """The meaning of a kept fault script."""
-    read = fault_script.decode(data, "script")
+    read = decode_script(data, "script")
     faults = [
         {
-            "at s": fault.at,
+            "at s": fault.start_seconds,
             "kind": fault.kind,
-            "target": fault.whom,
-            "duration s": fault.lasts,
-            "intensity": fault.more,
+            "target": fault.target,
+            "duration s": fault.duration_seconds,
+            "intensity": fault.intensity,
             "groups": [list(group) for group in fault.groups],
         }
         for fault in read.faults
@@ -381,7 +387,7 @@
         "seed": read.seed,
         "nodes": read.nodes,
         "seconds": read.seconds,
-        "planted bug": read.plant,
+        "planted bug": read.mutation,
         "version": read.version,
         "faults": faults,
     }
--- /dev/null
+++ b/tests/simulation/multiprocess/leadership_runs.py
@@ -0,0 +1,107 @@
+"""Runs of leader election with real processes that are repeated until they gave the occasion for a judgement.
+
+A run takes place in real time. On a busy machine an election may take longer than the fault that calls for
+it, and then the run shows nothing: neither a violation nor that there is none. Such a run is repeated with
+all times longer, at most `MAX_ATTEMPTS` times in all. One that gave the occasion is judged as it is.
+"""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+import tempfile
+from pathlib import Path
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+import msgspec
+
+from onyxpost.simulation.multiprocess.fault_script import Fault, FaultScript, encode_script
+from onyxpost.simulation.multiprocess.runner import MEMORY_FOLDER
+from onyxpost.simulation.multiprocess.scenario_runner import HISTORY_FILE
+from tests.simulation.multiprocess.history_file import read_history
+from tests.simulation.multiprocess.run_script import INPUT_FILE, RESULT_FILE
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
+
+    from onyxpost.simulation.multiprocess.history import HistoryEvent
+
+MAX_ATTEMPTS = 3  # with all times multiplied by 1, 2, 3
+NODES = 5
+SEED = 3
+STARTUP_TIMEOUT_SECONDS = 60.0
+
+
+class LeadershipRun(NamedTuple):
+    """A script and the occasion that it must give.
+
+    Attributes:
+        mutation: that is injected; empty: none.
+        lease_seconds: of the roles.
+        seconds: duration.
+        faults: the script.
+        has_occasion: whether a history and the result line of the run can be judged.
+    """
+
+    mutation: str
+    lease_seconds: float
+    seconds: float
+    faults: Sequence[Fault]
+    has_occasion: Callable[[Sequence[HistoryEvent], dict[str, Any]], bool]
+
+    def stretched(self, factor: int) -> LeadershipRun:
+        """The same run with all times multiplied."""
+        faults = [
+            msgspec.structs.replace(
+                fault,
+                start_seconds=fault.start_seconds * factor,
+                duration_seconds=fault.duration_seconds * factor,
+            )
+            for fault in self.faults
+        ]
+        return self._replace(
+            lease_seconds=self.lease_seconds * factor, seconds=self.seconds * factor, faults=faults
+        )
+
+
+class Attempt(NamedTuple):
+    """One run: its result line, and whether it gave the occasion."""
+
+    result: dict[str, Any]
+    had_occasion: bool
+
+    @property
+    def violated_invariants(self) -> set[str]:
+        """Names of the invariants that were violated."""
+        return {violation["rule"] for violation in self.result["breaches"]}
+
+
+def run_until_occasion(run: LeadershipRun) -> list[Attempt]:
+    """Returns all attempts; the last one gave the occasion, or they were `MAX_ATTEMPTS`."""
+    attempts: list[Attempt] = []
+    for factor in range(1, MAX_ATTEMPTS + 1):
+        attempts.append(run_once(run.stretched(factor)))
+        if attempts[-1].had_occasion:
+            break
+    return attempts
+
+
+def run_once(run: LeadershipRun) -> Attempt:
+    """Runs the script in a process of its own."""
+    memory = MEMORY_FOLDER if MEMORY_FOLDER.is_dir() else None
+    with tempfile.TemporaryDirectory(dir=memory) as name:
+        folder = Path(name)
+        scenario = folder / "scenario.toml"
+        scenario.write_text(
+            f'about = "leaders"\nstage = "leadership"\nlease_s = {run.lease_seconds}\nduties = 3\n'
+        )
+        script = FaultScript("scenario", SEED, NODES, run.seconds, sorted(run.faults), run.mutation)
+        (folder / INPUT_FILE).write_bytes(encode_script(script))
+        subprocess.run(
+            [sys.executable, "-m", "tests.simulation.multiprocess.run_script", str(scenario), name],
+            check=True,
+            stdout=subprocess.DEVNULL,
+            timeout=run.seconds + STARTUP_TIMEOUT_SECONDS,
+        )
+        result: dict[str, Any] = msgspec.json.decode((folder / RESULT_FILE).read_bytes())
+        return Attempt(result, run.has_occasion(read_history(folder / HISTORY_FILE), result))
--- /dev/null
+++ b/tests/simulation/multiprocess/test_command_line.py
@@ -0,0 +1,100 @@
+"""The command's exits, its refusals, and its old spellings."""
+
+from __future__ import annotations
+
+import contextlib
+import os
+import signal
+import subprocess
+import sys
+import time
+from pathlib import Path
+
+import pytest
+
+from onyxpost.simulation import deprecation
+from onyxpost.simulation.deprecation import warn_deprecated
+from onyxpost.simulation.multiprocess.leadership_mutations import LEADERSHIP_MUTATIONS, current_name
+
+pytestmark = pytest.mark.xdist_group("quiet")  # many processes: not beside what measures time
+
+COMMAND = [sys.executable, "-m", "onyxpost", "lab", "rig"]
+
+
+def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
+    """Runs the command to its end."""
+    return subprocess.run([*COMMAND, *arguments], capture_output=True, text=True, timeout=60.0)
+
+
+def test_interrupted_command_exits_130_and_leaves_no_process() -> None:
+    with subprocess.Popen([*COMMAND, "edge-cuts", "--nodes", "3"], stderr=subprocess.PIPE) as command:
+        children = Path(f"/proc/{command.pid}/task/{command.pid}/children")
+        until = time.monotonic() + 20.0
+        process_ids: list[str] = []
+        while len(process_ids) < 3 and time.monotonic() < until:
+            process_ids = children.read_text().split()
+            time.sleep(0.02)
+        command.send_signal(signal.SIGINT)
+        _, errors = command.communicate(timeout=20.0)
+    assert (command.returncode, len(process_ids)) == (130, 3)
+    assert errors == b"interrupted: 0 of 1 seeds were finished\n"
+    for process_id in process_ids:
+        with contextlib.suppress(ProcessLookupError):
+            os.kill(int(process_id), 0)
+            pytest.fail(f"process {process_id} is left")
+
+
+def test_option_out_of_range_is_refused_in_one_line_with_exit_2() -> None:
+    refusal = run_command("edge-cuts", "--nodes", "99")
+    assert (refusal.returncode, refusal.stderr.count("\n")) == (2, 1)
+    assert "99 nodes: 1 to 64 (name a shipped scenario" in refusal.stderr
+
+
+def test_unknown_mutation_is_refused_with_the_known_ones() -> None:
+    refusal = run_command("edge-cuts", "--mutation", "nothing")
+    assert (refusal.returncode, refusal.stderr.count("\n")) == (2, 1)
+    assert "no mutation 'nothing'; there are " in refusal.stderr
+    for mutation in LEADERSHIP_MUTATIONS:
+        assert mutation in refusal.stderr
+
+
+def test_mutation_of_leadership_is_refused_where_no_roles_are_led() -> None:
+    refusal = run_command("edge-cuts", "--mutation", "ignore-lease-expiry")
+    assert refusal.returncode == 2
+    assert "'ignore-lease-expiry' is of leadership, not of the environment 'edge'" in refusal.stderr
+
+
+def test_old_spellings_are_accepted_and_each_says_once_what_replaces_it() -> None:
+    refusal = run_command("duties-cuts", "--plant", "careless", "--nodes", "99")
+    assert refusal.returncode == 2
+    lines = refusal.stderr.splitlines()
+    assert lines[:3] == [
+        "onyxpost: --plant is an old spelling; use --mutation",
+        "onyxpost: the mutation careless is an old spelling; use ignore-fencing-tokens",
+        "onyxpost: the scenario duties-cuts is an old spelling; use leadership-cuts",
+    ]
+    assert len(lines) == 4
+    assert "99 nodes" in lines[3]
+
+
+@pytest.mark.parametrize(
+    ("old_name", "name"),
+    [
+        ("careless", "ignore-fencing-tokens"),
+        ("forgets", "vote-without-recovery"),
+        ("overstays", "ignore-lease-expiry"),
+        ("begins-anew", "drop-committed-record"),
+        ("deaf-to-drains", "deaf-to-drains"),
+    ],
+)
+def test_old_name_of_a_mutation_means_the_present_one(old_name: str, name: str) -> None:
+    assert current_name(old_name) == name
+
+
+def test_old_spelling_is_reported_once_in_a_process(
+    capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(deprecation, "_warned", set())
+    warn_deprecated("--old", "--new")
+    warn_deprecated("--old", "--new")
+    assert capsys.readouterr().err == "onyxpost: --old is an old spelling; use --new\n"
