--- a/onyxpost/simulation/multiprocess/edge_environment.py
+++ b/onyxpost/simulation/multiprocess/edge_environment.py
@@ -15,6 +15,7 @@
 from onyxpost.simulation.free_ports import ANY_PORT
 from onyxpost.simulation.multiprocess.edge_invariants import EdgeInvariants, EdgeLimits
 from onyxpost.simulation.multiprocess.edge_traffic import EdgeTrafficObserver
+from onyxpost.simulation.multiprocess.endpoints import endpoint_of, format_address
 from onyxpost.simulation.multiprocess.history import (
     TIMED_OUT,
     AttemptForwarded,
@@ -26,11 +27,9 @@
     RequestUnanswered,
     ServerStarted,
 )
-from onyxpost.simulation.multiprocess.link import endpoint_of
 from onyxpost.simulation.multiprocess.load_generator import LoadGenerator
 from onyxpost.simulation.multiprocess.node_file import node_file
 from onyxpost.simulation.multiprocess.process_invariants import no_process_failures
-from onyxpost.simulation.multiprocess.run_context import format_address
 from onyxpost.simulation.stubs import Agent, AppServer, Nobody
 
 if TYPE_CHECKING:
@@ -77,7 +76,7 @@
             await agent.open()
             assert agent.listener is not None
             context.addresses[f"d{index}"] = agent.listener.sockets[0].getsockname()
-            discovery = format_address(await context.proxy.open_tcp(f"n{index}", f"d{index}"))
+            discovery = format_address(await context.proxy.tcp.open(f"n{index}", f"d{index}"))
             fields = node_file(context, index, agent, discovery, peers[index])
             fields["settings"] = SETTINGS | {"ordinal": index, "n_instances": context.scenario.nodes}
             context.processes.set_file(f"n{index}", fields)
@@ -174,7 +173,7 @@
         assert server.listener is not None
         self.context.addresses[server.host] = server.listener.sockets[0].getsockname()
         for index in self.context.node_indexes:
-            address = await self.context.proxy.open_tcp(f"n{index}", server.host)
+            address = await self.context.proxy.tcp.open(f"n{index}", server.host)
             self._server_addresses[index, server.id] = format_address(address)
 
     def _endpoint_row(self, node_index: int, server: AppServer) -> dict[str, Any]:
@@ -196,7 +195,7 @@
         assert old.listener is not None
         old.listener.close()
         old.standing = EndpointState.GONE
-        self.context.proxy.reset_all(endpoint_of(old.host), old.host)
+        self.context.proxy.tcp.reset_all(endpoint_of(old.host), old.host)
         new = self._create_server(old.number, old.life + 1)
         new.started = time.time() * MS_PER_SECOND
         self.context.record(
--- a/onyxpost/simulation/multiprocess/edge_traffic.py
+++ b/onyxpost/simulation/multiprocess/edge_traffic.py
@@ -9,8 +9,8 @@
 
 from onyxpost.core.types import EndpointState
 from onyxpost.simulation.deterministic.cluster import ZONES
+from onyxpost.simulation.multiprocess.endpoints import endpoint_of
 from onyxpost.simulation.multiprocess.history import AttemptForwarded, EndpointNotified
-from onyxpost.simulation.multiprocess.link import endpoint_of
 from onyxpost.simulation.multiprocess.tcp_proxy import TransferStage
 
 if TYPE_CHECKING:
--- a/onyxpost/simulation/multiprocess/fault_injector.py
+++ b/onyxpost/simulation/multiprocess/fault_injector.py
@@ -74,7 +74,7 @@
             case "all-killed":
                 await self._kill_all(fault)
             case "reset":
-                self.context.proxy.reset(*link_ends(fault.target))
+                self.context.proxy.tcp.reset(*link_ends(fault.target))
             case "drain" | "slow" | "late-act" | "voters-killed":
                 await self.environment.inject_fault(fault)
             case _:
@@ -107,11 +107,11 @@
         await processes.start_all()
 
     async def _impair_links(self, index: int, fault: Fault) -> None:
-        scenario = self.context.scenario
-        servers = [f"s{server}" for server in range(scenario.servers)]
+        context = self.context
+        servers = [f"s{server}" for server in range(context.scenario.servers)]
         behavior = behavior_of(fault)
         links = [
-            self.context.proxy.link(*ends) for ends in affected_links(fault, self.context.node_names, servers)
+            context.proxy.links.link(*ends) for ends in affected_links(fault, context.node_names, servers)
         ]
         for link in links:
             link.start_fault(index, behavior)
--- a/onyxpost/simulation/multiprocess/leadership_environment.py
+++ b/onyxpost/simulation/multiprocess/leadership_environment.py
@@ -7,6 +7,7 @@
 from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.simulation.deterministic.cluster import SETTINGS
 from onyxpost.simulation.free_ports import ANY_PORT
+from onyxpost.simulation.multiprocess.endpoints import format_address
 from onyxpost.simulation.multiprocess.fault_script import ACCEPTOR_COUNT
 from onyxpost.simulation.multiprocess.fenced_resource import FencedResource
 from onyxpost.simulation.multiprocess.leadership_failover import failover_durations_ms, messages_per_second
@@ -18,7 +19,6 @@
 from onyxpost.simulation.multiprocess.node_log import LeadershipAcquired, RecordCommitted
 from onyxpost.simulation.multiprocess.process_invariants import no_process_failures
 from onyxpost.simulation.multiprocess.recovery_epochs import RecoveryEpochsJustified
-from onyxpost.simulation.multiprocess.run_context import format_address
 from onyxpost.simulation.stubs import Agent, Nobody
 
 if TYPE_CHECKING:
@@ -137,7 +137,7 @@
         }
 
     async def _leadership_section(self, index: int) -> dict[str, Any]:
-        resource = await self.context.proxy.open_tcp(f"n{index}", "s0")
+        resource = await self.context.proxy.tcp.open(f"n{index}", "s0")
         return {
             "version": 1,
             "voters": self.acceptors,
--- a/onyxpost/simulation/multiprocess/leadership_faults.py
+++ b/onyxpost/simulation/multiprocess/leadership_faults.py
@@ -65,7 +65,7 @@
         leader = fault.target
         processes = self.context.processes.group
         roles = [role for role, node in self.leaders.items() if node == leader]
-        link = self.context.proxy.link(leader, RESOURCE)
+        link = self.context.proxy.links.link(leader, RESOURCE)
         sent_before = self.pieces_sent.get(leader, 0)
         self.delayed_calls += 1
         fault_id = FIRST_FAULT_ID + self.delayed_calls
--- a/onyxpost/simulation/multiprocess/link.py
+++ b/onyxpost/simulation/multiprocess/link.py
@@ -1,7 +1,4 @@
-"""One direction of the network between two endpoints, with the faults that are on. No I/O.
-
-Endpoints are named `n0` (a node), `s0` (an app server or the fenced resource), `d0` (discovery of a node).
-"""
+"""Links between endpoints, each one direction of the network, with the faults that are on. No I/O."""
 
 from __future__ import annotations
 
@@ -37,11 +34,6 @@
 NO_FAULT = LinkBehavior()
 
 
-def endpoint_of(name: str) -> str:
-    """Returns the endpoint of an incarnation (`s0.1`) or of one of its addresses (`n1/fleet`)."""
-    return name.partition("/")[0].partition(".")[0]
-
-
 class Link:
     """One direction between two endpoints; the behaviors of all faults that are on add up.
 
@@ -50,9 +42,7 @@
         is_open: set while nothing has to wait.
     """
 
-    def __init__(self, source: str, destination: str) -> None:
-        self.source = source
-        self.destination = destination
+    def __init__(self) -> None:
         self.behavior = NO_FAULT
         self.is_open = asyncio.Event()
         self.is_open.set()
@@ -97,3 +87,19 @@
         self._waiting_datagrams = []
         for forward in waiting:
             forward()
+
+
+class LinkTable:
+    """All links of a run, created when they are first asked for."""
+
+    def __init__(self) -> None:
+        self._links: dict[tuple[str, str], Link] = {}
+
+    def link(self, source: str, destination: str) -> Link:
+        """Returns the link from one endpoint to another."""
+        return self._links.setdefault((source, destination), Link())
+
+    def heal(self) -> None:
+        """Ends the faults of all links."""
+        for link in self._links.values():
+            link.end_all_faults()
--- a/onyxpost/simulation/multiprocess/node_file.py
+++ b/onyxpost/simulation/multiprocess/node_file.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from onyxpost.simulation.multiprocess.run_context import format_address
+from onyxpost.simulation.multiprocess.endpoints import format_address
 
 if TYPE_CHECKING:
     from onyxpost.simulation.multiprocess.run_context import RunContext
--- a/onyxpost/simulation/multiprocess/run_context.py
+++ b/onyxpost/simulation/multiprocess/run_context.py
@@ -10,6 +10,7 @@
 import msgspec
 
 from onyxpost.simulation.free_ports import LOOPBACK, NoFreePortsError, find_restartable_ports
+from onyxpost.simulation.multiprocess.endpoints import format_address
 from onyxpost.simulation.multiprocess.errors import InvalidScenarioError
 from onyxpost.simulation.multiprocess.fault_proxy import FaultProxy
 from onyxpost.simulation.multiprocess.history import ProcessChanged
@@ -32,8 +33,7 @@
 class RunContext:
     """The shared state of one run.
 
-    Endpoints are `n0`, ... (nodes), `s0`, ... (app servers, incarnations as `s0.1`), `d0`, ... (discovery of
-    each node). A node's addresses are `n0` (clients), `n0/udp` (peers) and `n0/fleet` (cluster).
+    A node's addresses are `n0` (clients), `n0/udp` (peers) and `n0/fleet` (cluster); see `endpoints.py`.
 
     Attributes:
         started_at: when all nodes served, in seconds of the monotonic clock.
@@ -112,12 +112,12 @@
     async def _peer_address(self, index: int, peer: int) -> str:
         if index == peer:
             return format_address(self.addresses[f"n{index}/udp"])
-        return format_address(await self.proxy.open_udp(f"n{index}", f"n{peer}"))
+        return format_address(await self.proxy.udp.open(f"n{index}", f"n{peer}"))
 
     async def _cluster_address(self, index: int, peer: int) -> str:
         if index == peer:
             return format_address(self.addresses[f"n{index}/fleet"])
-        return format_address(await self.proxy.open_tcp(f"n{index}", f"n{peer}/fleet"))
+        return format_address(await self.proxy.tcp.open(f"n{index}", f"n{peer}/fleet"))
 
     def _assign_node_addresses(self) -> None:
         try:
@@ -136,8 +136,3 @@
     def _observe_bytes(self, source: str, destination: str, data: bytes, stage: TransferStage) -> None:
         if self._observer is not None:
             self._observer(source, destination, data, stage)
-
-
-def format_address(address: Address) -> str:
-    """Returns an address as files have it: `host:port`."""
-    return f"{address[0]}:{address[1]}"
--- a/onyxpost/simulation/multiprocess/scenario_runner.py
+++ b/onyxpost/simulation/multiprocess/scenario_runner.py
@@ -84,7 +84,7 @@
         while processes.group.terminating:  # noqa: ASYNC110 - for at most the stop timeout
             await asyncio.sleep(POLL_SECONDS)
         await self.injector.stop()
-        self.context.proxy.heal()
+        self.context.proxy.links.heal()
         for name in self.context.node_names:
             processes.group.resume(name)
         await processes.start_all()
--- a/onyxpost/simulation/multiprocess/tcp_proxy.py
+++ b/onyxpost/simulation/multiprocess/tcp_proxy.py
@@ -1,4 +1,4 @@
-"""A proxied TCP connection: each direction goes by the faults of its link. I/O."""
+"""Proxies for TCP: each direction of a connection goes by the faults of its link. I/O."""
 
 from __future__ import annotations
 
@@ -9,14 +9,17 @@
 from collections import deque
 from collections.abc import Callable
 from enum import Enum, auto
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple, cast
 
-from onyxpost.simulation.multiprocess.link import endpoint_of
+from onyxpost.simulation.free_ports import LOOPBACK
+from onyxpost.simulation.multiprocess.endpoints import endpoint_of
 
 if TYPE_CHECKING:
-    from onyxpost.simulation.multiprocess.fault_proxy import FaultProxy
-    from onyxpost.simulation.multiprocess.link import Link
+    from onyxpost.config.address import Address
+    from onyxpost.simulation.multiprocess.endpoints import AddressLookup
+    from onyxpost.simulation.multiprocess.link import Link, LinkTable
 
+LISTEN_BACKLOG = 512
 MAX_BUFFERED_BYTES = 1 << 20  # in one direction of a connection; beyond that nothing more is read
 BUFFER_POLL_SECONDS = 0.01
 READ_CHUNK_BYTES = 65536
@@ -42,12 +45,70 @@
     data: bytes
 
 
+class TcpProxy:
+    """Listeners between pairs of endpoints, and the connections that they have accepted.
+
+    Args:
+        links: with their faults.
+        address_of: finds the destination at the time of a connection.
+        observe: is called with all bytes.
+    """
+
+    def __init__(self, links: LinkTable, address_of: AddressLookup, observe: ByteObserver) -> None:
+        self.links = links
+        self.address_of = address_of
+        self.observe = observe
+        self.connections: dict[tuple[str, str], set[ProxiedConnection]] = {}
+        self._listeners: list[asyncio.Server] = []
+
+    async def open(self, source: str, destination: str) -> Address:
+        """Listens for connections of `source` to `destination`; returns the address for `source` to use."""
+
+        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await ProxiedConnection(self, source, destination, reader, writer).run()
+
+        listener = await asyncio.start_server(serve, LOOPBACK, 0, backlog=LISTEN_BACKLOG)
+        self._listeners.append(listener)
+        return cast("Address", listener.sockets[0].getsockname())
+
+    def reset(self, one: str, other: str, incarnation: str = "") -> int:
+        """Ends all connections between two endpoints with RST, as a router that lost its state.
+
+        Args:
+            one: an endpoint.
+            other: another one.
+            incarnation: the only one whose connections are ended, as `s0.1`; empty: all.
+
+        Returns:
+            the number of connections.
+        """
+        connections = [*self.connections.get((one, other), ()), *self.connections.get((other, one), ())]
+        affected = [connection for connection in connections if incarnation in ("", connection.destination)]
+        for connection in affected:
+            connection.reset()
+        return len(affected)
+
+    def reset_all(self, endpoint: str, incarnation: str = "") -> None:
+        """Ends all connections of an endpoint, or of one of its incarnations, with RST."""
+        for ends in list(self.connections):
+            if endpoint in ends:
+                self.reset(*ends, incarnation)
+
+    def close(self) -> None:
+        """Closes all listeners and connections."""
+        for listener in self._listeners:
+            listener.close()
+        for connections in list(self.connections.values()):
+            for connection in list(connections):
+                connection.reset()
+
+
 class ProxiedConnection:
     """A connection that an endpoint opened to the proxy, and the proxy's own to the destination."""
 
     def __init__(
         self,
-        proxy: FaultProxy,
+        proxy: TcpProxy,
         source: str,
         destination: str,
         reader: asyncio.StreamReader,
@@ -105,11 +166,11 @@
 class _Direction:
     """One direction of a connection: a queue between a task that reads and a task that writes."""
 
-    def __init__(self, proxy: FaultProxy, source: str, destination: str) -> None:
+    def __init__(self, proxy: TcpProxy, source: str, destination: str) -> None:
         self.proxy = proxy
         self.source = source
         self.destination = destination
-        self.link: Link = proxy.link(endpoint_of(source), endpoint_of(destination))
+        self.link: Link = proxy.links.link(endpoint_of(source), endpoint_of(destination))
         self.queue: deque[Chunk] = deque()
         self.queued_bytes = 0
         self.has_chunk = asyncio.Event()
--- a/onyxpost/simulation/multiprocess/udp_proxy.py
+++ b/onyxpost/simulation/multiprocess/udp_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy for datagrams from one endpoint to another, by the faults of their link. I/O."""
+"""Proxies for datagrams, by the faults of their links. I/O."""
 
 from __future__ import annotations
 
@@ -6,22 +6,68 @@
 from functools import partial
 from typing import TYPE_CHECKING, cast
 
+from onyxpost.simulation.free_ports import ANY_PORT
+
 if TYPE_CHECKING:
+    from random import Random
+
     from onyxpost.config.address import Address
-    from onyxpost.simulation.multiprocess.fault_proxy import FaultProxy
+    from onyxpost.simulation.multiprocess.endpoints import AddressLookup
+    from onyxpost.simulation.multiprocess.link import Link, LinkTable
 
 REORDERING_DELAY_MS = 30.0  # of a datagram that later ones overtake
 MS_PER_SECOND = 1000.0
 
 
+class UdpProxy:
+    """Sockets between pairs of endpoints, one for each direction.
+
+    Args:
+        links: with their faults.
+        address_of: finds the destination at the time of a datagram.
+        rng: decides which datagrams are lost, duplicated and reordered.
+    """
+
+    def __init__(self, links: LinkTable, address_of: AddressLookup, rng: Random) -> None:
+        self.links = links
+        self.rng = rng
+        self.directions: dict[tuple[str, str], DatagramProxy] = {}
+        self._address_of = address_of
+
+    async def open(self, source: str, destination: str) -> Address:
+        """Listens for datagrams of `source` to `destination`; returns the address for `source` to use.
+
+        The destination receives them from the proxy of the other direction, which must be open too.
+        """
+        loop = asyncio.get_running_loop()
+        _, direction = await loop.create_datagram_endpoint(
+            lambda: DatagramProxy(self, source, destination), local_addr=ANY_PORT
+        )
+        self.directions[source, destination] = direction
+        return cast("Address", direction.transport.get_extra_info("sockname"))
+
+    def deliver(self, source: str, destination: str, data: bytes) -> None:
+        """Sends a datagram to the destination, from where the destination would answer the source."""
+        other_direction = self.directions.get((destination, source))
+        address = self._address_of(f"{destination}/udp")
+        if other_direction is None or address is None or other_direction.transport.is_closing():
+            return
+        other_direction.transport.sendto(data, address)
+
+    def close(self) -> None:
+        """Closes all sockets."""
+        for direction in self.directions.values():
+            direction.transport.close()
+
+
 class DatagramProxy(asyncio.DatagramProtocol):
-    """Receives what the source sends; the proxy of the other direction sends it to the destination."""
+    """Receives what the source sends to the destination."""
 
-    def __init__(self, proxy: FaultProxy, source: str, destination: str) -> None:
+    def __init__(self, proxy: UdpProxy, source: str, destination: str) -> None:
         self.proxy = proxy
-        self.source = source
-        self.destination = destination
+        self.link: Link = proxy.links.link(source, destination)
         self.transport: asyncio.DatagramTransport
+        self._forward = partial(proxy.deliver, source, destination)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The socket is open."""
@@ -32,13 +78,12 @@
 
         Random numbers are drawn in this order, each only where those before it leave the question open.
         """
-        link = self.proxy.link(self.source, self.destination)
         rng = self.proxy.rng
-        behavior = link.behavior
+        behavior = self.link.behavior
         if behavior.cut or rng.random() < behavior.loss:
             return
         if behavior.stall:
-            link.hold_datagram(partial(self._forward, data))
+            self.link.hold_datagram(partial(self._forward, data))
             return
         delay_ms = behavior.delay_ms
         if rng.random() < behavior.reordering:
@@ -56,10 +101,3 @@
             loop.call_later(delay_ms / MS_PER_SECOND, self._forward, data)
         else:
             self._forward(data)
-
-    def _forward(self, data: bytes) -> None:
-        other_direction = self.proxy.datagram_proxies.get((self.destination, self.source))
-        address = self.proxy.address_of(f"{self.destination}/udp")
-        if other_direction is None or address is None or other_direction.transport.is_closing():
-            return
-        other_direction.transport.sendto(data, address)
--- a/tests/simulation/multiprocess/test_command_line.py
+++ b/tests/simulation/multiprocess/test_command_line.py
@@ -64,7 +64,7 @@
     assert "'ignore-lease-expiry' is of leadership, not of the environment 'edge'" in refusal.stderr
 
 
-def test_old_spellings_are_accepted_and_each_says_once_what_replaces_it() -> None:
+def test_old_spellings_are_accepted_and_each_is_reported_once() -> None:
     refusal = run_command("duties-cuts", "--plant", "careless", "--nodes", "99")
     assert refusal.returncode == 2
     lines = refusal.stderr.splitlines()
--- a/tests/simulation/multiprocess/test_edge_invariants.py
+++ b/tests/simulation/multiprocess/test_edge_invariants.py
@@ -177,7 +177,7 @@
     assert violated_invariants(calls_to_a_server_that_starts(11)) == [COLD, COLD_SUM]
 
 
-def test_limit_of_calls_leaves_room_for_chance_and_limit_of_work_does_not() -> None:
+def test_limit_of_calls_is_above_the_limit_of_work() -> None:
     assert violated_invariants(calls_to_a_server_that_starts(10)) == [COLD]
 
 
--- a/tests/simulation/multiprocess/test_fault_proxy.py
+++ b/tests/simulation/multiprocess/test_fault_proxy.py
@@ -12,7 +12,7 @@
 
 from onyxpost.simulation.free_ports import ANY_PORT, LOOPBACK
 from onyxpost.simulation.multiprocess.fault_proxy import FaultProxy
-from onyxpost.simulation.multiprocess.link import NO_FAULT, LinkBehavior
+from onyxpost.simulation.multiprocess.link import NO_FAULT, LinkBehavior, LinkTable
 from onyxpost.simulation.multiprocess.tcp_proxy import TransferStage
 from tests.edge.event_loop import in_event_loop, wait_until
 
@@ -68,7 +68,7 @@
 
     async def connect(self) -> Connection:
         """Connects `a` to `b`."""
-        address = await self.proxy.open_tcp("a", "b/fleet")
+        address = await self.proxy.tcp.open("a", "b/fleet")
         reader, writer = await asyncio.open_connection(*address)
         return Connection(reader, writer, *await self.accepted.get())
 
@@ -105,7 +105,7 @@
 async def test_impaired_direction_holds_all_bytes_until_it_heals(behavior: LinkBehavior) -> None:
     async with ProxiedPair().run() as pair:
         connection = await pair.connect()
-        link = pair.proxy.link("a", "b")
+        link = pair.proxy.links.link("a", "b")
         link.start_fault(1, behavior)
         connection.client_writer.write(b"one")
         await pair.wait_for(b"one")
@@ -124,14 +124,14 @@
 async def test_delays_of_two_faults_add_up_and_reset_ends_both_ends() -> None:
     async with ProxiedPair().run() as pair:
         connection = await pair.connect()
-        link = pair.proxy.link("a", "b")
+        link = pair.proxy.links.link("a", "b")
         link.start_fault(1, LinkBehavior(delay_ms=50.0))
         link.start_fault(2, LinkBehavior(delay_ms=50.0))
         began = time.monotonic()
         connection.client_writer.write(b"x")
         await connection.server_reader.readexactly(1)
         assert time.monotonic() - began > 0.099
-        assert pair.proxy.reset("b", "a") == 1
+        assert pair.proxy.tcp.reset("b", "a") == 1
         for reader in (connection.client_reader, connection.server_reader):
             with pytest.raises(ConnectionResetError):
                 await reader.read()
@@ -141,13 +141,13 @@
 async def test_datagrams_are_lost_held_delayed_and_duplicated() -> None:
     loop = asyncio.get_running_loop()
     async with ProxiedPair().run() as pair:
-        to_b = await pair.proxy.open_udp("a", "b")
-        to_a = await pair.proxy.open_udp("b", "a")
+        to_b = await pair.proxy.udp.open("a", "b")
+        to_a = await pair.proxy.udp.open("b", "a")
         sender, _ = await loop.create_datagram_endpoint(DatagramReceiver, local_addr=ANY_PORT)
         transport, receiver = await loop.create_datagram_endpoint(DatagramReceiver, local_addr=ANY_PORT)
         pair.addresses["b/udp"] = transport.get_extra_info("sockname")
-        link = pair.proxy.link("a", "b")
-        proxy = pair.proxy.datagram_proxies["a", "b"]
+        link = pair.proxy.links.link("a", "b")
+        proxy = pair.proxy.udp.directions["a", "b"]
         for behavior, data in (
             (LinkBehavior(loss=1.0), b"lost"),
             (CUT, b"cut"),
@@ -170,9 +170,10 @@
         transport.close()
 
 
-def test_link_without_faults_behaves_as_if_there_were_none() -> None:
-    link = FaultProxy({}.get, lambda *_: None, Random(1)).link("a", "b")
+def test_healed_link_has_no_fault() -> None:
+    links = LinkTable()
+    link = links.link("a", "b")
     link.start_fault(1, CUT)
-    link.end_all_faults()
+    links.heal()
     assert link.behavior == NO_FAULT
     assert link.is_open.is_set()
--- a/tests/simulation/multiprocess/test_fault_script.py
+++ b/tests/simulation/multiprocess/test_fault_script.py
@@ -50,7 +50,7 @@
     assert {len(set(one) & set(other)) for one, other in groups} == {0, 1}
 
 
-def test_drawn_bridges_share_one_acceptor_and_most_faults_are_a_leaders() -> None:
+def test_drawn_bridges_share_one_acceptor_and_leaders_are_preferred_targets() -> None:
     script = draw_script(with_size(load_scenario("leadership-bridge"), 5, 300.0), 1)
     assert decode_script(encode_script(script), "x") == script
     for fault in (fault for fault in script.faults if fault.kind == "bridge"):
@@ -77,7 +77,7 @@
     ],
     ids=["unknown node", "wrong type", "unknown scenario", "too many nodes", "too long"],
 )
-def test_what_cannot_be_run_is_refused_with_place_and_remedy(
+def test_invalid_script_or_scenario_is_refused_with_its_path_and_a_remedy(
     read: Callable[[], object], expected: str
 ) -> None:
     with pytest.raises(InvalidScenarioError) as caught:
--- a/tests/simulation/multiprocess/test_leadership_processes.py
+++ b/tests/simulation/multiprocess/test_leadership_processes.py
@@ -27,7 +27,7 @@
 MIN_COMMITTED_RECORDS = 20
 
 
-def all_faults_took_effect(events: Sequence[HistoryEvent], result: dict[str, Any]) -> bool:
+def all_faults_had_an_effect(events: Sequence[HistoryEvent], result: dict[str, Any]) -> bool:
     """Each fault hit a leader, the delayed call came after its successor's, and records were committed."""
     return (
         result["refused_by_fence"] > 0
@@ -43,7 +43,7 @@
         lease_seconds=1.0,
         seconds=9.0,
         faults=[DELAYED_CALL, Fault(4.6, "kill", "h1", 0.1), Fault(6.6, "alone", "h2", 1.4)],
-        has_occasion=all_faults_took_effect,
+        has_occasion=all_faults_had_an_effect,
     ),
     LeadershipRun(
         "ignore-fencing-tokens",
