--- a/onyxpost/simulation/planner_cluster/load_generator.py
+++ b/onyxpost/simulation/planner_cluster/load_generator.py
@@ -11,6 +11,7 @@
 import h11
 
 from onyxpost.simulation.load import Client
+from onyxpost.simulation.open_loop import BackgroundTasks, poisson_arrivals
 from onyxpost.simulation.planner_cluster.files import FRONTEND, PLAN
 from onyxpost.simulation.planner_cluster.options import CLIENT_TIMEOUT_US, MAX_REQUEST_UNITS
 
@@ -45,11 +46,11 @@
         self.started_at = time.monotonic()
         self.unseen_requests: dict[str, SentRequest] = {}  # by trace id, until they reach an app server
         self._trace_prefix = f"{os.getpid():x}.{options.seed:x}"
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._requests = BackgroundTasks()
 
     def now(self) -> float:
         """Milliseconds since the start of the load."""
-        return (time.monotonic() - self.started_at) * MS_PER_SECOND
+        return self._elapsed_seconds() * MS_PER_SECOND
 
     def handle_arrival(self, trace: str) -> None:
         """A request reached an app server; attempts after its first are not counted."""
@@ -65,31 +66,24 @@
             for customer in range(self.options.customers)
         ]
         popularity = self._random_popularity()
-        due = self.rng.expovariate(self.options.request_rate)
-        count = 0
-        while due < self.options.seconds:
-            delay = self.started_at + due - time.monotonic()
-            if delay > 0.0:
-                await asyncio.sleep(delay)
-            if count % REQUESTS_PER_POPULARITY == 0:
+        arrivals = poisson_arrivals(
+            self.rng, self.options.request_rate, self.options.seconds, self._elapsed_seconds
+        )
+        async for count in arrivals:
+            if (count - 1) % REQUESTS_PER_POPULARITY == 0:
                 popularity = self._random_popularity()
-            count += 1
             (customer,) = self.rng.choices(range(self.options.customers), weights)
             (port,) = self.rng.choices(self.ports, popularity)
             request = SentRequest(customer, self.rng.randint(1, MAX_REQUEST_UNITS))
-            self._start_request(f"{self._trace_prefix}.{count}", port, request)
-            due += self.rng.expovariate(self.options.request_rate)
-        if self._tasks:
-            await asyncio.wait(self._tasks, timeout=DRAIN_SECONDS)
+            self._requests.start(self._send(f"{self._trace_prefix}.{count}", port, request))
+        await self._requests.wait(DRAIN_SECONDS)
+
+    def _elapsed_seconds(self) -> float:
+        return time.monotonic() - self.started_at
 
     def _random_popularity(self) -> list[float]:
         return [self.rng.random() ** 3 for _ in range(self.options.forwarders)]
 
-    def _start_request(self, trace: str, port: int, request: SentRequest) -> None:
-        task = asyncio.create_task(self._send(trace, port, request))
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
-
     async def _send(self, trace: str, port: int, request: SentRequest) -> None:
         self.unseen_requests[trace] = request
         self.counter.count_arrival(self.now(), request.customer, request.units)
--- a/onyxpost/simulation/planner_cluster/runner.py
+++ b/onyxpost/simulation/planner_cluster/runner.py
@@ -14,6 +14,7 @@
 
 from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.simulation.errors import ProcessNotStartedError
+from onyxpost.simulation.free_ports import ANY_PORT, find_free_ports
 from onyxpost.simulation.planner_cluster.files import (
     ClusterPorts,
     forwarder_name,
@@ -23,17 +24,17 @@
 )
 from onyxpost.simulation.planner_cluster.load_generator import LoadGenerator
 from onyxpost.simulation.planner_cluster.options import ClusterOptions, check_options
-from onyxpost.simulation.planner_cluster.processes import ProcessGroup
 from onyxpost.simulation.planner_cluster.usage_counter import UsageCounter
+from onyxpost.simulation.process_group import LogFiles, ProcessGroup
 from onyxpost.simulation.stubs import AppServer, AttemptKey, DiscoveryAgent, NullObserver, ServerIdentity
 
 if TYPE_CHECKING:
     from onyxpost.config.address import Address
     from onyxpost.runtime.transport import Listener
 
+PROGRAM = ("-m", "onyxpost")
 APP_SERVERS = 4
 APP_SERVER_DELAY_MS = 5.0
-ANY_PORT = ("127.0.0.1", 0)
 WARM_UP_SECONDS = 6.0  # for planners to wait for older leases to end, and forwarders to request some
 CONNECT_ATTEMPTS = 400
 CONNECT_INTERVAL_SECONDS = 0.05
@@ -60,15 +61,6 @@
         return asyncio.run(PlannerCluster(options, folder).run())
 
 
-def find_free_ports(count: int, kind: socket.SocketKind = socket.SOCK_STREAM) -> list[int]:
-    """Ports on loopback that nobody listens at; all are held until the last one is found."""
-    with contextlib.ExitStack() as stack:
-        sockets = [stack.enter_context(socket.socket(socket.AF_INET, kind)) for _ in range(count)]
-        for sock in sockets:
-            sock.bind(ANY_PORT)
-        return [sock.getsockname()[1] for sock in sockets]
-
-
 class PlannerCluster(NullObserver):
     """Stub upstreams in this process, planners and forwarders as processes."""
 
@@ -83,7 +75,7 @@
         net = SocketTransport()
         self.app_servers = [AppServer(net, self, index, 0, ANY_PORT, "a") for index in range(APP_SERVERS)]
         self.discovery_agent = DiscoveryAgent(net, self, 0, ANY_PORT)
-        self.processes = ProcessGroup(folder)
+        self.processes = ProcessGroup(folder, log_files=LogFiles.APPENDED)
         self.counter = UsageCounter(options)
         self.load = LoadGenerator(options, self.ports.forwarders, self.counter)
 
@@ -106,7 +98,7 @@
             if killer is not None:
                 killer.cancel()
         finally:
-            await self.processes.stop_all()
+            await self.processes.terminate_all()
             for writer in self.discovery_agent.writers:
                 writer.transport.abort()
         return ClusterReport(self.counter.figures(), self.counter.violations)
@@ -130,7 +122,7 @@
             fields = node_file(self.options, self.ports, index, agent.address, known)
             path = self._write_file(forwarder_name(index), fields)
             environment = {"EDGE_CONFIG": str(path)}
-            await self.processes.start(forwarder_name(index), "serve", environment=environment)
+            await self.processes.start(forwarder_name(index), [*PROGRAM, "serve"], environment)
         await self._wait_until_listening()
 
     def _write_file(self, name: str, fields: dict[str, Any]) -> Path:
@@ -140,7 +132,7 @@
 
     async def _start_planner(self, index: int) -> None:
         name = planner_name(index)
-        await self.processes.start(name, "plan", str(self.folder / f"{name}.json"))
+        await self.processes.start(name, [*PROGRAM, "plan", str(self.folder / f"{name}.json")])
 
     async def _wait_until_listening(self) -> None:
         for port in self.ports.forwarders:
