--- a/tests/compatibility/simulation_meanings.py
+++ b/tests/compatibility/simulation_meanings.py
@@ -14,11 +14,14 @@
 from onyxpost.simulation import deterministic, load, results
 from onyxpost.simulation.deterministic.fault_script import script as draw_deterministic_faults
 from onyxpost.simulation.invariants import Violation
-from onyxpost.simulation.multiprocess import fault_script
 from onyxpost.simulation.multiprocess import scenario as scenarios
+from onyxpost.simulation.multiprocess.fault_script import decode_script, encode_script
 from tests.compatibility import meanings
 
 
+RECORDED_ENVIRONMENTS = {"edge": "edge", "leadership": "duties"}  # by their name today
+
+
 class ScriptDraw(NamedTuple):
     """What a script for real processes is drawn from."""
 
@@ -31,32 +34,32 @@
 
 def drawn_script(draw: ScriptDraw) -> bytes:
     """The script that `lab rig` plays, as it is kept; under the name by which the scenario was asked for."""
-    scenario = scenarios.sized(scenarios.load(draw.scenario), draw.nodes, draw.seconds)
-    script = scenarios.scripted(scenario, draw.seed, draw.mutation)
-    return fault_script.encode(msgspec.structs.replace(script, scenario=Path(draw.scenario).stem))
+    scenario = scenarios.with_size(scenarios.load_scenario(draw.scenario), draw.nodes, draw.seconds)
+    script = scenarios.draw_script(scenario, draw.seed, draw.mutation)
+    return encode_script(msgspec.structs.replace(script, scenario=Path(draw.scenario).stem))
 
 
 def shipped_scenarios() -> list[str]:
     """Names of the scenarios for real processes."""
-    return scenarios.shipped()
+    return scenarios.shipped_scenarios()
 
 
 def rewritten_script(data: bytes) -> bytes:
     """A kept script, read and written again."""
-    return fault_script.encode(fault_script.decode(data, "script"))
+    return encode_script(decode_script(data, "script"))
 
 
 def replayed_scenario(data: bytes) -> dict[str, Any]:
     """The scenario that a kept script is played in."""
-    script = fault_script.decode(data, "script")
-    scenario = scenarios.sized(scenarios.load(script.scenario), script.nodes, script.seconds)
+    script = decode_script(data, "script")
+    scenario = scenarios.with_size(scenarios.load_scenario(script.scenario), script.nodes, script.seconds)
     return {
-        "stage": scenario.stage,
+        "stage": RECORDED_ENVIRONMENTS[scenario.environment],
         "nodes": scenario.nodes,
         "seconds": scenario.seconds,
         "servers": scenario.servers,
-        "roles": scenario.duties,
-        "lease s": scenario.lease_s,
+        "roles": scenario.roles,
+        "lease s": scenario.lease_seconds,
         "rate": scenario.load.rate,
         "customers": scenario.load.customers,
     }
