--- a/onyxpost/cli.py
+++ b/onyxpost/cli.py
@@ -10,39 +10,53 @@
 
 from onyxpost import __version__
 
-LAB_SUMMARY = "Emulator, seeded faults, load and reports (its own libraries)."
+SIMULATE = "simulate"
+OLD_SIMULATE = "lab"
+SIMULATE_SUMMARY = "Simulations, seeded faults, load and reports (needs libraries of its own)."
 MAX_HELP_CHARS = 80
 
 
-class LazyLabGroup(click.Group):
-    """A group whose command `lab` is imported only when it is used: it needs libraries of its own."""
+class LazySimulateGroup(click.Group):
+    """A group whose command `simulate` is imported only when it is used: it needs libraries of its own."""
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Returns the command; fails with the way to install what `lab` lacks."""
-        if cmd_name != "lab":
+        """Returns the command; fails with the way to install what `simulate` lacks."""
+        if cmd_name != SIMULATE:
             return super().get_command(ctx, cmd_name)
         try:
-            from onyxpost.simulation.cli import lab
+            from onyxpost.simulation.cli import simulate
         except ModuleNotFoundError as err:
-            ctx.fail(f"lab needs {err.name}: pip install -r requirements-lab.txt")
-        return lab
+            ctx.fail(f"{SIMULATE} needs {err.name}: pip install -r requirements-lab.txt")
+        return simulate
+
+    def resolve_command(
+        self, ctx: click.Context, args: list[str]
+    ) -> tuple[str | None, click.Command | None, list[str]]:
+        """Finds the command; the simulation's old spellings are announced and replaced."""
+        if args[0] in (SIMULATE, OLD_SIMULATE):
+            from onyxpost.simulation.deprecation import parse_simulation_command
+
+            command = parse_simulation_command(args)
+            command.warn_if_deprecated()
+            args = command.words
+        return super().resolve_command(ctx, args)
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Returns the names of all commands."""
-        return [*super().list_commands(ctx), "lab"]
+        return [*super().list_commands(ctx), SIMULATE]
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:  # noqa: ARG002 - as in the base class
-        """Writes the summary of each command without importing `lab`."""
+        """Writes the summary of each command without importing `simulate`."""
         rows = [
             (name, command.get_short_help_str(MAX_HELP_CHARS))
             for name, command in sorted(self.commands.items())
         ]
-        rows.append(("lab", LAB_SUMMARY))
+        rows.append((SIMULATE, SIMULATE_SUMMARY))
         with formatter.section("Commands"):
             formatter.write_dl(rows)
 
 
-@click.group(cls=LazyLabGroup, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=LazySimulateGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="onyxpost", message="%(prog)s %(version)s")
 def main() -> None:
     """Holds customers to their quotas before a shared back end."""
@@ -52,7 +66,7 @@
 def serve() -> None:
     """Run one edge node, as EDGE_CONFIG and the other EDGE_ variables say.
 
-    Exit 0: told to stop, and all requests answered. Exit 1: an address cannot be bound. Exit 2: the file
+    Exit 0: stopped by a signal, all requests answered. Exit 1: an address cannot be bound. Exit 2: the file
     cannot be used.
     """
     from onyxpost.node.serve import serve as run_node
--- a/onyxpost/simulation/cli.py
+++ b/onyxpost/simulation/cli.py
@@ -1,4 +1,4 @@
-"""`onyxpost lab`: scenarios played, seeds tried, load sent, results compared."""
+"""`onyxpost simulate`: scenarios played, seeds tried, load sent, results compared."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from onyxpost.simulation import results
 from onyxpost.simulation.cli_errors import told
-from onyxpost.simulation.cli_sockets import load, stand, town
+from onyxpost.simulation.cli_sockets import load, planner_cluster, stubs
 from onyxpost.simulation.discrete_event import scenario as scenarios
 from onyxpost.simulation.errors import InvalidOptionError
 from onyxpost.simulation.multiprocess.cli import rig
@@ -21,16 +21,18 @@
 
 
 @click.group()
-def lab() -> None:
+def simulate() -> None:
     """Try designs at sizes that sockets do not reach."""
     signal.signal(signal.SIGTERM, signal.default_int_handler)  # ends as an interrupt does
 
 
-for _command in (load, stand, town, rig):
-    lab.add_command(_command)
+simulate.add_command(load)
+simulate.add_command(planner_cluster)
+simulate.add_command(rig, "processes")
+simulate.add_command(stubs)
 
 
-@lab.command("scenarios")
+@simulate.command("scenarios")
 def list_scenarios() -> None:
     """The scenarios that are shipped."""
     for name in scenarios.shipped():
@@ -38,7 +40,7 @@
         click.echo(f"{name:18} {one.seconds:4.0f} s  {one.about}")
 
 
-@lab.command()
+@simulate.command("discrete-event")
 @click.argument("scenario", nargs=-1, required=True)
 @click.option("--seeds", default="1", show_default=True, help="Seeds, as in 1-20 or 1,4,9-12.")
 @click.option("--nodes", type=int, help="Edge nodes, in place of the scenario's.")
@@ -96,7 +98,7 @@
     sys.exit(1 if broken else 0)
 
 
-@lab.command()
+@simulate.command()
 @click.argument("a", type=click.Path(path_type=Path))
 @click.argument("b", type=click.Path(path_type=Path))
 @click.option("--plot", type=click.Path(dir_okay=False, path_type=Path), help="A PNG with plots over time.")
@@ -113,13 +115,13 @@
         report.plot({a.stem: one, b.stem: other}, plot)
 
 
-@lab.command()
+@simulate.command("deterministic")
 @click.option("--seeds", "wanted", default="1-200", show_default=True, help="Seeds, as in 1-20 or 1,4,9-12.")
 @click.option("--jobs", type=click.IntRange(1, 256), default=JOBS, show_default=True, help="Processes.")
-@click.option("--plant", default="", help="A bug to put in, to see that it is found.")
+@click.option("--mutation", default="", help="Inject a known bug: it must be found.")
 @click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="JSON lines, a seed each.")
 @told
-def seeds(wanted: str, jobs: int, plant: str, out: Path | None) -> None:
+def seeds(wanted: str, jobs: int, mutation: str, out: Path | None) -> None:
     """Play faults scripted from seeds on whole edge nodes under a virtual clock.
 
     A failing seed is shrunk to the faults that it takes; played again it does the same. Exit 1: one failed.
@@ -128,14 +130,14 @@
     from onyxpost.simulation.discrete_event import batch
     from onyxpost.simulation.mutations import PLANTS
 
-    if plant not in PLANTS:
-        what = f"no bug {plant!r}; there are: {', '.join(filter(None, PLANTS))}"
-        raise InvalidOptionError(what, "--plant")
+    if mutation not in PLANTS:
+        what = f"no bug {mutation!r}; there are: {', '.join(filter(None, PLANTS))}"
+        raise InvalidOptionError(what, "--mutation")
     chosen, began = batch.seeds(wanted), time.perf_counter()
     outcomes: list[virtual.Outcome] = []
     interrupted = False
     try:
-        for outcome in virtual.many(chosen, jobs, plant):
+        for outcome in virtual.many(chosen, jobs, mutation):
             outcomes.append(outcome)
     except KeyboardInterrupt:
         interrupted = True
@@ -143,7 +145,7 @@
     if out is not None and outcomes:
         results.write(out, results.encode(virtual.line(outcome) for outcome in outcomes))
     for outcome in failed[:5]:
-        least = virtual.shrunk(outcome, plant)
+        least = virtual.shrunk(outcome, mutation)
         click.echo(f"seed {outcome.seed}: {len(outcome.faults)} faults, {len(least.faults)} of them needed")
         for fault in least.faults:
             click.echo(f"  at {fault.at:.4f} s  {fault.kind} {fault.whom} for {fault.lasts} s ({fault.more})")
--- a/onyxpost/simulation/cli_sockets.py
+++ b/onyxpost/simulation/cli_sockets.py
@@ -58,7 +58,7 @@
 @click.option("--faults", type=click.Path(path_type=Path), help="A TOML file with [[faults]].")
 @click.option("--seconds", type=click.FloatRange(0.1, 3600.0), default=600.0, show_default=True)
 @told
-def stand(
+def stubs(
     out: Path,
     example: Path,
     servers: int,
@@ -90,7 +90,7 @@
     click.echo(f"{served} pages served")
 
 
-@click.command()
+@click.command("planner-cluster")
 @click.option("--forwarders", default=20, show_default=True)
 @click.option("--planners", default=3, show_default=True)
 @click.option("--seconds", default=30.0, show_default=True)
@@ -103,7 +103,7 @@
 @click.option("--gossip", is_flag=True, help="The same day by the nodes' own gossip, without planners.")
 @click.option("--logs", type=click.Path(file_okay=False, path_type=Path), help="Keep files and logs there.")
 @told
-def town(
+def planner_cluster(
     forwarders: int,
     planners: int,
     seconds: float,
@@ -120,12 +120,12 @@
 
     Exit 1: a req had no answer, or a ceiling was passed.
     """
-    from onyxpost.simulation import planner_cluster
+    from onyxpost.simulation import planner_cluster as cluster
 
-    options = planner_cluster.ClusterOptions(
+    options = cluster.ClusterOptions(
         forwarders, planners, seconds, rate, customers, seed, kills, gossip, quota, burst
     )
-    figures, violations = planner_cluster.run(options, logs)
+    figures, violations = cluster.run(options, logs)
     click.echo("  ".join(f"{name} {value}" for name, value in figures.items()))
     for violation in violations[:5]:
         click.echo(f"  ceiling passed at {violation}")
--- a/onyxpost/simulation/multiprocess/cli.py
+++ b/onyxpost/simulation/multiprocess/cli.py
@@ -21,7 +21,7 @@
 @click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="JSON lines, a seed each.")
 @click.option("--kept", type=click.Path(file_okay=False, path_type=Path), help="Keep failing seeds there.")
 @click.option("--replay", type=click.Path(dir_okay=False, path_type=Path), help="Play a kept script.json.")
-@click.option("--plant", default="", help="A bug to put in, to see that it is found.")
+@click.option("--mutation", "plant", default="", help="Inject a known bug: it must be found.")
 @told
 def rig(
     scenario: str | None,
--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -27,10 +27,14 @@
 
 # A line of standard error that an old spelling may add before anything else, once.
 DEPRECATION = re.compile(r"onyxpost: [^\n]*\bdeprecated\b[^\n]*\n")
-OLD_SPELLINGS = ("lab",)  # commands, options and scenarios after which that line may come
+# Commands and options after which that line may come.
+OLD_SPELLINGS = ("lab", "rig", "run", "seeds", "stand", "town", "--plant")
 
 # Recorded words and those that stand in their place today: ("recorded", "current"), applied in this order.
-REWORDED: tuple[tuple[str, str], ...] = ()
+REWORDED: tuple[tuple[str, str], ...] = (
+    ("onyxpost: --plant: ", "onyxpost: --mutation: "),
+    ("Option '--plant' requires", "Option '--mutation' requires"),
+)
 
 USAGE_ERROR = re.compile(r"^Error: .*", re.MULTILINE | re.DOTALL)
 
--- a/tests/process/test_command_line.py
+++ b/tests/process/test_command_line.py
@@ -71,8 +71,20 @@
 @pytest.mark.parametrize(
     ("arguments", "commands"),
     [
-        (["--help"], ("serve", "plan", "check", "version", "lab")),
-        (["lab", "--help"], ("run", "seeds", "load", "stand", "town", "compare", "scenarios")),
+        (["--help"], ("serve", "plan", "check", "version", "simulate")),
+        (
+            ["simulate", "--help"],
+            (
+                "discrete-event",
+                "deterministic",
+                "load",
+                "stubs",
+                "planner-cluster",
+                "processes",
+                "compare",
+                "scenarios",
+            ),
+        ),
     ],
 )
 def test_help_names_every_command(arguments: list[str], commands: tuple[str, ...]) -> None:
--- a/tests/process/test_operator_errors.py
+++ b/tests/process/test_operator_errors.py
@@ -167,21 +167,21 @@
 @pytest.mark.parametrize(
     ("arguments", "kind"),
     [
-        (["run", "nowhere"], SimulationFileError),
-        (["run", "FILE"], InvalidFaultScriptError),
-        (["run", "calm", "--seeds", "x"], InvalidOptionError),
+        (["discrete-event", "nowhere"], SimulationFileError),
+        (["discrete-event", "FILE"], InvalidFaultScriptError),
+        (["discrete-event", "calm", "--seeds", "x"], InvalidOptionError),
         (["compare", "README.md", "README.md"], InvalidResultsError),
         (["load", "192.0.2.1:80", "--node", "x"], NotLoopbackError),
         (["load", "nowhere", "--node", "x"], errors.InvalidAddressError),
         (["load", "127.0.0.1:1", "--node", "/no/such"], errors.FileOpenError),
     ],
 )
-def test_unusable_arguments_of_the_laboratory_are_reported(
+def test_unusable_arguments_of_the_simulation_are_reported(
     arguments: list[str], kind: type[OperatorError], file: Path
 ) -> None:
     file.write_text("seconds = 'many'")
     arguments = [str(file) if argument == "FILE" else argument for argument in arguments]
-    result = CliRunner().invoke(main, ["lab", *arguments])
+    result = CliRunner().invoke(main, ["simulate", *arguments])
     assert result.exit_code == 2, result.output
     assert_one_line(result.output, "", "", kind)
 
@@ -191,7 +191,7 @@
         raise SimulationStalledError("nothing is due any more")
 
     monkeypatch.setattr("onyxpost.simulation.deterministic.many", get_stuck)
-    result = CliRunner().invoke(main, ["lab", "seeds", "--seeds", "1"])
+    result = CliRunner().invoke(main, ["simulate", "deterministic", "--seeds", "1"])
     assert result.exit_code == 1
     assert_one_line(result.output, "", "nothing is due", SimulationStalledError)
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -156,17 +156,17 @@
         self.file.write_text(SMALL)
 
     def run_lab(self, *words: Any) -> Result:
-        return CliRunner().invoke(main, ["lab", *map(str, words)])
+        return CliRunner().invoke(main, ["simulate", *map(str, words)])
 
     def test_several_processes_write_the_bytes_that_one_writes(self) -> None:
         for jobs in (1, 2):
             out = self.folder / f"{jobs}.jsonl"
-            found = self.run_lab("run", self.file, "--seeds", "1-3", "--jobs", jobs, "--out", out)
+            found = self.run_lab("discrete-event", self.file, "--seeds", "1-3", "--jobs", jobs, "--out", out)
             self.assertEqual(found.exit_code, 0, found.output)
         self.assertEqual((self.folder / "1.jsonl").read_bytes(), (self.folder / "2.jsonl").read_bytes())
 
     def test_a_constant_of_the_module_is_tried_for_that_run_alone(self) -> None:
-        words = ("run", self.file, "--jobs", 1, "--out")
+        words = ("discrete-event", self.file, "--jobs", 1, "--out")
         for name, more in (("a", ()), ("b", ("--with", "Window.START=0.01")), ("c", ())):
             self.assertEqual(self.run_lab(*words, self.folder / name, *more).exit_code, 0)
         one, tried, again = ((self.folder / name).read_bytes() for name in "abc")
@@ -175,7 +175,17 @@
 
     def test_an_interrupted_run_keeps_what_was_finished_and_leaves_no_process(self) -> None:
         out = self.folder / "out.jsonl"
-        words = ["lab", "run", str(self.file), "--seeds", "1-500", "--jobs", "2", "--out", str(out)]
+        words = [
+            "simulate",
+            "discrete-event",
+            str(self.file),
+            "--seeds",
+            "1-500",
+            "--jobs",
+            "2",
+            "--out",
+            str(out),
+        ]
         with subprocess.Popen(
             [sys.executable, "-u", "-m", "onyxpost", *words],
             stdout=subprocess.PIPE,
@@ -198,7 +208,9 @@
 
     def test_results_are_compared_and_plotted(self) -> None:
         for name, seeds in (("a", "1-2"), ("b", "1-2"), ("c", "3-4")):
-            self.run_lab("run", self.file, "--seeds", seeds, "--jobs", 1, "--out", self.folder / name)
+            self.run_lab(
+                "discrete-event", self.file, "--seeds", seeds, "--jobs", 1, "--out", self.folder / name
+            )
         same = self.run_lab("compare", self.folder / "a", self.folder / "b", "--plot", self.folder / "p.png")
         self.assertEqual((same.exit_code, same.output.count("the same")), (0, 13), same.output)
         self.assertTrue((self.folder / "p.png").read_bytes().startswith(b"\x89PNG"))
@@ -225,18 +237,18 @@
         torn = self.folder / "torn.jsonl"
         torn.write_text('{"kind": "to')
         for words in (
-            ("run", "no-such"),
-            ("run", self.file, "--seeds", "5-1"),
-            ("run", self.file, "--seeds", "99999999999"),
-            ("run", self.file, "--nodes", "9999999"),
+            ("discrete-event", "no-such"),
+            ("discrete-event", self.file, "--seeds", "5-1"),
+            ("discrete-event", self.file, "--seeds", "99999999999"),
+            ("discrete-event", self.file, "--nodes", "9999999"),
             ("compare", old, old),
             ("compare", torn, torn),
-            ("run", self.file, "--with", "Theta.NONE=1"),
-            ("run", self.file, "--with", "Theta.PERIOD"),
-            ("run", self.file, "--with", "Gateway.arrived=3"),
+            ("discrete-event", self.file, "--with", "Theta.NONE=1"),
+            ("discrete-event", self.file, "--with", "Theta.PERIOD"),
+            ("discrete-event", self.file, "--with", "Gateway.arrived=3"),
             ("compare", self.folder / "none", old),
-            ("seeds", "--plant", "no-such"),
-            ("run", self.file, "--out", self.folder / "no" / "such"),
+            ("deterministic", "--mutation", "no-such"),
+            ("discrete-event", self.file, "--out", self.folder / "no" / "such"),
         ):
             found = self.run_lab(*words)
             lines = [line for line in found.output.splitlines() if line.startswith("onyxpost: ")]
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -365,7 +365,7 @@
         self.assertEqual(fault_script.decode((kept / "edge-cuts-3" / "script.json").read_bytes(), ""), told)
 
     def test_interrupted_it_exits_130_and_leaves_no_process(self) -> None:
-        command = [sys.executable, "-m", "onyxpost", "lab", "rig", "edge-cuts", "--nodes", "3"]
+        command = [sys.executable, "-m", "onyxpost", "simulate", "processes", "edge-cuts", "--nodes", "3"]
         with subprocess.Popen(command, stderr=subprocess.PIPE) as rig:
             children = pathlib.Path(f"/proc/{rig.pid}/task/{rig.pid}/children")
             until = time.monotonic() + 20.0
@@ -381,7 +381,7 @@
                 self.fail(f"process {pid} is left")
 
     def test_what_cannot_be_used_is_one_line_with_a_remedy_exit_2(self) -> None:
-        command = [sys.executable, "-m", "onyxpost", "lab", "rig", "edge-cuts", "--nodes", "99"]
+        command = [sys.executable, "-m", "onyxpost", "simulate", "processes", "edge-cuts", "--nodes", "99"]
         done_ = subprocess.run(command, capture_output=True, text=True)
         self.assertEqual((done_.returncode, done_.stderr.count("\n")), (2, 1))
         self.assertIn("99 nodes: 1 to 64 (name a shipped scenario", done_.stderr)
--- a/tests/test_rig_duties.py
+++ b/tests/test_rig_duties.py
@@ -51,7 +51,7 @@
             place.write_bytes(
                 fault_script.encode(fault_script.Script(name, 3, 5, seconds, sorted(told), plant))
             )
-            words = ["-m", "onyxpost", "lab", "rig", "--replay", str(place), "--out", str(out)]
+            words = ["-m", "onyxpost", "simulate", "processes", "--replay", str(place), "--out", str(out)]
             words += [str(folder / "long.toml")] if name == "long" else []
             rigs.append(subprocess.Popen([sys.executable, *words], stdout=subprocess.DEVNULL))
         for rig in rigs:
