--- /dev/null
+++ b/tests/simulation/test_commands.py
@@ -0,0 +1,163 @@
+"""The commands of the simulation: today's names, and the old spellings that go on working."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+from collections.abc import Callable
+from pathlib import Path
+
+import click
+import pytest
+from click.testing import CliRunner, Result
+
+from onyxpost.cli import main
+from onyxpost.simulation.cli import simulate
+from onyxpost.simulation.deprecation import (
+    COMMANDS,
+    CURRENT_COMMANDS,
+    CURRENT_OPTIONS,
+    Spelling,
+    parse_simulation_command,
+    warn_deprecated,
+)
+
+DEPRECATED = "is deprecated, use"
+
+
+def invoke(words: str) -> Result:
+    return CliRunner().invoke(main, words.split())
+
+
+def help_names(output: str) -> set[str]:
+    """The commands and options that a help text lists: the first words of its indented rows."""
+    rows = [line.strip() for line in output.splitlines() if line.startswith("  ")]
+    return {word.strip(",") for row in rows for word in row.split()[:2]}
+
+
+def test_the_group_has_the_commands_of_todays_spelling_and_no_other() -> None:
+    assert sorted(simulate.commands) == sorted(COMMANDS)
+
+
+@pytest.mark.parametrize("command", sorted(COMMANDS))
+def test_a_command_works_by_its_current_name_without_a_warning(command: str) -> None:
+    result = invoke(f"simulate {command} --help")
+    assert result.exit_code == 0
+    assert result.stdout.startswith(f"Usage: main simulate {command} ")
+    assert result.stderr == ""
+
+
+@pytest.mark.parametrize(
+    ("words", "old", "current"),
+    [
+        ("lab --help", "lab", "simulate"),
+        *(
+            (f"lab {old} --help", f"lab {old}", f"simulate {current}")
+            for old, current in CURRENT_COMMANDS.items()
+        ),
+        *(
+            (f"simulate {old} --help", f"simulate {old}", f"simulate {current}")
+            for old, current in CURRENT_COMMANDS.items()
+        ),
+        ("lab scenarios", "lab scenarios", "simulate scenarios"),
+        ("lab compare --help", "lab compare", "simulate compare"),
+        ("lab load --help", "lab load", "simulate load"),
+        ("lab deterministic --help", "lab deterministic", "simulate deterministic"),
+        ("lab seeds --plant x --help", "lab seeds --plant", "simulate deterministic --mutation"),
+        ("lab rig --plant=x --plant=y --help", "lab rig --plant", "simulate processes --mutation"),
+        (
+            "simulate deterministic --plant x --help",
+            "simulate deterministic --plant",
+            "simulate deterministic --mutation",
+        ),
+    ],
+)
+def test_an_old_spelling_works_and_is_announced_once_on_standard_error(
+    words: str, old: str, current: str
+) -> None:
+    result = invoke(words)
+    assert result.exit_code == 0
+    assert result.stderr == f"onyxpost: '{old}' {DEPRECATED} '{current}'\n"
+    assert DEPRECATED not in result.stdout
+    todays = invoke(" ".join(parse_simulation_command(words.split()).words))
+    assert (todays.stdout, todays.stderr) == (result.stdout, "")
+
+
+@pytest.mark.parametrize(
+    ("words", "error"),
+    [
+        ("lab unknown", "Error: No such command 'unknown'."),
+        ("lab seeds --unknown", "Error: No such option '--unknown'."),
+        ("lab run no-such-scenario", "onyxpost: no-such-scenario: No such file or directory"),
+        ("lab rig edge-cuts --plant no-such", "'no-such'"),
+    ],
+)
+def test_the_announcement_is_the_first_line_of_a_refused_command(words: str, error: str) -> None:
+    result = invoke(words)
+    assert result.exit_code == 2
+    announced, *refusal = result.stderr.splitlines()
+    assert DEPRECATED in announced
+    assert error in "\n".join(refusal)
+    assert DEPRECATED not in "\n".join(refusal)
+    assert result.stdout == ""
+
+
+def test_the_old_option_injects_the_mutation_and_its_results_are_those_of_the_current_one(
+    tmp_path: Path,
+) -> None:
+    written = []
+    for command in ("lab seeds --plant", "simulate deterministic --mutation"):
+        out = tmp_path / "out.jsonl"
+        result = invoke(f"{command} deaf-to-drains --seeds 5 --jobs 1 --out {out}")
+        assert result.exit_code == 1, result.output
+        written.append(out.read_bytes())
+    assert written[0] == written[1]
+
+
+def test_a_process_announces_an_old_spelling_once_whatever_its_number_of_processes(tmp_path: Path) -> None:
+    words = ["lab", "seeds", "--seeds", "1-2", "--jobs", "2", "--out", str(tmp_path / "out.jsonl")]
+    result = subprocess.run(
+        [sys.executable, "-m", "onyxpost", *words], capture_output=True, text=True, timeout=60.0, check=True
+    )
+    assert result.stderr == "onyxpost: 'lab seeds' is deprecated, use 'simulate deterministic'\n"
+    assert DEPRECATED not in result.stdout
+
+
+@pytest.mark.parametrize("words", ["--help", "simulate --help", "lab --help"])
+def test_help_lists_current_names_only(words: str) -> None:
+    names = help_names(invoke(words).stdout)
+    assert names.isdisjoint({"lab", *CURRENT_COMMANDS})
+    expected = {"simulate"} if words == "--help" else set(COMMANDS)
+    assert expected <= names
+
+
+@pytest.mark.parametrize("command", ["deterministic", "processes"])
+def test_help_of_a_command_lists_the_current_option_only(command: str) -> None:
+    names = help_names(invoke(f"simulate {command} --help").stdout)
+    assert "--mutation" in names
+    assert names.isdisjoint(CURRENT_OPTIONS)
+
+
+def test_words_that_are_no_names_keep_their_spelling() -> None:
+    command = parse_simulation_command(["simulate", "stubs", "rig", "--plant", "lab"])
+    assert command.words == ["simulate", "stubs", "rig", "--plant", "lab"]
+    assert command.names == [Spelling("simulate", "simulate"), Spelling("stubs", "stubs")]
+
+
+def test_what_follows_the_end_of_options_keeps_its_spelling() -> None:
+    command = parse_simulation_command(["lab", "rig", "--plant", "x", "--", "--plant"])
+    assert command.words == ["simulate", "processes", "--mutation", "x", "--", "--plant"]
+
+
+def announcing_command(spellings: list[tuple[str, str]]) -> Callable[[], None]:
+    def announce() -> None:
+        for old, new in spellings:
+            warn_deprecated(old, new)
+
+    return announce
+
+
+def test_a_command_announces_the_first_of_several_old_spellings_alone() -> None:
+    command = click.Command("any", callback=announcing_command([("a", "b"), ("a", "b"), ("c", "d")]))
+    for _ in range(2):  # each command anew
+        assert CliRunner().invoke(command).stderr == "onyxpost: 'a' is deprecated, use 'b'\n"
