--- a/onyxpost/cli.py
+++ b/onyxpost/cli.py
@@ -38,7 +38,7 @@
 
             command = parse_simulation_command(args)
             command.warn_if_deprecated()
-            args = command.words
+            args = command.argv
         return super().resolve_command(ctx, args)
 
     def list_commands(self, ctx: click.Context) -> list[str]:
--- a/onyxpost/simulation/cli.py
+++ b/onyxpost/simulation/cli.py
@@ -1,162 +1,64 @@
-"""`onyxpost simulate`: scenarios played, seeds tried, load sent, results compared."""
+"""The group of commands `onyxpost simulate`, and its commands that run nothing: `scenarios` and `compare`."""
 
 from __future__ import annotations
 
-import os
 import signal
-import sys
-import time
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 
-from onyxpost.simulation import results
-from onyxpost.simulation.cli_errors import told
+from onyxpost.simulation.cli_deterministic import deterministic
+from onyxpost.simulation.cli_discrete_event import discrete_event
+from onyxpost.simulation.cli_errors import report_operator_errors
+from onyxpost.simulation.cli_options import ANY_FILE, FILE
 from onyxpost.simulation.cli_sockets import load, planner_cluster, stubs
 from onyxpost.simulation.discrete_event import scenario as scenarios
-from onyxpost.simulation.errors import InvalidOptionError
 from onyxpost.simulation.multiprocess.cli import rig
 
-JOBS = min(8, os.cpu_count() or 1)
+if TYPE_CHECKING:
+    from pathlib import Path
 
 
 @click.group()
 def simulate() -> None:
-    """Try designs at sizes that sockets do not reach."""
+    """Run the gateway in simulations: faults from seeds, load, and a comparison of results."""
     signal.signal(signal.SIGTERM, signal.default_int_handler)  # ends as an interrupt does
 
 
-simulate.add_command(load)
-simulate.add_command(planner_cluster)
-simulate.add_command(rig, "processes")
-simulate.add_command(stubs)
-
-
 @simulate.command("scenarios")
 def list_scenarios() -> None:
-    """The scenarios that are shipped."""
+    """List the scenarios that are shipped."""
     for name in scenarios.shipped():
-        one = scenarios.load(name)
-        click.echo(f"{name:18} {one.seconds:4.0f} s  {one.about}")
-
-
-@simulate.command("discrete-event")
-@click.argument("scenario", nargs=-1, required=True)
-@click.option("--seeds", default="1", show_default=True, help="Seeds, as in 1-20 or 1,4,9-12.")
-@click.option("--nodes", type=int, help="Edge nodes, in place of the scenario's.")
-@click.option("--servers", type=int, help="App servers, in place of the scenario's.")
-@click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="JSON lines with all seconds.")
-@click.option("--jobs", type=click.IntRange(1, 256), default=JOBS, show_default=True, help="Processes.")
-@click.option("--with", "tried", multiple=True, help="Try a constant of the module, as Theta.PERIOD=250.")
-@told
-def run(
-    scenario: tuple[str, ...],
-    seeds: str,
-    nodes: int | None,
-    servers: int | None,
-    out: Path | None,
-    jobs: int,
-    tried: tuple[str, ...],
-) -> None:
-    """Play SCENARIO (a TOML file, or the name of a shipped one) on the emulator.
-
-    Exit 1: a rule was broken. Exit 2: something given cannot be used. Exit 130: interrupted; what was
-    finished is kept.
-    """
-    from onyxpost.simulation.discrete_event import batch
-
-    chosen, changed = batch.seeds(seeds), batch.changes(tried)
-    read = [scenarios.resized(scenarios.load(name), nodes, servers) for name in scenario]
-    kept, broken, began, events, interrupted = b"", 0, time.perf_counter(), 0, False
-    try:
-        for one in read:
-            for seed, data, took in batch.many(one, chosen, jobs, changed):
-                kept += data
-                total = results.last(data)
-                broken += total["breaches"]
-                events += total["events"]
-                click.echo(
-                    f"{one.name:18} seed {seed:<6} passed value {total['passed_value']:.3f}"
-                    f"  worst 10 s {total['worst_10s']:.3f}  denied with room {total['denied_with_room']:.3f}"
-                    f"  beyond quota {total['beyond_quota']:.3f}"
-                    f"  broken rules {total['breaches']}  {took:.1f} s"
-                )
-                for breach in results.breaches(data)[:3]:
-                    click.echo(
-                        f"  {breach['rule']} broken at {breach['at']:.0f} ms: node {breach['node']}, req"
-                        f" {breach['req']}, server {breach['server']}: {breach['what']}"
-                    )
-    except KeyboardInterrupt:
-        interrupted = True
-    if out is not None and kept:
-        results.write(out, kept)
-    click.echo(f"{events / (time.perf_counter() - began):.0f} events a second", err=True)
-    if interrupted:
-        finished = "what was finished is kept" if kept else "nothing was finished"
-        click.echo(f"interrupted: {finished}", err=True)
-        sys.exit(130)
-    sys.exit(1 if broken else 0)
+        scenario = scenarios.load(name)
+        click.echo(f"{name:18} {scenario.seconds:4.0f} s  {scenario.about}")
 
 
 @simulate.command()
-@click.argument("a", type=click.Path(path_type=Path))
-@click.argument("b", type=click.Path(path_type=Path))
-@click.option("--plot", type=click.Path(dir_okay=False, path_type=Path), help="A PNG with plots over time.")
-@told
-def compare(a: Path, b: Path, plot: Path | None) -> None:
-    """What differs between results A and B beyond the spread of their seeds."""
+@click.argument("a", type=ANY_FILE)
+@click.argument("b", type=ANY_FILE)
+@click.option("--plot", "plot_file", type=FILE, help="A PNG with plots over time.")
+@report_operator_errors
+def compare(a: Path, b: Path, plot_file: Path | None) -> None:
+    """Compare results A and B: what differs beyond the spread of their seeds."""
     from onyxpost.simulation import report
 
-    one, other = report.runs(a), report.runs(b)
-    rows = report.compare(one, other)
-    counts = tuple(sum(len(part) for part in side.values()) for side in (one, other))
-    click.echo(report.text(rows, counts))  # type: ignore[arg-type]
-    if plot is not None:
-        report.plot({a.stem: one, b.stem: other}, plot)
-
-
-@simulate.command("deterministic")
-@click.option("--seeds", "wanted", default="1-200", show_default=True, help="Seeds, as in 1-20 or 1,4,9-12.")
-@click.option("--jobs", type=click.IntRange(1, 256), default=JOBS, show_default=True, help="Processes.")
-@click.option("--mutation", default="", help="Inject a known bug: it must be found.")
-@click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="JSON lines, a seed each.")
-@told
-def seeds(wanted: str, jobs: int, mutation: str, out: Path | None) -> None:
-    """Play faults scripted from seeds on whole edge nodes under a virtual clock.
-
-    A failing seed is shrunk to the faults that it takes; played again it does the same. Exit 1: one failed.
-    """
-    from onyxpost.simulation import deterministic as virtual
-    from onyxpost.simulation.discrete_event import batch
-    from onyxpost.simulation.mutations import PLANTS
-
-    if mutation not in PLANTS:
-        what = f"no bug {mutation!r}; there are: {', '.join(filter(None, PLANTS))}"
-        raise InvalidOptionError(what, "--mutation")
-    chosen, began = batch.seeds(wanted), time.perf_counter()
-    outcomes: list[virtual.Outcome] = []
-    interrupted = False
-    try:
-        for outcome in virtual.many(chosen, jobs, mutation):
-            outcomes.append(outcome)
-    except KeyboardInterrupt:
-        interrupted = True
-    failed = [outcome for outcome in outcomes if outcome.failed]
-    if out is not None and outcomes:
-        results.write(out, results.encode(virtual.line(outcome) for outcome in outcomes))
-    for outcome in failed[:5]:
-        least = virtual.shrunk(outcome, mutation)
-        click.echo(f"seed {outcome.seed}: {len(outcome.faults)} faults, {len(least.faults)} of them needed")
-        for fault in least.faults:
-            click.echo(f"  at {fault.at:.4f} s  {fault.kind} {fault.whom} for {fault.lasts} s ({fault.more})")
-        for b in least.violations[:3]:
-            where = f"node {b.node}, req {b.req}, server {b.server}"
-            click.echo(f"  {b.rule} broken at {b.at:.3f} ms: {where}: {b.what}")
-    took = time.perf_counter() - began
-    asked = sum(outcome.asked for outcome in outcomes)
-    passed = sum(outcome.passed for outcome in outcomes)
-    click.echo(
-        f"{len(outcomes)} seeds, {len(failed)} failed; {asked} reqs, {passed} passed;"
-        f" {sum(outcome.steps for outcome in outcomes)} steps checked; {took:.1f} s on {jobs} processes"
-    )
-    sys.exit(130 if interrupted else 1 if failed else 0)
+    runs_a = report.runs(a)
+    runs_b = report.runs(b)
+    rows = report.compare(runs_a, runs_b)
+    counts = (_count(runs_a), _count(runs_b))
+    click.echo(report.text(rows, counts))
+    if plot_file is not None:
+        report.plot({a.stem: runs_a, b.stem: runs_b}, plot_file)
+
+
+def _count(runs: dict[str, list[list[dict[str, object]]]]) -> int:
+    """Returns the number of runs of all scenarios."""
+    return sum(len(of_scenario) for of_scenario in runs.values())
+
+
+simulate.add_command(deterministic)
+simulate.add_command(discrete_event)
+simulate.add_command(load)
+simulate.add_command(planner_cluster)
+simulate.add_command(rig, "processes")
+simulate.add_command(stubs)
--- /dev/null
+++ b/onyxpost/simulation/cli_discrete_event.py
@@ -0,0 +1,141 @@
+"""The command `simulate discrete-event`: many seeds of some scenarios in the discrete-event simulation."""
+
+from __future__ import annotations
+
+import sys
+import time
+from typing import TYPE_CHECKING, NamedTuple
+
+import click
+
+from onyxpost.simulation import results
+from onyxpost.simulation.cli_errors import report_operator_errors
+from onyxpost.simulation.cli_options import SEEDS_HELP, jobs_option, pass_options, seconds_out_option
+from onyxpost.simulation.cli_output import InterruptCatcher, ViolationLine, echo_violations, exit_code
+from onyxpost.simulation.discrete_event import scenario as scenarios
+
+if TYPE_CHECKING:
+    from pathlib import Path
+
+    from onyxpost.simulation.discrete_event.batch import Changes
+    from onyxpost.simulation.discrete_event.scenario import Scenario
+
+MAX_PRINTED_VIOLATIONS = 3  # of one run
+
+
+class DiscreteEventOptions(NamedTuple):
+    """The arguments of the command, as they were given."""
+
+    scenario: tuple[str, ...]
+    seeds: str
+    nodes: int | None
+    servers: int | None
+    out: Path | None
+    jobs: int
+    overrides: tuple[str, ...]
+
+
+class Batch(NamedTuple):
+    """Scenarios, and the seeds and overridden constants with which each of them is run."""
+
+    scenarios: list[Scenario]
+    seeds: list[int]
+    overrides: Changes
+    jobs: int
+
+
+class BatchResults:
+    """Results of the runs that are finished: their lines, and sums of their totals."""
+
+    def __init__(self) -> None:
+        self.data = b""
+        self.violations = 0
+        self.events = 0
+
+    def add(self, data: bytes) -> None:
+        """Adds the lines of one run, whose last is its totals."""
+        total = results.last(data)
+        self.data += data
+        self.violations += total["breaches"]
+        self.events += total["events"]
+
+
+@click.command("discrete-event")
+@click.argument("scenario", nargs=-1, required=True)
+@click.option("--seeds", default="1", show_default=True, help=SEEDS_HELP)
+@click.option("--nodes", type=int, help="Edge nodes, in place of the scenario's.")
+@click.option("--servers", type=int, help="App servers, in place of the scenario's.")
+@seconds_out_option
+@jobs_option
+@click.option(
+    "--with",
+    "overrides",
+    multiple=True,
+    help="Run with another value of a policy's constant, as in LatencyLoadShedder.PERIOD_MS=250.",
+)
+@report_operator_errors
+@pass_options(DiscreteEventOptions)
+def discrete_event(options: DiscreteEventOptions) -> None:
+    """Run SCENARIO (a TOML file, or the name of a shipped one) in the discrete-event simulation.
+
+    Exit 0: run, no invariant violated. Exit 1: an invariant was violated. Exit 2: something given cannot be
+    used. Exit 130: interrupted; what was finished is kept.
+    """
+    batch = _create_batch(options)
+    finished = BatchResults()
+    began = time.perf_counter()
+    with InterruptCatcher() as interrupt:
+        for scenario in batch.scenarios:
+            _run_scenario(scenario, batch, finished)
+    if options.out is not None and finished.data:
+        results.write(options.out, finished.data)
+    events_per_second = finished.events / (time.perf_counter() - began)
+    click.echo(f"{events_per_second:.0f} events a second", err=True)
+    if interrupt.was_interrupted:
+        kept = "what was finished is kept" if finished.data else "nothing was finished"
+        click.echo(f"interrupted: {kept}", err=True)
+    sys.exit(exit_code(violated=finished.violations > 0, was_interrupted=interrupt.was_interrupted))
+
+
+def _create_batch(options: DiscreteEventOptions) -> Batch:
+    """Reads the scenarios and checks the options. Raises InvalidSimulationInputError."""
+    from onyxpost.simulation.discrete_event import batch
+
+    seeds = batch.seeds(options.seeds)
+    overrides = batch.changes(options.overrides)
+    chosen = [
+        scenarios.resized(scenarios.load(name), options.nodes, options.servers) for name in options.scenario
+    ]
+    return Batch(chosen, seeds, overrides, options.jobs)
+
+
+def _run_scenario(scenario: Scenario, batch: Batch, finished: BatchResults) -> None:
+    """Runs all seeds of one scenario; adds and prints each as it is finished."""
+    from onyxpost.simulation.discrete_event.batch import many
+
+    for seed, data, seconds in many(scenario, batch.seeds, batch.jobs, batch.overrides):
+        finished.add(data)
+        _echo_run(scenario.name, seed, data, seconds)
+
+
+def _echo_run(name: str, seed: int, data: bytes, seconds: float) -> None:
+    """Prints the totals of a run and its first violations."""
+    total = results.last(data)
+    click.echo(
+        f"{name:18} seed {seed:<6} passed value {total['passed_value']:.3f}"
+        f"  worst 10 s {total['worst_10s']:.3f}  rejected with capacity left {total['denied_with_room']:.3f}"
+        f"  beyond quota {total['beyond_quota']:.3f}"
+        f"  violations {total['breaches']}  {seconds:.1f} s"
+    )
+    violations = (
+        ViolationLine(
+            invariant=fields["rule"],
+            at_ms=fields["at"],
+            node=fields["node"],
+            request=fields["req"],
+            server=fields["server"],
+            description=fields["what"],
+        )
+        for fields in results.breaches(data)
+    )
+    echo_violations(violations, MAX_PRINTED_VIOLATIONS)
--- a/onyxpost/simulation/cli_errors.py
+++ b/onyxpost/simulation/cli_errors.py
@@ -1,27 +1,38 @@
-"""How the commands of the laboratory tell what they cannot use."""
+"""How the commands of the simulation report an error to the operator."""
 
 from __future__ import annotations
 
 import sys
-from collections.abc import Callable
 from functools import wraps
-from typing import Any
+from typing import TYPE_CHECKING, ParamSpec, TypeVar
 
 import click
 
 from onyxpost.errors import OperatorError
 from onyxpost.simulation.errors import SimulationStalledError
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
-def told(call: Callable[..., Any]) -> Callable[..., Any]:
-    """What cannot be used is told in one line, exit 2; what is a bug, exit 1."""
+EXIT_STALLED = 1
+EXIT_INVALID_INPUT = 2
 
-    @wraps(call)
-    def wrapped(*args: Any, **kwargs: Any) -> Any:
+Parameters = ParamSpec("Parameters")
+Returned = TypeVar("Returned")
+
+
+def report_operator_errors(command: Callable[Parameters, Returned]) -> Callable[Parameters, Returned]:
+    """Decorates a command: an `OperatorError` is written as one line to standard error, and ends the process.
+
+    The exit code is 2 for input that cannot be used, and 1 for a simulation that stalled, which is a bug.
+    """
+
+    @wraps(command)
+    def reporting_command(*args: Parameters.args, **kwargs: Parameters.kwargs) -> Returned:
         try:
-            return call(*args, **kwargs)
+            return command(*args, **kwargs)
         except OperatorError as err:
             click.echo(f"onyxpost: {err.to_line()}", err=True)
-            sys.exit(1 if isinstance(err, SimulationStalledError) else 2)
+            sys.exit(EXIT_STALLED if isinstance(err, SimulationStalledError) else EXIT_INVALID_INPUT)
 
-    return wrapped
+    return reporting_command
--- /dev/null
+++ b/onyxpost/simulation/cli_options.py
@@ -0,0 +1,45 @@
+"""Options that several commands of the simulation share; a command receives its options as one value."""
+
+from __future__ import annotations
+
+import os
+from functools import wraps
+from pathlib import Path
+from typing import TYPE_CHECKING, TypeVar
+
+import click
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+MAX_JOBS = 256
+MAX_DEFAULT_JOBS = 8
+DEFAULT_JOBS = min(MAX_DEFAULT_JOBS, os.cpu_count() or 1)
+
+SEEDS_HELP = "Seeds, as in 1-20 or 1,4,9-12."
+ANY_FILE = click.Path(path_type=Path)
+FILE = click.Path(dir_okay=False, path_type=Path)
+FOLDER = click.Path(file_okay=False, path_type=Path)
+
+jobs_option = click.option(
+    "--jobs", type=click.IntRange(1, MAX_JOBS), default=DEFAULT_JOBS, show_default=True, help="Processes."
+)
+seconds_out_option = click.option("--out", type=FILE, help="JSON lines with all seconds.")
+seeds_out_option = click.option("--out", type=FILE, help="JSON lines, a seed each.")
+
+Options = TypeVar("Options")
+
+
+def pass_options(
+    options_type: Callable[..., Options],
+) -> Callable[[Callable[[Options], None]], Callable[..., None]]:
+    """Decorates a command that takes its options as one typed value, made of all of them by their names."""
+
+    def decorate(command: Callable[[Options], None]) -> Callable[..., None]:
+        @wraps(command)
+        def command_of_parameters(**parameters: object) -> None:
+            command(options_type(**parameters))
+
+        return command_of_parameters
+
+    return decorate
--- a/onyxpost/simulation/cli_sockets.py
+++ b/onyxpost/simulation/cli_sockets.py
@@ -1,132 +1,193 @@
-"""The commands that work on loopback: load, stand-ins, a town of planners and forwarders."""
+"""The commands that work with real sockets on loopback: load, stub upstreams, a cluster of planners."""
 
 from __future__ import annotations
 
 import sys
 from functools import partial
-from pathlib import Path
+from typing import TYPE_CHECKING, NamedTuple
 
 import click
 
 from onyxpost.simulation import results
-from onyxpost.simulation.cli_errors import told
+from onyxpost.simulation.cli_errors import report_operator_errors
+from onyxpost.simulation.cli_options import ANY_FILE, FILE, FOLDER, pass_options, seconds_out_option
+from onyxpost.simulation.cli_output import echo_violations, exit_code
+
+if TYPE_CHECKING:
+    from pathlib import Path
+
+    from onyxpost.simulation.planner_cluster import ClusterOptions
 
 EXAMPLE = "deploy/example-node.json"
+MAX_CUSTOMER_IDS = 2**32
+MAX_CLUSTER_CUSTOMERS = 1000
+MAX_STUB_SERVERS = 200
+MAX_FIRST_PORT = 65_000  # leaves room for the servers' ports that follow it
+MIN_STUB_SECONDS = 0.1
+MAX_STUB_SECONDS = 3600.0
+MAX_PRINTED_VIOLATIONS = 5
+
+
+class LoadOptions(NamedTuple):
+    """The arguments of `load`, as they were given."""
+
+    address: str
+    node_file: Path
+    rate: float
+    seconds: float
+    customers: int
+    connections: int
+    seed: int
+    out: Path | None
+
+
+class StubOptions(NamedTuple):
+    """The arguments of `stubs`, as they were given."""
+
+    out: Path
+    example: Path
+    servers: int
+    delay: float  # ms
+    port: int
+    discovery: str
+    faults: Path | None
+    seconds: float
+
+
+class PlannerClusterOptions(NamedTuple):
+    """The arguments of `planner-cluster`, as they were given; `rate` and `quota` are a second."""
+
+    forwarders: int
+    planners: int
+    seconds: float
+    rate: float
+    seed: int
+    kills: float  # mean seconds between two
+    customers: int
+    quota: float  # units
+    burst: float  # units
+    gossip: bool
+    logs: Path | None
 
 
 @click.command()
 @click.argument("address")
-@click.option("--node", "file", required=True, type=click.Path(path_type=Path), help="The node's JSON file.")
-@click.option("--rate", default=50.0, show_default=True, help="Reqs a second, on the mean.")
+@click.option("--node", "node_file", required=True, type=ANY_FILE, help="The node's JSON file.")
+@click.option("--rate", default=50.0, show_default=True, help="Requests a second, on the mean.")
 @click.option("--seconds", default=10.0, show_default=True)
-@click.option("--customers", type=click.IntRange(1, 2**32), default=20, show_default=True)
+@click.option("--customers", type=click.IntRange(1, MAX_CUSTOMER_IDS), default=20, show_default=True)
 @click.option("--connections", default=200, show_default=True, help="Most that are open at once.")
 @click.option("--seed", default=1, show_default=True)
-@click.option("--out", type=click.Path(dir_okay=False, path_type=Path), help="JSON lines with all seconds.")
-@told
-def load(
-    address: str,
-    file: Path,
-    rate: float,
-    seconds: float,
-    customers: int,
-    connections: int,
-    seed: int,
-    out: Path | None,
-) -> None:
+@seconds_out_option
+@report_operator_errors
+@pass_options(LoadOptions)
+def load(options: LoadOptions) -> None:
     """Send open-loop load to the node at ADDRESS, on loopback only."""
     from onyxpost.config.address import parse_address
     from onyxpost.node import config
-    from onyxpost.simulation import load as sending
+    from onyxpost.simulation import load as generator
 
-    wanted = sending.bounded(sending.Load(rate, seconds, customers, connections, seed))
-    where = sending.loopback(parse_address(address))
-    known = config.read({"EDGE_CONFIG": str(file)}).deployment
-    counts = sending.send(where, known, wanted)
-    click.echo(sending.text(counts))
-    if out is not None:
-        results.write(out, results.encode(counts.lines(wanted)))
+    rates = generator.Load(
+        options.rate, options.seconds, options.customers, options.connections, options.seed
+    )
+    bounded = generator.bounded(rates)
+    target = generator.loopback(parse_address(options.address))
+    deployment = config.read({"EDGE_CONFIG": str(options.node_file)}).deployment
+    counts = generator.send(target, deployment, bounded)
+    click.echo(generator.text(counts))
+    if options.out is not None:
+        results.write(options.out, results.encode(counts.lines(bounded)))
 
 
 @click.command()
-@click.argument("out", type=click.Path(dir_okay=False, path_type=Path))
-@click.option("--example", type=click.Path(path_type=Path), default=EXAMPLE, show_default=True)
-@click.option("--servers", type=click.IntRange(1, 200), default=3, show_default=True)
+@click.argument("out", type=FILE)
+@click.option("--example", type=ANY_FILE, default=EXAMPLE, show_default=True)
+@click.option("--servers", type=click.IntRange(1, MAX_STUB_SERVERS), default=3, show_default=True)
 @click.option("--delay", default=20.0, show_default=True, help="ms in which a server answers.")
-@click.option("--port", type=click.IntRange(0, 65000), default=0, help="The servers' first port; 0: any.")
+@click.option(
+    "--port", type=click.IntRange(0, MAX_FIRST_PORT), default=0, help="The servers' first port; 0: any."
+)
 @click.option("--discovery", default="127.0.0.1:8500", show_default=True)
-@click.option("--faults", type=click.Path(path_type=Path), help="A TOML file with [[faults]].")
-@click.option("--seconds", type=click.FloatRange(0.1, 3600.0), default=600.0, show_default=True)
-@told
-def stubs(
-    out: Path,
-    example: Path,
-    servers: int,
-    delay: float,
-    port: int,
-    discovery: str,
-    faults: Path | None,
-    seconds: float,
-) -> None:
-    """Stand-in app servers and discovery for one node, whose file is written to OUT."""
+@click.option("--faults", type=ANY_FILE, help="A TOML file with [[faults]].")
+@click.option(
+    "--seconds",
+    type=click.FloatRange(MIN_STUB_SECONDS, MAX_STUB_SECONDS),
+    default=600.0,
+    show_default=True,
+)
+@report_operator_errors
+@pass_options(StubOptions)
+def stubs(options: StubOptions) -> None:
+    """Run stub app servers and discovery for one node, whose file is written to OUT."""
     import asyncio
 
     from onyxpost.config.address import parse_address
-    from onyxpost.simulation import stub_upstreams as standing
+    from onyxpost.simulation import stub_upstreams
     from onyxpost.simulation.load import loopback
 
-    told_faults = standing.script(faults, servers) if faults is not None else standing.Script()
-    at = loopback(parse_address(discovery))
-    place = standing.Stand(servers, delay, port, at)
-
-    def ready() -> None:
-        standing.write_node(example, out, place)
-        click.echo(f"{servers} app servers and discovery at {discovery}; the node's file is {out}", err=True)
-
+    script = stub_upstreams.Script()
+    if options.faults is not None:
+        script = stub_upstreams.script(options.faults, options.servers)
+    discovery = loopback(parse_address(options.discovery))
+    environment = stub_upstreams.Stand(options.servers, options.delay, options.port, discovery)
+
+    def on_ready() -> None:
+        stub_upstreams.write_node(options.example, options.out, environment)
+        click.echo(
+            f"{options.servers} app servers and discovery at {options.discovery};"
+            f" the node's file is {options.out}",
+            err=True,
+        )
+
+    log = partial(click.echo, err=True)
     try:
-        served = asyncio.run(standing.run(place, told_faults, seconds, ready, partial(click.echo, err=True)))
+        served = asyncio.run(stub_upstreams.run(environment, script, options.seconds, on_ready, log))
     except KeyboardInterrupt:
         return
-    click.echo(f"{served} pages served")
+    click.echo(f"{served} requests served")
 
 
 @click.command("planner-cluster")
 @click.option("--forwarders", default=20, show_default=True)
 @click.option("--planners", default=3, show_default=True)
 @click.option("--seconds", default=30.0, show_default=True)
-@click.option("--rate", default=150.0, show_default=True, help="Reqs a second, all together.")
+@click.option("--rate", default=150.0, show_default=True, help="Requests a second, all together.")
 @click.option("--seed", default=1, show_default=True)
 @click.option("--kills", default=3.0, show_default=True, help="s between kills of a planner; 0: none.")
-@click.option("--customers", type=click.IntRange(1, 1000), default=12, show_default=True)
+@click.option("--customers", type=click.IntRange(1, MAX_CLUSTER_CUSTOMERS), default=12, show_default=True)
 @click.option("--quota", default=12.0, show_default=True, help="Units a second of one customer.")
 @click.option("--burst", default=40.0, show_default=True, help="Units that it may use at once.")
-@click.option("--gossip", is_flag=True, help="The same day by the nodes' own gossip, without planners.")
-@click.option("--logs", type=click.Path(file_okay=False, path_type=Path), help="Keep files and logs there.")
-@told
-def planner_cluster(
-    forwarders: int,
-    planners: int,
-    seconds: float,
-    rate: float,
-    seed: int,
-    kills: float,
-    customers: int,
-    quota: float,
-    burst: float,
-    gossip: bool,
-    logs: Path | None,
-) -> None:
-    """Forwarders and planners as processes on loopback, planners killed at random from the seed.
-
-    Exit 1: a req had no answer, or a ceiling was passed.
+@click.option("--gossip", is_flag=True, help="The same run by the nodes' own gossip, without planners.")
+@click.option("--logs", type=FOLDER, help="Keep files and logs there.")
+@report_operator_errors
+@pass_options(PlannerClusterOptions)
+def planner_cluster(options: PlannerClusterOptions) -> None:
+    """Run forwarders and planners as processes on loopback, with planners killed at random from the seed.
+
+    Exit 1: a request had no answer, or a hard limit was exceeded.
     """
     from onyxpost.simulation import planner_cluster as cluster
 
-    options = cluster.ClusterOptions(
-        forwarders, planners, seconds, rate, customers, seed, kills, gossip, quota, burst
-    )
-    figures, violations = cluster.run(options, logs)
+    figures, violations = cluster.run(_cluster_options(options), options.logs)
     click.echo("  ".join(f"{name} {value}" for name, value in figures.items()))
-    for violation in violations[:5]:
-        click.echo(f"  ceiling passed at {violation}")
-    sys.exit(1 if violations or figures.get("lost") else 0)
+    echo_violations(
+        (f"hard limit exceeded at {violation}" for violation in violations), MAX_PRINTED_VIOLATIONS
+    )
+    sys.exit(exit_code(violated=bool(violations) or bool(figures.get("lost"))))
+
+
+def _cluster_options(options: PlannerClusterOptions) -> ClusterOptions:
+    from onyxpost.simulation.planner_cluster import ClusterOptions
+
+    return ClusterOptions(
+        forwarders=options.forwarders,
+        planners=options.planners,
+        seconds=options.seconds,
+        request_rate=options.rate,
+        customers=options.customers,
+        seed=options.seed,
+        kill_interval_seconds=options.kills,
+        use_gossip=options.gossip,
+        quota_rate=options.quota,
+        quota_burst=options.burst,
+    )
--- a/onyxpost/simulation/deprecation.py
+++ b/onyxpost/simulation/deprecation.py
@@ -2,11 +2,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 import click
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
 GROUP = "simulate"
 CURRENT_COMMANDS = {
     "rig": "processes",
@@ -34,11 +36,11 @@
     """A command line of the simulation in today's spelling.
 
     Attributes:
-        words: the whole command line in today's spelling.
+        argv: the whole command line in today's spelling.
         names: the group, the command and the renamed options that were given, without values and arguments.
     """
 
-    words: list[str]
+    argv: list[str]
     names: list[Spelling]
 
     def warn_if_deprecated(self) -> None:
@@ -64,15 +66,15 @@
     click.echo(f"onyxpost: '{old}' is deprecated, use '{new}'", err=True)
 
 
-def parse_simulation_command(words: Sequence[str]) -> SimulationCommand:
+def parse_simulation_command(argv: Sequence[str]) -> SimulationCommand:
     """Translates a command line, whose first word is the group's name, into today's spelling."""
-    names = [Spelling(words[0], GROUP)]
-    if len(words) == 1:
+    names = [Spelling(argv[0], GROUP)]
+    if len(argv) == 1:
         return SimulationCommand([GROUP], names)
-    command = CURRENT_COMMANDS.get(words[1], words[1])
+    command = CURRENT_COMMANDS.get(argv[1], argv[1])
     if command in COMMANDS:
-        names.append(Spelling(words[1], command))
-    arguments = list(words[2:])
+        names.append(Spelling(argv[1], command))
+    arguments = list(argv[2:])
     if command in COMMANDS_WITH_MUTATIONS:
         names += _rename_options(arguments)
     return SimulationCommand([GROUP, command, *arguments], names)
--- a/onyxpost/simulation/errors.py
+++ b/onyxpost/simulation/errors.py
@@ -1,4 +1,4 @@
-"""The laboratory's errors: what was given to it cannot be used, or it cannot go on."""
+"""Errors of the simulation: input that cannot be used, and a simulation that cannot go on."""
 
 from __future__ import annotations
 
@@ -6,58 +6,63 @@
 
 
 class InvalidSimulationInputError(OperatorError):
-    """Something given to the laboratory cannot be used: exit 2."""
+    """Base class of errors of files, options and addresses; a command ends with exit code 2."""
 
 
 class SimulationFileError(InvalidSimulationInputError):
-    """A file that the system does not give, or is not text."""
+    """A file cannot be read, or is not text."""
 
-    remedy = "see that the path is right and readable, or name a scenario that is shipped"
+    remedy = "check that the path is right and can be read, or name a shipped scenario"
 
 
 class InvalidFaultScriptError(InvalidSimulationInputError):
-    """A scenario or a file of faults that does not fit its form or itself; `what` ends with its place."""
+    """A scenario or a file of faults has an invalid key, or keys that contradict each other.
 
-    remedy = "mend the key at that place; docs/lab.md has the form"
+    The message ends with the path of the key.
+    """
+
+    remedy = "correct the key at that place; docs/lab.md describes the format"
 
 
 class InvalidResultsError(InvalidSimulationInputError):
-    """Not results of this build, or none of a whole run."""
+    """A file does not hold results of this build, or not those of a complete run."""
 
-    remedy = "give a file that `onyxpost lab run --out` of this build wrote whole"
+    remedy = "give a complete file, written by `onyxpost simulate discrete-event --out` of this build"
 
 
 class NoCommonScenarioError(InvalidSimulationInputError):
-    """Results that cannot be compared."""
+    """Two files of results have no scenario in common, so that they cannot be compared."""
 
-    remedy = "play the same scenarios for both, with `onyxpost lab run --out`"
+    remedy = "run the same scenarios for both, with `onyxpost simulate discrete-event --out`"
 
 
 class ResultsNotWrittenError(InvalidSimulationInputError):
     """A file cannot be written."""
 
-    remedy = "name a folder that is there, can be written and has room"
+    remedy = "name a folder that exists, can be written and has free space"
 
 
 class InvalidOptionError(InvalidSimulationInputError):
-    """An option or argument that is not of its form or out of its range."""
+    """An option or argument is malformed or out of its range."""
 
-    remedy = "give it a value within what the line says; `--help` tells its form"
+    remedy = "give a value within the limits of this line; `--help` shows its format"
 
 
 class NotLoopbackError(InvalidSimulationInputError):
-    """An address that is not on this machine: the laboratory sends nothing elsewhere."""
+    """An address is not on this machine; the simulation sends nothing elsewhere."""
 
-    remedy = "name an address on loopback, as 127.0.0.1:8081"
+    remedy = "name an address on loopback, as in 127.0.0.1:8081"
 
 
 class ProcessNotStartedError(InvalidSimulationInputError):
-    """A process of the laboratory's own does not listen in time."""
+    """A process of the simulation does not listen in time."""
 
-    remedy = "read its log there (`--logs` keeps it), and look for other load on this machine"
+    remedy = "read its log in that folder (`--logs` keeps it), and check for other load on this machine"
 
 
 class SimulationStalledError(OperatorError):
-    """Nothing is due any more on the virtual clock, or its time does not get on: exit 1."""
+    """No event is due any more on the virtual clock, or its time does not advance; exit code 1."""
 
-    remedy = "a bug: report it with the seed, found by playing fewer of them (`onyxpost lab seeds --seeds N`)"
+    remedy = (
+        "a bug: report it with the seed, found by running fewer (`onyxpost simulate deterministic --seeds N`)"
+    )
--- a/onyxpost/simulation/multiprocess/cli.py
+++ b/onyxpost/simulation/multiprocess/cli.py
@@ -10,7 +10,7 @@
 import click
 
 from onyxpost.simulation import results
-from onyxpost.simulation.cli_errors import told
+from onyxpost.simulation.cli_errors import report_operator_errors
 
 
 @click.command()
@@ -22,7 +22,7 @@
 @click.option("--kept", type=click.Path(file_okay=False, path_type=Path), help="Keep failing seeds there.")
 @click.option("--replay", type=click.Path(dir_okay=False, path_type=Path), help="Play a kept script.json.")
 @click.option("--mutation", "plant", default="", help="Inject a known bug: it must be found.")
-@told
+@report_operator_errors
 def rig(
     scenario: str | None,
     nodes: int | None,
--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -34,6 +34,35 @@
 REWORDED: tuple[tuple[str, str], ...] = (
     ("onyxpost: --plant: ", "onyxpost: --mutation: "),
     ("Option '--plant' requires", "Option '--mutation' requires"),
+    ("onyxpost: --mutation: no bug ", "onyxpost: --mutation: no mutation "),
+    (
+        "see that the path is right and readable, or name a scenario that is shipped",
+        "check that the path is right and can be read, or name a shipped scenario",
+    ),
+    (
+        "mend the key at that place; docs/lab.md has the form",
+        "correct the key at that place; docs/lab.md describes the format",
+    ),
+    (
+        "give a file that `onyxpost lab run --out` of this build wrote whole",
+        "give a complete file, written by `onyxpost simulate discrete-event --out` of this build",
+    ),
+    (
+        "play the same scenarios for both, with `onyxpost lab run --out`",
+        "run the same scenarios for both, with `onyxpost simulate discrete-event --out`",
+    ),
+    (
+        "name a folder that is there, can be written and has room",
+        "name a folder that exists, can be written and has free space",
+    ),
+    (
+        "give it a value within what the line says; `--help` tells its form",
+        "give a value within the limits of this line; `--help` shows its format",
+    ),
+    (
+        "name an address on loopback, as 127.0.0.1:8081",
+        "name an address on loopback, as in 127.0.0.1:8081",
+    ),
 )
 
 USAGE_ERROR = re.compile(r"^Error: .*", re.MULTILINE | re.DOTALL)
--- a/tests/simulation/test_commands.py
+++ b/tests/simulation/test_commands.py
@@ -13,6 +13,7 @@
 
 from onyxpost.cli import main
 from onyxpost.simulation.cli import simulate
+from onyxpost.simulation.cli_output import InterruptCatcher, ViolationLine, echo_violations, exit_code
 from onyxpost.simulation.deprecation import (
     COMMANDS,
     CURRENT_COMMANDS,
@@ -79,7 +80,7 @@
     assert result.exit_code == 0
     assert result.stderr == f"onyxpost: '{old}' {DEPRECATED} '{current}'\n"
     assert DEPRECATED not in result.stdout
-    todays = invoke(" ".join(parse_simulation_command(words.split()).words))
+    todays = invoke(" ".join(parse_simulation_command(words.split()).argv))
     assert (todays.stdout, todays.stderr) == (result.stdout, "")
 
 
@@ -140,13 +141,13 @@
 
 def test_words_that_are_no_names_keep_their_spelling() -> None:
     command = parse_simulation_command(["simulate", "stubs", "rig", "--plant", "lab"])
-    assert command.words == ["simulate", "stubs", "rig", "--plant", "lab"]
+    assert command.argv == ["simulate", "stubs", "rig", "--plant", "lab"]
     assert command.names == [Spelling("simulate", "simulate"), Spelling("stubs", "stubs")]
 
 
 def test_what_follows_the_end_of_options_keeps_its_spelling() -> None:
     command = parse_simulation_command(["lab", "rig", "--plant", "x", "--", "--plant"])
-    assert command.words == ["simulate", "processes", "--mutation", "x", "--", "--plant"]
+    assert command.argv == ["simulate", "processes", "--mutation", "x", "--", "--plant"]
 
 
 def announcing_command(spellings: list[tuple[str, str]]) -> Callable[[], None]:
@@ -161,3 +162,35 @@
     command = click.Command("any", callback=announcing_command([("a", "b"), ("a", "b"), ("c", "d")]))
     for _ in range(2):  # each command anew
         assert CliRunner().invoke(command).stderr == "onyxpost: 'a' is deprecated, use 'b'\n"
+
+
+@pytest.mark.parametrize(
+    ("violated", "was_interrupted", "code"),
+    [(False, False, 0), (True, False, 1), (False, True, 130), (True, True, 130)],
+)
+def test_an_interrupt_decides_the_exit_code_before_violations(
+    violated: bool, was_interrupted: bool, code: int
+) -> None:
+    assert exit_code(violated=violated, was_interrupted=was_interrupted) == code
+
+
+def test_an_interrupt_ends_the_context_without_an_exception_and_is_remembered() -> None:
+    with InterruptCatcher() as interrupt:
+        raise KeyboardInterrupt
+    assert interrupt.was_interrupted
+
+
+def test_another_exception_leaves_the_context() -> None:
+    interrupt = InterruptCatcher()
+    with pytest.raises(ValueError, match="bug"), interrupt:
+        raise ValueError("bug")
+    assert not interrupt.was_interrupted
+
+
+def test_violations_are_printed_in_lines_up_to_the_limit(capsys: pytest.CaptureFixture[str]) -> None:
+    violation = ViolationLine("drains", 826.0801, "n1", "t16", "s1-0", "sent 176 ms after it was told")
+    echo_violations([violation] * 3, 2)
+    line = (
+        "  drains violated at 826.080 ms: node n1, request t16, server s1-0: sent 176 ms after it was told\n"
+    )
+    assert capsys.readouterr().out == line * 2
