--- a/onyxpost/simulation/__init__.py
+++ b/onyxpost/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: designs tried at sizes that sockets do not reach. The serving path never imports it."""
+"""Simulations of the gateway under faults and load. The serving path never imports this package."""
--- a/onyxpost/simulation/multiprocess/cli.py
+++ b/onyxpost/simulation/multiprocess/cli.py
@@ -1,4 +1,4 @@
-"""`onyxpost lab rig`: many seeds of one scenario in turn."""
+"""`onyxpost simulate processes`: many seeds of one scenario in turn."""
 
 from __future__ import annotations
 
