--- a/tests/compatibility/simulation_meanings.py
+++ b/tests/compatibility/simulation_meanings.py
@@ -18,7 +18,6 @@
 from onyxpost.simulation.multiprocess.fault_script import decode_script, encode_script
 from tests.compatibility import meanings
 
-
 RECORDED_ENVIRONMENTS = {"edge": "edge", "leadership": "duties"}  # by their name today
 
 
