--- a/onyxpost/simulation/multiprocess/cli.py
+++ b/onyxpost/simulation/multiprocess/cli.py
@@ -21,7 +21,7 @@
 PRINTED_VIOLATIONS = 5
 EXIT_VIOLATED = 1
 EXIT_INTERRUPTED = 130
-EXISTING_FILE = click.Path(dir_okay=False, path_type=Path)
+FILE = click.Path(dir_okay=False, path_type=Path)
 FOLDER = click.Path(file_okay=False, path_type=Path)
 
 
@@ -43,9 +43,9 @@
 @click.option("--nodes", type=int, help="Processes, in place of the scenario's; up to 64.")
 @click.option("--seeds", default="1", show_default=True, help="Seeds, as in 1-20 or 1,4,9-12.")
 @click.option("--seconds", type=float, help="In place of the scenario's; up to 600.")
-@click.option("--out", type=EXISTING_FILE, help="JSON lines, a seed each.")
+@click.option("--out", type=FILE, help="JSON lines, a seed each.")
 @click.option("--kept", type=FOLDER, help="Keep failing seeds there.")
-@click.option("--replay", type=EXISTING_FILE, help="Run a kept script.json.")
+@click.option("--replay", type=FILE, help="Run a kept script.json.")
 @click.option(
     "--mutation", default="", callback=accept_mutation, help="Inject a known bug: it must be found."
 )
--- a/onyxpost/simulation/multiprocess/edge_environment.py
+++ b/onyxpost/simulation/multiprocess/edge_environment.py
@@ -3,17 +3,16 @@
 from __future__ import annotations
 
 import asyncio
-import time
 from collections import Counter
 from random import Random
 from typing import TYPE_CHECKING, Any
 
 from onyxpost.config import deployment
-from onyxpost.core.types import EndpointState
 from onyxpost.runtime.socket_transport import SocketTransport
-from onyxpost.simulation.deterministic.cluster import LARGEST, SETTINGS, ZONES
+from onyxpost.simulation.deterministic.cluster import LARGEST, SETTINGS
 from onyxpost.simulation.free_ports import ANY_PORT
 from onyxpost.simulation.multiprocess.edge_invariants import EdgeInvariants, EdgeLimits
+from onyxpost.simulation.multiprocess.edge_server import CALL_DURATION_MS, EdgeServer, cell_of
 from onyxpost.simulation.multiprocess.edge_traffic import EdgeTrafficObserver
 from onyxpost.simulation.multiprocess.endpoints import endpoint_of, format_address
 from onyxpost.simulation.multiprocess.history import (
@@ -43,9 +42,6 @@
 
 DISCOVERY_DELAY_SECONDS = 0.2  # within which each discovery stub learns of a change
 SERVER_CAPACITY = 4.0  # cores
-CALL_DURATION_MS = 20.0
-MAX_SLOWDOWN_MS = 900.0  # that the fault `slow` adds, at intensity 1
-MS_PER_SECOND = 1000.0
 
 
 class EdgeEnvironment(Nobody):
@@ -93,11 +89,11 @@
         """Slows an app server down, or drains it and replaces it by another process."""
         server = self.servers[int(fault.target[1:])]
         if fault.kind == "slow":
-            server.delay = CALL_DURATION_MS + MAX_SLOWDOWN_MS * fault.intensity
+            server.slow_down(fault.intensity)
             await asyncio.sleep(fault.duration_seconds)
-            server.delay = CALL_DURATION_MS
-        elif fault.kind == "drain" and server.standing is EndpointState.READY:
-            server.standing = EndpointState.DRAINING
+            server.restore_speed()
+        elif fault.kind == "drain" and server.is_ready:
+            server.drain()
             await self._notify_discovery(server)
             await asyncio.sleep(fault.duration_seconds)
             await self._replace_server(server)
@@ -128,8 +124,7 @@
     async def close(self) -> None:
         """Stops the app servers and discovery stubs."""
         for server in self.servers.values():
-            if server.listener is not None:
-                server.listener.close()
+            server.close()
         for agent in self.agents:
             if agent.listener is not None:
                 agent.listener.close()
@@ -138,7 +133,7 @@
 
     # --- called by the stubs ---
 
-    def reached(self, writer: asyncio.StreamWriter, trace: str, server: AppServer) -> tuple[str, int]:  # noqa: ARG002
+    def reached(self, writer: asyncio.StreamWriter, trace: str, server: AppServer) -> tuple[str, int]:  # noqa: ARG002 - as in the base class
         """A request arrived at an app server; returns what `never_ran` is called with."""
         self.attempts_received += 1
         self.context.record(
@@ -147,7 +142,7 @@
                 trace=trace,
                 server=server.id,
                 zone=server.zone,
-                cell=server.number % 2,
+                cell=cell_of(server.number),
                 attempt_number=self.attempts_received,
                 work_ms=CALL_DURATION_MS,
             )
@@ -162,24 +157,20 @@
 
     # --- app servers ---
 
-    def _create_server(self, index: int, incarnation: int) -> AppServer:
-        zone = ZONES[index % len(ZONES)]
-        server = AppServer(self.transport, self, index, incarnation, ANY_PORT, zone)
-        server.delay = CALL_DURATION_MS
-        return server
+    def _create_server(self, index: int, incarnation: int) -> EdgeServer:
+        return EdgeServer(self.transport, self, index, incarnation)
 
-    async def _open_server(self, server: AppServer) -> None:
+    async def _open_server(self, server: EdgeServer) -> None:
         await server.open()
-        assert server.listener is not None
-        self.context.addresses[server.host] = server.listener.sockets[0].getsockname()
+        self.context.addresses[server.host] = server.listen_address
         for index in self.context.node_indexes:
             address = await self.context.proxy.tcp.open(f"n{index}", server.host)
             self._server_addresses[index, server.id] = format_address(address)
 
-    def _endpoint_row(self, node_index: int, server: AppServer) -> dict[str, Any]:
+    def _endpoint_row(self, node_index: int, server: EdgeServer) -> dict[str, Any]:
         return server.row() | {"hostPort": self._server_addresses[node_index, server.id]}
 
-    async def _notify_discovery(self, server: AppServer) -> None:
+    async def _notify_discovery(self, server: EdgeServer) -> None:
         """Each discovery stub learns of the server's state at a time of its own."""
         delays = sorted(
             (self.rng.uniform(0.0, DISCOVERY_DELAY_SECONDS), index) for index in self.context.node_indexes
@@ -190,14 +181,12 @@
             elapsed_seconds = delay_seconds
             self.agents[index].learn(self._endpoint_row(index, server))
 
-    async def _replace_server(self, old: AppServer) -> None:
+    async def _replace_server(self, old: EdgeServer) -> None:
         """Another process takes the server's place, with an id and an address of its own."""
-        assert old.listener is not None
-        old.listener.close()
-        old.standing = EndpointState.GONE
+        old.retire()
         self.context.proxy.tcp.reset_all(endpoint_of(old.host), old.host)
         new = self._create_server(old.number, old.life + 1)
-        new.started = time.time() * MS_PER_SECOND
+        new.mark_started_now()
         self.context.record(
             ServerStarted(
                 self.context.now_ms(),
--- a/onyxpost/simulation/multiprocess/edge_traffic.py
+++ b/onyxpost/simulation/multiprocess/edge_traffic.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from onyxpost.core.types import EndpointState
-from onyxpost.simulation.deterministic.cluster import ZONES
+from onyxpost.simulation.multiprocess.edge_server import cell_of, zone_of
 from onyxpost.simulation.multiprocess.endpoints import endpoint_of
 from onyxpost.simulation.multiprocess.history import AttemptForwarded, EndpointNotified
 from onyxpost.simulation.multiprocess.tcp_proxy import TransferStage
@@ -65,8 +65,8 @@
                 node=node,
                 trace=trace[1].decode(),
                 server=f"s{index}-{incarnation}",
-                zone=ZONES[index % len(ZONES)],
-                cell=index % 2,
+                zone=zone_of(index),
+                cell=cell_of(index),
             )
         )
 
