--- a/tests/simulation/multiprocess/history_file.py
+++ b/tests/simulation/multiprocess/history_file.py
@@ -14,7 +14,7 @@
     from onyxpost.simulation.multiprocess.history import HistoryEvent
 
 EVENT_TYPES: dict[str, type[HistoryEvent]] = {
-    kind.__struct_config__.tag: kind
+    str(kind.__struct_config__.tag): kind
     for module in (history, node_log)
     for kind in vars(module).values()
     if isinstance(kind, type) and issubclass(kind, history.HistoryEvent)
--- a/tests/simulation/multiprocess/test_edge_invariants.py
+++ b/tests/simulation/multiprocess/test_edge_invariants.py
@@ -94,7 +94,7 @@
         ServerStarted(0.0, server="s0-0", capacity=0.1, work_per_call_ms=20.0),
         notified(0.0, EndpointState.READY),
     ]
-    calls = [
+    calls: list[HistoryEvent] = [
         event
         for index in range(count)
         for event in (
--- a/tests/simulation/multiprocess/test_leadership_invariants.py
+++ b/tests/simulation/multiprocess/test_leadership_invariants.py
@@ -27,12 +27,14 @@
 )
 
 if TYPE_CHECKING:
+    from collections.abc import Sequence
+
     from onyxpost.simulation.multiprocess.history import HistoryEvent
 
 pytestmark = pytest.mark.xdist_group("quiet")  # many processes: not beside what measures time
 
 
-def violated_invariants(events: list[HistoryEvent]) -> list[str]:
+def violated_invariants(events: Sequence[HistoryEvent]) -> list[str]:
     """Names of the invariants that a history violates, one for each violation."""
     return [violation.invariant for violation in check_history(events, LEADERSHIP_INVARIANTS, 1)]
 
