--- a/tests/config/test_deployment.py
+++ b/tests/config/test_deployment.py
@@ -21,11 +21,11 @@
     return decode_deployment(SETTINGS | merged)
 
 
-def test_connecting_takes_at_most_the_drain_grace() -> None:
+def test_connect_timeout_does_not_exceed_the_drain_grace() -> None:
     assert deployment_with(rules={"drain_grace_us": 100_000}).connect_timeout_ms == 100.0
 
 
-def test_all_attempts_to_connect_take_at_most_half_of_a_requests_time() -> None:
+def test_all_connect_timeouts_together_do_not_exceed_half_of_a_requests_time() -> None:
     assert deployment_with(bounds={"try_limit": 10}).connect_timeout_ms == 100.0
 
 
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "place"),
+    ("changes", "key_path"),
     [
         ({"bounds": {"try_limit": 0}}, "`$.bounds.try_limit`"),
         ({"rules": {"cold_us": "long"}}, "`$.rules.cold_us`"),
@@ -78,8 +78,8 @@
         ({"quantum_us": "x"}, "`$.quantum_us`"),
     ],
 )
-def test_an_error_names_the_operators_key(changes: dict[str, Any], place: str) -> None:
+def test_an_error_names_the_operators_key(changes: dict[str, Any], key_path: str) -> None:
     with pytest.raises(InvalidValueError) as caught:
         deployment_with(**changes)
-    assert caught.value.message.endswith(place)
+    assert caught.value.message.endswith(key_path)
     assert caught.value.location == "settings"
--- a/tests/leadership/test_state_machines.py
+++ b/tests/leadership/test_state_machines.py
@@ -1,6 +1,7 @@
 """Hard cases of one role on the pure state machines."""
 
 from collections.abc import Callable
+from typing import Any
 
 import pytest
 
@@ -13,7 +14,7 @@
 from tests.leadership.world import STEP_MS, deliver_all, drop, leader_of, run_for, token_of
 
 
-def settled_world(**options: int) -> DutyWorld:
+def settled_world(**options: Any) -> DutyWorld:
     """A world that c0 leads, with a committed record."""
     world = DutyWorld(**options).settle()
     assert world.seats["c0"].leader is not None
--- a/tests/planner/cluster.py
+++ b/tests/planner/cluster.py
@@ -9,143 +9,24 @@
 from typing import TYPE_CHECKING
 
 from onyxpost.config.address import Address
-from onyxpost.core.events import (
-    AttemptFinished,
-    EndpointsUpdated,
-    Event,
-    LeaseGranted,
-    LeaseRevoked,
-    RequestArrived,
-)
-from onyxpost.core.options import GatewayOptions
-from onyxpost.core.types import (
-    AttemptResult,
-    DeduplicationScope,
-    EndpointState,
-    EndpointStatus,
-    Frontend,
-    GatewayLimits,
-    Idempotency,
-    Plan,
-    SlowStartPolicy,
-)
-from onyxpost.edge.messages import EdgeEvent, ReportUnitsSpent, ReturnLease
-from onyxpost.forwarder.planner_client import PlannerClient
+from onyxpost.core.types import Plan
 from onyxpost.planner.config import PlannerConfig
 from onyxpost.planner.lease_terms import LeaseTerms
 from onyxpost.planner.planner import Planner
-from onyxpost.policy.gateway import Gateway
 from onyxpost.runtime.structured_log import StructuredLog
 from onyxpost.simulation import virtual_time
 from onyxpost.simulation.invariants import Bucket
 from onyxpost.simulation.virtual_time import EPOCH, Network
+from tests.planner.forwarder_model import SAFE_SHARE, ForwarderModel
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
 LEASE_TERMS = LeaseTerms(1000.0, 0.01)
-SAFE_SHARE = 0.2
 PORT = 7000
-FRONTEND = Frontend(
-    "f", 1000.0, 5000.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, 1.0, 0.0, 0.0, False
-)
 PLAN = Plan("p", 40.0, 60.0, 0, 1.0, 60.0, 80.0)
 
 
-class ForwarderModel:
-    """A gateway and its planner client; its one server answers at once, so that only limits decide."""
-
-    def __init__(self, cluster: VirtualCluster, index: int) -> None:
-        self.cluster = cluster
-        self.index = index
-        self.name = f"f{index}"
-        self.incarnation = 0
-        self.is_alive = False
-        self.answers: Counter[str] = Counter()
-
-    def start(self) -> None:
-        cluster = self.cluster
-        self.incarnation += 1
-        self.is_alive = True
-        self.request_count = 0
-        net = cluster.net.host(f"{self.name}.{self.incarnation}")
-        self.host = net.name
-        self.clock = net.clock
-        options = GatewayOptions(
-            seed=self.incarnation,
-            node_index=self.index,
-            node_count=len(cluster.forwarders) or 1,
-            tick_ms=1.0,
-            frontends=[FRONTEND],
-            plans=[cluster.plan],
-            slow_start=SlowStartPolicy(1.0, 0.0, 1.0, 1.0),
-            limits=GatewayLimits(2, True, True, False, 500.0, 0.0, SAFE_SHARE),
-            polls_endpoints=False,
-        )
-        self.gateway = Gateway(net.clock(), options)
-        self.client = PlannerClient(
-            net, self.name, cluster.members(), cluster.membership_version, self.post, lambda log: None
-        )
-        self.client.start()
-        self.handle(EndpointsUpdated(True, [EndpointStatus("s", "", 0, EndpointState.READY, 1.0, 0.0)]))
-
-    def kill(self) -> None:
-        self.is_alive = False
-        self.client.close()
-        self.cluster.net.die(self.host)
-
-    def restart(self) -> None:
-        if self.is_alive:
-            self.kill()
-            self.start()
-
-    def post(self, value: EdgeEvent) -> None:
-        if isinstance(value, LeaseGranted):
-            self.handle(LeaseGranted(*value))
-        elif isinstance(value, LeaseRevoked):
-            self.handle(LeaseRevoked(*value))
-
-    def handle(self, *events: Event) -> None:
-        self.gateway.handle(self.clock(), events, self)
-
-    def request(self, customer: str, units: int) -> None:
-        """One client request; it has its one final answer when this returns."""
-        self.request_count += 1
-        self.final = ""
-        request_id = f"{self.incarnation}.{self.request_count}"
-        spread = len(self.cluster.forwarders)
-        deadline = self.clock() + 5000.0
-        self.handle(RequestArrived(request_id, deadline, "f", customer, "p", units, spread, 0))
-        if self.final == "sent":
-            self.cluster.count_sent(self, customer, units)
-            self.handle(AttemptFinished(request_id, 0, AttemptResult.OK, 1.0, True, 0))
-            self.final = "passed"
-        self.answers[self.final] += 1
-
-    # The policy's writer
-
-    def start_attempt(self, req: str, server: str, give_up_after: float, begin_before: float) -> None:
-        self.final = "sent"
-
-    def reject(self, req: str, retry_after: float) -> None:
-        self.final += "denied"
-
-    def abort(self, req: str) -> None:
-        self.final += "aborted"
-
-    def report_units_spent(self, customer: int, plan: str, units: int, lease: int) -> None:
-        self.client.report_units_spent(ReportUnitsSpent(customer, plan, units, lease))
-
-    def return_lease(self, lease: int, units: int) -> None:
-        self.client.return_lease(ReturnLease(lease, units))
-
-    def cancel_attempt(self, req: str, number: int) -> None: ...
-    def send_peer_message(self, peer: int, body: str) -> None: ...
-    def start_timer(self, after: float, token: int) -> None: ...
-    def log(self, line: str) -> None: ...
-    def watch_endpoints(self) -> None: ...
-
-
 class VirtualCluster:
     """Forwarders and planners, and the true count of what all forwarders send on."""
 
@@ -192,7 +73,8 @@
     def start_planner(self, name: str) -> Planner:
         self.planner_incarnations[name] += 1
         net = self.net.host(self.planner_host(name))
-        log = self.logs[name] = io.StringIO()
+        log = io.StringIO()
+        self.logs[name] = log
         epoch = f"{name}-{self.planner_incarnations[name]}"
         planner = Planner(
             self.config(name), StructuredLog(name, out=log), lambda: self.config(name), net, epoch
--- /dev/null
+++ b/tests/planner/forwarder_model.py
@@ -0,0 +1,130 @@
+"""A forwarder on the virtual clock: a gateway, its planner client, and a server that answers at once."""
+
+from __future__ import annotations
+
+from collections import Counter
+from typing import TYPE_CHECKING
+
+from onyxpost.core.events import (
+    AttemptFinished,
+    EndpointsUpdated,
+    Event,
+    LeaseGranted,
+    LeaseRevoked,
+    RequestArrived,
+)
+from onyxpost.core.options import GatewayOptions
+from onyxpost.core.types import (
+    AttemptResult,
+    DeduplicationScope,
+    EndpointState,
+    EndpointStatus,
+    Frontend,
+    GatewayLimits,
+    Idempotency,
+    SlowStartPolicy,
+)
+from onyxpost.edge.messages import ReportUnitsSpent, ReturnLease
+from onyxpost.forwarder.planner_client import PlannerClient
+from onyxpost.policy.gateway import Gateway
+
+if TYPE_CHECKING:
+    from tests.planner.cluster import VirtualCluster
+
+SAFE_SHARE = 0.2
+FRONTEND = Frontend(
+    "f", 1000.0, 5000.0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, 1.0, 0.0, 0.0, False
+)
+
+
+class ForwarderModel:
+    """A gateway and its planner client; its one server answers at once, so that only limits decide."""
+
+    def __init__(self, cluster: VirtualCluster, index: int) -> None:
+        self.cluster = cluster
+        self.index = index
+        self.name = f"f{index}"
+        self.incarnation = 0
+        self.is_alive = False
+        self.request_count = 0
+        self.final_answer = ""  # of the request that is being handled
+        self.answers: Counter[str] = Counter()
+
+    def start(self) -> None:
+        cluster = self.cluster
+        self.incarnation += 1
+        self.is_alive = True
+        self.request_count = 0
+        net = cluster.net.host(f"{self.name}.{self.incarnation}")
+        self.host = net.name
+        self.clock = net.clock
+        options = GatewayOptions(
+            seed=self.incarnation,
+            node_index=self.index,
+            node_count=len(cluster.forwarders) or 1,
+            tick_ms=1.0,
+            frontends=[FRONTEND],
+            plans=[cluster.plan],
+            slow_start=SlowStartPolicy(1.0, 0.0, 1.0, 1.0),
+            limits=GatewayLimits(2, True, True, False, 500.0, 0.0, SAFE_SHARE),
+            polls_endpoints=False,
+        )
+        self.gateway = Gateway(net.clock(), options)
+        self.client = PlannerClient(
+            net, self.name, cluster.members(), cluster.membership_version, self.post, lambda log: None
+        )
+        self.client.start()
+        self.handle(EndpointsUpdated(True, [EndpointStatus("s", "", 0, EndpointState.READY, 1.0, 0.0)]))
+
+    def kill(self) -> None:
+        self.is_alive = False
+        self.client.close()
+        self.cluster.net.die(self.host)
+
+    def restart(self) -> None:
+        if self.is_alive:
+            self.kill()
+            self.start()
+
+    def post(self, event: LeaseGranted | LeaseRevoked) -> None:
+        self.handle(event)
+
+    def handle(self, *events: Event) -> None:
+        self.gateway.handle(self.clock(), events, self)
+
+    def request(self, customer: str, units: int) -> None:
+        """One client request; it has its one final answer when this returns."""
+        self.request_count += 1
+        self.final_answer = ""
+        request_id = f"{self.incarnation}.{self.request_count}"
+        spread = len(self.cluster.forwarders)
+        deadline = self.clock() + 5000.0
+        self.handle(RequestArrived(request_id, deadline, "f", customer, "p", units, spread, 0))
+        if self.final_answer == "sent":
+            self.cluster.count_sent(self, customer, units)
+            self.handle(AttemptFinished(request_id, 0, AttemptResult.OK, 1.0, True, 0))
+            self.final_answer = "passed"
+        self.answers[self.final_answer] += 1
+
+    # DecisionSink
+
+    def start_attempt(self, request_id: str, server: str, timeout_ms: float, begin_before: float) -> None:
+        self.final_answer = "sent"
+
+    def reject(self, request_id: str, retry_after_ms: float) -> None:
+        self.final_answer += "denied"
+
+    def abort(self, request_id: str) -> None:
+        self.final_answer += "aborted"
+
+    def report_units_spent(self, customer: int, plan: str, units: int, lease: int) -> None:
+        self.client.report_units_spent(ReportUnitsSpent(customer, plan, units, lease))
+
+    def return_lease(self, lease: int, units: int) -> None:
+        self.client.return_lease(ReturnLease(lease, units))
+
+    def cancel_attempt(self, request_id: str, attempt_index: int) -> None: ...
+    def send_peer_message(self, peer: int, body: str) -> None: ...
+    def start_timer(self, delay_ms: float, token: int) -> None: ...
+    def log(self, line: str) -> None: ...
+    def watch_endpoints(self) -> None: ...
--- a/tests/planner/test_cluster_faults.py
+++ b/tests/planner/test_cluster_faults.py
@@ -13,17 +13,18 @@
 
 from onyxpost.core.types import Plan
 from onyxpost.planner.lease_ledger import LeaseLedger
-from tests.planner.cluster import LEASE_TERMS, SAFE_SHARE, VirtualCluster, run_cluster
+from tests.planner.cluster import LEASE_TERMS, VirtualCluster, run_cluster
+from tests.planner.forwarder_model import SAFE_SHARE
 
 if TYPE_CHECKING:
-    from tests.planner.cluster import ForwarderModel
+    from tests.planner.forwarder_model import ForwarderModel
 
 QUORUM_WAIT_MS = 1600.0
 # Seconds until planners have waited for older leases to end, and their buckets hold something.
 READY_SECONDS = (LEASE_TERMS.planner_duration_ms + QUORUM_WAIT_MS) / 1000.0 + 1.5
 
 
-def check(cluster: VirtualCluster) -> None:
+def assert_limits_held(cluster: VirtualCluster) -> None:
     """The hard limit held, and each request had one final answer."""
     assert cluster.violations == []
     for forwarder in cluster.forwarders:
@@ -36,20 +37,20 @@
         await cluster.send_traffic(20.0, 10.0, Random(1))  # 20 units a second of 40
 
     cluster = run_cluster(scenario)
-    check(cluster)
+    assert_limits_held(cluster)
     answers: Counter[str] = Counter()
     for forwarder in cluster.forwarders:
         answers += forwarder.answers
     assert answers["passed"] > 0.9 * (answers["passed"] + answers["denied"])
 
 
-def test_surge_uses_most_of_the_quota_within_the_hard_limit() -> None:
+def test_surge_uses_over_half_of_the_quota_within_the_hard_limit() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
         await asyncio.sleep(READY_SECONDS)
         await cluster.send_traffic(20.0, 100.0, Random(2))  # 200 units a second of 40
 
     cluster = run_cluster(scenario)
-    check(cluster)
+    assert_limits_held(cluster)
     assert cluster.units_sent["c"] > 0.6 * 40.0 * 20.0
     assert cluster.units_sent["c"] < 40.0 * 20.0 + 60.0 + 1.0
 
@@ -69,7 +70,7 @@
                 forwarder.request("c", 1)
             forwarded_shares.append(forwarder.answers["passed"] / 60.0)
 
-    check(run_cluster(scenario))
+    assert_limits_held(run_cluster(scenario))
     assert len(forwarded_shares) == 2
     assert all(share > 0.95 for share in forwarded_shares), forwarded_shares
 
@@ -80,7 +81,7 @@
         asyncio.get_running_loop().call_later(2.0, cluster.restart_all_planners)
         await cluster.send_traffic(12.0, 100.0, Random(3))
 
-    check(run_cluster(scenario))
+    assert_limits_held(run_cluster(scenario))
 
 
 def test_planner_that_grants_at_once_after_a_restart_is_detected() -> None:
@@ -115,7 +116,7 @@
         await cluster.send_traffic(10.0, 300.0, Random(4))
 
     cluster = run_cluster(scenario, plan=Plan("p", 400.0, 600.0, 0, 1.0, 600.0, 800.0))
-    check(cluster)
+    assert_limits_held(cluster)
     allowed = SAFE_SHARE * (400.0 * 10.0 + 600.0)
     assert 0.5 * allowed < cluster.units_sent["c"] <= allowed
 
@@ -142,7 +143,7 @@
         # The violations count by the old hard limit; only what was leased may come on top of the new one.
         units_after_change = cluster.units_sent["c"] - before
 
-    check(run_cluster(scenario))
+    assert_limits_held(run_cluster(scenario))
     assert units_after_change < 60.0 + 4.0 * 2.0
 
 
@@ -155,7 +156,7 @@
             forwarder.kill()
             forwarder.start()
 
-    check(run_cluster(scenario))
+    assert_limits_held(run_cluster(scenario))
 
 
 def test_planners_of_two_memberships_never_grant_at_once() -> None:
@@ -164,20 +165,20 @@
         asyncio.get_running_loop().call_later(2.0, remove_first_planner, cluster)
         await cluster.send_traffic(12.0, 150.0, Random(6))
 
-    check(run_cluster(scenario))
+    assert_limits_held(run_cluster(scenario))
 
 
 def remove_first_planner(cluster: VirtualCluster) -> None:
-    """The planner p0 is not told, and two of the forwarders only 3 s later."""
+    """The planner p0 gets no notification, and two of the forwarders only 3 s later."""
     cluster.planner_names = ["p1", "p2"]
     cluster.membership_version = 2
     for name in cluster.planner_names:
         cluster.planner(name).reload()
     loop = asyncio.get_running_loop()
     for index, forwarder in enumerate(cluster.forwarders):
-        delay = 0.0 if index > 1 else 3.0
+        delay_seconds = 0.0 if index > 1 else 3.0
         loop.call_later(
-            delay, forwarder.client.update_membership, cluster.members(), cluster.membership_version
+            delay_seconds, forwarder.client.update_membership, cluster.members(), cluster.membership_version
         )
 
 
@@ -189,26 +190,26 @@
             schedule_random_fault(cluster, rng)
         await cluster.send_traffic(16.0, 120.0, Random(f"{seed}/traffic"))
 
-    check(run_cluster(scenario, seed=seed))
+    assert_limits_held(run_cluster(scenario, seed=seed))
 
 
 def schedule_random_fault(cluster: VirtualCluster, rng: Random) -> None:
     loop = asyncio.get_running_loop()
     name = rng.choice(cluster.planner_names)
-    at = rng.uniform(2.0, 14.0)
+    start_seconds = rng.uniform(2.0, 14.0)
     match rng.randrange(4):
         case 0:
-            loop.call_later(at, cluster.kill_planner, name)
-            loop.call_later(at + rng.uniform(0.05, 3.0), start_if_down, cluster, name)
+            loop.call_later(start_seconds, cluster.kill_planner, name)
+            loop.call_later(start_seconds + rng.uniform(0.05, 3.0), start_if_down, cluster, name)
         case 1:
             forwarder = rng.choice(cluster.forwarders)
-            loop.call_later(at, partition, cluster, forwarder, rng.uniform(0.1, 3.0))
+            loop.call_later(start_seconds, partition, cluster, forwarder, rng.uniform(0.1, 3.0))
         case 2:
-            loop.call_later(at, rng.choice(cluster.forwarders).restart)
+            loop.call_later(start_seconds, rng.choice(cluster.forwarders).restart)
         case 3:
             host = cluster.planner_host(name)
-            loop.call_later(at, cluster.net.cut_off.add, host)
-            loop.call_later(at + rng.uniform(0.1, 3.0), cluster.net.cut_off.discard, host)
+            loop.call_later(start_seconds, cluster.net.cut_off.add, host)
+            loop.call_later(start_seconds + rng.uniform(0.1, 3.0), cluster.net.cut_off.discard, host)
 
 
 def start_if_down(cluster: VirtualCluster, name: str) -> None:
--- a/tests/planner/test_config.py
+++ b/tests/planner/test_config.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "place"),
+    ("changes", "key_path"),
     [
         ({"listen": "x"}, "no address"),
         ({"name": "p9"}, "$.planners.members"),
@@ -31,10 +31,10 @@
         ({"planners": MEMBERSHIP | {"members": {"p0": "nowhere"}}}, "$.planners.members.p0"),
     ],
 )
-def test_error_in_a_planners_file_names_its_place(changes: dict[str, Any], place: str) -> None:
+def test_error_in_a_planners_file_names_the_key(changes: dict[str, Any], key_path: str) -> None:
     with pytest.raises(InvalidInputError) as caught:
         decode_config(PLANNER_FILE | changes)
-    assert place in str(caught.value)
+    assert key_path in str(caught.value)
 
 
 def test_node_with_planners_keeps_its_safe_share() -> None:
@@ -48,7 +48,7 @@
     assert node_config.decode(node_fields()).deployment.limits.local_share == 0.0
 
 
-def test_error_in_a_nodes_planners_names_its_place() -> None:
+def test_error_in_a_nodes_planners_names_the_key() -> None:
     with pytest.raises(InvalidInputError) as caught:
         node_config.decode(node_fields(planners=MEMBERSHIP | {"members": {"p0": "x"}}))
     assert "$.planners.members.p0" in str(caught.value)
--- a/tests/rollout/rules.py
+++ b/tests/rollout/rules.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple
+from dataclasses import dataclass
+from typing import Any
 
 import msgspec
 
@@ -39,7 +40,10 @@
 )
 
 
-class Server(NamedTuple):
+@dataclass(unsafe_hash=True)
+class Server:
+    """An app server, as routing rules see it."""
+
     id: str
     zone: str
     cell: int
--- a/tests/rollout/test_metrics.py
+++ b/tests/rollout/test_metrics.py
@@ -29,18 +29,20 @@
 def snapshot_history(seed: int, node: str = "n1", incarnation: int = 1) -> list[MetricsSnapshot]:
     """Five snapshots of a node that counts random requests."""
     rng = Random(seed)
+    sides: list[Side] = list(Side)
+    failures: list[Failure] = list(Failure)
     counters = VersionCounters(node, incarnation, "north", VERSION)
     snapshots: list[MetricsSnapshot] = []
     for tick in range(1, 6):
         for _ in range(rng.randrange(40)):
             plan = rng.choice(["gold", "basic"])
-            side = rng.choice(list(Side))
+            side = rng.choice(sides)
             counters.record_request("web", plan, side)
             if rng.random() < 0.7:
                 latency_ms = rng.expovariate(0.01)
                 counters.record_success("web", plan, side, latency_ms, late=rng.random() < 0.1)
             else:
-                counters.record_failure("web", plan, side, rng.choice(list(Failure)))
+                counters.record_failure("web", plan, side, rng.choice(failures))
         snapshots += counters.snapshots(tick * 5000.0)
     return snapshots
 
@@ -178,11 +180,11 @@
     assert all(len(data) <= MAX_SNAPSHOT_BYTES for data in encoded)
     aggregator = MetricsAggregator("v" * 64)
     for data in encoded:
-        decoded = msgspec.msgpack.decode(data, type=MetricsSnapshot)
+        decoded: MetricsSnapshot = msgspec.msgpack.decode(data, type=MetricsSnapshot)
         assert not isinstance(aggregator.handle_snapshot(0.0, decoded), RejectedSnapshot)
 
 
-def test_latency_buckets_are_at_most_a_tenth_wide() -> None:
+def test_latency_buckets_are_no_wider_than_a_tenth() -> None:
     assert BUCKET_COUNT <= MAX_LATENCY_BUCKETS
     for latency_ms in (1, 17, 33, 80, 500, 4000, 119_000, 1e9):
         assert min(latency_ms, 120_000) <= bucket_upper_bound(latency_ms) <= 1.1 * latency_ms
--- a/tests/rollout/test_routing_rules_file.py
+++ b/tests/rollout/test_routing_rules_file.py
@@ -95,15 +95,15 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "kind", "place"),
+    ("line", "kind", "key_path"),
     REJECTED,
     ids=[f"{index}: {line[:60]}" for index, (line, *_) in enumerate(REJECTED)],
 )
-def test_rejected_rules_name_their_place(line: str, kind: type[InvalidInputError], place: str) -> None:
+def test_rejected_rules_name_the_key(line: str, kind: type[InvalidInputError], key_path: str) -> None:
     with pytest.raises(InvalidInputError) as caught:
         compile_rules(rules_text(line), CONTEXT, "r.toml")
     assert type(caught.value) is kind
-    assert place in caught.value.message
+    assert key_path in caught.value.message
     assert caught.value.location == "r.toml"
 
 
@@ -217,8 +217,8 @@
     try:
         check_reachable(rules, TWO_FRONTENDS)
     except UnreachableRuleError as error:
-        place = error.message.rpartition(" at ")[2]
-        rejected = next(index for index in range(len(rules)) if f"rules[{index}]`" in place)
+        key_path = error.message.rpartition(" at ")[2]
+        rejected = next(index for index in range(len(rules)) if f"rules[{index}]`" in key_path)
         assert rejected not in reached
     else:
         assert set(range(len(rules))) <= reached
--- a/tests/rollout/test_routing_rules_reload.py
+++ b/tests/rollout/test_routing_rules_reload.py
@@ -68,11 +68,11 @@
 
 
 @pytest.mark.parametrize(
-    ("rules", "place"), [(rules_text(1, "z"), "`$.rules[0].servers.zones`"), (None, "No such file")]
+    ("rules", "cause"), [(rules_text(1, "z"), "`$.rules[0].servers.zones`"), (None, "No such file")]
 )
 def test_unusable_rules_at_the_start_are_one_line_and_exit_2(
     rules: str | None,
-    place: str,
+    cause: str,
     tmp_path: Path,
     rules_path: Path,
     monkeypatch: pytest.MonkeyPatch,
@@ -85,7 +85,7 @@
     node_file.write_text(json.dumps(fields | {"rules": "rules.toml"}))
     monkeypatch.setenv("EDGE_CONFIG", str(node_file))
     assert serve() == 2
-    assert re.fullmatch(rf"onyxpost: {rules_path}: .*{re.escape(place)}.*\)\n", capsys.readouterr().err)
+    assert re.fullmatch(rf"onyxpost: {rules_path}: .*{re.escape(cause)}.*\)\n", capsys.readouterr().err)
 
 
 async def check_path_is_rejected(rules_path: Path, path: str) -> None:
