--- /dev/null
+++ b/tests/cluster/slow_socket.py
@@ -0,0 +1,43 @@
+"""A peer on a socket of this machine that reads late, and sends something just before it does."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import socket
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable
+
+RECEIVE_BUFFER_BYTES = 4096
+READ_BYTES = 65536
+
+
+def limit_receive_buffer(sock: socket.socket) -> None:
+    """Makes the socket accept few bytes before they are read: the rest waits in the sender's system."""
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+    sock.setblocking(False)
+
+
+async def send_and_read_to_end(sock: socket.socket, frame: bytes) -> asyncio.StreamReader:
+    """Sends a frame, and reads all that arrives until the other side ends the connection."""
+    loop = asyncio.get_running_loop()
+    received = asyncio.StreamReader(limit=1 << 20)
+    with contextlib.suppress(ConnectionResetError, BrokenPipeError):
+        sock.sendall(frame)
+        while data := await loop.sock_recv(sock, READ_BYTES):
+            received.feed_data(data)
+    received.feed_eof()
+    return received
+
+
+async def count_messages(
+    reader: asyncio.StreamReader, read: Callable[[asyncio.StreamReader], Awaitable[object]], kind: type
+) -> int:
+    """The number of complete messages of one type in what was received."""
+    count = 0
+    with contextlib.suppress(EOFError):
+        while True:
+            count += isinstance(await read(reader), kind)
+    return count
--- a/tests/cluster/test_loopback.py
+++ b/tests/cluster/test_loopback.py
@@ -1,7 +1,6 @@
 """Connections over sockets of this machine."""
 
 import asyncio
-import contextlib
 import socket
 from collections.abc import Callable
 from pathlib import Path
@@ -22,15 +21,19 @@
 from onyxpost.node.extensions import ClusterExtension, find_extension
 from onyxpost.runtime.log_event import LogEvent
 from onyxpost.runtime.socket_transport import SocketTransport
+from tests.cluster.slow_socket import count_messages, limit_receive_buffer, send_and_read_to_end
 from tests.edge.harness import RunningNode, StubAppServer, node_fields
 
 TOPIC = "t"
 UNUSED_ADDRESS = ("127.0.0.1", 1)
-RECEIVE_BUFFER_BYTES = 4096
 LONG_LEAVE_SECONDS = 20.0
 PEER_SECONDS = 10.0  # in which a peer ends its connection, however busy the machine is
 
 
+Messages = list[tuple[str, str, bytes]]
+"""Sender, topic and body of each message that a member was given."""
+
+
 def discard(*_: object) -> None:
     """Takes any message or log event."""
 
@@ -61,18 +64,54 @@
         await asyncio.sleep(0.01)
 
 
-def socket_with_small_buffer() -> socket.socket:
-    """A socket that accepts few bytes before they are read: the rest waits in the sender's system."""
+async def connect_slowly_as_n0(address: Address) -> socket.socket:
+    """A connection with the hello of n0, whose messages are not read yet."""
+    loop = asyncio.get_running_loop()
     sock = socket.socket()
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
-    sock.setblocking(False)
+    limit_receive_buffer(sock)
+    await loop.sock_connect(sock, address)
+    hello = Hello(
+        protocol_version=1,
+        sender="n0",
+        incarnation="2-y",
+        receiver="n1",
+        dial_number=1,
+        membership_version=1,
+    )
+    await loop.sock_sendall(sock, encode_frame(hello))
     return sock
 
 
+async def leave_and_close(member: PeerConnections) -> None:
+    async with asyncio.timeout(PEER_SECONDS):
+        await member.leave()
+    member.close()
+
+
+async def check_messages_both_ways(
+    node: ClusterExtension, other: PeerConnections, received: Messages
+) -> None:
+    """Exchanges a message each way between the edge node n0 and n1, whose messages are `received`."""
+    answers: list[bytes] = []
+    node.subscribe(TOPIC, lambda _, body: answers.append(body))
+    assert node.connections.send("n1", TOPIC, b"to")
+    assert other.send("n0", TOPIC, b"from")
+    await wait_until(lambda: received and answers)
+    assert received == [("n0", TOPIC, b"to")]
+    assert answers == [b"from"]
+
+
+def check_reload(edge: RunningNode, fleet: dict[str, Any], version: int, event: bytes) -> None:
+    """Reloads a file in which n0 is the only member."""
+    changed = {"version": version, "members": {"n0": "127.0.0.1:1"}}
+    edge.file = node_fields(fleet=fleet | changed)
+    edge.program.reload()
+    assert event in edge.out.getvalue()
+
+
 def test_an_edge_node_connects_by_its_file_changes_membership_on_sighup_and_leaves() -> None:
     async def main() -> None:
-        received: list[tuple[str, str, bytes]] = []
-        answers: list[bytes] = []
+        received: Messages = []
         members = {"n0": UNUSED_ADDRESS, "n1": ("", 0)}
         other = peer_connections("n1", members, lambda *message: received.append(message))
         host, port = await listen(other)
@@ -90,26 +129,15 @@
             cluster = find_extension(edge.program.extensions, ClusterExtension)
             assert cluster is not None
             own = cluster.connections
-            cluster.subscribe(TOPIC, lambda _, body: answers.append(body))
             await wait_until(
                 lambda: other.state_of("n0") is PeerState.ALIVE and own.state_of("n1") is PeerState.ALIVE
             )
             for connection in (own.established["n1"], other.established["n0"]):
                 transport: Any = connection.writer.transport
                 assert transport.max_size == 65536  # or asyncio reads 256 KiB at once
-            assert own.send("n1", TOPIC, b"to")
-            assert other.send("n0", TOPIC, b"from")
-            await wait_until(lambda: received and answers)
-            assert received == [("n0", TOPIC, b"to")]
-            assert answers == [b"from"]
-            for version, event in (
-                (2, b"cluster membership rejected"),
-                (4, b"cluster membership changed"),
-            ):
-                changed = {"version": version, "members": {"n0": "127.0.0.1:1"}}
-                edge.file = node_fields(fleet=fleet | changed)
-                edge.program.reload()
-                assert event in edge.out.getvalue()
+            await check_messages_both_ways(cluster, other, received)
+            check_reload(edge, fleet, 2, b"cluster membership rejected")
+            check_reload(edge, fleet, 4, b"cluster membership changed")
             await wait_until(lambda: other.state_of("n0") is PeerState.DISCONNECTED)
             other.close()
 
@@ -144,7 +172,7 @@
 @pytest.mark.usefixtures("long_leave_timeout")
 @pytest.mark.parametrize("sender_name", ["n0", "n1"])
 def test_what_a_leaving_node_sent_to_a_slow_reader_arrives_whoever_dialed(sender_name: str) -> None:
-    received: list[tuple[str, str, bytes]] = []
+    received: Messages = []
 
     async def main() -> int:
         addresses = {"n0": UNUSED_ADDRESS, "n1": UNUSED_ADDRESS}
@@ -164,9 +192,7 @@
         while sender.send(receiver_name, TOPIC, bytes(60_000)):
             sent_count += 1
         transport.resume_reading()
-        async with asyncio.timeout(PEER_SECONDS):
-            await sender.leave()
-        sender.close()
+        await leave_and_close(sender)
         await wait_until(lambda: not receiver.established)
         receiver.close()
         return sent_count
@@ -199,43 +225,19 @@
         member = peer_connections("n1", {"n0": UNUSED_ADDRESS, "n1": ("127.0.0.1", 2)})
         address = await listen(member)
         member.start()
-        sock = socket_with_small_buffer()
-        await loop.sock_connect(sock, address)
-        hello = Hello(
-            protocol_version=1,
-            sender="n0",
-            incarnation="2-y",
-            receiver="n1",
-            dial_number=1,
-            membership_version=1,
-        )
-        await loop.sock_sendall(sock, encode_frame(hello))
+        sock = await connect_slowly_as_n0(address)
         while not member.established:
             await asyncio.sleep(0)
         for _ in range(10):
             assert member.send("n0", TOPIC, bytes(4000))
 
-        async def leave_and_close() -> None:
-            async with asyncio.timeout(PEER_SECONDS):
-                await member.leave()
-            member.close()
-
-        leaving = loop.create_task(leave_and_close())
+        leaving = loop.create_task(leave_and_close(member))
         for _ in range(50):  # all that it does before it waits for anything
             await asyncio.sleep(0)
-        received = asyncio.StreamReader(limit=1 << 20)
-        with contextlib.suppress(ConnectionResetError, BrokenPipeError):
-            sock.sendall(encode_frame(Ping(1)))
-            while data := await loop.sock_recv(sock, 65536):
-                received.feed_data(data)
-        received.feed_eof()
+        received = await send_and_read_to_end(sock, encode_frame(Ping(1)))
         sock.close()
         await leaving
-        payload_count = 0
-        with contextlib.suppress(EOFError):
-            while True:
-                payload_count += isinstance(await read_message(received), Payload)
-        return payload_count
+        return await count_messages(received, read_message, Payload)
 
     assert asyncio.run(main()) == 10
 
--- a/tests/forwarder/test_planner_client.py
+++ b/tests/forwarder/test_planner_client.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import socket
 from typing import TYPE_CHECKING, Any
 
@@ -16,6 +15,7 @@
 from onyxpost.runtime.log_event import LogEvent
 from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.simulation import virtual_time
+from tests.cluster.slow_socket import count_messages, limit_receive_buffer, send_and_read_to_end
 from tests.planner.cluster import PLAN, VirtualCluster
 from tests.planner.scripted_forwarder import START_SECONDS, run_planner
 
@@ -25,6 +25,9 @@
     from onyxpost.planner.planner import Planner
 
 
+LEASE_COUNT = 1000
+
+
 def make_client(cluster: VirtualCluster, log: Callable[[LogEvent], None] = lambda _: None) -> PlannerClient:
     return PlannerClient(cluster.net.host("f0"), "f0", cluster.members(), 1, lambda _: None, log)
 
@@ -53,47 +56,18 @@
     virtual_time.run(main())
 
 
-LEASES = 1000
-
-
-def listen_with_small_buffer() -> socket.socket:
-    """A listening socket that takes little before it reads: the rest waits at the sender."""
-    listening = socket.create_server(("127.0.0.1", 0))
-    listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    listening.setblocking(False)
-    return listening
-
-
-async def receive_until_end(sock: socket.socket) -> asyncio.StreamReader:
-    loop = asyncio.get_running_loop()
-    reader = asyncio.StreamReader(limit=1 << 20)
-    with contextlib.suppress(ConnectionResetError, BrokenPipeError):
-        sock.sendall(protocol.encode_frame(protocol.LeaseRevocation(5000, "e")))
-        while data := await loop.sock_recv(sock, 65536):
-            reader.feed_data(data)
-    reader.feed_eof()
-    return reader
-
-
-async def count_lease_returns(reader: asyncio.StreamReader) -> int:
-    count = 0
-    with contextlib.suppress(EOFError):
-        while True:
-            count += isinstance(await protocol.read_forwarder_message(reader), protocol.LeaseReturn)
-    return count
-
-
 def test_stopping_forwarder_returns_all_leases_though_a_planner_sends_just_then() -> None:
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        with listen_with_small_buffer() as listening:
+        with socket.create_server(("127.0.0.1", 0)) as listening:
+            limit_receive_buffer(listening)
             members = {"p0": listening.getsockname()}
             client = PlannerClient(
-                SocketTransport(), "f0", members, 1, lambda item: give_up(item), lambda log: None
+                SocketTransport(), "f0", members, 1, lambda event: return_lease(event), lambda log: None
             )
 
-            def give_up(item: Any) -> None:
-                client.return_lease(ReturnLease(item.lease_id, 1))
+            def return_lease(event: Any) -> None:
+                client.return_lease(ReturnLease(event.lease_id, 1))
 
             client.start()
             sock, _ = await loop.sock_accept(listening)
@@ -102,7 +76,7 @@
             await loop.sock_sendall(sock, protocol.encode_frame(welcome))
             while not client.writers:
                 await asyncio.sleep(0)
-            for local_id in range(1, LEASES + 1):
+            for local_id in range(1, LEASE_COUNT + 1):
                 grant = protocol.LeaseGrant(1, local_id, 7, "p", 1, "e")
                 client.cache.leases[local_id] = CachedLease.from_grant("p0", grant, 1e18)
 
@@ -113,10 +87,12 @@
             stopping = loop.create_task(stop())
             for _ in range(50):  # all that it does before it waits for anything
                 await asyncio.sleep(0)
-            received = await receive_until_end(sock)
+            revocation = protocol.LeaseRevocation(5000, "e")
+            received = await send_and_read_to_end(sock, protocol.encode_frame(revocation))
             sock.close()
             await stopping
-            assert await count_lease_returns(received) == LEASES
+            read = protocol.read_forwarder_message
+            assert await count_messages(received, read, protocol.LeaseReturn) == LEASE_COUNT
 
     asyncio.run(main())
 
