--- a/onyxpost/config/deployment.py
+++ b/onyxpost/config/deployment.py
@@ -23,6 +23,7 @@
     Plan,
     SlowStartPolicy,
 )
+from onyxpost.core.units import US_PER_MS
 from onyxpost.errors import ConflictingValuesError, at_key
 from onyxpost.policy.gateway import Gateway
 
@@ -40,8 +41,6 @@
     "cell": DeduplicationScope.CELL,
 }
 
-US_PER_MS = 1000.0
-
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
--- a/onyxpost/leadership/fenced_call.py
+++ b/onyxpost/leadership/fenced_call.py
@@ -13,6 +13,7 @@
 
 import h11
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.leadership.errors import FencedCallError, HigherFencingTokenError, NotLeaderError
 from onyxpost.runtime.http1 import READ_CHUNK_BYTES, encode_message, limit_read_size, read_response
 
@@ -51,7 +52,7 @@
     http = h11.Connection(h11.CLIENT)
     data = encode_message(http, _request(call), call.body)
     try:
-        async with asyncio.timeout(call.timeout_ms / 1000.0):
+        async with asyncio.timeout(call.timeout_ms / MS_PER_SECOND):
             reader, writer, *_ = await net.dial(call.address, READ_CHUNK_BYTES)
             try:
                 limit_read_size(writer, READ_CHUNK_BYTES)
--- a/tests/planner/test_cluster_faults.py
+++ b/tests/planner/test_cluster_faults.py
@@ -13,10 +13,12 @@
 
 from onyxpost.core.types import Plan
 from onyxpost.planner.lease_ledger import LeaseLedger
-from tests.planner.cluster import LEASE_TERMS, VirtualCluster, run_cluster
+from tests.planner.cluster import LEASE_TERMS, PLAN, VirtualCluster, run_cluster
 from tests.planner.forwarder_model import SAFE_SHARE
 
 if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable
+
     from tests.planner.forwarder_model import ForwarderModel
 
 QUORUM_WAIT_MS = 1600.0
@@ -24,6 +26,18 @@
 READY_SECONDS = (LEASE_TERMS.planner_duration_ms + QUORUM_WAIT_MS) / 1000.0 + 1.5
 
 
+def run_ready_cluster(
+    scenario: Callable[[VirtualCluster], Awaitable[None]], plan: Plan = PLAN
+) -> VirtualCluster:
+    """Runs a scenario on a cluster whose planners have granted leases for a while."""
+
+    async def wait_and_run(cluster: VirtualCluster) -> None:
+        await asyncio.sleep(READY_SECONDS)
+        await scenario(cluster)
+
+    return run_cluster(wait_and_run, plan=plan)
+
+
 def assert_limits_held(cluster: VirtualCluster) -> None:
     """The hard limit held, and each request had one final answer."""
     assert cluster.violations == []
@@ -33,10 +47,9 @@
 
 def test_use_within_the_quota_is_forwarded() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
-        await asyncio.sleep(READY_SECONDS)
         await cluster.send_traffic(20.0, 10.0, Random(1))  # 20 units a second of 40
 
-    cluster = run_cluster(scenario)
+    cluster = run_ready_cluster(scenario)
     assert_limits_held(cluster)
     answers: Counter[str] = Counter()
     for forwarder in cluster.forwarders:
@@ -46,10 +59,9 @@
 
 def test_surge_uses_over_half_of_the_quota_within_the_hard_limit() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
-        await asyncio.sleep(READY_SECONDS)
         await cluster.send_traffic(20.0, 100.0, Random(2))  # 200 units a second of 40
 
-    cluster = run_cluster(scenario)
+    cluster = run_ready_cluster(scenario)
     assert_limits_held(cluster)
     assert cluster.units_sent["c"] > 0.6 * 40.0 * 20.0
     assert cluster.units_sent["c"] < 40.0 * 20.0 + 60.0 + 1.0
@@ -59,7 +71,6 @@
     forwarded_shares = []
 
     async def scenario(cluster: VirtualCluster) -> None:
-        await asyncio.sleep(READY_SECONDS)
         for forwarder in cluster.forwarders[:2]:
             for _ in range(60):
                 await asyncio.sleep(0.05)
@@ -70,23 +81,22 @@
                 forwarder.request("c", 1)
             forwarded_shares.append(forwarder.answers["passed"] / 60.0)
 
-    assert_limits_held(run_cluster(scenario))
+    assert_limits_held(run_ready_cluster(scenario))
     assert len(forwarded_shares) == 2
     assert all(share > 0.95 for share in forwarded_shares), forwarded_shares
 
 
 def test_planners_restarted_in_a_surge_grant_nothing_twice() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
-        await asyncio.sleep(READY_SECONDS)
         asyncio.get_running_loop().call_later(2.0, cluster.restart_all_planners)
         await cluster.send_traffic(12.0, 100.0, Random(3))
 
-    assert_limits_held(run_cluster(scenario))
+    assert_limits_held(run_ready_cluster(scenario))
 
 
 def test_planner_that_grants_at_once_after_a_restart_is_detected() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
-        await asyncio.sleep(READY_SECONDS + 3.0)
+        await asyncio.sleep(3.0)
         for _ in range(12):
             await cluster.send_traffic(0.5, 150.0, Random(3))
             cluster.restart_all_planners()
@@ -102,20 +112,19 @@
                 bucket.available = bucket.burst
 
     with mock.patch.object(LeaseLedger, "reset_and_wait", open_with_full_buckets):
-        cluster = run_cluster(scenario, plan=Plan("p", 400.0, 600.0, 0, 1.0, 60.0, 80.0))
+        cluster = run_ready_cluster(scenario, plan=Plan("p", 400.0, 600.0, 0, 1.0, 60.0, 80.0))
     assert cluster.violations != []
 
 
 def test_without_planners_forwarders_use_their_safe_shares() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
-        await asyncio.sleep(READY_SECONDS)
         for name in cluster.planner_names:
             cluster.kill_planner(name)
         await asyncio.sleep(2.0 * LEASE_TERMS.duration_ms / 1000.0)
         cluster.units_sent.clear()
         await cluster.send_traffic(10.0, 300.0, Random(4))
 
-    cluster = run_cluster(scenario, plan=Plan("p", 400.0, 600.0, 0, 1.0, 600.0, 800.0))
+    cluster = run_ready_cluster(scenario, plan=Plan("p", 400.0, 600.0, 0, 1.0, 600.0, 800.0))
     assert_limits_held(cluster)
     allowed = SAFE_SHARE * (400.0 * 10.0 + 600.0)
     assert 0.5 * allowed < cluster.units_sent["c"] <= allowed
@@ -126,7 +135,6 @@
 
     async def scenario(cluster: VirtualCluster) -> None:
         nonlocal units_after_change
-        await asyncio.sleep(READY_SECONDS)
         partitioned = cluster.forwarders[0]
         for _ in range(20):
             await asyncio.sleep(0.02)
@@ -143,29 +151,27 @@
         # The violations count by the old hard limit; only what was leased may come on top of the new one.
         units_after_change = cluster.units_sent["c"] - before
 
-    assert_limits_held(run_cluster(scenario))
+    assert_limits_held(run_ready_cluster(scenario))
     assert units_after_change < 60.0 + 4.0 * 2.0
 
 
 def test_forwarder_restarted_within_its_leases_duration_holds_none() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
-        await asyncio.sleep(READY_SECONDS)
         for _ in range(10):
             await cluster.send_traffic(0.4, 150.0, Random(5))
             forwarder = cluster.forwarders[0]
             forwarder.kill()
             forwarder.start()
 
-    assert_limits_held(run_cluster(scenario))
+    assert_limits_held(run_ready_cluster(scenario))
 
 
 def test_planners_of_two_memberships_never_grant_at_once() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
-        await asyncio.sleep(READY_SECONDS)
         asyncio.get_running_loop().call_later(2.0, remove_first_planner, cluster)
         await cluster.send_traffic(12.0, 150.0, Random(6))
 
-    assert_limits_held(run_cluster(scenario))
+    assert_limits_held(run_ready_cluster(scenario))
 
 
 def remove_first_planner(cluster: VirtualCluster) -> None:
