--- a/onyxpost/cluster/dialer.py
+++ b/onyxpost/cluster/dialer.py
@@ -35,7 +35,7 @@
         self._handshake = handshake
         self._run_connection = run_connection
         self._on_dial_ended = on_dial_ended
-        self._connected_since: dict[str, float] = {}
+        self._connected_since_ms: dict[str, float] = {}
         self._is_stopped = False
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.dial_count = 0
@@ -83,7 +83,7 @@
             hello = await self._handshake.receive_hello(reader)
             if hello.sender != member:
                 raise MemberNameMismatchError(f"{hello.sender} answers at its address", member)
-            self._connected_since[member] = self._network.clock()
+            self._connected_since_ms[member] = self._network.clock()
             await self._run_connection(hello, reader, writer)
         finally:
             writer.transport.abort()
@@ -91,6 +91,6 @@
     def _on_ended(self, member: str, backoff: ReconnectBackoff, cause: Exception | None) -> float:
         self._on_dial_ended(member, cause)
         now_ms = self._network.clock()
-        if now_ms - self._connected_since.pop(member, now_ms) >= DISCONNECT_TIMEOUT_MS:
+        if now_ms - self._connected_since_ms.pop(member, now_ms) >= DISCONNECT_TIMEOUT_MS:
             backoff.reset()
-        return backoff.next_delay()
+        return backoff.next_delay_seconds()
--- a/onyxpost/cluster/failure_detector.py
+++ b/onyxpost/cluster/failure_detector.py
@@ -55,7 +55,7 @@
     def __init__(self, name: str, now_ms: float) -> None:
         self.name = name
         self.state = PeerState.DISCONNECTED
-        self.state_since = now_ms
+        self.state_since_ms = now_ms
         # Whether a change to DISCONNECTED was returned. A peer starts in that state, without a change: one is
         # returned when its first dial fails or the timeout is over.
         self.disconnect_reported = False
@@ -80,7 +80,7 @@
         self.awaited_pong = None
         if self.state is PeerState.DISCONNECTED and not self.disconnect_reported:
             self.disconnect_reported = True
-            duration_ms = now_ms - self.state_since
+            duration_ms = now_ms - self.state_since_ms
             return PeerStateChange(self.name, self.state, self.state, duration_ms, 0.0, reason)
         return self._enter(now_ms, PeerState.DISCONNECTED, reason)
 
@@ -127,7 +127,7 @@
         return CheckResult(ping_number, change=self._evaluate(now_ms, idle_ms, unanswered_ms))
 
     def _check_never_connected(self, now_ms: float) -> PeerStateChange | None:
-        if now_ms - self.state_since > DISCONNECT_TIMEOUT_MS:
+        if now_ms - self.state_since_ms > DISCONNECT_TIMEOUT_MS:
             return self.on_disconnected(now_ms, "never connected")
         return None
 
@@ -160,10 +160,10 @@
     def _enter(self, now_ms: float, state: PeerState, reason: str) -> PeerStateChange | None:
         if state is self.state:
             return None
-        duration_ms = now_ms - self.state_since
+        duration_ms = now_ms - self.state_since_ms
         change = PeerStateChange(self.name, self.state, state, duration_ms, self.round_trip_ms, reason)
         self.state = state
-        self.state_since = now_ms
+        self.state_since_ms = now_ms
         self.disconnect_reported = state is PeerState.DISCONNECTED
         return change
 
--- a/onyxpost/cluster/reconnect.py
+++ b/onyxpost/cluster/reconnect.py
@@ -19,7 +19,7 @@
 class ReconnectBackoff:
     """Delays that double up to a limit, each shortened by up to a quarter.
 
-    The jitter is drawn from `seed`, so that nodes that lost the same peer do not redial at the same moment
+    The jitter is drawn from `seed`, so that nodes that lost the same peer do not reconnect at the same moment
     and a simulation can be repeated.
     """
 
@@ -31,8 +31,8 @@
         """Starts again from the initial delay, after a connection that lasted."""
         self._next_seconds = INITIAL_DELAY_SECONDS
 
-    def next_delay(self) -> float:
-        """Returns the seconds to wait before the next attempt."""
+    def next_delay_seconds(self) -> float:
+        """Returns the time to wait before the next attempt."""
         delay_seconds = self._next_seconds
         self._next_seconds = min(MAX_DELAY_SECONDS, 2.0 * self._next_seconds)
         return delay_seconds * self._rng.uniform(MIN_JITTER_FACTOR, 1.0)
--- a/onyxpost/leadership/effect_runner.py
+++ b/onyxpost/leadership/effect_runner.py
@@ -116,7 +116,7 @@
         self.log.count_sent(effect.message, is_sent=is_sent)
 
     def _persist(self, state: AcceptorState) -> bool:
-        """Returns whether the state is durable. If not, its acceptors stop and it gives up every role."""
+        """Returns whether the state is durable. If not, its acceptors stop and it resigns from every role."""
         if self.acceptor_log is None:
             return True
         try:
--- a/onyxpost/leadership/protocol.py
+++ b/onyxpost/leadership/protocol.py
@@ -91,8 +91,8 @@
 class Promise(RoleMessage, tag="promise", frozen=True, kw_only=True):
     """Acceptor to candidate: the ballot is promised; the record is the last one accepted (phase 1b).
 
-    `record_epoch_ms` is when acceptors last started anew after a majority lost its state (Unix ms); 0: never.
-    Records written before that moment may be missing.
+    `record_epoch_ms` is when acceptors last voted again after a majority had lost its state (Unix ms); 0:
+    never. Records written before that moment may be missing.
     """
 
     ballot: Ballot
--- a/onyxpost/leadership/registry.py
+++ b/onyxpost/leadership/registry.py
@@ -108,7 +108,7 @@
         return self._deliver_local(now_ms, self.participants[role].write(now_ms, body))
 
     def resign_all(self, now_ms: float) -> list[Effect]:
-        """Gives up every role, for good: the node is leaving."""
+        """Resigns from every role, for good: the node is leaving."""
         effects: list[Effect] = []
         for participant in self.participants.values():
             effects += self._deliver_local(now_ms, participant.leave(now_ms, "leaving"))
--- a/onyxpost/leadership/service.py
+++ b/onyxpost/leadership/service.py
@@ -167,7 +167,7 @@
         return replace(config, acceptors=self.config.acceptors) != self.config
 
     def resign_all(self) -> None:
-        """Gives up every role; acceptors go on voting until the connections end."""
+        """Resigns from every role; acceptors go on voting until the connections end."""
         self.effects.apply(self.registry.resign_all(self.net.clock()))
 
     # Timer
--- a/onyxpost/planner/customer_account.py
+++ b/onyxpost/planner/customer_account.py
@@ -116,7 +116,7 @@
 
         Sizes are matched to buckets by position (quota, then hard limit). If the plan gained or lost a limit,
         buckets without a size admit nothing and surplus sizes are ignored, until the account is dropped and
-        created anew.
+        created again.
         """
         count = len(self.buckets)
         if plan is not None and len(sizes) == count:
--- a/onyxpost/planner/quorum.py
+++ b/onyxpost/planner/quorum.py
@@ -62,7 +62,7 @@
         """Whether the established majority has been lost since the last call.
 
         Heartbeats sent long ago may still be unread, here or on the way, and would seem to restore the
-        majority; so it has to be gained anew, as at the start.
+        majority; so it has to be gained again, as at the start.
         """
         if not self.is_established or self.has_majority(now_ms):
             return False
@@ -77,7 +77,7 @@
         return True
 
     def update_membership(self, forwarders: Sequence[str], membership_version: int) -> bool:
-        """Starts anew if the version or the forwarders changed; returns whether they did."""
+        """Starts from no heartbeats if the version or the forwarders changed; returns whether they did."""
         if membership_version == self.membership_version and set(forwarders) == self.forwarders:
             return False
         self.forwarders = set(forwarders)
--- a/tests/cluster/test_connections.py
+++ b/tests/cluster/test_connections.py
@@ -22,8 +22,8 @@
         nonlocal open_connections
         for name, member in cluster.members.items():
             for other in cluster.names:
-                for i in range(3):
-                    assert member.send(other, TOPIC, b"%d" % i) == (other != name)
+                for number in range(3):
+                    assert member.send(other, TOPIC, b"%d" % number) == (other != name)
         sender = cluster.members["n0"]
         assert sender.send("n1", "unregistered", b"")
         with pytest.raises(FrameTooLongError):
