--- a/tests/edge/test_attempt_start.py
+++ b/tests/edge/test_attempt_start.py
@@ -113,12 +113,12 @@
         send = SendAttempt(7, Endpoint("s0", server.address), CLIENT_REQUEST, 900.0)
         with mock.patch.object(program.clients.connections, "is_waiting", lambda client: True):
             tick = program.config.deployment.tick_ms
-            looks = [program.may_start_attempt(send, left) for left in (tick + 0.1, tick)]
-            assert looks == [True, False]
+            decisions = [program.may_start_attempt(send, left) for left in (tick + 0.1, tick)]
+            assert decisions == [True, False]
 
 
 @in_event_loop
-async def test_no_attempt_starts_when_connecting_took_all_its_time() -> None:
+async def test_no_attempt_starts_when_connecting_used_up_its_time() -> None:
     ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
     async with StubAppServer() as server:
         pool = create_pool(ends.put_nowait)
@@ -134,47 +134,47 @@
 
 @in_event_loop
 async def test_a_timeout_in_the_turn_in_which_the_last_byte_leaves_counts_as_possibly_executed() -> None:
-    """Taken for never begun, a req that must not be repeated would run twice."""
+    """Counted as never started, a request that is not idempotent would run twice."""
     ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
-    outer: list[asyncio.Timeout] = []
-    timeout = asyncio.timeout
+    timeouts: list[asyncio.Timeout] = []
+    original_timeout = asyncio.timeout
 
-    def kept(delay: float | None) -> asyncio.Timeout:
-        outer.append(timeout(delay))
-        return outer[-1]
+    def record_timeout(delay: float | None) -> asyncio.Timeout:
+        timeouts.append(original_timeout(delay))
+        return timeouts[-1]
 
-    resumed = FlowControlProtocol.resume_writing
+    original_resume = FlowControlProtocol.resume_writing
 
-    def in_one_turn(flow: FlowControlProtocol) -> None:
-        resumed(flow)
-        outer[0]._on_timeout()  # as the loop would, had its time come in this turn
+    def resume_and_time_out(flow: FlowControlProtocol) -> None:
+        original_resume(flow)
+        timeouts[0]._on_timeout()  # as the loop would, had its time come in this turn
 
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         pool = create_pool(ends.put_nowait)
-        open_ = pool.open_connection
-
-        async def narrow(to: Endpoint) -> upstream_pool.UpstreamConnection:
-            link = await open_(to)
-            link.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            return link
-
-        pool.open_connection = narrow  # type: ignore[method-assign]
-        asked = CLIENT_REQUEST._replace(method=b"POST", body=b"x" * MAX_BODY_BYTES)
-        with mock.patch.object(upstream_pool.asyncio, "timeout", kept):
-            pool.send(SendAttempt(7, Endpoint("s", listener.getsockname()), asked, 60_000.0))
-            far = (await asyncio.to_thread(listener.accept))[0]
-            with far, mock.patch.object(FlowControlProtocol, "resume_writing", in_one_turn):
-                await asyncio.to_thread(all_of, far)
+        original_open = pool.open_connection
+
+        async def open_with_small_buffer(endpoint: Endpoint) -> upstream_pool.UpstreamConnection:
+            connection = await original_open(endpoint)
+            connection.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            return connection
+
+        pool.open_connection = open_with_small_buffer  # type: ignore[method-assign]
+        request = CLIENT_REQUEST._replace(method=b"POST", body=b"x" * MAX_BODY_BYTES)
+        with mock.patch.object(upstream_pool.asyncio, "timeout", record_timeout):
+            pool.send(SendAttempt(7, Endpoint("s", listener.getsockname()), request, 60_000.0))
+            upstream = (await asyncio.to_thread(listener.accept))[0]
+            with upstream, mock.patch.object(FlowControlProtocol, "resume_writing", resume_and_time_out):
+                await asyncio.to_thread(receive_body, upstream)
                 end = await asyncio.wait_for(ends.get(), 5.0)
         assert isinstance(end, AttemptEnded)
         assert end.result is AttemptResult.EXPIRED
 
 
-def all_of(far: socket.socket) -> None:
+def receive_body(upstream: socket.socket) -> None:
     got = b""
     while len(got) < MAX_BODY_BYTES or not got.endswith(b"x" * 1000) or got.count(b"x") < MAX_BODY_BYTES:
-        got += far.recv(65536)
+        got += upstream.recv(65536)
 
 
 def test_a_retry_carries_the_end_of_its_deduplication_window() -> None:
@@ -182,7 +182,7 @@
         host = Host(effect=effect)
         first = next(d for d in host.arrive() if d[0] == "attempt")
         assert host.begin_before == inf
-        began = host.now
+        started_at = host.now
         host.now += 10.0
         assert "attempt" in [d[0] for d in host.end(first[1], AttemptResult.LOST)]
-        assert host.begin_before == began + until
+        assert host.begin_before == started_at + until
--- a/tests/edge/test_client_capacity.py
+++ b/tests/edge/test_client_capacity.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from onyxpost.edge import client_eviction
-from tests.edge.event_loop import in_event_loop
+from tests.edge.event_loop import in_event_loop, wait_until
 from tests.edge.harness import (
     RunningNode,
     StubAppServer,
@@ -18,14 +18,14 @@
 @in_event_loop
 async def test_idle_clients_leave_descriptors_for_upstream_connections() -> None:
     async with StubAppServer() as server, RunningNode(server.address, limits={"sockets": 40}) as edge:
-        stay = []
+        writers = []
         for number in range(40):  # each asks once, and stays
             reader, writer = await asyncio.open_connection(*edge.address)
-            stay.append(writer)
+            writers.append(writer)
             writer.write(encode_request(trace=f"t{number}"))
             assert b" 200 " in await asyncio.wait_for(reader.readuntil(b"hello"), 5.0)
             assert len(edge.program.clients.connections.open) <= 10
-        for writer in stay:
+        for writer in writers:
             writer.close()
 
 
@@ -39,14 +39,12 @@
         for reader, writer in others:
             await reader.readuntil(b"hello")
             writer.close()
-        while len(edge.program.clients.connections.open) > 1:
-            await asyncio.sleep(0.001)
+        await wait_until(lambda: len(edge.program.clients.connections.open) <= 1)
         links = edge.program.servers.connection_count
         edge.file = node_fields(limits={"sockets": 8})  # less than is open
         edge.program.reload()
         _, writer = await asyncio.open_connection(*edge.address)
-        while len(edge.program.clients.connections.open) < 2:
-            await asyncio.sleep(0.001)
+        await wait_until(lambda: len(edge.program.clients.connections.open) >= 2)
         assert edge.program.servers.connection_count < links
         writer.close()
 
@@ -56,8 +54,7 @@
     async with StubAppServer() as server, RunningNode(server.address, limits={"sockets": 8}) as edge:
         await edge.ask(encode_request(trace="a"))  # from the third on, one gives way
         silent, _ = await asyncio.open_connection(*edge.address)
-        while len(edge.program.clients.connections.open) < 2:
-            await asyncio.sleep(0.001)
+        await wait_until(lambda: len(edge.program.clients.connections.open) >= 2)
         with mock.patch.object(client_eviction, "GRACE_FOR_REQUEST_MS", -1.0):
             _, third = await asyncio.open_connection(*edge.address)
             assert await asyncio.wait_for(silent.read(), 5.0) == b""
@@ -75,9 +72,9 @@
         for number in range(9):
             writers.append((await asyncio.open_connection(*edge.address))[1])
             writers[-1].write(encode_request(trace=f"t{number}"))
-            async with asyncio.timeout(5.0):
-                while edge.program.state_machine.requests.received_count <= number:
-                    await asyncio.sleep(0.001)
+            await wait_until(
+                lambda number=number: edge.program.state_machine.requests.received_count > number
+            )
         for writer in writers:
             writer.close()
 
--- a/tests/edge/test_client_closing.py
+++ b/tests/edge/test_client_closing.py
@@ -91,14 +91,14 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         client = await idle_client(edge)
         program = edge.program
-        held = program.descriptors.in_use()
+        in_use_before = program.descriptors.in_use()
         begin_shutdown(edge)
-        assert (program.descriptors.in_use(), len(program.clients.connections.open)) == (held, 0)
-        (parting,) = program.clients.connections.closing.values()
-        assert parting.deadline <= program.clock() + client_connections.LINGER_MS
-        parting.deadline = 0.0
+        assert (program.descriptors.in_use(), len(program.clients.connections.open)) == (in_use_before, 0)
+        (closing,) = program.clients.connections.closing.values()
+        assert closing.deadline <= program.clock() + client_connections.LINGER_MS
+        closing.deadline = 0.0
         await wait_until(lambda: not program.clients.connections.closing)  # the close_expired's
-        assert (program.descriptors.in_use(), await read_to_end(client)) == (held - 1, b"")
+        assert (program.descriptors.in_use(), await read_to_end(client)) == (in_use_before - 1, b"")
         client.close()
 
 
@@ -107,12 +107,12 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         client = await idle_client(edge)
         begin_shutdown(edge)
-        (parting,) = edge.program.clients.connections.closing.values()
-        for spared in (True, False):
+        (closing,) = edge.program.clients.connections.closing.values()
+        for is_kept in (True, False):
             client.sendall(b"x")
-            parting.deadline = 0.0
+            closing.deadline = 0.0
             edge.program.clients.closer.close_expired()
-            assert (parting.connection_id in edge.program.clients.connections.closing) == spared
+            assert (closing.connection_id in edge.program.clients.connections.closing) == is_kept
         client.close()
 
 
@@ -122,11 +122,11 @@
         client = await idle_client(edge)
         begin_shutdown(edge)
         with mock.patch.object(edge.program.descriptors, "in_use", lambda: 1 << 30):
-            links = edge.program.servers.connection_count
+            upstream_count = edge.program.servers.connection_count
             assert edge.program.descriptors.has_server_capacity()
         assert (edge.program.clients.connections.closing, edge.program.servers.connection_count) == (
             {},
-            links,
+            upstream_count,
         )
         client.close()
 
@@ -134,7 +134,8 @@
 @in_event_loop
 async def test_bytes_that_arrive_with_the_last_answer_do_not_reset_it() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        client, encode_message = connect_client(edge), client_http.encode_message
+        client = connect_client(edge)
+        encode_message = client_http.encode_message
 
         def crossed(*args: Any) -> bytes:
             client.sendall(encode_request(trace="b"))
--- a/tests/edge/test_client_disconnects.py
+++ b/tests/edge/test_client_disconnects.py
@@ -34,20 +34,20 @@
 async def test_a_disconnect_is_seen_before_the_loop_has_read_it(how: str) -> None:
     async with StubAppServer(None) as server, RunningNode(server.address) as edge:
         client, number = await send_unanswered_request(edge, server)
-        there = edge.program.clients.connections.is_waiting
-        assert (there(number), there(number + 9)) == (True, False)
+        is_waiting = edge.program.clients.connections.is_waiting
+        assert (is_waiting(number), is_waiting(number + 9)) == (True, False)
         if "ahead" in how:
             client.sendall(encode_request(trace="ahead"))
-            assert there(number)  # it may still read its answer
+            assert is_waiting(number)  # it may still read its answer
         if "reset" in how:
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         if how == "half":
             client.shutdown(socket.SHUT_WR)
         else:
             client.close()
-        assert not there(number)
+        assert not is_waiting(number)
         await wait_until(lambda server=server: server.closed.is_set())  # its attempt too
-        assert (there(number), edge.program.state_machine.unanswered_count) == (False, 0)
+        assert (is_waiting(number), edge.program.state_machine.unanswered_count) == (False, 0)
         client.close()
 
 
@@ -63,21 +63,22 @@
 
 def test_on_the_virtual_network_a_disconnect_is_seen_once_it_has_arrived() -> None:
     async def main() -> list[bool]:
-        net, asked = virtual_time.Network(Random("net")), asyncio.Event()
+        net = virtual_time.Network(Random("net"))
+        received = asyncio.Event()
         deployment: Any = RunningNode(("127.0.0.1", 9)).program.config.deployment
         host = net.host("edge")
 
         def post(value: EdgeEvent) -> None:
-            asked.set()
+            received.set()
 
         clients = build_clients(deployment, host, post, lambda: True, lambda: True, print)
         await clients.listener.listen(("edge", 80))
         seen = []
         for reset in (False, True):
-            asked.clear()
+            received.clear()
             _, writer, *_ = await net.host("client").dial(("edge", 80), 1000)
             writer.write(encode_request())
-            await asked.wait()
+            await received.wait()
             number = clients.listener.accepted_count
             seen.append(clients.connections.is_waiting(number))
             clients.connections.open[number].writer.transport.pause_reading()  # as if the loop were late
--- a/tests/edge/test_client_flow_control.py
+++ b/tests/edge/test_client_flow_control.py
@@ -19,9 +19,9 @@
 async def test_tcp_nodelay_is_set_for_clients_and_servers() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         await edge.ask(encode_request())
-        ((link,),) = edge.program.servers.idle_connections.values()
+        ((upstream,),) = edge.program.servers.idle_connections.values()
         (client,) = edge.program.clients.connections.open.values()
-        for writer in (client.writer, link.writer):
+        for writer in (client.writer, upstream.writer):
             sock = writer.transport.get_extra_info("socket")
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
@@ -35,34 +35,35 @@
         client = socket.socket()
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.connect(edge.address[:2])
-        asked = 0
+        sent_count = 0
         await wait_until(lambda: len(edge.program.clients.connections.open) == 1)
-        (there,) = edge.program.clients.connections.open.values()
+        (connection,) = edge.program.clients.connections.open.values()
         async with asyncio.timeout(10.0):
-            while there.connection_id in edge.program.clients.connections.open and asked < 400:
-                asked += 1
-                client.sendall(encode_request(trace=f"t{asked}"))
-                while there.connection_id in edge.program.clients.connections.open and (
-                    edge.program.state_machine.requests.received_count < asked or there.awaits_answer
+            while connection.connection_id in edge.program.clients.connections.open and sent_count < 400:
+                sent_count += 1
+                client.sendall(encode_request(trace=f"t{sent_count}"))
+                while connection.connection_id in edge.program.clients.connections.open and (
+                    edge.program.state_machine.requests.received_count < sent_count
+                    or connection.awaits_answer
                 ):
                     await asyncio.sleep(0)
-        assert asked < 400
-        untaken = there.writer.transport.get_write_buffer_size()
-        assert untaken < client_http.MAX_UNSENT_BYTES + 2 * 65536
+        assert sent_count < 400
+        unsent_bytes = connection.writer.transport.get_write_buffer_size()
+        assert unsent_bytes < client_http.MAX_UNSENT_BYTES + 2 * 65536
         client.close()
 
 
 @in_event_loop
 async def test_clients_that_flood_and_disconnect_delay_no_other_and_leak_nothing() -> None:
     endless = encode_request()[:-2] + b"A: b\r\n" * 9000
-    heaps = (encode_request("other") * 500, encode_request() * 500, b"\0" * 90000, endless)
+    floods = (encode_request("other") * 500, encode_request() * 500, b"\0" * 90000, endless)
     async with StubAppServer(*[None] * 600) as server, RunningNode(server.address) as edge:
         server.answers.clear()
         for turn in range(20):  # each comes again at once
-            for number, heap in enumerate(heaps):
+            for number, flood in enumerate(floods):
                 client = connect_client(edge)
                 client.setblocking(False)
-                client.send(heap)
+                client.send(flood)
                 if number % 2:
                     client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
                 client.close()
--- a/tests/edge/test_descriptor_budget.py
+++ b/tests/edge/test_descriptor_budget.py
@@ -15,7 +15,7 @@
 import pytest
 
 from onyxpost.edge.descriptor_budget import ExhaustionLogLimit
-from tests.edge.event_loop import in_event_loop
+from tests.edge.event_loop import in_event_loop, wait_until
 from tests.edge.harness import RunningNode, StubAppServer, encode_request, node_fields
 
 if TYPE_CHECKING:
@@ -108,8 +108,7 @@
     first, second = servers
     in_flight_reader, in_flight_writer = await asyncio.open_connection(*address)
     in_flight_writer.write(encode_request(trace="held"))
-    while not first.got:
-        await asyncio.sleep(0.001)
+    await wait_until(lambda: first.got)
     async with idle_clients(address, client_count) as statuses:
         assert set(statuses) == {b"200"}
         assert await request_status(address, HEALTH_CHECK) == b"200"
@@ -151,6 +150,21 @@
             await assert_served_with_idle_clients(edge.address, agent, [first, second], 2 * sockets)
 
 
+async def start_process(path: Path, descriptor_limit: int) -> asyncio.subprocess.Process:
+    """Starts a node with the file at `path` in a process that may open so many descriptors."""
+    limits = (descriptor_limit, descriptor_limit)
+    return await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "onyxpost",
+        "serve",
+        env=os.environ | {"EDGE_CONFIG": str(path)},
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.STDOUT,
+        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, limits),
+    )
+
+
 async def run_process(folder: Path, descriptor_limit: int, sockets: int) -> str:
     """Runs a node in a process that may open so many descriptors; returns what it logged."""
     with socket.create_server(("127.0.0.1", 0)) as free:
@@ -165,18 +179,7 @@
         fields = node_fields(first.address, limits=section, discovery=agent.address, listen=listen)
         path = folder / "node.json"
         path.write_text(json.dumps(fields))
-        process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "onyxpost",
-            "serve",
-            env=os.environ | {"EDGE_CONFIG": str(path)},
-            stdout=asyncio.subprocess.PIPE,
-            stderr=asyncio.subprocess.STDOUT,
-            preexec_fn=lambda: resource.setrlimit(
-                resource.RLIMIT_NOFILE, (descriptor_limit, descriptor_limit)
-            ),
-        )
+        process = await start_process(path, descriptor_limit)
         assert process.stdout is not None
         output = b""
         try:
@@ -209,7 +212,7 @@
     assert "Too many open files" not in output
 
 
-@pytest.mark.parametrize("shortages", [["room"], ["dial"], ["room", "dial"]])
+@pytest.mark.parametrize("shortages", [["capacity"], ["dial"], ["capacity", "dial"]])
 @in_event_loop
 async def test_no_server_is_ejected_for_a_shortage_on_this_machine(shortages: list[str]) -> None:
     async def fail_to_dial(*_: object) -> DialedConnection:
@@ -219,7 +222,7 @@
         node = edge.program
         for shortage in shortages:
             with pytest.MonkeyPatch.context() as patch:
-                if shortage == "room":
+                if shortage == "capacity":
                     patch.setattr(node.servers, "has_capacity", lambda: False)
                 else:
                     patch.setattr(node.net, "dial", fail_to_dial)
--- a/tests/edge/test_discovery_over_sockets.py
+++ b/tests/edge/test_discovery_over_sockets.py
@@ -9,7 +9,7 @@
 from onyxpost.edge.discovery_client import DiscoveryClient, DiscoveryOptions
 from onyxpost.edge.messages import EdgeEvent, EndpointUpdate, EndpointUpdateFailed
 from onyxpost.edge.staleness import StalenessTracker
-from tests.edge.event_loop import in_event_loop
+from tests.edge.event_loop import in_event_loop, wait_until
 from tests.edge.harness import (
     RunningNode,
     StubAppServer,
@@ -19,36 +19,34 @@
 )
 
 
-def told(generation: int, lifecycle: str) -> bytes:
-    row = {"instanceId": "s0", "hostPort": "127.0.0.1:9", "lifecycle": lifecycle}
-    text = json.dumps({"generation": generation, "reset": False, "instances": [row]}).encode()
-    return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(text), text)
+def encode_list_response(generation: int, lifecycle: str) -> bytes:
+    instance = {"instanceId": "s0", "hostPort": "127.0.0.1:9", "lifecycle": lifecycle}
+    body = json.dumps({"generation": generation, "reset": False, "instances": [instance]}).encode()
+    return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
 async def watch(agent: StubAppServer, until: int) -> tuple[list[EdgeEvent], list[str]]:
-    heard: list[EdgeEvent] = []
+    posted: list[EdgeEvent] = []
     events: list[str] = []
     options = DiscoveryOptions(agent.address, generation=4)
     discovery = DiscoveryClient(
-        transport_with_stopped_clock(), options, heard.append, lambda log: events.append(log.event)
+        transport_with_stopped_clock(), options, posted.append, lambda log: events.append(log.event)
     )
     discovery.start()
-    async with asyncio.timeout(5.0):
-        while len(agent.got) < until:
-            await asyncio.sleep(0.001)
+    await wait_until(lambda: len(agent.got) >= until)
     discovery.close()
     await asyncio.gather(*discovery.watches, return_exceptions=True)
-    return heard, events
+    return posted, events
 
 
 @in_event_loop
 async def test_each_poll_continues_from_the_last_generation() -> None:
-    async with StubAppServer((told(5, "draining"), False), None) as agent:
-        heard, events = await watch(agent, 2)
+    async with StubAppServer((encode_list_response(5, "draining"), False), None) as agent:
+        posted, events = await watch(agent, 2)
     assert [b"since=4" in agent.got[0], b"since=5" in agent.got[1]] == [True, True]
-    assert isinstance(heard[0], EndpointUpdate)
-    assert (heard[0].endpoints[0].state, heard[0].complete) == (EndpointState.DRAINING, False)
-    assert (len(heard), events, agent.opened) == (1, [], 1)
+    assert isinstance(posted[0], EndpointUpdate)
+    assert (posted[0].endpoints[0].state, posted[0].complete) == (EndpointState.DRAINING, False)
+    assert (len(posted), events, agent.opened) == (1, [], 1)
 
 
 @in_event_loop
@@ -61,27 +59,22 @@
     ):
         async with RunningNode(server.address, discovery="{}:{}".format(*old.address)) as edge:
             edge.writer.write(encode_request(X_Expires_In="900m"))
-            while not (server.got and old.got):
-                await asyncio.sleep(0.001)
+            await wait_until(lambda: server.got and old.got)
             signal.raise_signal(signal.SIGHUP)  # a file that cannot be used
-            while b"reload refused" not in edge.out.getvalue():
-                await asyncio.sleep(0.001)
+            await wait_until(lambda: b"reload refused" in edge.out.getvalue())
             edge.file = node_fields(server.address, discovery="{}:{}".format(*new.address))
             signal.raise_signal(signal.SIGHUP)
-            while not new.got:
-                await asyncio.sleep(0.001)
+            await wait_until(lambda: new.got)
             assert b"GET /v1/servers HTTP" in new.got[0]
             assert [watch.cancelled() for watch in edge.program.discovery.watches] == [False] * 2
-            new.answers = [(told(6, "up"), False), *silent]
-            assert (await edge.answer())[0].split(b" ")[1] in (b"429", b"502")  # held throughout
-            async with asyncio.timeout(5.0):
-                while b"since=6" not in new.got[-1]:
-                    await asyncio.sleep(0.001)
+            new.answers = [(encode_list_response(6, "up"), False), *silent]
+            assert (await edge.answer())[0].split(b" ")[1] in (b"429", b"502")  # it was pending throughout
+            await wait_until(lambda: b"since=6" in new.got[-1])
             assert len(edge.program.discovery.watches) == 1
-            asked, again = len(old.got), len(new.got) + 1
-            while len(new.got) < again:  # it is silent, and asked anew
-                await asyncio.sleep(0.001)
-            assert (len(old.got), edge.running.done()) == (asked, False)
+            old_poll_count = len(old.got)
+            new_poll_count = len(new.got)
+            await wait_until(lambda: len(new.got) > new_poll_count)  # it is silent, and polled again
+            assert (len(old.got), edge.running.done()) == (old_poll_count, False)
 
 
 @in_event_loop
@@ -90,11 +83,10 @@
         more = {"listen": "127.0.0.1:0", "discovery": "{}:{}".format(*agent.address)}
         edge = RunningNode(server.address, **more)
         start = asyncio.get_running_loop().create_task(edge.__aenter__())
-        while not agent.got:
-            await asyncio.sleep(0.001)
-        assert not edge.program.is_ready()  # and nobody is listened to
+        await wait_until(lambda: agent.got)
+        assert not edge.program.is_ready()  # and does not listen
         assert edge.program.clients.listener.server is None
-        agent.writers[0].write(told(5, "draining"))
+        agent.writers[0].write(encode_list_response(5, "draining"))
         await asyncio.wait_for(start, 5.0)
         head, _ = await edge.ask(encode_request())
         assert (head.split(b" ")[1], server.got) == (b"429", [])
@@ -111,10 +103,14 @@
 
 @in_event_loop
 async def test_of_two_discovery_addresses_the_one_that_answers_is_watched() -> None:
-    async with StubAppServer() as server, StubAppServer((told(5, "draining"), False), None) as agent:
-        there, closed = "{}:{}".format(*agent.address), "127.0.0.1:1"
-        for first, other in ((closed, there), (there, closed)):
-            agent.answers = [(told(5, "draining"), False), None]
+    async with (
+        StubAppServer() as server,
+        StubAppServer((encode_list_response(5, "draining"), False), None) as agent,
+    ):
+        open_address = "{}:{}".format(*agent.address)
+        closed_address = "127.0.0.1:1"
+        for first, other in ((closed_address, open_address), (open_address, closed_address)):
+            agent.answers = [(encode_list_response(5, "draining"), False), None]
             async with RunningNode(server.address, discovery=first, discovery_too=other) as edge:
                 assert edge.program.discovery.address == agent.address
                 assert (await edge.ask(encode_request()))[0].split(b" ")[1] == b"429"
@@ -123,16 +119,16 @@
 
 @in_event_loop
 async def test_after_any_failed_poll_the_agents_list_is_received_soon() -> None:
-    away = b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"
-    whole = told(5, "draining")
-    cut = [(whole[:9], True), (whole[:-3], True), (whole[:-3], False)]
-    for trouble in ((away, False), *cut, (b"", True), None):
-        began = asyncio.get_running_loop().time()
-        async with StubAppServer(trouble, (whole, False), *[None] * 9) as agent:
-            heard, _ = await watch(agent, 3)
-        assert [h.generation for h in heard if isinstance(h, EndpointUpdate)] == [5], trouble
-        assert b"since=4&timeout_ms=1 " in agent.got[1]  # to be told at once
-        assert asyncio.get_running_loop().time() - began < 2.0
+    overloaded = b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"
+    complete = encode_list_response(5, "draining")
+    truncated = [(complete[:9], True), (complete[:-3], True), (complete[:-3], False)]
+    for failure in ((overloaded, False), *truncated, (b"", True), None):
+        started_at = asyncio.get_running_loop().time()
+        async with StubAppServer(failure, (complete, False), *[None] * 9) as agent:
+            posted, _ = await watch(agent, 3)
+        assert [event.generation for event in posted if isinstance(event, EndpointUpdate)] == [5], failure
+        assert b"since=4&timeout_ms=1 " in agent.got[1]  # requests an immediate answer
+        assert asyncio.get_running_loop().time() - started_at < 2.0
 
 
 @in_event_loop
@@ -141,7 +137,9 @@
     with mock.patch.object(
         StalenessTracker, "on_poll_started", lambda self, now, long_poll_ms, *, after_move=False: 400.0
     ):
-        async with StubAppServer((nonsense, False), None, (told(5, "up"), False), None) as agent:
-            heard, events = await watch(agent, 4)
-    assert [type(h) for h in heard] == [EndpointUpdateFailed, EndpointUpdate]
+        async with StubAppServer(
+            (nonsense, False), None, (encode_list_response(5, "up"), False), None
+        ) as agent:
+            posted, events = await watch(agent, 4)
+    assert [type(event) for event in posted] == [EndpointUpdateFailed, EndpointUpdate]
     assert events[:2] == ["discovery down", "discovery up"]
--- a/tests/edge/test_overloaded_discovery.py
+++ b/tests/edge/test_overloaded_discovery.py
@@ -11,6 +11,7 @@
 
 from onyxpost.edge.discovery_client import DiscoveryClient, DiscoveryOptions
 from onyxpost.simulation.virtual_time import Network, run
+from tests.edge.event_loop import wait_until
 from tests.edge.harness import RunningNode, StubAppServer, node_fields
 
 NODE_COUNT = 40
@@ -62,9 +63,9 @@
                 if call_status == 200:
                     self.watching_nodes.add(node)
                     await asyncio.sleep(float(head.split(b"timeout_ms=")[1].split(b" ")[0]) / 1000.0)
-            status, body = 200, EMPTY_LIST
-            if not immediate and call_status != 200:
-                status, body = call_status, b""
+            is_rejected = not immediate and call_status != 200
+            status = call_status if is_rejected else 200
+            body = b"" if is_rejected else EMPTY_LIST
             writer.write(b"HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n" % (status, len(body)) + body)
             last_poll_at = loop.time()
 
@@ -97,14 +98,10 @@
             StubAppServer(None) as agent,
             RunningNode(discovery=name) as edge,
         ):
-            async with asyncio.timeout(5.0):
-                while b"discovery down" not in edge.out.getvalue():
-                    await asyncio.sleep(0.001)
+            await wait_until(lambda: b"discovery down" in edge.out.getvalue())
             edge.file = node_fields(server.address, discovery="{}:{}".format(*agent.address))
             signal.raise_signal(signal.SIGHUP)
-            async with asyncio.timeout(5.0):
-                while not agent.got:
-                    await asyncio.sleep(0.001)
+            await wait_until(lambda: agent.got)
             first_watch = next(iter(edge.program.discovery.watches))
             assert not first_watch.done(), first_watch
 
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -14,24 +14,25 @@
 
 @in_event_loop
 async def test_two_nodes_receive_each_others_datagrams_and_no_strangers() -> None:
-    heard: asyncio.Queue[EdgeEvent] = asyncio.Queue()
-    free = []
+    received: asyncio.Queue[EdgeEvent] = asyncio.Queue()
+    free_addresses = []
     for _ in range(2):
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one:
-            one.bind(("127.0.0.1", 0))
-            free.append(one.getsockname())
-    # The last is a stranger.
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
+            probe.bind(("127.0.0.1", 0))
+            free_addresses.append(probe.getsockname())
+    # The last is in nobody's list of peers.
     nodes = [
-        PeerSocket(transport_with_stopped_clock(), free, number, heard.put_nowait) for number in (0, 1, 2)
+        PeerSocket(transport_with_stopped_clock(), free_addresses, number, received.put_nowait)
+        for number in (0, 1, 2)
     ]
-    for peers, address in zip(nodes, [*free, ("127.0.0.1", 0)], strict=True):
+    for peers, address in zip(nodes, [*free_addresses, ("127.0.0.1", 0)], strict=True):
         await peers.listen(address)
         assert peers.transport is not None
     nodes[2].send(SendPeerMessage(1, b"stranger"))
     nodes[0].send(SendPeerMessage(1, "caf\u00e9".encode()))
     nodes[0].send(SendPeerMessage(1, b"x" * 257))
     nodes[0].send(SendPeerMessage(1, b"7 1:2:3"))
-    assert await asyncio.wait_for(heard.get(), 5.0) == PeerMessageReceived(0, "7 1:2:3")
-    assert heard.empty()
+    assert await asyncio.wait_for(received.get(), 5.0) == PeerMessageReceived(0, "7 1:2:3")
+    assert received.empty()
     for peers in nodes:
         peers.close()
--- a/tests/edge/test_readiness.py
+++ b/tests/edge/test_readiness.py
@@ -104,7 +104,7 @@
     assert generation == GENERATION
 
 
-def test_an_agent_that_answers_at_once_is_heard_before_clients_are_accepted() -> None:
+def test_the_list_of_an_agent_that_answers_at_once_is_applied_before_clients_are_accepted() -> None:
     ready_after_ms, generation = start_beside(SlowAgent(20.0))
     assert ready_after_ms < 100.0
     assert generation == GENERATION
--- a/tests/edge/test_reload.py
+++ b/tests/edge/test_reload.py
@@ -44,7 +44,7 @@
         ("zone", "a"),
     ],
 )
-def test_the_identity_and_addresses_of_a_node_stay_until_a_restart(key: str, value: Any) -> None:
+def test_the_identity_and_addresses_of_a_node_change_only_at_a_restart(key: str, value: Any) -> None:
     change = compare({}, {key: value})
     assert change.restart_keys == (key,)
     assert change.config == config.decode(node_fields())
@@ -80,7 +80,7 @@
         ({"rules": "rules.toml"}, False, ()),
     ],
 )
-def test_routing_rules_stay_in_force_when_the_file_names_none_any_more(
+def test_routing_rules_remain_in_force_when_the_file_names_none_any_more(
     after: dict[str, Any], has_routing_rules: bool, restart_keys: tuple[str, ...]
 ) -> None:
     assert compare({}, after, has_routing_rules).restart_keys == restart_keys
--- a/tests/edge/test_shutdown_of_node.py
+++ b/tests/edge/test_shutdown_of_node.py
@@ -1,4 +1,4 @@
-"""A node that is told to stop, from its last accepted connection to its exit."""
+"""A node after SIGTERM, from its last accepted connection to its exit."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 
 from onyxpost.edge.messages import SendPeerMessage
-from tests.edge.event_loop import in_event_loop
+from tests.edge.event_loop import in_event_loop, wait_until
 from tests.edge.harness import (
     RunningNode,
     StubAppServer,
@@ -19,14 +19,13 @@
 
 
 @in_event_loop
-async def test_a_node_told_to_stop_answers_accepted_and_late_requests() -> None:
+async def test_after_sigterm_accepted_and_late_requests_are_answered() -> None:
     async with StubAppServer(None) as server, RunningNode(server.address) as edge:
         idle_reader, idle_writer = await asyncio.open_connection(*edge.address)
         edge.writer.write(encode_request(X_Expires_In="900m"))
         idle_writer.write(b"GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n")
         assert b"200 " in await idle_reader.readuntil(b"\r\n\r\n")
-        while not server.got:
-            await asyncio.sleep(0.001)
+        await wait_until(lambda: server.got)
         signal.raise_signal(signal.SIGTERM)
         assert await asyncio.wait_for(idle_reader.read(), 5.0) == b""
         idle_writer.close()
@@ -43,23 +42,26 @@
 
 @in_event_loop
 async def test_a_client_accepted_in_the_turn_in_which_the_listener_closes_is_answered() -> None:
-    turn, sleep, late = [0.0], asyncio.sleep, socket.socket()
+    accepted_turns = 0
+    original_sleep = asyncio.sleep
+    late = socket.socket()
 
     async def until_accepted(seconds: float) -> None:
+        nonlocal accepted_turns
         if seconds != 0.6:
-            return await sleep(seconds)
+            return await original_sleep(seconds)
         late.connect(edge.address)  # the kernel takes it at once
         late.sendall(encode_request(trace="late"))
         again = asyncio.get_running_loop().create_future()
         asyncio.get_running_loop().call_soon(again.set_result, None)
         await again  # the listener's turn was the same
-        turn[0] += 1
+        accepted_turns += 1
 
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         with mock.patch("onyxpost.node.edge_node.asyncio.sleep", until_accepted):
             signal.raise_signal(signal.SIGTERM)
             assert await asyncio.wait_for(edge.running, 5.0) == 0
-        assert (turn, len(server.got)) == ([1.0], 1)
+        assert (accepted_turns, len(server.got)) == (1, 1)
         assert b"hello" in late.recv(65536)
         late.close()
 
@@ -73,14 +75,13 @@
 
 
 @in_event_loop
-async def test_a_node_told_to_stop_still_reads_a_request_of_a_new_connection(
+async def test_after_sigterm_a_request_of_a_new_connection_is_still_read(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("onyxpost.node.edge_node.ACCEPT_AFTER_STOP_SECONDS", 0.0)
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         reader, writer = await asyncio.open_connection(*edge.address)
-        while len(edge.program.clients.connections.open) < 2:
-            await asyncio.sleep(0.001)
+        await wait_until(lambda: len(edge.program.clients.connections.open) >= 2)
         signal.raise_signal(signal.SIGTERM)
         while edge.program.phase.value != "closing":
             await asyncio.sleep(0)
--- a/tests/edge/test_silent_discovery.py
+++ b/tests/edge/test_silent_discovery.py
@@ -132,7 +132,8 @@
         await asyncio.sleep(19.0)
         new.status = 200
 
-    old, new = Agent(), Agent()
+    old = Agent()
+    new = Agent()
     old.status = old_status
     new.status = 503
     posted = watch([old, new], 30_000.0, move_and_recover)
@@ -146,7 +147,8 @@
     async def move(discovery: DiscoveryClient) -> None:
         discovery.change_address(AGENT_ADDRESSES[1])
 
-    old, new = Agent(), Agent()
+    old = Agent()
+    new = Agent()
     new.status = 503
     old.change_at = 7000.0
     posted = watch([old, new], 7500.0, move)
@@ -168,7 +170,8 @@
         new.status = 200
         discovery.change_address(AGENT_ADDRESSES[1])
 
-    old, new = Agent(), Agent()
+    old = Agent()
+    new = Agent()
     old.status = 503
     new.change_at = 0.0
     events = [event for _, event in watch([old, new], 7100.0, move_to_older_list)]
--- a/tests/edge/test_upstream_attempts.py
+++ b/tests/edge/test_upstream_attempts.py
@@ -7,7 +7,7 @@
 
 from onyxpost.core.types import AttemptResult
 from onyxpost.edge.messages import AttemptEnded, EdgeEvent, Endpoint, SendAttempt
-from tests.edge.event_loop import in_event_loop
+from tests.edge.event_loop import in_event_loop, wait_until
 from tests.edge.harness import (
     CLIENT_REQUEST,
     RunningNode,
@@ -21,13 +21,11 @@
 async def test_a_client_that_disconnects_cancels_its_attempt() -> None:
     async with StubAppServer(None) as server, RunningNode(server.address) as edge:
         edge.writer.write(encode_request("toll", Idempotency_Key="k", X_Expires_In="4900m"))
-        while not server.got:
-            await asyncio.sleep(0.001)
+        await wait_until(lambda: server.got)
         edge.writer.close()
         async with asyncio.timeout(3.0):  # well before its time-out
             await server.closed.wait()
-            while edge.program.state_machine.requests.by_id:
-                await asyncio.sleep(0.001)
+            await wait_until(lambda: not edge.program.state_machine.requests.by_id)
 
 
 @in_event_loop
@@ -56,7 +54,7 @@
 async def test_a_server_that_drains_while_an_attempt_connects_receives_no_byte_of_it() -> None:
     ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
     drains: set[Endpoint] = set()
-    servers = create_pool(ends.put_nowait, wanted=lambda place: place not in drains)
+    servers = create_pool(ends.put_nowait, wanted=lambda endpoint: endpoint not in drains)
     async with StubAppServer() as server:
         servers.send(SendAttempt(7, Endpoint("s", server.address), CLIENT_REQUEST, 900.0))
         await asyncio.sleep(0)  # it connects
--- a/tests/edge/test_upstream_responses.py
+++ b/tests/edge/test_upstream_responses.py
@@ -10,7 +10,7 @@
 from onyxpost.core.types import AttemptResult
 from onyxpost.edge import upstream_pool
 from onyxpost.edge.messages import AttemptEnded, EdgeEvent, Endpoint, SendAttempt
-from tests.edge.event_loop import in_event_loop
+from tests.edge.event_loop import in_event_loop, wait_until
 from tests.edge.harness import (
     CLIENT_REQUEST,
     UPSTREAM_ANSWER,
@@ -134,7 +134,6 @@
     async with StubAppServer((UPSTREAM_ANSWER, True)) as server, RunningNode(server.address) as edge:
         await edge.ask(encode_request(trace="a"))
         ((link,),) = edge.program.servers.idle_connections.values()
-        while not link.reader.at_eof():
-            await asyncio.sleep(0.001)
+        await wait_until(lambda: link.reader.at_eof())
         assert (await edge.ask(encode_request(trace="b")))[1] == b"hello"
         assert (server.opened, len(server.got)) == (2, 2)
