--- a/onyxpost/edge/address_choice.py
+++ b/onyxpost/edge/address_choice.py
@@ -40,7 +40,9 @@
         """
         if self.alternative is None:
             return failure
-        self.address, self.alternative = self.alternative, self.address
+        failed_address = self.address
+        self.address = self.alternative
+        self.alternative = failed_address
         self._is_on_second = not self._is_on_second
         if self._is_on_second:
             self._first_failure = failure if failure in REACHED_FAILURES else None
--- a/onyxpost/edge/client_connection.py
+++ b/onyxpost/edge/client_connection.py
@@ -107,13 +107,25 @@
         self.request_started = True
         self.client_request = None
 
+    def on_request_decoded(self, client_request: ClientRequest) -> None:
+        """Notes the decoded head of a request that is no health check."""
+        self.client_request = client_request
+
+    def on_pipelined_input(self) -> None:
+        """Notes input behind a request that is not answered yet."""
+        self.has_pipelined = True
+
+    def on_request_read(self) -> None:
+        """Notes that no more of a request is read, and whether the client has already sent more."""
+        self.has_pipelined = bool(self.http.trailing_data[0])
+
     def on_request_handed_on(self) -> None:
         """Notes that the request was posted as an event; it has no deadline of the connection."""
         self.request_started = False
         self.awaits_answer = True
         self.deadline = math.inf
 
-    def on_abandoned(self) -> None:
+    def on_settled(self) -> None:
         """Notes that the request in flight needs no answer any more."""
         self.awaits_answer = False
 
--- a/onyxpost/edge/client_connections.py
+++ b/onyxpost/edge/client_connections.py
@@ -63,7 +63,7 @@
         self.closing[connection.connection_id] = connection
         connection.on_closing(self._transport.clock(), LINGER_MS)
         if connection.awaits_answer:
-            connection.on_abandoned()
+            connection.on_settled()
             self.post(ClientDisconnected(connection.connection_id))
         try:
             connection.writer.write_eof()
--- a/onyxpost/edge/client_http.py
+++ b/onyxpost/edge/client_http.py
@@ -73,7 +73,7 @@
     def handle_bytes(self, connection: ClientConnection, data: bytes) -> None:
         """Handles bytes that were read from an open connection."""
         if connection.awaits_answer:
-            connection.has_pipelined = True
+            connection.on_pipelined_input()
             return
         if not connection.request_started:
             if connection.unsent_bytes() > MAX_UNSENT_BYTES:
@@ -90,7 +90,7 @@
 
     def send_answer(self, connection: ClientConnection, answer: SendAnswer) -> None:
         """Sends the final answer to the request in flight."""
-        connection.awaits_answer = False
+        connection.on_settled()
         try:
             self._respond(connection, *encode_answer(answer), close=connection.has_pipelined)
         except h11.LocalProtocolError:  # the answer cannot be encoded; do not keep its client waiting
@@ -120,7 +120,7 @@
                 while http.their_state is h11.SEND_BODY and http.next_event() is not h11.NEED_DATA:
                     pass
             # Hundreds of pipelined requests, each answered with an error, would delay all other clients.
-            connection.has_pipelined = bool(http.trailing_data[0])
+            connection.on_request_read()
             closes = err.framing_unknown or connection.has_pipelined
             self._reject(connection, err.status, str(err), close=closes)
 
@@ -145,12 +145,12 @@
         connection.on_request_head(head)
         if head.target != HEALTH_CHECK_TARGET or head.method not in HEALTH_CHECK_METHODS:
             # The client's timeout began when it sent the request, so it counts from the first byte received.
-            connection.client_request = decode_request(
-                connection.connection_id, connection.waiting_since, head, self._deployment
+            connection.on_request_decoded(
+                decode_request(connection.connection_id, connection.waiting_since, head, self._deployment)
             )
 
     def _handle_complete_request(self, connection: ClientConnection) -> None:
-        connection.has_pipelined = bool(connection.http.trailing_data[0])
+        connection.on_request_read()
         if connection.client_request is None:
             status = OK if self._is_ready() else SERVICE_UNAVAILABLE
             self._respond(connection, status, [], b"", close=connection.has_pipelined)
--- a/onyxpost/edge/discovery_poll.py
+++ b/onyxpost/edge/discovery_poll.py
@@ -89,7 +89,9 @@
         if connection is not None:
             connection.abort()
         answer_started = connection is not None and connection.reader.bytes_received > received_before
-        raise PollFailedError(_classify(err, connection is not None, answer_started), err) from err
+        raise PollFailedError(
+            _classify(err, connected=connection is not None, answer_started=answer_started), err
+        ) from err
     except BaseException:
         if connection is not None:
             connection.abort()
@@ -139,7 +141,7 @@
     return decode_endpoint_update(body)
 
 
-def _classify(err: Exception, connected: bool, answer_started: bool) -> PollFailure:
+def _classify(err: Exception, *, connected: bool, answer_started: bool) -> PollFailure:
     """Returns how a poll failed; `answer_started`: bytes of an answer had been received."""
     if isinstance(err, DiscoveryOverloadedError):
         return PollFailure.OVERLOADED
--- a/onyxpost/edge/upstream_connection.py
+++ b/onyxpost/edge/upstream_connection.py
@@ -78,6 +78,10 @@
         self._request_written = False
         return not self.is_unusable() and start_next_cycle(self._http) and not self._http.trailing_data[0]
 
+    def on_released(self, now: float) -> None:
+        """Notes that the connection is idle since `now`, in ms."""
+        self.idle_since = now
+
     def abort(self) -> None:
         """Closes at once, and discards unsent bytes: a server that does not respond would never read them."""
         self.writer.transport.abort()
--- a/onyxpost/edge/upstream_pool.py
+++ b/onyxpost/edge/upstream_pool.py
@@ -196,7 +196,8 @@
             self.tasks.pop(send.attempt_id, None)
             self._withdrawn.discard(send.attempt_id)
             if connection is not None:
-                self._release(connection, response is not None or result in COMPLETE_RESPONSES)
+                is_complete = response is not None or result in COMPLETE_RESPONSES
+                self._release(connection, completed=is_complete)
             self.post(AttemptEnded(send.attempt_id, result, self.clock() - started_at, response))
 
     def _handle_error(self, connection: UpstreamConnection | None, err: Exception) -> AttemptResult:
@@ -221,11 +222,11 @@
     def _is_usable(self, connection: UpstreamConnection) -> bool:
         return not connection.is_unusable() and self.clock() - connection.idle_since < self._idle_timeout_ms
 
-    def _release(self, connection: UpstreamConnection, completed: bool) -> None:
+    def _release(self, connection: UpstreamConnection, *, completed: bool) -> None:
         """Returns a connection to the pool; `completed`: the attempt's response was read to its end."""
         endpoint = connection.endpoint
         if completed and connection.prepare_reuse() and self._options.accepts_requests(endpoint):
-            connection.idle_since = self.clock()
+            connection.on_released(self.clock())
             self.idle_connections.setdefault(endpoint, []).append(connection)
         else:
             self.close_connection(connection)
--- a/onyxpost/node/edge_node.py
+++ b/onyxpost/node/edge_node.py
@@ -179,7 +179,7 @@
         except InvalidInputError as error:
             self.log(LogEvent("reload refused", dict(error.fields()), logging.WARNING))
             return
-        change = compare_configs(self.config, new, self.routing_rules is not None)
+        change = compare_configs(self.config, new, has_routing_rules=self.routing_rules is not None)
         self._reload_routing_rules(new)
         self.config = change.config
         self.discovery.change_address(new.discovery)
--- a/onyxpost/node/extensions.py
+++ b/onyxpost/node/extensions.py
@@ -7,9 +7,6 @@
 
 from typing import TYPE_CHECKING
 
-from onyxpost.node.cluster_extension import ClusterExtension
-from onyxpost.node.planner_extension import PlannerExtension
-
 if TYPE_CHECKING:
     from collections.abc import Callable
 
@@ -31,6 +28,8 @@
     if config.planners is not None:
         extensions.append(_build_planner_extension(config.name, config.planners, net, post, log))
     if config.cluster is not None:
+        from onyxpost.node.cluster_extension import ClusterExtension
+
         cluster = ClusterExtension(net, config.name, config.cluster, log)
         if config.leadership is not None:
             from onyxpost.leadership.service import LeadershipService
@@ -47,7 +46,8 @@
     net: Transport,
     post: Callable[[EdgeEvent], None],
     log: Callable[[LogEvent], None],
-) -> PlannerExtension:
+) -> Extension:
     from onyxpost.forwarder.planner_client import PlannerClient
+    from onyxpost.node.planner_extension import PlannerExtension
 
     return PlannerExtension(PlannerClient(net, name, config.members, config.membership_version, post, log))
--- a/onyxpost/node/reload.py
+++ b/onyxpost/node/reload.py
@@ -25,7 +25,7 @@
     restart_keys: tuple[str, ...]
 
 
-def compare_configs(running: NodeConfig, new: NodeConfig, has_routing_rules: bool) -> ConfigChange:
+def compare_configs(running: NodeConfig, new: NodeConfig, *, has_routing_rules: bool) -> ConfigChange:
     """Returns what of `new` takes effect at once, and what only after a restart.
 
     Planners, cluster members, acceptors and routing rules are versioned: their owners compare those.
--- a/tests/edge/test_reload.py
+++ b/tests/edge/test_reload.py
@@ -17,7 +17,7 @@
 def compare(before: dict[str, Any], after: dict[str, Any], has_routing_rules: bool = False) -> ConfigChange:
     running = config.decode(node_fields(**before))
     new = config.decode(node_fields(**after), is_reload=True)
-    return compare_configs(running, new, has_routing_rules)
+    return compare_configs(running, new, has_routing_rules=has_routing_rules)
 
 
 def test_the_same_file_changes_nothing() -> None:
