--- a/tests/compatibility/meanings.py
+++ b/tests/compatibility/meanings.py
@@ -305,7 +305,7 @@
 
 def choice(read: schema.ServerChoice) -> JsonObject:
     """Servers by zone, cell and name."""
-    cells = read.cells
+    cells: Any = read.cells
     if isinstance(cells, dict):
         cells = {str(cell): weight for cell, weight in cells.items()}
     return {"zones": read.zones, "cells": cells, "names": read.names}
@@ -413,4 +413,4 @@
 def remedy_in(output: str) -> str | None:
     """The remedy with which an output ends."""
     fitting = [remedy for remedy in remedies() if output.rstrip().endswith(f"({remedy})")]
-    return max(fitting, key=len, default=None)
+    return max(fitting, key=len) if fitting else None
--- a/tests/compatibility/record.py
+++ b/tests/compatibility/record.py
@@ -9,6 +9,7 @@
 import sys
 import tempfile
 from collections.abc import Callable
+from functools import partial
 from hashlib import sha256
 from pathlib import Path
 from typing import Any
@@ -33,7 +34,7 @@
         else:
             wrong = refused.wrong_bodies(data)
         for name, bad in wrong.items():
-            reason = values.refusal_of(lambda bad=bad: protocol.decode(bad))
+            reason = values.refusal_of(partial(protocol.decode, bad))
             if reason is not None:
                 rejected[f"{case}: {name}"] = {"bytes": bad.hex(), "refusal": reason}
             else:
--- a/tests/compatibility/record_http_and_wire.py
+++ b/tests/compatibility/record_http_and_wire.py
@@ -92,6 +92,11 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
 
+def request_with(headers: dict[str, Any], frontend: str = "check") -> bytes:
+    """A client's request with further or other headers, by their names."""
+    return request(frontend, **headers)
+
+
 def with_lines(data: bytes, *lines: str) -> bytes:
     """The request with further header lines, as they are."""
     head, _, body = data.partition(b"\r\n\r\n")
@@ -249,7 +254,7 @@
 def refused_cases() -> Iterator[tuple[str, Fields]]:
     """What is not taken."""
     for header in ("X-Trace-Id", "Plan", "Cookie", "Quota-Info"):
-        yield f"missing {header}", case(client(request(**{header: ""})))
+        yield f"missing {header}", case(client(request_with({header: ""})))
         again = f"{header.lower()}: {HEADERS[header]}"
         yield f"repeated {header}", case(client(with_lines(request(), again)))
     yield "missing Host", case(client(request(Host="")))
@@ -267,7 +272,7 @@
         "quota without first": {"Quota-Info": "units=1,spread=1"},
         "trace not ascii": {"X-Trace-Id": "caf\u00e9"},
     }.items():  # fmt: skip
-        yield name, case(client(request(**headers)))
+        yield name, case(client(request_with(headers)))
     yield "unknown frontend", case(client(request("other")))
     yield "root", case(client(request(target="/")))
     yield "unknown frontend, then passed", case(client(request("other"), request()))
@@ -277,7 +282,7 @@
                 yield f"{method} for {frontend}", case(client(request(frontend, method=method)))
     yield "body on get", case(client(request("check", b"abc")))
     chunked = {"Content_Length": "", "Transfer_Encoding": "chunked"}
-    yield "chunked body on get", case(client(request("check", **chunked) + b"0\r\n\r\n"))
+    yield "chunked body on get", case(client(request_with(chunked, "check") + b"0\r\n\r\n"))
     yield (
         "two lengths",
         case(client(request("toll", b"", Content_Length="5", Transfer_Encoding="chunked") + b"0\r\n\r\n")),
@@ -285,12 +290,12 @@
     yield "no request line", case(client(b"nonsense\r\n\r\n"))
     yield "http 2 preface", case(client(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"))
     yield "malformed length", case(client(request("toll", Content_Length="x")))
-    yield "malformed chunk", case(client(request("toll", **chunked) + b"zz\r\n"))
+    yield "malformed chunk", case(client(request_with(chunked, "toll") + b"zz\r\n"))
     yield "head too large", case(client(request(X_Long="x" * 70_000)))
     yield "body too large by its length", case(client(request("toll", b"x" * 65537)))
     yield (
         "body too large in chunks",
-        case(client(request("toll", **chunked) + (b"9000\r\n" + b"x" * 0x9000 + b"\r\n") * 3)),
+        case(client(request_with(chunked, "toll") + (b"9000\r\n" + b"x" * 0x9000 + b"\r\n") * 3)),
     )
     yield "requests ahead of an answer", case(client(request() + request(X_Trace_Id="t2")))
     yield "unknown frontends at once", case(client(request("other") * 5))
--- a/tests/process/test_operator_errors.py
+++ b/tests/process/test_operator_errors.py
@@ -90,7 +90,8 @@
     faults = {kind.__name__: documentation_faults(kind, ON_CALL_PAGE) for kind in leaves}
     assert {name: found for name, found in faults.items() if found} == {}
     assert len({kind.remedy for kind in leaves}) == len(leaves)
-    bases = "|".join(kind.__name__ for kind in (OperatorError, *all_types) if kind not in leaves)
+    kinds: list[type[OperatorError]] = [OperatorError, *all_types]
+    bases = "|".join(kind.__name__ for kind in kinds if kind not in leaves)
     for path in Path("onyxpost").rglob("*.py"):  # a base class has no remedy and is never raised
         assert re.search(rf"\b({bases})\(.*[\"']", path.read_text()) is None, path
 
