--- a/onyxpost/simulation/cli.py
+++ b/onyxpost/simulation/cli.py
@@ -13,9 +13,10 @@
 from onyxpost.simulation import results
 from onyxpost.simulation.cli_errors import told
 from onyxpost.simulation.cli_sockets import load, stand, town
-from onyxpost.simulation.discrete_event import scenario as scenarios
+from onyxpost.simulation.discrete_event import scenario_files
 from onyxpost.simulation.errors import InvalidOptionError
 from onyxpost.simulation.multiprocess.cli import rig
+from onyxpost.simulation.seed_ranges import parse_seeds
 
 JOBS = min(8, os.cpu_count() or 1)
 
@@ -33,8 +34,8 @@
 @lab.command("scenarios")
 def list_scenarios() -> None:
     """The scenarios that are shipped."""
-    for name in scenarios.shipped():
-        one = scenarios.load(name)
+    for name in scenario_files.shipped_scenarios():
+        one = scenario_files.load_scenario(name)
         click.echo(f"{name:18} {one.seconds:4.0f} s  {one.about}")
 
 
@@ -62,15 +63,19 @@
     finished is kept.
     """
     from onyxpost.simulation.discrete_event import batch
+    from onyxpost.simulation.discrete_event.policy_overrides import parse_overrides
 
-    chosen, changed = batch.seeds(seeds), batch.changes(tried)
-    read = [scenarios.resized(scenarios.load(name), nodes, servers) for name in scenario]
+    chosen, changed = parse_seeds(seeds), parse_overrides(tried)
+    read = [
+        scenario_files.resize_scenario(scenario_files.load_scenario(name), nodes, servers)
+        for name in scenario
+    ]
     kept, broken, began, events, interrupted = b"", 0, time.perf_counter(), 0, False
     try:
         for one in read:
-            for seed, data, took in batch.many(one, chosen, jobs, changed):
+            for seed, data, took in batch.run_seeds(one, chosen, jobs, changed):
                 kept += data
-                total = results.last(data)
+                total = results.decode_totals(data)
                 broken += total["breaches"]
                 events += total["events"]
                 click.echo(
@@ -79,7 +84,7 @@
                     f"  beyond quota {total['beyond_quota']:.3f}"
                     f"  broken rules {total['breaches']}  {took:.1f} s"
                 )
-                for breach in results.breaches(data)[:3]:
+                for breach in results.decode_violations(data)[:3]:
                     click.echo(
                         f"  {breach['rule']} broken at {breach['at']:.0f} ms: node {breach['node']}, req"
                         f" {breach['req']}, server {breach['server']}: {breach['what']}"
@@ -105,10 +110,10 @@
     """What differs between results A and B beyond the spread of their seeds."""
     from onyxpost.simulation import report
 
-    one, other = report.runs(a), report.runs(b)
+    one, other = report.read_runs(a), report.read_runs(b)
     rows = report.compare(one, other)
     counts = tuple(sum(len(part) for part in side.values()) for side in (one, other))
-    click.echo(report.text(rows, counts))  # type: ignore[arg-type]
+    click.echo(report.format_comparisons(rows, counts))  # type: ignore[arg-type]
     if plot is not None:
         report.plot({a.stem: one, b.stem: other}, plot)
 
@@ -125,13 +130,12 @@
     A failing seed is shrunk to the faults that it takes; played again it does the same. Exit 1: one failed.
     """
     from onyxpost.simulation import deterministic as virtual
-    from onyxpost.simulation.discrete_event import batch
     from onyxpost.simulation.mutations import PLANTS
 
     if plant not in PLANTS:
         what = f"no bug {plant!r}; there are: {', '.join(filter(None, PLANTS))}"
         raise InvalidOptionError(what, "--plant")
-    chosen, began = batch.seeds(wanted), time.perf_counter()
+    chosen, began = parse_seeds(wanted), time.perf_counter()
     outcomes: list[virtual.Outcome] = []
     interrupted = False
     try:
--- a/onyxpost/simulation/deterministic/cluster.py
+++ b/onyxpost/simulation/deterministic/cluster.py
@@ -21,8 +21,8 @@
 from onyxpost.simulation.deterministic.discovery_agent import FailingAgent
 from onyxpost.simulation.invariants import ANSWERS, InvariantChecker
 from onyxpost.simulation.invariants.endpoint_knowledge import COUNTS
-from onyxpost.simulation.settings import PATIENT as PATIENT
 from onyxpost.simulation.settings import SETTINGS as SETTINGS
+from onyxpost.simulation.settings import SLOW_CONNECT_SETTINGS as SLOW_CONNECT_SETTINGS
 from onyxpost.simulation.stubs import AppServer
 from onyxpost.simulation.virtual_time import EPOCH, Hosted, Network
 
--- a/onyxpost/simulation/deterministic/faults.py
+++ b/onyxpost/simulation/deterministic/faults.py
@@ -133,7 +133,7 @@
         asyncio.get_running_loop().call_later(0.3 + 0.5 * fault.more, self.burst, fault)
 
     def leave(self, fault: Fault) -> None:
-        """Many clients that go early, while all servers' connections come up late (`PATIENT`)."""
+        """Many clients that go early, while all servers' connections open late (`SLOW_CONNECT_SETTINGS`)."""
         chance, net = Random(f"{self.seed}/leave/{fault.at}"), self.cluster.net
         for server in self.cluster.servers:
             net.reset_some(server.host)
--- a/onyxpost/simulation/deterministic/seed_run.py
+++ b/onyxpost/simulation/deterministic/seed_run.py
@@ -11,7 +11,7 @@
 
 from onyxpost.node.edge_node import EdgeNode
 from onyxpost.simulation import virtual_time
-from onyxpost.simulation.deterministic.cluster import PATIENT, SETTINGS, Cluster
+from onyxpost.simulation.deterministic.cluster import SETTINGS, SLOW_CONNECT_SETTINGS, Cluster
 from onyxpost.simulation.deterministic.fault_script import EDGES, SERVERS, Fault, ends, script
 from onyxpost.simulation.deterministic.faults import Faults
 from onyxpost.simulation.invariants import Violation
@@ -49,7 +49,7 @@
     async def run(self) -> Outcome:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda loop, context: None)
-        settings = PATIENT if any(fault.kind == "leave" for fault in self.faults) else SETTINGS
+        settings = SLOW_CONNECT_SETTINGS if any(fault.kind == "leave" for fault in self.faults) else SETTINGS
         c = self.cluster = Cluster(self.seed, EDGES, SERVERS, self.plant, settings)
         await c.open()
         await asyncio.sleep(0.05)
--- a/onyxpost/simulation/deterministic/seed_sweep.py
+++ b/onyxpost/simulation/deterministic/seed_sweep.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from onyxpost.simulation.deterministic.seed_run import Outcome, play
-from onyxpost.simulation.discrete_event.batch import pool_of
+from onyxpost.simulation.worker_pool import worker_pool
 
 PART = 25  # seeds that one process is handed at a time
 
@@ -44,7 +44,7 @@
         for one in parts:
             yield from part(one, plant)
         return
-    with pool_of(jobs) as pool:
+    with worker_pool(jobs) as pool:
         for found in pool.map(part, parts, [plant] * len(parts)):
             yield from found
 
--- a/onyxpost/simulation/discrete_event/event_queue.py
+++ b/onyxpost/simulation/discrete_event/event_queue.py
@@ -1,33 +1,44 @@
-"""A heap of what is still to happen, and a clock that jumps from one to the next."""
+"""The event queue of the discrete-event simulation, and its clock, which jumps from one event to the next."""
 
 from __future__ import annotations
 
 import heapq
 from collections.abc import Callable
-from typing import Any
 
-Entry = tuple[float, int, Callable[..., None], tuple[Any, ...]]
+MS_PER_SECOND = 1000.0
+ScheduledCall = tuple[float, int, Callable[..., None], tuple[object, ...]]
 
 
-class Clockwork:
+class EventQueue:
+    """Calls that are due at times of the simulated clock.
+
+    Calls that are due at the same time are made in the order in which they were scheduled.
+
+    Attributes:
+        now_ms: the simulated time since the start of the run.
+        processed: number of calls that were made.
+    """
+
     def __init__(self) -> None:
-        self.now = 0.0
-        self.done = 0
-        self.drawn = 0
-        self.heap: list[Entry] = []
-
-    def at(self, when: float, call: Callable[..., None], *args: Any) -> None:
-        """What is due at one time comes in the order in which it was asked for."""
-        self.drawn += 1
-        heapq.heappush(self.heap, (max(when, self.now), self.drawn, call, args))
-
-    def after(self, delay: float, call: Callable[..., None], *args: Any) -> None:
-        self.at(self.now + delay, call, *args)
-
-    def run(self, until: float) -> None:
-        heap = self.heap
-        while heap and heap[0][0] <= until:
-            self.now, _, call, args = heapq.heappop(heap)
-            self.done += 1
-            call(*args)
-        self.now = until
+        self.now_ms = 0.0
+        self.processed = 0
+        self._scheduled = 0
+        self._heap: list[ScheduledCall] = []
+
+    def call_at(self, time_ms: float, call: Callable[..., None], *arguments: object) -> None:
+        """Schedules a call at a time; one in the past is made now."""
+        self._scheduled += 1
+        heapq.heappush(self._heap, (max(time_ms, self.now_ms), self._scheduled, call, arguments))
+
+    def call_after(self, delay_ms: float, call: Callable[..., None], *arguments: object) -> None:
+        """Schedules a call after a delay."""
+        self.call_at(self.now_ms + delay_ms, call, *arguments)
+
+    def run_until(self, end_ms: float) -> None:
+        """Makes all calls that are due up to and including `end_ms`."""
+        heap = self._heap
+        while heap and heap[0][0] <= end_ms:
+            self.now_ms, _, call, arguments = heapq.heappop(heap)
+            self.processed += 1
+            call(*arguments)
+        self.now_ms = end_ms
--- /dev/null
+++ b/onyxpost/simulation/discrete_event/network.py
@@ -0,0 +1,99 @@
+"""Delays, partitions and losses of the simulated network."""
+
+from __future__ import annotations
+
+from random import Random
+from typing import TYPE_CHECKING, Protocol
+
+from onyxpost.simulation.discrete_event.event_queue import MS_PER_SECOND
+from onyxpost.simulation.discrete_event.metrics import MESSAGE_BYTES, MESSAGES, MESSAGES_LOST
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from onyxpost.simulation.discrete_event.event_queue import EventQueue
+    from onyxpost.simulation.discrete_event.metrics import RunMetrics
+    from onyxpost.simulation.discrete_event.scenario import Scenario
+    from onyxpost.simulation.discrete_event.scenario_faults import Partition
+
+
+class PeerNode(Protocol):
+    """An edge node as its peers reach it."""
+
+    node_index: int
+    zone: int
+
+    def receive_peer_message(self, sender: int, body: str) -> None:
+        """Handles a message of another node."""
+
+
+class Network:
+    """The network between nodes, servers and planners. Delays are drawn in the order of the calls."""
+
+    def __init__(self, clock: EventQueue, metrics: RunMetrics, scenario: Scenario, seed: int) -> None:
+        self._clock = clock
+        self._metrics = metrics
+        self._options = scenario.network
+        self._update_delay_ms = scenario.endpoint_updates.delay_ms
+        self._rng = Random(f"{seed}/links")
+        self._partitioned_zone: int | None = None
+        self._gossip_blocked = False
+        self._additional_update_delay_ms = 0.0
+
+    # Partitions
+
+    def start_partition(self, fault: Partition) -> None:
+        """Separates a zone from the others."""
+        self._partitioned_zone = fault.zone
+        self._gossip_blocked = fault.gossip_blocked
+        self._additional_update_delay_ms = MS_PER_SECOND * fault.endpoint_delay_s
+
+    def end_partition(self) -> None:
+        """Ends the partition."""
+        self._partitioned_zone = None
+        self._gossip_blocked = False
+        self._additional_update_delay_ms = 0.0
+
+    def is_reachable(self, source_zone: int, target_zone: int) -> bool:
+        """Returns whether packets pass between two zones."""
+        partitioned = self._partitioned_zone
+        return partitioned is None or (source_zone == partitioned) == (target_zone == partitioned)
+
+    # Delays
+
+    def one_way_ms(self, source_zone: int, target_zone: int) -> float:
+        """Draws a one-way delay between two zones."""
+        options = self._options
+        same_zone = source_zone == target_zone
+        return self._rng.uniform(*(options.within_zone_ms if same_zone else options.between_zones_ms))
+
+    def endpoint_update_delay_ms(self) -> float:
+        """Draws the time until a node receives a change of an endpoint."""
+        return self._additional_update_delay_ms + self._rng.uniform(*self._update_delay_ms)
+
+    # Messages
+
+    def send_peer_message(self, sender: PeerNode, receiver: PeerNode, body: str) -> None:
+        """Sends a message between edge nodes; it may be lost."""
+        options = self._options
+        self._metrics.count(MESSAGES)
+        self._metrics.count(MESSAGE_BYTES, len(body))
+        if (
+            self._gossip_blocked
+            or not self.is_reachable(sender.zone, receiver.zone)
+            or self._rng.random() < options.peer_loss_probability
+        ):
+            self._metrics.count(MESSAGES_LOST)
+            return
+        self._clock.call_after(
+            self._rng.uniform(*options.peer_message_ms),
+            receiver.receive_peer_message,
+            sender.node_index,
+            body,
+        )
+
+    def send_planner_message(self, size_bytes: int, deliver: Callable[[], None]) -> None:
+        """Sends a message between a node and a planner; the receiver checks the connection on arrival."""
+        self._metrics.count(MESSAGES)
+        self._metrics.count(MESSAGE_BYTES, size_bytes)
+        self._clock.call_after(self._rng.uniform(*self._options.between_zones_ms), deliver)
--- a/onyxpost/simulation/discrete_event/planner_model.py
+++ b/onyxpost/simulation/discrete_event/planner_model.py
@@ -1,9 +1,9 @@
-"""Planners and forwarders in the emulator: the real state machines, with messages that take emulated time."""
+"""Planners and forwarders: the real state machines, with messages that take simulated time."""
 
 from __future__ import annotations
 
 from functools import partial
-from typing import TYPE_CHECKING, NamedTuple, cast
+from typing import TYPE_CHECKING, NamedTuple, Protocol, cast
 
 from onyxpost.forwarder.lease_cache import LeaseCache
 from onyxpost.planner import protocol
@@ -13,10 +13,11 @@
 from onyxpost.simulation.virtual_time import EPOCH
 
 if TYPE_CHECKING:
-    from collections.abc import Callable
+    from collections.abc import Sequence
 
-    from onyxpost.simulation.discrete_event.node_model import Node
-    from onyxpost.simulation.discrete_event.world import World
+    from onyxpost.core.events import Event
+    from onyxpost.simulation.discrete_event.environment import Environment
+    from onyxpost.simulation.discrete_event.scenario_sections import PlannerSection
 
 TICK_MS = 50.0  # as in the programs
 CLOCK_DRIFT = 0.01
@@ -31,26 +32,39 @@
     planner_incarnation: int
 
 
+class Forwarder(Protocol):
+    """An edge node that holds leases."""
+
+    name: str
+    zone: int
+    incarnation: int
+    alive: bool
+
+    def handle(self, *events: Event) -> None:
+        """Has the node's policy handle events."""
+
+
 def _ignore_event(event: str, /, **fields: object) -> None:
-    """Emulated planners write no log."""
+    """Simulated planners write no log."""
 
 
 class PlannerModel:
     """All planners, and the lease cache of each node."""
 
-    def __init__(self, world: World, count: int, safe_share: float, lease_ms: float) -> None:
-        self.world = world
-        self.safe_share = safe_share
-        self.lease_terms = LeaseTerms(lease_ms, CLOCK_DRIFT)
-        self.names = [f"p{index}" for index in range(count)]
-        self.nodes: dict[str, Node] = {}
+    def __init__(self, environment: Environment, options: PlannerSection) -> None:
+        self._environment = environment
+        self._clock = environment.clock
+        self.safe_share = options.safe_share
+        self.lease_terms = LeaseTerms(options.lease_ms, CLOCK_DRIFT)
+        self.names = [f"p{index}" for index in range(options.count)]
+        self.nodes: dict[str, Forwarder] = {}
         self.planners: dict[str, LeaseCoordinator | None] = {}  # None while a planner is down
         self.incarnations = dict.fromkeys(self.names, 0)
         self.caches: dict[str, LeaseCache] = {}  # by node
         self.connections: dict[tuple[str, str], _Connection] = {}  # by node and planner
 
     def _now(self) -> float:
-        return EPOCH + self.world.clock.now
+        return EPOCH + self._clock.now_ms
 
     def _config(self, planner: str) -> PlannerConfig:
         return PlannerConfig(
@@ -59,7 +73,7 @@
             membership_version=MEMBERSHIP_VERSION,
             planners=tuple(self.names),
             forwarders=tuple(self.nodes),
-            plans=tuple(self.world.plans),
+            plans=tuple(self._environment.plans),
             lease_terms=self.lease_terms,
             safe_share=self.safe_share,
             log_level="info",
@@ -67,12 +81,12 @@
 
     # Processes
 
-    def start(self) -> None:
+    def start(self, nodes: Sequence[Forwarder]) -> None:
         """Starts all planners, and the timer of planners and nodes."""
-        self.nodes = {node.name: node for node in self.world.nodes}
+        self.nodes = {node.name: node for node in nodes}
         for name in self.names:
             self.start_planner(name)
-        self.world.clock.after(TICK_MS, self._tick)
+        self._clock.call_after(TICK_MS, self._tick)
 
     def start_planner(self, name: str) -> None:
         """Starts a new incarnation of a planner."""
@@ -84,7 +98,7 @@
         """Ends a planner at once, without a message to anyone."""
         self.planners[name] = None
 
-    def node_started(self, node: Node) -> None:
+    def on_node_started(self, node: Forwarder) -> None:
         """A new incarnation of a node holds no lease."""
         self.caches[node.name] = LeaseCache(node.name, self.names, MEMBERSHIP_VERSION)
 
@@ -93,26 +107,26 @@
         for planner in self.planners.values():
             if planner is not None:
                 planner.tick(now)
-        for node in self.world.nodes:
+        for node in self.nodes.values():
             if node.alive:
                 self._update_connections(node)
                 self.caches[node.name].tick(now)
                 self._deliver(node)
-        self.world.clock.after(TICK_MS, self._tick)
+        self._clock.call_after(TICK_MS, self._tick)
 
     # Connections
 
-    def _update_connections(self, node: Node) -> None:
+    def _update_connections(self, node: Forwarder) -> None:
         for name, planner in self.planners.items():
             if planner is None or not self._is_reachable(node, name):
                 self._disconnect(node, name)
             elif self.connections.get((node.name, name)) != self._current_connection(node, name):
                 self._connect(node, name, planner)
 
-    def _current_connection(self, node: Node, planner: str) -> _Connection:
-        return _Connection(node.life, self.incarnations[planner])
+    def _current_connection(self, node: Forwarder, planner: str) -> _Connection:
+        return _Connection(node.incarnation, self.incarnations[planner])
 
-    def _connect(self, node: Node, name: str, planner: LeaseCoordinator) -> None:
+    def _connect(self, node: Forwarder, name: str, planner: LeaseCoordinator) -> None:
         self.connections[node.name, name] = self._current_connection(node, name)
         now = self._now()
         cache = self.caches[node.name]
@@ -120,7 +134,7 @@
         welcome = planner.handle_hello(now, cache.hello(now))
         cache.handle_connected(now, name, welcome)
 
-    def _disconnect(self, node: Node, name: str) -> None:
+    def _disconnect(self, node: Forwarder, name: str) -> None:
         if self.connections.pop((node.name, name), None) is None:
             return
         self.caches[node.name].handle_disconnected(name)
@@ -128,46 +142,47 @@
         if planner is not None:
             planner.handle_disconnect(node.name)
 
-    def _is_reachable(self, node: Node, planner: str) -> bool:
+    def _is_reachable(self, node: Forwarder, planner: str) -> bool:
         """Planners are spread over the zones, as nodes are."""
-        zone = self.names.index(planner) % self.world.scenario.fleet.zones
-        return self.world.reach(node.zone, zone)
+        zone = self.names.index(planner) % self._environment.scenario.cluster.zones
+        return self._environment.network.is_reachable(node.zone, zone)
 
     # Messages
 
-    def _deliver(self, node: Node) -> None:
+    def _deliver(self, node: Forwarder) -> None:
         output = self.caches[node.name].take_output()
         for name, message in output.messages:
             planner = self.planners[name]
             if planner is not None:
-                self._schedule(message, partial(self._arrive_at_planner, node, node.life, planner, message))
+                self._send(
+                    message, partial(self._arrive_at_planner, node, node.incarnation, planner, message)
+                )
         for event in output.lease_events:
             node.handle(event)
 
-    def _schedule(self, message: protocol.Message, arrive: Callable[[], None]) -> None:
-        world = self.world
-        world.count("messages")
-        world.count("message_bytes", len(protocol.encode_frame(message)))
-        world.clock.after(world.links.uniform(*world.scenario.links.between_ms), arrive)
+    def _send(self, message: protocol.Message, deliver: partial[None]) -> None:
+        size_bytes = len(protocol.encode_frame(message))
+        self._environment.network.send_planner_message(size_bytes, deliver)
 
-    def _has_connection(self, node: Node, node_incarnation: int, planner: LeaseCoordinator) -> bool:
+    def _has_connection(self, node: Forwarder, node_incarnation: int, planner: LeaseCoordinator) -> bool:
         """Whether the connection that a message was sent on is still open."""
         name = planner.config.name
         connection = _Connection(node_incarnation, self.incarnations[name])
         return self.connections.get((node.name, name)) == connection and self.planners[name] is planner
 
     def _arrive_at_planner(
-        self, node: Node, node_incarnation: int, planner: LeaseCoordinator, message: protocol.Message
+        self, node: Forwarder, node_incarnation: int, planner: LeaseCoordinator, message: protocol.Message
     ) -> None:
         if not self._has_connection(node, node_incarnation, planner):
             return
         request = cast("protocol.ForwarderMessage", message)
         for recipient, answer in planner.handle_message(self._now(), node.name, request):
             receiver = self.nodes[recipient]
-            self._schedule(answer, partial(self._arrive_at_node, receiver, receiver.life, planner, answer))
+            deliver = partial(self._arrive_at_node, receiver, receiver.incarnation, planner, answer)
+            self._send(answer, deliver)
 
     def _arrive_at_node(
-        self, node: Node, node_incarnation: int, planner: LeaseCoordinator, message: protocol.Message
+        self, node: Forwarder, node_incarnation: int, planner: LeaseCoordinator, message: protocol.Message
     ) -> None:
         if not self._has_connection(node, node_incarnation, planner):
             return
@@ -177,16 +192,16 @@
 
     # Events of the policy
 
-    def report_units_spent(self, node: Node, customer: int, plan: str, units: int, lease: int) -> None:
+    def report_units_spent(self, node: Forwarder, customer: int, plan: str, units: int, lease: int) -> None:
         """A node's policy spent units, or lacked them."""
         self.caches[node.name].report_units_spent(self._now(), customer, plan, units, lease)
-        self.world.clock.after(0.0, self._deliver_if_alive, node, node.life)
+        self._clock.call_after(0.0, self._deliver_if_alive, node, node.incarnation)
 
-    def return_lease(self, node: Node, lease: int, units: int) -> None:
+    def return_lease(self, node: Forwarder, lease: int, units: int) -> None:
         """A node's policy uses a lease no more."""
         self.caches[node.name].return_lease(lease, units)
-        self.world.clock.after(0.0, self._deliver_if_alive, node, node.life)
+        self._clock.call_after(0.0, self._deliver_if_alive, node, node.incarnation)
 
-    def _deliver_if_alive(self, node: Node, node_incarnation: int) -> None:
-        if node.alive and node.life == node_incarnation:
+    def _deliver_if_alive(self, node: Forwarder, node_incarnation: int) -> None:
+        if node.alive and node.incarnation == node_incarnation:
             self._deliver(node)
--- /dev/null
+++ b/onyxpost/simulation/discrete_event/policy_overrides.py
@@ -0,0 +1,130 @@
+"""Runs with constants of the policy at other values, as the option `--with Class.NAME=value` names them."""
+
+from __future__ import annotations
+
+import contextlib
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from onyxpost.policy.concurrency import ConcurrencyLimit
+from onyxpost.policy.gateway import Gateway
+from onyxpost.policy.load_balancing import LoadBalancer
+from onyxpost.policy.load_shedding import LatencyLoadShedder
+from onyxpost.policy.outlier_detection import OutlierDetector
+from onyxpost.policy.quota_gossip import QuotaGossip
+from onyxpost.policy.quotas import QuotaPolicy
+from onyxpost.policy.retries import RetryBudget, RetryPolicy
+from onyxpost.policy.slow_start import SlowStart
+from onyxpost.simulation.errors import InvalidOptionError
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Iterator
+
+PolicyOverrides = dict[str, float]  # by name, as in `LatencyLoadShedder.PERIOD_MS`
+
+OVERRIDABLE_CLASSES: tuple[type, ...] = (
+    ConcurrencyLimit,
+    Gateway,
+    LatencyLoadShedder,
+    LoadBalancer,
+    OutlierDetector,
+    QuotaGossip,
+    QuotaPolicy,
+    RetryBudget,
+    RetryPolicy,
+    SlowStart,
+)
+# Earlier names of the constants, which notes and scripts of earlier runs use.
+EARLIER_NAMES = {
+    "Customer.AGE": "QuotaPolicy.PEER_USAGE_MAX_AGE_MS",
+    "Customer.DEBT": "QuotaPolicy.MAX_DEBT_MS",
+    "Customer.FORGET": "QuotaPolicy.FORGET_AFTER_MS",
+    "Customer.PRESSED": "QuotaPolicy.PRESSURE_FRACTION",
+    "Customer.TURN": "QuotaPolicy.MAX_GOSSIP_PEERS",
+    "Gateway.BEAT": "Gateway.TICK_MS",
+    "Gateway.COME_BACK": "Gateway.RETRY_AFTER_FRACTION",
+    "Gateway.GOSSIP": "Gateway.GOSSIP_INTERVAL_MS",
+    "Gateway.RESEND_MOST": "RetryBudget.MAX_RETRIES",
+    "Gateway.RESEND_SHARE": "RetryBudget.RETRIES_PER_REQUEST",
+    "Gateway.UNTOLD": "Gateway.MAX_NOTICE_DELAY_MS",
+    "Peers.INTAKE": "QuotaGossip.MAX_RECEIVED_SHARE",
+    "Peers.MESSAGE_BYTES": "QuotaGossip.MAX_MESSAGE_BYTES",
+    "Servers.ASSESS": "LoadBalancer.ASSESS_INTERVAL_MS",
+    "Servers.FAILED_SHARE": "OutlierDetector.MAX_FAILED_SHARE",
+    "Servers.GOLDEN": "SlowStart.GOLDEN_RATIO",
+    "Servers.MARGIN": "LoadBalancer.LATENCY_TOLERANCE",
+    "Servers.OPEN": "OutlierDetector.OPEN_MS",
+    "Servers.OPEN_MOST": "OutlierDetector.MAX_OPEN_MS",
+    "Servers.YOUNG": "LoadBalancer.MIN_WINDOW_MS",
+    "Srv.SPAN": "LoadBalancer.WINDOW_MS",
+    "Theta.ALPHA": "LatencyLoadShedder.LEARNING_RATE",
+    "Theta.FLOOR": "LatencyLoadShedder.MIN_INPUT_COEFFICIENT",
+    "Theta.GAIN": "LatencyLoadShedder.GAIN",
+    "Theta.MOST": "LatencyLoadShedder.MAX_REJECTION_PROBABILITY",
+    "Theta.PERIOD": "LatencyLoadShedder.PERIOD_MS",
+    "Theta.STEP": "LatencyLoadShedder.MAX_STEP",
+    "Window.CUT": "ConcurrencyLimit.DECREASE_FACTOR",
+    "Window.LATE": "ConcurrencyLimit.LATE_FRACTION",
+    "Window.MANY": "ConcurrencyLimit.MAX_LATE_SHARE",
+    "Window.PERIOD": "ConcurrencyLimit.PERIOD_FRACTION",
+    "Window.START": "ConcurrencyLimit.INITIAL_LIMIT",
+    "Window.WIDEN": "ConcurrencyLimit.INCREASE_FACTOR",
+}
+
+
+class PolicyConstant(NamedTuple):
+    """A constant of a class of the policy."""
+
+    owner: Any
+    name: str
+
+    @property
+    def value(self) -> float:
+        """The value in force."""
+        value: float = getattr(self.owner, self.name)
+        return value
+
+
+def parse_overrides(options: Iterable[str]) -> PolicyOverrides:
+    """Reads options such as `LatencyLoadShedder.PERIOD_MS=250`.
+
+    Raises:
+        InvalidOptionError: there is no such constant, it is not a number, or the value is not one.
+    """
+    overrides: PolicyOverrides = {}
+    for option in options:
+        name, _, value = option.partition("=")
+        try:
+            overrides[name] = float(value)
+            _require_number(name)
+        except (ValueError, AttributeError, TypeError):
+            form = "a constant of the policy and a number, as in LatencyLoadShedder.PERIOD_MS=250"
+            raise InvalidOptionError(f"{option!r}: {form}", "--with") from None
+    return overrides
+
+
+def _require_number(name: str) -> None:
+    if not isinstance(_find_constant(name).value, int | float):
+        raise TypeError(name)
+
+
+def _find_constant(name: str) -> PolicyConstant:
+    class_name, _, constant_name = EARLIER_NAMES.get(name, name).rpartition(".")
+    owner = next((owner for owner in OVERRIDABLE_CLASSES if owner.__name__ == class_name), None)
+    if owner is None or not constant_name.isupper():
+        raise ValueError(name)
+    return PolicyConstant(owner, constant_name)
+
+
+@contextlib.contextmanager
+def override_policy(overrides: PolicyOverrides) -> Iterator[None]:
+    """Sets constants of the policy for the time of the context; a value takes the type of the constant."""
+    previous_values: list[tuple[PolicyConstant, Any]] = []
+    for name, value in overrides.items():
+        constant = _find_constant(name)
+        previous_values.append((constant, constant.value))
+        setattr(constant.owner, constant.name, type(constant.value)(value))
+    try:
+        yield
+    finally:
+        for constant, previous_value in previous_values:
+            setattr(constant.owner, constant.name, previous_value)
--- /dev/null
+++ b/onyxpost/simulation/discrete_event/scenario_files.py
@@ -0,0 +1,117 @@
+"""Reads scenarios from files, by name or from another process, and resizes them."""
+
+from __future__ import annotations
+
+import importlib.resources
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+import msgspec
+
+from onyxpost.simulation.discrete_event.scenario import Scenario, encode_scenario
+from onyxpost.simulation.discrete_event.scenario_validation import validate_scenario
+from onyxpost.simulation.errors import InvalidFaultScriptError, SimulationFileError
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from importlib.resources.abc import Traversable
+
+    from onyxpost.simulation.discrete_event.scenario_sections import ClusterSection, PlanScenario
+
+SUFFIX = ".toml"
+# A plan whose customers use more than this share of the nodes keeps that share on a cluster of another size.
+LARGE_SET_DIVISOR = 4
+
+
+def parse_scenario(text: str, source: str) -> Scenario:
+    """Reads a scenario from the text of a TOML file.
+
+    Args:
+        text: the text.
+        source: the file or name, for errors.
+
+    Raises:
+        InvalidFaultScriptError: the text is not a valid scenario; the message has the place.
+    """
+    return _decode(lambda: msgspec.toml.decode(text, type=Scenario), source)
+
+
+def decode_scenario(data: bytes, source: str) -> Scenario:
+    """Reads a scenario that `encode_scenario` wrote, and checks it as if it came from a file.
+
+    Raises:
+        InvalidFaultScriptError: the scenario is not valid.
+    """
+    return _decode(lambda: msgspec.json.decode(data, type=Scenario), source)
+
+
+def _decode(decode: Callable[[], Scenario], source: str) -> Scenario:
+    try:
+        scenario = decode()
+    except msgspec.DecodeError as error:  # malformed, or a value out of range: msgspec names the place
+        raise InvalidFaultScriptError(str(error), source) from error
+    validate_scenario(scenario, source)
+    return scenario
+
+
+def load_scenario(name: str) -> Scenario:
+    """Reads a scenario by its file's path, or by its name if it is shipped.
+
+    Raises:
+        InvalidFaultScriptError: the file is not a valid scenario.
+        SimulationFileError: there is no such file, or it is not text.
+    """
+    path = Path(name)
+    if path.suffix != SUFFIX and name in shipped_scenarios():
+        return parse_scenario(_directory().joinpath(f"{name}{SUFFIX}").read_text(), name)
+    try:
+        return parse_scenario(path.read_text(), name)
+    except (OSError, UnicodeDecodeError) as error:
+        reason = getattr(error, "strerror", None) or error
+        names = ", ".join(shipped_scenarios())
+        raise SimulationFileError(f"{reason}; shipped are: {names}", name) from error
+
+
+def shipped_scenarios() -> list[str]:
+    """Returns the names of the shipped scenarios."""
+    names = (file.name for file in _directory().iterdir())
+    return sorted(name.removesuffix(SUFFIX) for name in names if name.endswith(SUFFIX))
+
+
+def _directory() -> Traversable:
+    return importlib.resources.files(__package__) / "scenarios"
+
+
+def resize_scenario(scenario: Scenario, nodes: int | None, servers: int | None) -> Scenario:
+    """Returns the scenario on a cluster of another size; None keeps a number.
+
+    The number of customers follows the number of servers.
+
+    Raises:
+        InvalidFaultScriptError: the size is out of range, or does not fit the scenario.
+    """
+    cluster = scenario.cluster
+    resized_cluster = msgspec.structs.replace(
+        cluster, nodes=nodes or cluster.nodes, servers=servers or cluster.servers
+    )
+    resized = msgspec.structs.replace(
+        scenario,
+        cluster=resized_cluster,
+        plans=[_resize_plan(plan, cluster, resized_cluster) for plan in scenario.plans],
+    )
+    # Decoded again, so that a size from the command line is checked like one from a file.
+    return decode_scenario(encode_scenario(resized), scenario.name)
+
+
+def _resize_plan(plan: PlanScenario, cluster: ClusterSection, resized: ClusterSection) -> PlanScenario:
+    min_nodes, max_nodes = plan.nodes_per_customer
+    if max_nodes > cluster.nodes // LARGE_SET_DIVISOR:
+        node_ratio = resized.nodes / cluster.nodes
+        nodes_per_customer = (max(1, round(min_nodes * node_ratio)), max(1, round(max_nodes * node_ratio)))
+    else:
+        nodes_per_customer = (min(resized.nodes, min_nodes), min(resized.nodes, max_nodes))
+    return msgspec.structs.replace(
+        plan,
+        customers=max(1, round(plan.customers * resized.servers / cluster.servers)),
+        nodes_per_customer=nodes_per_customer,
+    )
--- /dev/null
+++ b/onyxpost/simulation/discrete_event/scenario_validation.py
@@ -0,0 +1,97 @@
+"""Checks of a scenario that the types of its keys cannot express. Places are those of the file's keys."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from onyxpost.simulation.discrete_event.scenario_faults import LoadSurge, Partition, ZoneLost
+from onyxpost.simulation.errors import InvalidFaultScriptError
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from onyxpost.simulation.discrete_event.scenario import Scenario
+
+
+def validate_scenario(scenario: Scenario, source: str) -> None:
+    """Checks a scenario whose keys have the right types.
+
+    Args:
+        scenario: the scenario.
+        source: the file or name that it was read from, for the error.
+
+    Raises:
+        InvalidFaultScriptError: values do not fit each other; the message ends with the key.
+    """
+    for key, problem in _problems(scenario):
+        raise InvalidFaultScriptError(f"{problem} - at `$.{key}`", source)
+
+
+def _problems(scenario: Scenario) -> Iterable[tuple[str, str]]:
+    yield from _invalid_ranges(scenario)
+    yield from _invalid_work(scenario)
+    yield from _invalid_plans(scenario)
+    yield from _repeated_names(scenario)
+    if scenario.cluster.zones > scenario.cluster.servers:
+        yield "fleet.zones", "more zones than servers"
+    yield from _invalid_faults(scenario)
+
+
+def _invalid_ranges(scenario: Scenario) -> Iterable[tuple[str, str]]:
+    network = scenario.network
+    clients = scenario.clients
+    ranges = {
+        "fleet.speed": scenario.cluster.speed,
+        "links.within_ms": network.within_zone_ms,
+        "links.between_ms": network.between_zones_ms,
+        "links.peer_ms": network.peer_message_ms,
+        "lists.late_ms": scenario.endpoint_updates.delay_ms,
+        "customers.steady": clients.demand_factor,
+        "customers.greedy_times": clients.greedy_demand_factor,
+        "customers.shift_s": clients.weight_change_s,
+        "customers.retry_ms": clients.retry_delay_ms,
+        "customers.patience": clients.patience_fraction,
+    }
+    for key, (low, high) in ranges.items():
+        if low > high:
+            yield key, f"{low} to {high} is no range"
+
+
+def _invalid_work(scenario: Scenario) -> Iterable[tuple[str, str]]:
+    for index, work in enumerate(scenario.work):
+        if work.work_ms[0] > work.work_ms[1]:
+            yield f"work[{index}].work_ms", "no range"
+        if work.latency_objective_ms > work.client_timeout_ms:
+            yield f"work[{index}].response_target_ms", "longer than the client timeout"
+
+
+def _invalid_plans(scenario: Scenario) -> Iterable[tuple[str, str]]:
+    nodes = scenario.cluster.nodes
+    for index, plan in enumerate(scenario.plans):
+        min_nodes, max_nodes = plan.nodes_per_customer
+        if min_nodes > max_nodes or plan.burst_s[0] > plan.burst_s[1]:
+            yield f"plans[{index}]", "a range that is none"
+        if max_nodes > nodes:
+            yield f"plans[{index}].spread", f"{max_nodes} of {nodes} nodes"
+
+
+def _repeated_names(scenario: Scenario) -> Iterable[tuple[str, str]]:
+    names_by_key = {
+        "work": [work.name for work in scenario.work],
+        "plans": [plan.name for plan in scenario.plans],
+    }
+    for key, names in names_by_key.items():
+        if len(set(names)) < len(names):
+            yield key, "a name twice"
+
+
+def _invalid_faults(scenario: Scenario) -> Iterable[tuple[str, str]]:
+    zones = scenario.cluster.zones
+    plans = {plan.name for plan in scenario.plans}
+    for index, fault in enumerate(scenario.events):
+        if isinstance(fault, ZoneLost | Partition) and fault.zone >= zones:
+            yield f"events[{index}].zone", f"there are {zones} zones, numbered from 0"
+        if fault.at_s >= scenario.seconds:
+            yield f"events[{index}].at_s", "after the end"
+        if isinstance(fault, LoadSurge) and fault.plan and fault.plan not in plans:
+            yield f"events[{index}].plan", f"no plan {fault.plan}"
--- a/onyxpost/simulation/discrete_event/server_model.py
+++ b/onyxpost/simulation/discrete_event/server_model.py
@@ -1,133 +1,202 @@
-"""App servers of the emulator: cores, queues, connections, cold starts, and the ways in which they fail."""
+"""App servers: cores, a queue, connections, slow start, and the faults that they can have."""
 
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable
-from random import Random
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, NamedTuple, Protocol
 
-from onyxpost.core.types import AttemptResult, EndpointState, EndpointStatus, SlowStartPolicy
-from onyxpost.simulation.discrete_event.event_queue import Clockwork
-from onyxpost.simulation.discrete_event.scenario import Fleet
-from onyxpost.simulation.invariants import InvariantChecker
+from onyxpost.core.types import AttemptResult, EndpointState, EndpointStatus
+from onyxpost.simulation.discrete_event.invariant_recorder import zone_name
 
-QUICK = 2.0  # ms in which a server fails a req or turns it away
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from random import Random
 
+    from onyxpost.simulation.discrete_event.environment import Environment
 
-class Flight(Protocol):
+FAST_ANSWER_MS = 2.0  # in which a server fails or rejects a request that it does not execute
+
+
+class AttemptOrigin(NamedTuple):
+    """The node and the request that an attempt belongs to."""
+
+    node: str
+    request_id: str
+
+
+class ReceivedAttempt(Protocol):
     """One attempt, as a server sees it."""
 
-    work: float
-    over: bool
+    work_ms: float
+
+    @property
+    def origin(self) -> AttemptOrigin:
+        """The node and the request that it belongs to."""
+
+    def send_result(self, result: AttemptResult) -> None:
+        """Sends the result back to the node."""
 
-    def back(self, result: AttemptResult) -> None: ...
-    def name(self) -> tuple[str, str]: ...
 
+class ServerOptions(NamedTuple):
+    """What distinguishes one server from the others.
+
+    Attributes:
+        speed: work in ms that a core completes in 1 ms.
+        started_at_ms: simulated time of its start; 0: it was warm when the run started.
+    """
+
+    server_id: str
+    zone: int
+    cell: int
+    speed: float
+    started_at_ms: float
+
+
+class ServerModel:
+    """One app server.
+
+    Attributes:
+        state: what endpoint updates say of it.
+        alive: False once it died; it does not come back.
+        was_overloaded: whether it died of too much work while it warmed up.
+        connections: open connections.
+        in_flight: attempts that wait, are executed, or hang.
+    """
 
-class Server:
     def __init__(
         self,
-        clock: Clockwork,
-        checker: InvariantChecker,
-        fleet: Fleet,
-        cold: SlowStartPolicy,
-        chance: Random,
-        sid: str,
-        zone: int,
-        cell: int,
-        speed: float,
-        started: float,
+        environment: Environment,
+        options: ServerOptions,
+        rng: Random,
+        on_death: Callable[[ServerModel], None],
     ) -> None:
-        self.clock, self.checker, self.fleet, self.cold, self.chance = clock, checker, fleet, cold, chance
-        self.id, self.zone, self.cell, self.speed, self.started = sid, zone, cell, speed, started
-        self.standing, self.alive, self.fell = EndpointState.READY, True, False
-        self.slow, self.fails, self.loses, self.hung = 1.0, 0.0, 0.0, False
-        self.waiting: deque[Flight] = deque()
-        self.holds: dict[Flight, None] = {}  # waiting, running or hung
-        self.running = self.connections = self.handshakes = self.refused = 0
-        self.on_death: list[Callable[[Server], None]] = []
-        if started > 0.0:
-            checker.on_server_started(started, sid, fleet.cores * speed)
-
-    def row(self, epoch: float) -> EndpointStatus:
-        started = epoch + self.started if self.started > 0.0 else 0.0
-        return EndpointStatus(self.id, f"h{self.zone}", self.cell, self.standing, 1.0, started)
-
-    def warmth(self) -> float:
-        age = self.clock.now - self.started
-        if self.started <= 0.0 or age >= self.cold.warmup_ms:
+        self._clock = environment.clock
+        self._invariants = environment.invariants
+        self._cluster = environment.scenario.cluster
+        self._slow_start = environment.slow_start
+        self._rng = rng
+        self._on_death = on_death
+        self.server_id = options.server_id
+        self.zone = options.zone
+        self.cell = options.cell
+        self._speed = options.speed
+        self._started_at_ms = options.started_at_ms
+        self.state = EndpointState.READY
+        self.alive = True
+        self.was_overloaded = False
+        self.connections = 0
+        self.in_flight: dict[ReceivedAttempt, None] = {}
+        self._queue: deque[ReceivedAttempt] = deque()
+        self._executing = 0
+        self._slowdown = 1.0
+        self._error_probability = 0.0
+        self._response_loss_probability = 0.0
+        self._is_hung = False
+        if self._started_at_ms > 0.0:
+            self._invariants.server_started(self.server_id, self._cluster.cores * self._speed)
+
+    def endpoint_status(self, epoch_ms: float) -> EndpointStatus:
+        """Returns what an endpoint update says of the server; `epoch_ms` is the start of the run."""
+        started_at = epoch_ms + self._started_at_ms if self._started_at_ms > 0.0 else 0.0
+        return EndpointStatus(self.server_id, zone_name(self.zone), self.cell, self.state, 1.0, started_at)
+
+    def _capacity_fraction(self) -> float:
+        """Returns the part of its capacity that the server has while it warms up, 1 after that."""
+        age_ms = self._clock.now_ms - self._started_at_ms
+        slow_start = self._slow_start
+        if self._started_at_ms <= 0.0 or age_ms >= slow_start.warmup_ms:
             return 1.0
-        return max(self.cold.initial_fraction, age / self.cold.warmup_ms)
+        return max(slow_start.initial_fraction, age_ms / slow_start.warmup_ms)
+
+    # Requests
 
-    def connect(self) -> bool:
-        if not self.alive or self.connections >= self.fleet.connections:
-            self.refused += 1
+    def accept_connection(self) -> bool:
+        """Returns whether the server accepts a new connection, and counts it if so."""
+        if not self.alive or self.connections >= self._cluster.connection_limit:
             return False
         self.connections += 1
-        self.handshakes += 1
         return True
 
-    def take(self, flight: Flight) -> None:
-        """A req's last byte is here."""
-        if self.standing is EndpointState.DRAINING or len(self.waiting) >= self.fleet.queue:
-            self.clock.after(QUICK, flight.back, AttemptResult.FULL)
+    def receive_attempt(self, attempt: ReceivedAttempt) -> None:
+        """Handles the last byte of an attempt."""
+        if self.state is EndpointState.DRAINING or len(self._queue) >= self._cluster.queue_limit:
+            self._clock.call_after(FAST_ANSWER_MS, attempt.send_result, AttemptResult.FULL)
             return
-        node, req = flight.name()
-        if not self.checker.on_work_received(self.clock.now, self.id, flight.work, node, req):
-            self.fell = True
+        node, request_id = attempt.origin
+        if not self._invariants.work_received(self.server_id, attempt.work_ms, node, request_id):
+            self.was_overloaded = True
             self.die()
-            flight.back(AttemptResult.LOST)
+            attempt.send_result(AttemptResult.LOST)
             return
-        if self.fails and self.chance.random() < self.fails:
-            self.clock.after(QUICK, flight.back, AttemptResult.ERROR)
+        if self._error_probability and self._rng.random() < self._error_probability:
+            self._clock.call_after(FAST_ANSWER_MS, attempt.send_result, AttemptResult.ERROR)
             return
-        self.holds[flight] = None
-        if self.hung:
+        self.in_flight[attempt] = None
+        if self._is_hung:
             return
-        if self.running < self.fleet.cores:
-            self.start(flight)
+        if self._executing < self._cluster.cores:
+            self._execute(attempt)
         else:
-            self.waiting.append(flight)
+            self._queue.append(attempt)
+
+    def abandon_attempt(self, attempt: ReceivedAttempt) -> None:
+        """Handles that the node wants no result: not executed if it waits; if it runs, it runs on."""
+        self.in_flight.pop(attempt, None)
 
-    def start(self, flight: Flight) -> None:
-        self.running += 1
-        self.clock.after(flight.work * self.slow / (self.speed * self.warmth()), self.ran, flight)
+    def _execute(self, attempt: ReceivedAttempt) -> None:
+        self._executing += 1
+        duration_ms = attempt.work_ms * self._slowdown / (self._speed * self._capacity_fraction())
+        self._clock.call_after(duration_ms, self._complete, attempt)
 
-    def ran(self, flight: Flight) -> None:
+    def _complete(self, attempt: ReceivedAttempt) -> None:
         if not self.alive:
             return
-        self.running -= 1
-        if flight in self.holds:
-            del self.holds[flight]
-            lost = bool(self.loses) and self.chance.random() < self.loses
-            flight.back(AttemptResult.LOST if lost else AttemptResult.OK)
-        while self.waiting and self.running < self.fleet.cores:
-            following = self.waiting.popleft()
-            if following in self.holds:
-                self.start(following)
-
-    def drop(self, flight: Flight) -> None:
-        """The node gave up: what waits is dropped, what runs runs on."""
-        self.holds.pop(flight, None)
-
-    def hang(self, hung: bool) -> None:
-        if hung and not self.hung:  # what runs is lost with the rest
-            self.waiting.clear()
-        self.hung = hung
+        self._executing -= 1
+        if attempt in self.in_flight:
+            del self.in_flight[attempt]
+            loss_probability = self._response_loss_probability
+            is_lost = bool(loss_probability) and self._rng.random() < loss_probability
+            attempt.send_result(AttemptResult.LOST if is_lost else AttemptResult.OK)
+        while self._queue and self._executing < self._cluster.cores:
+            following = self._queue.popleft()
+            if following in self.in_flight:
+                self._execute(following)
+
+    # Faults
+
+    def set_slowdown(self, factor: float) -> None:
+        """Sets the factor by which requests take longer."""
+        self._slowdown = factor
+
+    def set_error_probability(self, probability: float) -> None:
+        """Sets the probability with which a request fails at once."""
+        self._error_probability = probability
+
+    def set_response_loss_probability(self, probability: float) -> None:
+        """Sets the probability with which a response is lost."""
+        self._response_loss_probability = probability
+
+    def hang(self) -> None:
+        """Stops answering; requests that wait are lost."""
+        if not self._is_hung:
+            self._queue.clear()
+        self._is_hung = True
+
+    def resume(self) -> None:
+        """Executes new requests again."""
+        self._is_hung = False
 
     def die(self) -> None:
+        """Dies at once; requests that it holds are lost."""
         if not self.alive:
             return
         self.alive = False
-        self.checker.on_server_removed(self.id)
-        held, self.holds = list(self.holds), {}
-        self.waiting.clear()
-        self.connections = self.running = 0
-        for told in self.on_death:
-            told(self)
-        for flight in held:
-            flight.back(AttemptResult.LOST)
-
-    def as_dict(self) -> dict[str, Any]:
-        return {"server": self.id, "zone": self.zone, "handshakes": self.handshakes, "fell": self.fell}
+        self._invariants.server_removed(self.server_id)
+        lost_attempts = list(self.in_flight)
+        self.in_flight = {}
+        self._queue.clear()
+        self.connections = 0
+        self._executing = 0
+        self._on_death(self)
+        for attempt in lost_attempts:
+            attempt.send_result(AttemptResult.LOST)
--- a/onyxpost/simulation/multiprocess/cli.py
+++ b/onyxpost/simulation/multiprocess/cli.py
@@ -11,6 +11,7 @@
 
 from onyxpost.simulation import results
 from onyxpost.simulation.cli_errors import told
+from onyxpost.simulation.seed_ranges import parse_seeds
 
 
 @click.command()
@@ -38,7 +39,6 @@
     Exit 0: played, no rule broken. Exit 1: a rule was broken. Exit 2: something given cannot be used.
     Exit 130: interrupted; what was finished is kept, and no process is left.
     """
-    from onyxpost.simulation.discrete_event.batch import seeds as numbers
     from onyxpost.simulation.multiprocess import leadership_mutations, runner
     from onyxpost.simulation.multiprocess import scenario as scenarios
     from onyxpost.simulation.multiprocess.errors import InvalidScenarioError
@@ -61,7 +61,7 @@
         raise InvalidScenarioError(f"no scenario; shipped are {', '.join(scenarios.shipped())}")
     else:
         one = scenarios.sized(scenarios.load(scenario), nodes, seconds)
-        scripts = [scenarios.scripted(one, seed, plant) for seed in numbers(seeds)]
+        scripts = [scenarios.scripted(one, seed, plant) for seed in parse_seeds(seeds)]
     if one.stage != "duties" and any(script.plant in leadership_mutations.PLANTS for script in scripts):
         raise InvalidScenarioError(
             f"the bug {scripts[0].plant!r} is of duties, not of stage {one.stage!r}", one.name
--- a/onyxpost/simulation/planner_cluster/usage_counter.py
+++ b/onyxpost/simulation/planner_cluster/usage_counter.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING, Any
 
-from onyxpost.simulation.discrete_event.world import Quota
+from onyxpost.simulation.discrete_event.exact_quota import ExactQuota
 from onyxpost.simulation.invariants import Bucket
 from onyxpost.simulation.planner_cluster.options import HARD_LIMIT_FACTOR, MAX_REQUEST_UNITS
 
@@ -32,19 +32,19 @@
         self.units_ideal = 0
         self.rejected_within_quota = 0
 
-    def _new_quota(self) -> Quota:
-        return Quota(self.options.quota_rate, self.options.quota_burst)
+    def _new_quota(self) -> ExactQuota:
+        return ExactQuota(self.options.quota_rate, self.options.quota_burst)
 
     def count_arrival(self, now: float, customer: int, units: int) -> None:
         """A client sends a request: would one counter that sees all of them admit it?"""
-        if self.ideal_quotas[customer].fill(now) >= units:
-            self.ideal_quotas[customer].draw(now, units)
+        if self.ideal_quotas[customer].refill(now) >= units:
+            self.ideal_quotas[customer].consume(now, units)
             self.units_ideal += units
 
     def count_sent(self, now: float, customer: int, units: int) -> None:
         """A request reached an app server."""
         self.units_sent += units
-        self.units_beyond_quota += round(self.quotas[customer].draw(now, units))
+        self.units_beyond_quota += round(self.quotas[customer].consume(now, units))
         bucket = self.hard_limits.get(customer)
         if bucket is None:
             bucket = self._new_hard_limit(now)
@@ -60,7 +60,7 @@
     def count_outcome(self, now: float, customer: int, units: int, outcome: str) -> None:
         """A request has its final answer: passed, denied, aborted, or lost for none at all."""
         self.outcomes[outcome] += 1
-        if outcome == "denied" and self.quotas[customer].fill(now) >= units:
+        if outcome == "denied" and self.quotas[customer].refill(now) >= units:
             self.rejected_within_quota += 1
 
     def figures(self) -> dict[str, Any]:
--- a/onyxpost/simulation/report.py
+++ b/onyxpost/simulation/report.py
@@ -1,39 +1,62 @@
-"""Two sets of results side by side: what differs beyond the seeds' spread, and plots over time."""
+"""Compares two result files: figures that differ beyond the spread of the seeds, and plots over time."""
 
 from __future__ import annotations
 
 import statistics
 from collections import defaultdict
-from pathlib import Path
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from onyxpost.simulation.errors import NoCommonScenarioError
-from onyxpost.simulation.results import read
+from onyxpost.simulation.results import ResultLine, read
 
-COLUMNS = {
-    "passed_value": "value passed in time, of what was asked for inside quotas",
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+    from pathlib import Path
+
+    from matplotlib.axes import Axes
+
+# Figures of a run's totals by their keys.
+FIGURES = {
+    "passed_value": "weight that succeeded, of what was offered within quotas",
     "worst_10s": "the same, in the worst ten seconds",
-    "denied_with_room": "tries denied while the quota held them",
-    "beyond_quota": "units sent on beyond quotas",
-    "late": "passed after the response target",
-    "mean_ms": "mean time to an answer passed, from the first try",
-    "attempts_per_try": "attempts a try",
-    "handshakes_per_attempt": "new connections an attempt",
-    "connections_most": "most connections at one server",
-    "messages_per_try": "peer messages a try",
-    "unheard": "peer messages beyond a node's intake",
-    "cold_load_most": "most work at a cold server, of what pushes it over",
-    "breaches": "broken rules",
-}
-OVER_TIME = {
-    "value passed of asked": ("value_passed", "value_inside"),
-    "denied with room, of tries": ("denied_with_room", "tries"),
-    "units beyond quotas, of sent": ("units_beyond", "units"),
-    "late, of passed": ("late", "passed"),
+    "denied_with_room": "tries rejected while the quota held their units",
+    "beyond_quota": "units sent beyond quotas",
+    "late": "successes after the latency objective",
+    "mean_ms": "mean time from the first try to success",
+    "attempts_per_try": "attempts of a try",
+    "handshakes_per_attempt": "new connections of an attempt",
+    "connections_most": "largest number of connections at one server",
+    "messages_per_try": "peer messages of a try",
+    "unheard": "peer messages beyond a node's capacity",
+    "cold_load_most": "largest work at a server that warms up, of what overloads it",
+    "breaches": "violated invariants",
 }
 
 
+class PlottedShare(NamedTuple):
+    """A share that is plotted over time: a counter of each second over another one."""
+
+    title: str
+    numerator: str
+    denominator: str
+
+
+PLOTTED_SHARES = (
+    PlottedShare("successful weight, of offered", "value_passed", "value_inside"),
+    PlottedShare("rejected within quota, of tries", "denied_with_room", "tries"),
+    PlottedShare("units beyond quotas, of sent", "units_beyond", "units"),
+    PlottedShare("late, of successful", "late", "passed"),
+)
+COLUMN_INCHES = 4.2
+ROW_INCHES = 2.6
+
+RunLines = list[ResultLine]  # the lines of one run
+RunsByScenario = dict[str, list[RunLines]]
+
+
 class Spread(NamedTuple):
+    """A figure over several seeds."""
+
     low: float
     mean: float
     high: float
@@ -42,106 +65,130 @@
         return f"{self.mean:.4g} ({self.low:.4g} to {self.high:.4g})"
 
 
-class Row(NamedTuple):
+class Comparison(NamedTuple):
+    """One figure of one scenario on both sides."""
+
     scenario: str
-    column: str
-    a: Spread
-    b: Spread
+    figure: str
+    first: Spread
+    second: Spread
 
     @property
     def verdict(self) -> str:
-        if self.a == self.b:
+        """The difference of the means, if the spreads do not overlap."""
+        if self.first == self.second:
             return "the same"
-        if self.a.low <= self.b.high and self.b.low <= self.a.high:
+        if self.first.low <= self.second.high and self.second.low <= self.first.high:
             return "no difference seen"
-        return f"{self.b.mean - self.a.mean:+.4g}"
+        return f"{self.second.mean - self.first.mean:+.4g}"
 
 
-Runs = dict[str, list[list[dict[str, Any]]]]  # by scenario: a run's lines each
+def read_runs(path: Path) -> RunsByScenario:
+    """Reads the runs of a result file; a scenario at another size counts as another scenario.
 
-
-def runs(path: Path) -> Runs:
-    found: Runs = defaultdict(list)
+    Raises:
+        InvalidSimulationInputError: the file cannot be read, or is no result file.
+    """
+    runs: RunsByScenario = defaultdict(list)
+    current: RunLines = []
     for line in read(path):
         if line["kind"] == "run":
-            found[f"{line['scenario']}, {line['nodes']} nodes, {line['servers']} servers"].append([])
-            current = found[f"{line['scenario']}, {line['nodes']} nodes, {line['servers']} servers"][-1]
+            current = []
+            runs[f"{line['scenario']}, {line['nodes']} nodes, {line['servers']} servers"].append(current)
         current.append(line)
-    return dict(found)
+    return dict(runs)
 
 
-def spread(part: list[list[dict[str, Any]]], column: str) -> Spread:
-    values = [float(line[column]) for run in part for line in run if line["kind"] == "total"]
+def _spread(runs: Sequence[RunLines], figure: str) -> Spread:
+    values = [float(line[figure]) for run in runs for line in run if line["kind"] == "total"]
     return Spread(min(values), statistics.fmean(values), max(values))
 
 
-def compare(a: Runs, b: Runs) -> list[Row]:
-    both = [name for name in a if name in b]
-    if not both:
-        raise NoCommonScenarioError(f"no scenario is in both: {', '.join(a)} / {', '.join(b)}")
+def compare(first: RunsByScenario, second: RunsByScenario) -> list[Comparison]:
+    """Compares all figures of the scenarios that both sides have.
+
+    Raises:
+        NoCommonScenarioError: there is no such scenario.
+    """
+    common = [scenario for scenario in first if scenario in second]
+    if not common:
+        raise NoCommonScenarioError(f"no scenario is in both: {', '.join(first)} / {', '.join(second)}")
     return [
-        Row(name, column, spread(a[name], column), spread(b[name], column))
-        for name in both
-        for column in COLUMNS
+        Comparison(scenario, figure, _spread(first[scenario], figure), _spread(second[scenario], figure))
+        for scenario in common
+        for figure in FIGURES
     ]
 
 
-def text(rows: list[Row], seeds: tuple[int, int]) -> str:
-    shown, lines = "", [f"mean (least to most) over {seeds[0]} and {seeds[1]} runs"]
-    for row in rows:
-        if row.scenario != shown:
-            shown = row.scenario
-            lines.append(f"\n{shown}")
-        lines.append(f"  {row.column:24} {row.a!s:>32}  {row.b!s:>32}  {row.verdict}")
+def format_comparisons(comparisons: Sequence[Comparison], run_counts: tuple[int, int]) -> str:
+    """Returns a table for people; `run_counts` are the numbers of runs of both sides."""
+    scenario = ""
+    lines = [f"mean (least to most) over {run_counts[0]} and {run_counts[1]} runs"]
+    for row in comparisons:
+        if row.scenario != scenario:
+            scenario = row.scenario
+            lines.append(f"\n{scenario}")
+        lines.append(f"  {row.figure:24} {row.first!s:>32}  {row.second!s:>32}  {row.verdict}")
     return "\n".join(lines)
 
 
-def over_time(
-    part: list[list[dict[str, Any]]], above: str, below: str
-) -> tuple[list[int], list[list[float]]]:
-    """Each run's share, second by second."""
-    shares = []
-    for run in part:
-        seconds = [line for line in run if line["kind"] == "second"]
-        shares.append([s.get(above, 0.0) / s[below] if s.get(below) else float("nan") for s in seconds])
-    most = max(len(share) for share in shares)
-    return list(range(most)), [share + [float("nan")] * (most - len(share)) for share in shares]
+def _share_over_time(run: RunLines, share: PlottedShare) -> list[float]:
+    """Returns the share of each second; not a number where the denominator is 0."""
+    seconds = [line for line in run if line["kind"] == "second"]
+    return [
+        second.get(share.numerator, 0.0) / second[share.denominator]
+        if second.get(share.denominator)
+        else float("nan")
+        for second in seconds
+    ]
+
+
+def _shares_over_time(runs: Sequence[RunLines], share: PlottedShare) -> list[list[float]]:
+    """Returns the shares of all runs, extended to the length of the longest."""
+    shares = [_share_over_time(run, share) for run in runs]
+    length = max(len(values) for values in shares)
+    return [values + [float("nan")] * (length - len(values)) for values in shares]
 
 
-def plot(sides: dict[str, Runs], out: Path) -> None:
-    """One PNG: a row a scenario, a column a share, each side's mean with its spread over the seeds."""
+def plot(sides: dict[str, RunsByScenario], path: Path) -> None:
+    """Writes a PNG: a row a scenario, a column a share; each side has its mean and spread."""
     import matplotlib
 
     matplotlib.use("Agg")
-    import numpy
     from matplotlib import pyplot
 
-    names = [name for name in next(iter(sides.values())) if all(name in side for side in sides.values())]
+    first_side = next(iter(sides.values()))
+    scenarios = [name for name in first_side if all(name in runs for runs in sides.values())]
     figure, axes = pyplot.subplots(
-        len(names),
-        len(OVER_TIME),
-        figsize=(4.2 * len(OVER_TIME), 2.6 * len(names)),
+        len(scenarios),
+        len(PLOTTED_SHARES),
+        figsize=(COLUMN_INCHES * len(PLOTTED_SHARES), ROW_INCHES * len(scenarios)),
         squeeze=False,
         sharex="row",
         layout="constrained",
     )
-    for row, name in enumerate(names):
-        for column, (title, (above, below)) in enumerate(OVER_TIME.items()):
+    for row, scenario in enumerate(scenarios):
+        for column, share in enumerate(PLOTTED_SHARES):
             axis = axes[row][column]
-            for label, side in sides.items():
-                times, shares = over_time(side[name], above, below)
-                table = numpy.ma.masked_invalid(numpy.array(shares))
-                (line,) = axis.plot(times, table.mean(axis=0), label=label)
-                low, high = table.min(axis=0), table.max(axis=0)
-                axis.fill_between(times, low, high, alpha=0.2, color=line.get_color(), linewidth=0)
+            for label, runs in sides.items():
+                _plot_spread(axis, label, _shares_over_time(runs[scenario], share))
             axis.set_ylim(bottom=0.0)
             axis.grid(alpha=0.3)
-            if row == 0:
-                axis.set_title(title, fontsize=10)
-            if column == 0:
-                axis.set_ylabel(name.replace(", ", "\n"), fontsize=9)
-            if row == len(names) - 1:
-                axis.set_xlabel("s")
+        axes[row][0].set_ylabel(scenario.replace(", ", "\n"), fontsize=9)
+    for column, share in enumerate(PLOTTED_SHARES):
+        axes[0][column].set_title(share.title, fontsize=10)
+        axes[-1][column].set_xlabel("s")
     axes[0][0].legend(fontsize=8, loc="lower left")
-    figure.savefig(out, dpi=90)
+    figure.savefig(path, dpi=90)
     pyplot.close(figure)
+
+
+def _plot_spread(axis: Axes, label: str, shares: list[list[float]]) -> None:
+    """Plots the mean of runs over time, and the range between the lowest and the highest."""
+    import numpy
+
+    table = numpy.ma.masked_invalid(numpy.array(shares))
+    (line,) = axis.plot(range(table.shape[1]), table.mean(axis=0), label=label)
+    low = table.min(axis=0)
+    high = table.max(axis=0)
+    axis.fill_between(range(table.shape[1]), low, high, alpha=0.2, color=line.get_color(), linewidth=0)
--- a/onyxpost/simulation/results.py
+++ b/onyxpost/simulation/results.py
@@ -1,61 +1,79 @@
-"""Results as JSON lines: written whole or not at all, read with their version checked."""
+"""Result files: JSON lines, each with the version of their form; written completely or not at all."""
 
 from __future__ import annotations
 
 import os
-from collections.abc import Iterable
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
 from onyxpost.simulation.errors import InvalidResultsError, ResultsNotWrittenError, SimulationFileError
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+    from pathlib import Path
+
 VERSION = 1
 
+ResultLine = dict[str, Any]  # `kind` says which line it is; `version` is that of the form
+
 
-def encode(lines: Iterable[dict[str, Any]]) -> bytes:
+def encode(lines: Iterable[ResultLine]) -> bytes:
+    """Encodes lines with their version."""
     return b"".join(msgspec.json.encode({**line, "version": VERSION}) + b"\n" for line in lines)
 
 
 def write(path: Path, data: bytes) -> None:
-    """Beside its place first: an interrupted run leaves the file that was there, or none."""
-    beside = path.with_name(path.name + f".{os.getpid()}.part")
+    """Writes a file in place of the one that is there, which stays if this is interrupted.
+
+    Raises:
+        ResultsNotWrittenError: the file cannot be written.
+    """
+    temporary = path.with_name(path.name + f".{os.getpid()}.part")
     try:
-        beside.write_bytes(data)
-        beside.replace(path)
-    except OSError as err:
-        raise ResultsNotWrittenError(str(err.strerror), str(path)) from err
+        temporary.write_bytes(data)
+        temporary.replace(path)
+    except OSError as error:
+        raise ResultsNotWrittenError(str(error.strerror), str(path)) from error
     finally:
-        beside.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
+
 
+def read(path: Path) -> list[ResultLine]:
+    """Reads the lines of a file.
 
-def read(path: Path) -> list[dict[str, Any]]:
+    Raises:
+        SimulationFileError: the file cannot be read.
+        InvalidResultsError: a line is malformed or of another version, or no run has its totals.
+    """
     try:
         data = path.read_bytes()
-    except OSError as err:
-        raise SimulationFileError(str(err.strerror), str(path)) from err
-    lines = []
-    for number, text in enumerate(data.splitlines(), 1):
-        try:
-            line: dict[str, Any] = msgspec.json.decode(text, type=dict[str, Any])
-        except msgspec.DecodeError as err:
-            raise InvalidResultsError(f"line {number}: {err}", str(path)) from err
-        if line.get("version") != VERSION:
-            what = f"line {number}: results of version {line.get('version')}, not {VERSION}"
-            raise InvalidResultsError(what, str(path))
-        lines.append(line)
+    except OSError as error:
+        raise SimulationFileError(str(error.strerror), str(path)) from error
+    lines = [_decode_line(text, number, path) for number, text in enumerate(data.splitlines(), 1)]
     if not any(line.get("kind") == "total" for line in lines):
         raise InvalidResultsError("no run's totals in it", str(path))
     return lines
 
 
-def last(data: bytes) -> dict[str, Any]:
-    """A run's totals: its last line."""
-    return msgspec.json.decode(data.splitlines()[-1], type=dict[str, Any])
+def _decode_line(text: bytes, number: int, path: Path) -> ResultLine:
+    try:
+        line: ResultLine = msgspec.json.decode(text, type=ResultLine)
+    except msgspec.DecodeError as error:
+        raise InvalidResultsError(f"line {number}: {error}", str(path)) from error
+    if line.get("version") != VERSION:
+        problem = f"line {number}: results of version {line.get('version')}, not {VERSION}"
+        raise InvalidResultsError(problem, str(path))
+    return line
+
+
+def decode_totals(data: bytes) -> ResultLine:
+    """Returns the totals of one encoded run: its last line."""
+    return msgspec.json.decode(data.splitlines()[-1], type=ResultLine)
 
 
-def breaches(data: bytes) -> list[dict[str, Any]]:
-    lines = [line for line in data.splitlines() if b'"breach"' in line]
-    told: list[dict[str, Any]] = [msgspec.json.decode(line) for line in lines]
-    return [line for line in told if line["kind"] == "breach"]
+def decode_violations(data: bytes) -> list[ResultLine]:
+    """Returns the violations of one encoded run."""
+    candidates = [line for line in data.splitlines() if b'"breach"' in line]
+    lines: list[ResultLine] = [msgspec.json.decode(line) for line in candidates]
+    return [line for line in lines if line["kind"] == "breach"]
--- /dev/null
+++ b/onyxpost/simulation/seed_ranges.py
@@ -0,0 +1,33 @@
+"""Seeds as the command line gives them."""
+
+from __future__ import annotations
+
+from onyxpost.simulation.errors import InvalidOptionError
+
+MAX_SEED = 2**32 - 1
+MAX_RANGE = 1_000_000
+
+
+def parse_seeds(text: str) -> list[int]:
+    """Reads seeds and ranges of seeds, as in `7`, `1-20` or `1,4,9-12`; each seed once, in their order.
+
+    Raises:
+        InvalidOptionError: the text is not of this form, or a number is out of range.
+    """
+    seeds: list[int] = []
+    try:
+        for item in text.split(","):
+            seeds += _parse_range(item)
+    except ValueError:
+        problem = f"{text!r}: numbers from 0 to {MAX_SEED}, as in 1-20 or 1,4,9-12"
+        raise InvalidOptionError(problem, "seeds") from None
+    return list(dict.fromkeys(seeds))
+
+
+def _parse_range(text: str) -> range:
+    low, _, high = text.partition("-")
+    first = int(low)
+    last = int(high or low)
+    if not 0 <= first <= last <= MAX_SEED or last - first >= MAX_RANGE:
+        raise ValueError(text)
+    return range(first, last + 1)
--- a/onyxpost/simulation/settings.py
+++ b/onyxpost/simulation/settings.py
@@ -1,4 +1,7 @@
-"""The deployments that the virtual clock and the rig play."""
+"""Settings of the deployments that the deterministic and the multi-process simulation run.
+
+Their keys are those of the operators' settings; times are microseconds.
+"""
 
 from __future__ import annotations
 
@@ -43,9 +46,11 @@
         "drain_grace_us": 100_000,
     },
 }
-# The same where a connection may be waited for so long that clients go meanwhile.
-PATIENT = SETTINGS | {
+# The same with a connect timeout so long that clients disconnect while their connection is being opened.
+SLOW_CONNECT_SETTINGS = SETTINGS | {
     "bounds": SETTINGS["bounds"] | {"try_limit": 2, "connect_timeout_us": 600_000},
-    "grades": [grade | {"deadline_us": 2 * grade["deadline_us"] + 600_000} for grade in SETTINGS["grades"]],
+    "grades": [
+        frontend | {"deadline_us": 2 * frontend["deadline_us"] + 600_000} for frontend in SETTINGS["grades"]
+    ],
     "rules": SETTINGS["rules"] | {"drain_grace_us": 600_000},
 }
--- a/onyxpost/simulation/slow_start/emulate.py
+++ b/onyxpost/simulation/slow_start/emulate.py
@@ -25,7 +25,7 @@
     SlowStartPolicy,
 )
 from onyxpost.policy.gateway import Gateway
-from onyxpost.simulation.discrete_event.event_queue import Clockwork
+from onyxpost.simulation.discrete_event.event_queue import EventQueue
 
 EPOCH = 1_700_000_000_000.0
 LEAVES = 5000.0  # a client's time-out
@@ -133,15 +133,15 @@
     # The module's writer
 
     def start_attempt(self, req: str, server: str, until: float, begin_before: float) -> None:
-        now = self.world.clock.now
+        now = self.world.clock.now_ms
         number = len(self.gateway.requests[req].attempts) - 1
         waited = self.known[server].take(now, self.world.work()) - now
         result = AttemptResult.OK if waited <= until else AttemptResult.EXPIRED
         waited = min(waited, until)
-        self.world.clock.after(waited, self.ended, self.life, req, number, result, waited)
+        self.world.clock.call_after(waited, self.ended, self.life, req, number, result, waited)
 
     def start_timer(self, after: float, token: int) -> None:
-        self.world.clock.after(after, self.woken, self.life)
+        self.world.clock.call_after(after, self.woken, self.life)
 
     def __getattr__(self, name: str) -> Any:
         """Denials, log lines and what is told to peers: nothing here takes them in."""
@@ -150,7 +150,7 @@
 
 class World:
     def __init__(self, case: Case, seed: int) -> None:
-        self.case, self.clock, self.chance = case, Clockwork(), Random(f"cold/{seed}")
+        self.case, self.clock, self.chance = case, EventQueue(), Random(f"cold/{seed}")
         self.asked = self.served = 0
         self.servers = [Server(f"s{i}", 0.0, case) for i in range(case.servers)]
         self.started: list[Server] = []
@@ -162,14 +162,14 @@
             chance.uniform(0.5, 1.5) * (4.0 if chance.random() < 0.125 else 1.0) for _ in self.nodes
         ]
         for part in (0, 1):
-            self.clock.at(SETTLING + STEP * part, self.replace, part)
+            self.clock.call_at(SETTLING + STEP * part, self.replace, part)
         for node in self.nodes:
             if chance.random() < case.restarts:
-                self.clock.at(SETTLING + chance.uniform(0.0, case.within), node.live)
-        self.clock.after(self.pause(), self.arrival)
+                self.clock.call_at(SETTLING + chance.uniform(0.0, case.within), node.live)
+        self.clock.call_after(self.pause(), self.arrival)
 
     def now(self) -> float:
-        return EPOCH + self.clock.now
+        return EPOCH + self.clock.now_ms
 
     def work(self) -> float:
         return self.chance.uniform(0.5, 1.5) * 1000.0 / self.case.rate
@@ -180,19 +180,19 @@
     def arrival(self) -> None:
         self.asked += 1
         self.chance.choices(self.nodes, self.weights)[0].ask()
-        self.clock.after(self.pause(), self.arrival)
+        self.clock.call_after(self.pause(), self.arrival)
 
     def replace(self, part: int) -> None:
         """Half of those to be replaced go, and as many start; each node is told at a time of its own."""
         many = round(self.case.replaced * self.case.servers / 2)
         old = self.servers[many * part : many * (part + 1)]
-        new = [Server(f"t{part}.{i}", self.clock.now, self.case) for i in range(many)]
+        new = [Server(f"t{part}.{i}", self.clock.now_ms, self.case) for i in range(many)]
         self.started += new
         for server in old:
             server.standing = EndpointState.GONE
         for node in self.nodes:
-            self.clock.after(self.chance.uniform(20.0, 400.0), node.told, [*old, *new])
+            self.clock.call_after(self.chance.uniform(20.0, 400.0), node.told, [*old, *new])
 
     def play(self) -> list[Start]:
-        self.clock.run(SETTLING + STEP + self.case.rule.warmup_ms)
+        self.clock.run_until(SETTLING + STEP + self.case.rule.warmup_ms)
         return [Start(s.worst, s.fell) for s in self.started]
--- a/tests/compatibility/meanings.py
+++ b/tests/compatibility/meanings.py
@@ -25,8 +25,9 @@
 from onyxpost.planner import config as planner_file
 from onyxpost.rollout.routing_rules import schema
 from onyxpost.simulation import report, results
-from onyxpost.simulation.discrete_event.batch import one as emulate
-from onyxpost.simulation.discrete_event.scenario import load, packed, resized
+from onyxpost.simulation.discrete_event.batch import run_seed
+from onyxpost.simulation.discrete_event.scenario import encode_scenario
+from onyxpost.simulation.discrete_event.scenario_files import load_scenario, resize_scenario
 from onyxpost.simulation.invariants.records import Violation as EmulatorBreach
 from onyxpost.simulation.multiprocess import fault_script as fault_script
 from onyxpost.simulation.multiprocess.checker import Violation as RigBreach
@@ -316,8 +317,8 @@
 
 def emulator_results() -> bytes:
     """A short run of the emulator with few nodes, and two broken rules as it would write them."""
-    scenario = msgspec.structs.replace(resized(load("calm"), 4, 4), seconds=2.0, events=[])
-    data, _ = emulate(packed(scenario), 1, {})
+    scenario = msgspec.structs.replace(resize_scenario(load_scenario("calm"), 4, 4), seconds=2.0, events=[])
+    data = run_seed(encode_scenario(scenario), 1, {}).data
     lines = data.splitlines(keepends=True)
     breaches = [EmulatorBreach("once", 12.5, "n0", "r1", "s-1", "ran twice")._asdict()]
     broken = results.encode({"kind": "breach", **one} for one in breaches)
@@ -328,10 +329,10 @@
     """Results by line and as the comparison reads them, or the place and remedy of their refusal."""
     try:
         lines = results.read(path)
-        compared = report.compare(report.runs(path), report.runs(path)) if is_run(lines) else []
+        compared = report.compare(report.read_runs(path), report.read_runs(path)) if is_run(lines) else []
     except OperatorError as error:
         return {"refused": {"place": place_in(str(error)), "remedy": error.remedy}}
-    columns = {row.column: [row.a.low, row.a.mean, row.a.high] for row in compared}
+    columns = {row.figure: [row.first.low, row.first.mean, row.first.high] for row in compared}
     return {"lines": lines, "scenarios": sorted({row.scenario for row in compared}), "columns": columns}
 
 
--- a/tests/compatibility/record_simulation_digests.py
+++ b/tests/compatibility/record_simulation_digests.py
@@ -31,10 +31,14 @@
 from onyxpost.simulation import virtual_time
 from onyxpost.simulation.deterministic.fault_script import script
 from onyxpost.simulation.deterministic.seed_run import Play
-from onyxpost.simulation.discrete_event.node_model import Node
-from onyxpost.simulation.discrete_event.scenario import load, read, resized
-from onyxpost.simulation.discrete_event.server_model import Server
-from onyxpost.simulation.discrete_event.world import World, totals
+from onyxpost.simulation.discrete_event.decision_sink import NodeDecisionSink
+from onyxpost.simulation.discrete_event.network import Network
+from onyxpost.simulation.discrete_event.node_model import NodeModel
+from onyxpost.simulation.discrete_event.pending_requests import PendingRequests
+from onyxpost.simulation.discrete_event.run_results import run_totals
+from onyxpost.simulation.discrete_event.scenario_files import load_scenario, parse_scenario, resize_scenario
+from onyxpost.simulation.discrete_event.server_model import ServerModel
+from onyxpost.simulation.discrete_event.world import World
 from onyxpost.simulation.model_checking.failover_timing import story
 from onyxpost.simulation.model_checking.leadership_model import TERMS, DutyWorld
 from onyxpost.simulation.mutations import PLANTS
@@ -306,43 +310,59 @@
 def observe_emulator(digest: EventDigest) -> Iterator[None]:
     """Digest attempts, what servers take, answers, peer messages, starts and kills with their times in ms."""
 
+    def now(model: NodeModel | PendingRequests | ServerModel | Network) -> float:
+        return model._clock.now_ms
+
     def attempt(
-        original: Any, node: Node, request: str, server: str, give_up_after: float, begin_before: float
+        original: Any,
+        sink: NodeDecisionSink,
+        request: str,
+        server: str,
+        give_up_after: float,
+        begin_before: float,
     ) -> None:
         digest.add(
-            node.clock.now, "attempt", node.number, request, server, give_up_after, float(begin_before)
+            now(sink._environment.network),
+            "attempt",
+            sink._node.node_index,
+            request,
+            server,
+            give_up_after,
+            float(begin_before),
         )
-        original(node, request, server, give_up_after, begin_before)
+        original(sink, request, server, give_up_after, begin_before)
 
-    def take(original: Any, server: Server, flight: Any) -> None:
-        digest.add(server.clock.now, "request", server.id, *flight.name(), flight.work)
+    def take(original: Any, server: ServerModel, flight: Any) -> None:
+        digest.add(now(server), "request", server.server_id, *flight.origin, flight.work_ms)
         original(server, flight)
 
-    def answer(original: Any, node: Node, held: Any, final: str, retry_after: float) -> None:
+    def answer(original: Any, node: PendingRequests, held: Any, final: str, retry_after: float) -> None:
         code = {"passed": 200, "denied": 429, "aborted": 500}[final]
-        digest.add(node.clock.now, "answer", node.number, held.rid, code, float(retry_after))
+        digest.add(
+            now(node), "answer", int(node._node.removeprefix("n")), held.request_id, code, float(retry_after)
+        )
         original(node, held, final, retry_after)
 
-    def message(original: Any, world: World, node: Node, peer: int, body: str) -> None:
-        digest.add(world.clock.now, "message", node.number, peer, body)
-        original(world, node, peer, body)
+    def message(original: Any, network: Network, node: NodeModel, peer: NodeModel, body: str) -> None:
+        digest.add(now(network), "message", node.node_index, peer.node_index, body)
+        original(network, node, peer, body)
 
-    def start(original: Any, node: Node) -> None:
-        digest.add(node.clock.now, "start", node.number)
+    def start(original: Any, node: NodeModel) -> None:
+        digest.add(now(node), "start", node.node_index)
         original(node)
 
-    def kill(original: Any, node: Node) -> None:
-        digest.add(node.clock.now, "kill", node.number)
+    def kill(original: Any, node: NodeModel) -> None:
+        digest.add(now(node), "kill", node.node_index)
         original(node)
 
     with contextlib.ExitStack() as stack:
         for owner, name, wrapper in (
-            (Node, "start_attempt", attempt),
-            (Node, "answer", answer),
-            (Node, "start", start),
-            (Node, "kill", kill),
-            (Server, "take", take),
-            (World, "message", message),
+            (NodeDecisionSink, "start_attempt", attempt),
+            (PendingRequests, "answer", answer),
+            (NodeModel, "start", start),
+            (NodeModel, "kill", kill),
+            (ServerModel, "receive_attempt", take),
+            (Network, "send_peer_message", message),
         ):
             stack.enter_context(wrapped(owner, name, wrapper))
         yield
@@ -350,7 +370,7 @@
 
 def emulator_figures(world: World) -> Record:
     """Every figure of a run's totals but the counts of log lines by their wording."""
-    found = totals(world)
+    found = run_totals(world)
     return {
         "passed value": found["passed_value"],
         "worst 10 s": found["worst_10s"],
@@ -388,15 +408,15 @@
 def emulator_record(name: str, seed: int) -> Record:
     """One run of `onyxpost lab run` with few nodes and servers; `planners` is the scenario in this file."""
     if name == "planners":
-        scenario = read(PLANNER_SCENARIO, name)
+        scenario = parse_scenario(PLANNER_SCENARIO, name)
     else:
-        scenario = resized(load(name), EMULATOR_NODES, EMULATOR_SERVERS)
+        scenario = resize_scenario(load_scenario(name), EMULATOR_NODES, EMULATOR_SERVERS)
     digest = EventDigest()
     world = World(scenario, seed)
     with observe_emulator(digest):
-        world.play()
+        world.run()
     seconds = EventDigest()
-    for second in world.seconds:
+    for second in world.metrics.seconds:
         seconds.add(*emulator_second(second))
     return {
         "sha256": digest.hexdigest(),
--- /dev/null
+++ b/tests/simulation/discrete_event/test_runs.py
@@ -0,0 +1,35 @@
+"""Runs without faults: their load, their results, and that they can be repeated."""
+
+from __future__ import annotations
+
+import pytest
+
+from onyxpost.simulation.discrete_event.run_results import run_totals
+from onyxpost.simulation.discrete_event.scenario_files import parse_scenario
+from onyxpost.simulation.discrete_event.world import World
+from tests.simulation.discrete_event.small_scenario import SMALL_SCENARIO, fault_section, run_scenario
+
+
+def test_run_without_faults_succeeds_mostly_and_violates_no_invariant() -> None:
+    world = run_scenario()
+    totals = run_totals(world)
+    assert totals["passed_value"] > 0.9
+    assert totals["tries"] > 200
+    assert world.invariants.violations == []
+
+
+def test_same_seed_gives_same_totals_and_another_seed_others() -> None:
+    killed_nodes = fault_section("kill", at_s=2, share=0.5)
+    first, repeated, other = (run_totals(run_scenario(killed_nodes, seed=seed)) for seed in (3, 3, 4))
+    assert first == repeated
+    assert first != other
+
+
+def test_plans_give_the_utilization_that_the_scenario_names() -> None:
+    scenario = parse_scenario(SMALL_SCENARIO, "small")
+    world = World(scenario, 1)
+    capacity = 4 * 2 * 1.0 * 1000.0 / 50.0  # requests a second
+    clients = scenario.clients
+    used_share = clients.greedy_share + (1 - clients.greedy_share) * 0.6
+    expected = clients.utilization * capacity
+    assert 40 * world.plans[0].rate * used_share == pytest.approx(expected, rel=0.0, abs=5e-8)
