--- a/tests/compatibility/values.py
+++ b/tests/compatibility/values.py
@@ -31,6 +31,7 @@
 from onyxpost.leadership import protocol as duty_messages
 from onyxpost.leadership.ballots import Ballot
 from onyxpost.planner import protocol as planner_protocol
+from onyxpost.policy.peer_usage import PeerUsageAccounting
 from onyxpost.policy.quota_gossip import QuotaGossip
 from onyxpost.policy.quotas import QuotaPolicy
 from onyxpost.rollout.metrics import protocol as counts
@@ -235,11 +236,17 @@
         lease_ms=2000.0,
         sequence=9,
         settled_version=1,
-        era=8,
+        record_epoch_ms=8,
         record=RECORD,
     )
     told = m.RecoveryReply(
-        role="rollout", version=2, queried_at_ms=11, is_voting=True, record=RECORD, era=8, settled_version=2
+        role="rollout",
+        version=2,
+        queried_at_ms=11,
+        is_voting=True,
+        record=RECORD,
+        record_epoch_ms=8,
+        settled_version=2,
     )
     release = m.Release(role="rollout", version=2, ballot=BALLOT, was_leader=True)
     return {
@@ -250,9 +257,9 @@
         ),
         "seen, does not vote": msgspec.structs.replace(seen, is_voting=False),
         "prepare": m.Prepare(role="rollout", version=2, ballot=BALLOT),
-        "promise": m.Promise(role="rollout", version=2, ballot=BALLOT, record=RECORD, era=8),
+        "promise": m.Promise(role="rollout", version=2, ballot=BALLOT, record=RECORD, record_epoch_ms=8),
         "promise, empty record": m.Promise(
-            role="rollout", version=2, ballot=BALLOT, record=EMPTY_RECORD, era=0
+            role="rollout", version=2, ballot=BALLOT, record=EMPTY_RECORD, record_epoch_ms=0
         ),
         "accept, with record": accept,
         "accept, without record": msgspec.structs.replace(accept, record=None),
@@ -443,7 +450,7 @@
 def report_to(customer: CustomerQuota, peer: int, units: int, in_flight: int) -> None:
     """Applies a first report of a peer."""
     report = UsageReport(customer.key, units, in_flight, units, 0, Placement(0, 0, 0))
-    customer.apply_report(0.0, peer, "19c00", report)
+    PeerUsageAccounting().apply_report(customer, 0.0, peer, "19c00", report)
 
 
 def gossip_senders() -> dict[str, dict[int, CustomerQuota]]:
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -28,7 +28,7 @@
 def test_where_endpoints_are_polled_a_success_counts_as_recent_for_longer() -> None:
     """A drain begun since then does not count as reports yet: most nodes of a fleet that an overbooked
     discovery had turned away denied nearly all."""
-    host = Host(servers=1, drain_grace_ms=250.0, must_ask=True)
+    host = Host(servers=1, drain_grace_ms=250.0, polls_endpoints=True)
     ((_, request_id, _, _),) = host.arrive()
     host.now += 60.0
     host.end(request_id, AttemptResult.OK, 60.0)
@@ -71,15 +71,15 @@
 def test_removed_servers_are_forgotten() -> None:
     host = Host(servers=4)
     host.list(host.row(0, EndpointState.GONE), complete=False)
-    assert len(host.gateway.servers.known) == 3
+    assert len(host.gateway.state.servers.known) == 3
     host.list(host.row(1))
-    assert list(host.gateway.servers.known) == ["s1"]
+    assert list(host.gateway.state.servers.known) == ["s1"]
 
 
 def test_a_request_does_not_cost_a_look_at_the_statistics_of_all_servers() -> None:
     host = Host(servers=40)
     host.run(200.0)
-    with mock.patch.object(SlidingWindowCounter, "total", side_effect=AssertionError):
+    with mock.patch.object(SlidingWindowCounter, "totals", side_effect=AssertionError):
         assert kinds(host.arrive()) == ["attempt"]
 
 
--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -18,11 +18,11 @@
 def test_unused_customers_are_forgotten_also_without_peers() -> None:
     for peers in (True, False):
         host = Host(servers=20, peer_messages=peers)
-        for i in range(10):
-            sent = host.arrive(key=f"once{i}")
+        for index in range(10):
+            sent = host.arrive(key=f"once{index}")
             host.end(sent[0][1], AttemptResult.OK)
         host.run(70000.0)
-        assert host.gateway.customers.by_key == {}
+        assert host.gateway.state.customers.by_key == {}
 
 
 def test_a_customer_is_kept_until_its_bucket_is_full_again() -> None:
@@ -30,9 +30,9 @@
     host.run(90000.0)
     host.end(host.arrive(50)[0][1], AttemptResult.OK)
     host.run(40000.0)
-    assert len(host.gateway.customers.by_key) == 1
+    assert len(host.gateway.state.customers.by_key) == 1
     host.run(20000.0)
-    assert host.gateway.customers.by_key == {}
+    assert host.gateway.state.customers.by_key == {}
 
 
 def test_a_customer_is_kept_until_its_hard_limit_is_full_again() -> None:
