--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -35,6 +35,11 @@
         "a constant of the module and a number, as in Theta.PERIOD=250",
         "a constant of the policy and a number, as in LatencyLoadShedder.PERIOD_MS=250",
     ),
+    ("end the process that holds it, or name", "stop the process that uses it, or name"),
+    (
+        "look at this process's limits, of descriptors (`ulimit -n`) and of memory",
+        "check this process's limits of descriptors (`ulimit -n`) and of memory",
+    ),
 )
 
 USAGE_ERROR = re.compile(r"^Error: .*", re.MULTILINE | re.DOTALL)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -11,6 +11,7 @@
 
 import pytest
 
+from onyxpost.config.deployment import Deployment
 from onyxpost.node import config
 from onyxpost.node.edge_node import EdgeNode
 from onyxpost.runtime.structured_log import StructuredLog
@@ -22,7 +23,7 @@
 
 
 class Loads(unittest.IsolatedAsyncioTestCase):
-    def deployment(self) -> config.Deployment:
+    def deployment(self) -> Deployment:
         """Clients that wait long: where other work holds up the machine, none gives up."""
         told = config.decode(node_fields()).deployment
         return replace(told, frontends=[replace(f, client_timeout_ms=30_000.0) for f in told.frontends])
@@ -99,8 +100,8 @@
         while not program.is_ready():
             await asyncio.sleep(0.001)
         place.play(stub_upstreams.script(script, 5), lambda line: None)
-        assert program.clients.server is not None
-        address = program.clients.server.sockets[0].getsockname()
+        assert program.clients.listener.server is not None
+        address = program.clients.listener.server.sockets[0].getsockname()
         counts = await load.Sender(address, told.deployment, load.Load(80.0, 1.2, 9, 50, 3)).run()
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
