--- a/onyxpost/simulation/cli.py
+++ b/onyxpost/simulation/cli.py
@@ -12,7 +12,7 @@
 from onyxpost.simulation.cli_errors import report_operator_errors
 from onyxpost.simulation.cli_options import ANY_FILE, FILE
 from onyxpost.simulation.cli_sockets import load, planner_cluster, stubs
-from onyxpost.simulation.discrete_event import scenario as scenarios
+from onyxpost.simulation.discrete_event import scenario_files
 from onyxpost.simulation.multiprocess.cli import processes
 
 if TYPE_CHECKING:
@@ -28,8 +28,8 @@
 @simulate.command("scenarios")
 def list_scenarios() -> None:
     """List the scenarios that are shipped."""
-    for name in scenarios.shipped():
-        scenario = scenarios.load(name)
+    for name in scenario_files.shipped_scenarios():
+        scenario = scenario_files.load_scenario(name)
         click.echo(f"{name:18} {scenario.seconds:4.0f} s  {scenario.about}")
 
 
@@ -42,11 +42,11 @@
     """Compare results A and B: what differs beyond the spread of their seeds."""
     from onyxpost.simulation import report
 
-    runs_a = report.runs(a)
-    runs_b = report.runs(b)
+    runs_a = report.read_runs(a)
+    runs_b = report.read_runs(b)
     rows = report.compare(runs_a, runs_b)
     counts = (_count(runs_a), _count(runs_b))
-    click.echo(report.text(rows, counts))
+    click.echo(report.format_comparisons(rows, counts))
     if plot_file is not None:
         report.plot({a.stem: runs_a, b.stem: runs_b}, plot_file)
 
--- a/onyxpost/simulation/cli_deterministic.py
+++ b/onyxpost/simulation/cli_deterministic.py
@@ -73,7 +73,7 @@
     was finished is kept.
     """
     from onyxpost.simulation import deterministic as simulation
-    from onyxpost.simulation.discrete_event.batch import seeds as parse_seeds
+    from onyxpost.simulation.seed_ranges import parse_seeds
 
     _check_mutation(options.mutation)
     seeds = parse_seeds(options.seeds)
--- a/onyxpost/simulation/cli_discrete_event.py
+++ b/onyxpost/simulation/cli_discrete_event.py
@@ -12,12 +12,13 @@
 from onyxpost.simulation.cli_errors import report_operator_errors
 from onyxpost.simulation.cli_options import SEEDS_HELP, jobs_option, pass_options, seconds_out_option
 from onyxpost.simulation.cli_output import InterruptCatcher, ViolationLine, echo_violations, exit_code
-from onyxpost.simulation.discrete_event import scenario as scenarios
+from onyxpost.simulation.discrete_event import scenario_files
+from onyxpost.simulation.seed_ranges import parse_seeds
 
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from onyxpost.simulation.discrete_event.batch import Changes
+    from onyxpost.simulation.discrete_event.policy_overrides import PolicyOverrides
     from onyxpost.simulation.discrete_event.scenario import Scenario
 
 MAX_PRINTED_VIOLATIONS = 3  # of one run
@@ -40,7 +41,7 @@
 
     scenarios: list[Scenario]
     seeds: list[int]
-    overrides: Changes
+    overrides: PolicyOverrides
     jobs: int
 
 
@@ -54,7 +55,7 @@
 
     def add(self, data: bytes) -> None:
         """Adds the lines of one run, whose last is its totals."""
-        total = results.last(data)
+        total = results.decode_totals(data)
         self.data += data
         self.violations += total["breaches"]
         self.events += total["events"]
@@ -99,28 +100,29 @@
 
 def _create_batch(options: DiscreteEventOptions) -> Batch:
     """Reads the scenarios and checks the options. Raises InvalidSimulationInputError."""
-    from onyxpost.simulation.discrete_event import batch
+    from onyxpost.simulation.discrete_event.policy_overrides import parse_overrides
 
-    seeds = batch.seeds(options.seeds)
-    overrides = batch.changes(options.overrides)
+    seeds = parse_seeds(options.seeds)
+    overrides = parse_overrides(options.overrides)
     chosen = [
-        scenarios.resized(scenarios.load(name), options.nodes, options.servers) for name in options.scenario
+        scenario_files.resize_scenario(scenario_files.load_scenario(name), options.nodes, options.servers)
+        for name in options.scenario
     ]
     return Batch(chosen, seeds, overrides, options.jobs)
 
 
 def _run_scenario(scenario: Scenario, batch: Batch, finished: BatchResults) -> None:
     """Runs all seeds of one scenario; adds and prints each as it is finished."""
-    from onyxpost.simulation.discrete_event.batch import many
+    from onyxpost.simulation.discrete_event.batch import run_seeds
 
-    for seed, data, seconds in many(scenario, batch.seeds, batch.jobs, batch.overrides):
+    for seed, data, seconds in run_seeds(scenario, batch.seeds, batch.jobs, batch.overrides):
         finished.add(data)
         _echo_run(scenario.name, seed, data, seconds)
 
 
 def _echo_run(name: str, seed: int, data: bytes, seconds: float) -> None:
     """Prints the totals of a run and its first violations."""
-    total = results.last(data)
+    total = results.decode_totals(data)
     click.echo(
         f"{name:18} seed {seed:<6} passed value {total['passed_value']:.3f}"
         f"  worst 10 s {total['worst_10s']:.3f}  rejected with capacity left {total['denied_with_room']:.3f}"
@@ -136,6 +138,6 @@
             server=fields["server"],
             description=fields["what"],
         )
-        for fields in results.breaches(data)
+        for fields in results.decode_violations(data)
     )
     echo_violations(violations, MAX_PRINTED_VIOLATIONS)
--- a/onyxpost/simulation/multiprocess/batch.py
+++ b/onyxpost/simulation/multiprocess/batch.py
@@ -5,7 +5,6 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from onyxpost.simulation.deprecation import warn_deprecated
-from onyxpost.simulation.discrete_event.batch import seeds as parse_seeds
 from onyxpost.simulation.multiprocess.environments import LEADERSHIP, environment_name
 from onyxpost.simulation.multiprocess.errors import InvalidScenarioError
 from onyxpost.simulation.multiprocess.fault_script import FaultScript, decode_script
@@ -19,6 +18,7 @@
     shipped_scenarios,
     with_size,
 )
+from onyxpost.simulation.seed_ranges import parse_seeds
 
 if TYPE_CHECKING:
     from pathlib import Path
--- a/tests/policy/test_constant_names.py
+++ b/tests/policy/test_constant_names.py
@@ -12,7 +12,7 @@
 from onyxpost.policy.rejection import Rejections
 from onyxpost.policy.server_assessment import ServerAssessment
 from onyxpost.policy.slow_start import SlowStart
-from onyxpost.simulation.discrete_event import batch
+from onyxpost.simulation.discrete_event import policy_overrides
 
 MOVED = {
     "Gateway.GOSSIP_INTERVAL_MS": (GossipExchange, "GOSSIP_INTERVAL_MS"),
@@ -48,7 +48,7 @@
 def test_a_constant_that_has_moved_is_set_by_its_earlier_name(name: str) -> None:
     owner, constant = MOVED[name]
     before = getattr(owner, constant)
-    with batch.tried(batch.changes([f"{name}=3"])):
+    with policy_overrides.override_policy(policy_overrides.parse_overrides([f"{name}=3"])):
         assert getattr(owner, constant) == 3.0
     assert getattr(owner, constant) == before
 
@@ -56,16 +56,16 @@
 @pytest.mark.parametrize("name", UNMOVED)
 def test_a_constant_that_has_not_moved_is_set_by_its_name(name: str) -> None:
     owner_name, constant = name.split(".")
-    (owner,) = (kind for kind in batch.TRIED if kind.__name__ == owner_name)
+    (owner,) = (kind for kind in policy_overrides.OVERRIDABLE_CLASSES if kind.__name__ == owner_name)
     before = getattr(owner, constant)
-    with batch.tried(batch.changes([f"{name}=3"])):
+    with policy_overrides.override_policy(policy_overrides.parse_overrides([f"{name}=3"])):
         assert getattr(owner, constant) == 3
     assert getattr(owner, constant) == before
 
 
-@pytest.mark.parametrize("name", batch.RENAMED)
+@pytest.mark.parametrize("name", policy_overrides.EARLIER_NAMES)
 def test_every_earlier_name_sets_a_constant_of_the_class_that_has_it_now(name: str) -> None:
-    owner_name, constant = batch.RENAMED[name].split(".")
-    (owner,) = (kind for kind in batch.TRIED if kind.__name__ == owner_name)
+    owner_name, constant = policy_overrides.EARLIER_NAMES[name].split(".")
+    (owner,) = (kind for kind in policy_overrides.OVERRIDABLE_CLASSES if kind.__name__ == owner_name)
     assert constant in vars(owner)
-    assert batch.changes([f"{name}=3"]) == {name: 3.0}
+    assert policy_overrides.parse_overrides([f"{name}=3"]) == {name: 3.0}
