--- a/tests/leadership/test_fenced_calls.py
+++ b/tests/leadership/test_fenced_calls.py
@@ -13,13 +13,16 @@
 ROLE = "d0"
 
 
+@pytest.fixture
+def resource() -> FencedResource:
+    return FencedResource()
+
+
 async def call_as(town: Town, name: str) -> None:
     await town.nodes[name].leadership.call(ACTS, ROLE, b"x", TIMEOUT_MS)
 
 
-def test_calls_carry_the_token_and_a_higher_one_ends_the_leadership() -> None:
-    resource = FencedResource()
-
+def test_calls_carry_the_token_and_a_higher_one_ends_the_leadership(resource: FencedResource) -> None:
     async def scenario(town: Town) -> None:
         await resource.listen(town)
         (leader,) = town.holders(ROLE)
@@ -44,9 +47,7 @@
     run_cluster(scenario)
 
 
-def test_a_lease_that_ends_while_the_call_connects_sends_nothing() -> None:
-    resource = FencedResource()
-
+def test_a_lease_that_ends_while_the_call_connects_sends_nothing(resource: FencedResource) -> None:
     async def scenario(town: Town) -> None:
         await resource.listen(town)
         (leader,) = town.holders(ROLE)
@@ -60,9 +61,7 @@
     run_cluster(scenario)
 
 
-def test_a_call_in_flight_when_its_leader_was_stopped_is_rejected() -> None:
-    resource = FencedResource()
-
+def test_a_call_in_flight_when_its_leader_was_stopped_is_rejected(resource: FencedResource) -> None:
     async def scenario(town: Town) -> None:
         await resource.listen(town)
         (leader,) = town.holders(ROLE)
@@ -82,9 +81,7 @@
     run_cluster(scenario)
 
 
-def test_the_resource_gets_reports_of_each_leader() -> None:
-    resource = FencedResource()
-
+def test_the_resource_gets_reports_of_each_leader(resource: FencedResource) -> None:
     async def scenario(town: Town) -> None:
         await resource.listen(town)
         await asyncio.sleep(2.0)
