--- a/onyxpost/simulation/multiprocess/cli.py
+++ b/onyxpost/simulation/multiprocess/cli.py
@@ -150,8 +150,8 @@
 
 
 def _drawn_batch(options: RunOptions, scenario_name: str) -> Batch:
-    from onyxpost.simulation.discrete_event.batch import seeds as parse_seeds
     from onyxpost.simulation.multiprocess.scenario import draw_script, load_scenario, with_size
+    from onyxpost.simulation.seed_ranges import parse_seeds
 
     scenario = with_size(load_scenario(scenario_name), options.nodes, options.seconds)
     scripts = [draw_script(scenario, seed, options.mutation) for seed in parse_seeds(options.seeds)]
