--- a/onyxpost/simulation/cli_sockets.py
+++ b/onyxpost/simulation/cli_sockets.py
@@ -37,15 +37,15 @@
     """Send open-loop load to the node at ADDRESS, on loopback only."""
     from onyxpost.config.address import parse_address
     from onyxpost.node import config
-    from onyxpost.simulation import load as sending
+    from onyxpost.simulation import load as generator
 
-    wanted = sending.bounded(sending.Load(rate, seconds, customers, connections, seed))
-    where = sending.loopback(parse_address(address))
+    wanted = generator.check_options(generator.LoadOptions(rate, seconds, customers, connections, seed))
+    where = generator.require_loopback(parse_address(address))
     known = config.read({"EDGE_CONFIG": str(file)}).deployment
-    counts = sending.send(where, known, wanted)
-    click.echo(sending.text(counts))
+    counts = generator.generate_load(where, known, wanted)
+    click.echo(counts.to_text())
     if out is not None:
-        results.write(out, results.encode(counts.lines(wanted)))
+        results.write(out, results.encode(counts.to_lines(wanted)))
 
 
 @click.command()
@@ -73,18 +73,22 @@
 
     from onyxpost.config.address import parse_address
     from onyxpost.simulation import stub_upstreams as standing
-    from onyxpost.simulation.load import loopback
+    from onyxpost.simulation.load import require_loopback
 
-    told_faults = standing.script(faults, servers) if faults is not None else standing.Script()
-    at = loopback(parse_address(discovery))
-    place = standing.Stand(servers, delay, port, at)
+    told_faults = standing.StubFaultScript()
+    if faults is not None:
+        told_faults = standing.read_fault_script(faults, servers)
+    at = require_loopback(parse_address(discovery))
+    place = standing.StubEnvironment(servers, delay, port, at)
 
     def ready() -> None:
-        standing.write_node(example, out, place)
+        standing.write_node_file(example, out, place)
         click.echo(f"{servers} app servers and discovery at {discovery}; the node's file is {out}", err=True)
 
     try:
-        served = asyncio.run(standing.run(place, told_faults, seconds, ready, partial(click.echo, err=True)))
+        served = asyncio.run(
+            standing.run_environment(place, told_faults, seconds, ready, partial(click.echo, err=True))
+        )
     except KeyboardInterrupt:
         return
     click.echo(f"{served} pages served")
--- a/onyxpost/simulation/demo.py
+++ b/onyxpost/simulation/demo.py
@@ -1,8 +1,7 @@
-"""A first look: one node before stand-in app servers and discovery, and a few reqs.
+"""A demonstration: one node before stub app servers and discovery, and a few requests.
 
-`python -m onyxpost.simulation.demo` needs what a node needs and nothing else. All is on free ports of
-127.0.0.1;
-what it started it ends.
+`python -m onyxpost.simulation.demo` needs only what a node needs. Everything is on free ports of 127.0.0.1,
+and every process that is started is ended.
 """
 
 from __future__ import annotations
@@ -15,181 +14,228 @@
 import sys
 import tempfile
 import time
-from collections.abc import AsyncIterator, Callable
 from functools import partial
+from http import HTTPStatus
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import h11
 import msgspec
 
-from onyxpost.runtime.http1 import READ_CHUNK_BYTES, encode_message
 from onyxpost.simulation.errors import ProcessNotStartedError
-from onyxpost.simulation.stub_upstreams import Stand, write_node
+from onyxpost.simulation.free_ports import ANY_PORT, LOOPBACK, find_free_ports
+from onyxpost.simulation.http_client import HttpClient, RequestFields, outcome_of
+from onyxpost.simulation.stub_upstreams import StubEnvironment, write_node_file
+
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator, Callable, Mapping
 
 EXAMPLE = Path(__file__).parents[2] / "deploy" / "example-node.json"
-SERVERS, DELAY = 3, 20.0  # ms in which a stand-in answers
-READY, LEAVE, ANSWER = 10.0, 5.0, 5.0  # s
-TRIES = 4
-UNITS = 4  # of each req; the example's plan holds 10 at once
+SERVERS = 3
+LATENCY_MS = 20.0  # of the stub app servers
+READY_TIMEOUT_SECONDS = 10.0
+READY_POLL_SECONDS = 0.02
+STOP_TIMEOUT_SECONDS = 5.0  # after SIGTERM, before SIGKILL
+ANSWER_TIMEOUT_SECONDS = 5.0
+CLOSE_SECONDS = 0.05  # for connections that the node closed to end
+CLIENT_TIMEOUT_MS = 1900.0
+MAX_TRIES = 4  # on a slow machine the quota is refilled meanwhile
+UNITS = 4  # of each request; the example's plan holds 10 at once
+MS_PER_SECOND = 1000.0
+HEALTH_CHECK = "/healthz"
 
 
 class Answer(NamedTuple):
+    """A node's answer; header names are in lower case."""
+
     status: int
-    headers: dict[str, str]
+    headers: Mapping[str, str]
     body: str
-    took: float  # ms
+    latency_ms: float
+
+
+class DemoRequests:
+    """Requests of the example's first frontend and plan, each printed with its answer."""
+
+    def __init__(self, port: int, fields: dict[str, Any], show: Callable[[str], None]) -> None:
+        self.port = port
+        self.frontend = fields["settings"]["grades"][0]
+        self.plan = fields["settings"]["packages"][0]
+        self.show = show
+        self._count = 0
+
+    async def send(self, customer: int) -> Answer:
+        """Sends a request of a customer. Raises OSError or h11.ProtocolError if there is no answer."""
+        self._count += 1
+        fields = RequestFields(f"demo-{self._count}", self.plan["name"], customer, CLIENT_TIMEOUT_MS, UNITS)
+        answer = await get(self.port, f"/{self.frontend['name']}/{self._count}", fields.headers())
+        retry_after = answer.headers.get("retry-after")
+        detail = f"Retry-After: {retry_after}" if retry_after is not None else answer.body
+        self.show(
+            f"  customer {customer}, {UNITS} units:  {answer.status} {outcome_of(answer.status)}"
+            f"  {answer.latency_ms:4.0f} ms  {detail}"
+        )
+        return answer
+
+    async def run(self) -> bool:
+        """Whether requests within the quota passed, and one over it was rejected until the refill."""
+        self.show(
+            f"plan {self.plan['name']}: each customer may use {self.plan['refill']:g} units a second,"
+            f" {self.plan['depth']:g} at once"
+        )
+        within_quota = [(await self.send(1)).status, (await self.send(1)).status]
+        rejected = await self._send_until_rejected()
+        within_quota.append((await self.send(2)).status)
+        within_quota.append(await self._retry(rejected))
+        is_rejected = rejected.status == HTTPStatus.TOO_MANY_REQUESTS and "retry-after" in rejected.headers
+        return is_rejected and set(within_quota) == {HTTPStatus.OK}
+
+    async def _send_until_rejected(self) -> Answer:
+        for _ in range(MAX_TRIES):
+            answer = await self.send(1)
+            if answer.status != HTTPStatus.OK:
+                break
+        return answer
 
+    async def _retry(self, answer: Answer) -> int:
+        """Sends the request again when the answer says so; returns the last status."""
+        for _ in range(MAX_TRIES):
+            if answer.status != HTTPStatus.TOO_MANY_REQUESTS:
+                break
+            wait_seconds = float(answer.headers.get("retry-after", "1"))
+            self.show(f"  {wait_seconds:g} s later, as it was told:")
+            await asyncio.sleep(wait_seconds)
+            answer = await self.send(1)
+        return answer.status
 
-async def ask(port: int, target: str, headers: list[tuple[str, str]]) -> Answer:
-    """One GET on a connection of its own. OSError (TimeoutError too), h11.ProtocolError: no answer."""
-    began, http, status, body = time.monotonic(), h11.Connection(h11.CLIENT), 0, b""
-    named: dict[str, str] = {}
-    async with asyncio.timeout(ANSWER):
-        reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        try:
-            headers = [("Host", "onyxpost"), ("Connection", "close"), *headers]
-            writer.write(encode_message(http, h11.Request(method="GET", target=target, headers=headers)))
-            while not isinstance(event := http.next_event(), h11.EndOfMessage):
-                if event is h11.NEED_DATA:
-                    http.receive_data(await reader.read(READ_CHUNK_BYTES))
-                elif isinstance(event, h11.Response):
-                    status = event.status_code
-                    named = {name.decode(): value.decode() for name, value in event.headers}
-                elif isinstance(event, h11.Data):
-                    body += bytes(event.data)
-        finally:
-            writer.close()
-    return Answer(status, named, body.decode(errors="replace"), (time.monotonic() - began) * 1000.0)
 
+async def get(port: int, target: str, headers: list[tuple[str, str]]) -> Answer:
+    """Sends a GET on a connection of its own.
 
-def free_port(kind: socket.SocketKind) -> int:
-    with socket.socket(socket.AF_INET, kind) as one:
-        one.bind(("127.0.0.1", 0))
-        return int(one.getsockname()[1])
+    Raises:
+        OSError: No connection, or no answer in time.
+        h11.ProtocolError: The answer is malformed or truncated.
+    """
+    started_at = time.monotonic()
+    if not headers:
+        headers = [("Host", "onyxpost")]
+    request = h11.Request(method="GET", target=target, headers=[*headers, ("Connection", "close")])
+    async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
+        client = await HttpClient.connect((LOOPBACK, port))
+        try:
+            response = await client.exchange(request)
+        finally:
+            client.close()
+    latency_ms = (time.monotonic() - started_at) * MS_PER_SECOND
+    body = response.body.decode(errors="replace")
+    return Answer(response.status, response.headers, body, latency_ms)
 
 
 @contextlib.asynccontextmanager
-async def node(place: Stand, fields: dict[str, Any], folder: Path) -> AsyncIterator[int]:
-    """Runs a node as a process before the stubs at `place`; yields its port.
+async def running_node(
+    environment: StubEnvironment, fields: dict[str, Any], folder: Path
+) -> AsyncIterator[int]:
+    """Runs a node as a process before the stubs; yields its port.
 
     Raises ProcessNotStartedError if it does not serve in time.
     """
-    port, own = free_port(socket.SOCK_STREAM), f"127.0.0.1:{free_port(socket.SOCK_DGRAM)}"
-    example, file = folder / "example.json", folder / "node.json"
-    fields = fields | {"listen": f"127.0.0.1:{port}", "peer_listen": own, "peers": [own]}
+    (port,) = find_free_ports(1)
+    (peer_port,) = find_free_ports(1, socket.SOCK_DGRAM)
+    peer_address = f"{LOOPBACK}:{peer_port}"
+    fields = fields | {
+        "listen": f"{LOOPBACK}:{port}",
+        "peer_listen": peer_address,
+        "peers": [peer_address],
+    }
+    example = folder / "example.json"
     example.write_bytes(msgspec.json.encode(fields))
-    write_node(example, file, place)
-    environ = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
+    node_file = folder / "node.json"
+    write_node_file(example, node_file, environment)
     log = folder / "node.log"
-    with log.open("wb") as out:
-        process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            "-m",
-            "onyxpost",
-            "serve",
-            stdout=out,
-            stderr=out,
-            env=environ | {"EDGE_CONFIG": str(file)},
-            cwd=EXAMPLE.parents[1],
-        )
+    process = await _start_node(node_file, log)
     try:
-        until = time.monotonic() + READY
-        while True:
-            with contextlib.suppress(OSError, h11.ProtocolError):
-                if (await ask(port, "/healthz", [])).status == 200:
-                    break
-            if process.returncode is not None or time.monotonic() > until:
-                last = log.read_text().strip().rsplit("\n", 1)[-1]
-                raise ProcessNotStartedError(f"the node at 127.0.0.1:{port} does not serve: {last}")
-            await asyncio.sleep(0.02)
+        await _wait_until_serving(process, port, log)
         yield port
     finally:
-        with contextlib.suppress(ProcessLookupError):
-            process.send_signal(signal.SIGTERM)
-        try:
-            await asyncio.wait_for(process.wait(), LEAVE)
-        except TimeoutError:
-            process.kill()
-            await process.wait()
-
-
-async def reqs(port: int, fields: dict[str, Any], say: Callable[[str], None]) -> bool:
-    """Within the quota, over it, another customer's, and the first one's again when it was told to come."""
-    frontend, plan = fields["settings"]["grades"][0], fields["settings"]["packages"][0]
-    rate, burst = plan["refill"], plan["depth"]
-    say(f"plan {plan['name']}: each customer may use {rate:g} units a second, {burst:g} at once")
-    number = 0
-
-    async def one(customer: int) -> Answer:
-        nonlocal number
-        number += 1
-        answer = await ask(
-            port,
-            f"/{frontend['name']}/{number}",
-            [
-                ("X-Trace-Id", f"demo-{number}"),
-                ("Plan", plan["name"]),
-                ("Cookie", f"key={customer:016x}"),
-                ("X-Expires-In", "1900m"),
-                ("Quota-Info", f"units={UNITS},spread=1,first=0"),
-            ],
-        )
-        what = {200: "passed", 429: "denied", 503: "denied"}.get(answer.status, "aborted")
-        retry = answer.headers.get("retry-after")
-        more = f"Retry-After: {retry}" if retry is not None else answer.body
-        say(f"  customer {customer}, {UNITS} units:  {answer.status} {what}  {answer.took:4.0f} ms  {more}")
-        return answer
+        await _stop(process)
+
+
+async def run_demo(environment: StubEnvironment, show: Callable[[str], None]) -> bool:
+    """Whether each request was answered as it must be; `show` is called with each line.
 
-    good = [(await one(1)).status == 200, (await one(1)).status == 200]
-    for _ in range(TRIES):  # a slow machine: the store fills meanwhile
-        if (answer := await one(1)).status != 200:
-            break
-    good += [answer.status == 429 and "retry-after" in answer.headers, (await one(2)).status == 200]
-    for _ in range(TRIES):
-        if answer.status != 429:
-            break
-        wait = float(answer.headers.get("retry-after", "1"))
-        say(f"  {wait:g} s later, as it was told:")
-        await asyncio.sleep(wait)
-        answer = await one(1)
-    return all(good) and answer.status == 200
-
-
-async def play(place: Stand, say: Callable[[str], None]) -> bool:
-    """Whether each req came out as it must. ProcessNotStartedError: the node did not serve."""
+    Raises ProcessNotStartedError if the node does not serve in time.
+    """
     fields = msgspec.json.decode(EXAMPLE.read_bytes())
-    await place.open()
+    await environment.open()
     try:
         with tempfile.TemporaryDirectory() as folder:
-            async with node(place, fields, Path(folder)) as port:
-                beside = f"{len(place.servers)} stand-in app servers and discovery beside it"
-                say(f"a node at 127.0.0.1:{port}, {beside}")
-                good = await reqs(port, fields, say)
+            async with running_node(environment, fields, Path(folder)) as port:
+                stubs = f"{len(environment.servers)} stub app servers and discovery beside it"
+                show(f"a node at {LOOPBACK}:{port}, {stubs}")
+                is_correct = await DemoRequests(port, fields, show).run()
     finally:
-        for listener in (place.agent.listener, *(server.listener for server in place.servers)):
-            if listener is not None:
-                listener.close()
-        for writer in list(place.agent.writers):
-            writer.transport.abort()
-        await asyncio.sleep(0.05)  # connections that the node closed come to their end
-    say("all ended" if good else "not as it should be: see above")
-    return good
+        await environment.close()
+        await asyncio.sleep(CLOSE_SECONDS)
+    show("all ended" if is_correct else "not as it should be: see above")
+    return is_correct
 
 
 async def main() -> int:
-    """The exit code: 0 only if each req came out as it must."""
-    say = partial(print, flush=True)
-    loop, task = asyncio.get_running_loop(), asyncio.current_task()
+    """Returns the exit code: 0 only if each request was answered as it must be."""
+    task = asyncio.current_task()
     assert task is not None
-    loop.add_signal_handler(signal.SIGTERM, task.cancel)
+    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
+    environment = StubEnvironment(SERVERS, LATENCY_MS, 0, ANY_PORT)
     try:
-        return 0 if await play(Stand(SERVERS, DELAY, 0, ("127.0.0.1", 0)), say) else 1
-    except (ProcessNotStartedError, OSError, h11.ProtocolError) as err:
-        print(f"onyxpost: {err or type(err).__name__}", file=sys.stderr)
+        is_correct = await run_demo(environment, partial(print, flush=True))
+    except (ProcessNotStartedError, OSError, h11.ProtocolError) as error:
+        print(f"onyxpost: {error or type(error).__name__}", file=sys.stderr)
         return 1
     except asyncio.CancelledError:
         return 1
+    return 0 if is_correct else 1
+
+
+async def _start_node(node_file: Path, log: Path) -> asyncio.subprocess.Process:
+    """Starts a node whose settings come from its file alone."""
+    environment = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
+    with log.open("wb") as output:
+        return await asyncio.create_subprocess_exec(
+            sys.executable,
+            "-m",
+            "onyxpost",
+            "serve",
+            stdout=output,
+            stderr=output,
+            env=environment | {"EDGE_CONFIG": str(node_file)},
+            cwd=EXAMPLE.parents[1],
+        )
+
+
+async def _wait_until_serving(process: asyncio.subprocess.Process, port: int, log: Path) -> None:
+    deadline = time.monotonic() + READY_TIMEOUT_SECONDS
+    while not await _is_serving(port):
+        if process.returncode is not None or time.monotonic() > deadline:
+            last_line = log.read_text().strip().rsplit("\n", 1)[-1]
+            raise ProcessNotStartedError(f"the node at {LOOPBACK}:{port} does not serve: {last_line}")
+        await asyncio.sleep(READY_POLL_SECONDS)
+
+
+async def _is_serving(port: int) -> bool:
+    try:
+        return (await get(port, HEALTH_CHECK, [])).status == HTTPStatus.OK
+    except (OSError, h11.ProtocolError):
+        return False
+
+
+async def _stop(process: asyncio.subprocess.Process) -> None:
+    with contextlib.suppress(ProcessLookupError):
+        process.send_signal(signal.SIGTERM)
+    try:
+        await asyncio.wait_for(process.wait(), STOP_TIMEOUT_SECONDS)
+    except TimeoutError:
+        process.kill()
+        await process.wait()
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/onyxpost/simulation/http_client.py
@@ -0,0 +1,102 @@
+"""HTTP as the simulation's clients speak it: one connection, and the headers of a request to a node."""
+
+from __future__ import annotations
+
+import asyncio
+from http import HTTPStatus
+from typing import TYPE_CHECKING, NamedTuple
+
+import h11
+
+from onyxpost.runtime.http1 import READ_CHUNK_BYTES, encode_message, read_response, start_next_cycle
+
+if TYPE_CHECKING:
+    from onyxpost.config.address import Address
+
+MAX_RESPONSE_BYTES = 2**24
+
+PASSED = "passed"
+REJECTED = "denied"  # the word of the result files
+ABORTED = "aborted"
+OUTCOMES: dict[int, str] = {
+    HTTPStatus.OK: PASSED,
+    HTTPStatus.TOO_MANY_REQUESTS: REJECTED,
+    HTTPStatus.SERVICE_UNAVAILABLE: REJECTED,
+}
+
+
+def outcome_of(status: int) -> str:
+    """Returns what a node's answer means for the client; any status but 200, 429 and 503 is an abort."""
+    return OUTCOMES.get(status, ABORTED)
+
+
+class RequestFields(NamedTuple):
+    """What a node reads in a request's headers."""
+
+    trace_id: str
+    plan: str
+    customer: int
+    timeout_ms: float
+    units: int
+    node_count: int = 1  # of the customer's nodes
+    first_node: int = 0
+
+    def headers(self) -> list[tuple[str, str]]:
+        """Returns the headers, `Host` among them."""
+        return [
+            ("Host", "onyxpost"),
+            ("X-Trace-Id", self.trace_id),
+            ("Plan", self.plan),
+            ("Cookie", f"key={self.customer:016x}"),
+            ("X-Expires-In", f"{self.timeout_ms:.0f}m"),
+            ("Quota-Info", f"units={self.units},spread={self.node_count},first={self.first_node}"),
+        ]
+
+
+class HttpResponse(NamedTuple):
+    """A complete response; header names are in lower case."""
+
+    status: int
+    headers: dict[str, str]
+    body: bytes
+
+
+class HttpClient:
+    """One connection, for one request after the other."""
+
+    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self._reader = reader
+        self._writer = writer
+        self._http = h11.Connection(h11.CLIENT)
+
+    @classmethod
+    async def connect(cls, address: Address) -> HttpClient:
+        """Opens a connection. Raises OSError."""
+        reader, writer = await asyncio.open_connection(*address)
+        return cls(reader, writer)
+
+    async def exchange(self, request: h11.Request, body: bytes = b"") -> HttpResponse:
+        """Sends a request and returns its complete response.
+
+        Raises:
+            OSError: The connection broke.
+            h11.ProtocolError: The response is malformed or truncated.
+        """
+        self._writer.write(encode_message(self._http, request, body))
+        response, content = await read_response(
+            self._http, lambda: self._reader.read(READ_CHUNK_BYTES), MAX_RESPONSE_BYTES
+        )
+        headers = {name.decode(): value.decode() for name, value in response.headers}
+        return HttpResponse(response.status_code, headers, content)
+
+    def start_next_request(self) -> bool:
+        """Whether both sides keep the connection for another request, which may then be sent."""
+        return start_next_cycle(self._http)
+
+    def is_open(self) -> bool:
+        """Whether neither side has closed the connection yet, as far as is known."""
+        return not self._reader.at_eof() and not self._writer.transport.is_closing()
+
+    def close(self) -> None:
+        """Closes the connection."""
+        self._writer.close()
--- /dev/null
+++ b/onyxpost/simulation/load/options.py
@@ -0,0 +1,56 @@
+"""What load is sent, and its bounds."""
+
+from __future__ import annotations
+
+import ipaddress
+from typing import TYPE_CHECKING, NamedTuple
+
+from onyxpost.simulation.errors import InvalidOptionError, NotLoopbackError
+
+if TYPE_CHECKING:
+    from onyxpost.config.address import Address
+
+MAX_REQUESTS = 1_000_000
+MAX_SECONDS = 3600.0
+MAX_CONNECTIONS = 20_000
+
+
+class LoadOptions(NamedTuple):
+    """The load of a run; the field names are keys of the results.
+
+    Attributes:
+        rate: Requests a second, on average.
+        seconds: Duration.
+        customers: Number of customers that the requests are of.
+        connections: Limit of connections that are open at once.
+        seed: Of the arrivals and of what is requested.
+    """
+
+    rate: float
+    seconds: float
+    customers: int
+    connections: int
+    seed: int
+
+
+def check_options(options: LoadOptions) -> LoadOptions:
+    """Returns the options. Raises InvalidOptionError if one is out of bounds."""
+    if not 0.0 < options.seconds <= MAX_SECONDS:
+        raise InvalidOptionError(f"{options.seconds:g} s: from above 0 to {MAX_SECONDS:.0f}")
+    if not 0.0 < options.rate * options.seconds <= MAX_REQUESTS:
+        raise InvalidOptionError(
+            f"{options.rate:g} reqs a second for {options.seconds:g} s: at most {MAX_REQUESTS} reqs"
+        )
+    if not 0 < options.connections <= MAX_CONNECTIONS:
+        raise InvalidOptionError(f"{options.connections} connections: from 1 to {MAX_CONNECTIONS}")
+    return options
+
+
+def require_loopback(address: Address) -> Address:
+    """Returns the address. Raises NotLoopbackError unless it is an IP address of this machine alone."""
+    try:
+        if ipaddress.ip_address(address[0]).is_loopback:
+            return address
+    except ValueError:
+        pass
+    raise NotLoopbackError("only addresses on loopback are sent load", "{}:{}".format(*address))
--- /dev/null
+++ b/onyxpost/simulation/load/results.py
@@ -0,0 +1,87 @@
+"""Outcomes and latencies of the requests of a run."""
+
+from __future__ import annotations
+
+from collections import Counter
+from typing import TYPE_CHECKING, Any
+
+from hdrh.histogram import HdrHistogram
+
+from onyxpost.simulation.http_client import PASSED, REJECTED
+
+if TYPE_CHECKING:
+    from onyxpost.simulation.load.options import LoadOptions
+
+MAX_LATENCY_US = 60_000_000  # longer latencies count as this
+SIGNIFICANT_DIGITS = 3
+US_PER_MS = 1000.0
+PERCENTILES = (50, 90, 99, 99.9, 100)
+ALL = "all"
+MEASURED_OUTCOMES = (PASSED, REJECTED)  # with latencies of their own
+
+
+class LoadResults:
+    """What became of the requests.
+
+    Attributes:
+        outcomes: Number of requests by outcome: passed, denied, aborted, cut (no complete answer), timed_out.
+        outcomes_by_second: The same, by the second in which a request was due.
+        latencies_us: Histograms of the latency from the time at which a request was due, by outcome.
+        late_requests: Requests that the generator itself sent late.
+        connections_opened: Number of connections opened.
+    """
+
+    def __init__(self) -> None:
+        self.outcomes: Counter[str] = Counter()
+        self.outcomes_by_second: list[Counter[str]] = []
+        self.latencies_us = {
+            outcome: HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+            for outcome in (*MEASURED_OUTCOMES, ALL)
+        }
+        self.late_requests = 0
+        self.connections_opened = 0
+
+    def add(self, due_seconds: float, latency_ms: float, outcome: str) -> None:
+        """Counts a request that was due at `due_seconds` after the start of the run."""
+        self.outcomes[outcome] += 1
+        latency_us = min(MAX_LATENCY_US, max(1, round(latency_ms * US_PER_MS)))
+        for measured in (ALL, outcome):
+            if measured in self.latencies_us:
+                self.latencies_us[measured].record_value(latency_us)
+        while len(self.outcomes_by_second) <= int(due_seconds):
+            self.outcomes_by_second.append(Counter())
+        self.outcomes_by_second[int(due_seconds)][outcome] += 1
+
+    def percentiles_ms(self) -> dict[str, dict[str, float]]:
+        """The percentiles of the latency in ms, by outcome and then by name, as in `p99`."""
+        return {
+            outcome: {
+                f"p{percentile:g}": histogram.get_value_at_percentile(percentile) / US_PER_MS
+                for percentile in PERCENTILES
+            }
+            for outcome, histogram in self.latencies_us.items()
+            if histogram.get_total_count()
+        }
+
+    def to_lines(self, options: LoadOptions) -> list[dict[str, Any]]:
+        """Returns the lines of a results file: the options, each second, and the total."""
+        seconds = [
+            {"kind": "second", "t": second, **dict(sorted(outcomes.items()))}
+            for second, outcomes in enumerate(self.outcomes_by_second)
+        ]
+        total: dict[str, Any] = {"kind": "total", **dict(sorted(self.outcomes.items()))}
+        for outcome, percentiles in self.percentiles_ms().items():
+            total[f"{outcome}_ms"] = percentiles
+        total |= {"late_sent": self.late_requests, "opened": self.connections_opened}
+        return [{"kind": "load", **options._asdict()}, *seconds, total]
+
+    def to_text(self) -> str:
+        """Returns the total for people."""
+        lines = ["  ".join(f"{outcome} {count}" for outcome, count in sorted(self.outcomes.items()))]
+        for outcome, percentiles in self.percentiles_ms().items():
+            figures = "  ".join(f"{name} {latency_ms:.2f}" for name, latency_ms in percentiles.items())
+            lines.append(f"{outcome:8} ms from the time it was due: {figures}")
+        lines.append(
+            f"connections opened {self.connections_opened}; sent late by this tool {self.late_requests}"
+        )
+        return "\n".join(lines)
--- a/onyxpost/simulation/open_loop.py
+++ b/onyxpost/simulation/open_loop.py
@@ -3,17 +3,32 @@
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable, Coroutine
     from random import Random
 
 
+class Arrival(NamedTuple):
+    """A request is due; `number` counts from 1."""
+
+    number: int
+    due_seconds: float
+
+
 async def poisson_arrivals(
     rng: Random, rate_per_second: float, duration_seconds: float, now_seconds: Callable[[], float]
 ) -> AsyncIterator[int]:
-    """Yields 1, 2, ... at the arrivals of a Poisson process, until the duration is over.
+    """Yields 1, 2, ... at the arrivals of a Poisson process; the arguments are those of `timed_arrivals`."""
+    async for arrival in timed_arrivals(rng, rate_per_second, duration_seconds, now_seconds):
+        yield arrival.number
+
+
+async def timed_arrivals(
+    rng: Random, rate_per_second: float, duration_seconds: float, now_seconds: Callable[[], float]
+) -> AsyncIterator[Arrival]:
+    """Yields the arrivals of a Poisson process, each when it is due, until the duration is over.
 
     Args:
         rng: gives the interval before each arrival; the caller may draw from it between two of them.
@@ -26,7 +41,7 @@
     while due_seconds < duration_seconds:
         await asyncio.sleep(max(0.0, due_seconds - now_seconds()))
         count += 1
-        yield count
+        yield Arrival(count, due_seconds)
         due_seconds += rng.expovariate(rate_per_second)
 
 
--- a/onyxpost/simulation/planner_cluster/load_generator.py
+++ b/onyxpost/simulation/planner_cluster/load_generator.py
@@ -10,7 +10,8 @@
 
 import h11
 
-from onyxpost.simulation.load import Client
+from onyxpost.simulation.free_ports import LOOPBACK
+from onyxpost.simulation.http_client import HttpClient, RequestFields, outcome_of
 from onyxpost.simulation.open_loop import BackgroundTasks, poisson_arrivals
 from onyxpost.simulation.planner_cluster.files import FRONTEND, PLAN
 from onyxpost.simulation.planner_cluster.options import CLIENT_TIMEOUT_US, MAX_REQUEST_UNITS
@@ -20,12 +21,12 @@
     from onyxpost.simulation.planner_cluster.usage_counter import UsageCounter
 
 MS_PER_SECOND = 1000.0
+US_PER_MS = 1000.0
 ANSWER_GRACE_SECONDS = 0.25  # beyond the client's timeout: an answer on its way is not lost
 DRAIN_SECONDS = 10.0  # for the last requests to be answered
 REQUESTS_PER_POPULARITY = 1000  # after so many requests other forwarders get most of the traffic
 HEAVY_CUSTOMER_INTERVAL = 4  # each fourth customer sends more than the others
 HEAVY_CUSTOMER_WEIGHT = 3.0
-OUTCOMES = {200: "passed", 429: "denied", 503: "denied"}  # by HTTP status
 
 
 class SentRequest(NamedTuple):
@@ -88,26 +89,26 @@
         self.unseen_requests[trace] = request
         self.counter.count_arrival(self.now(), request.customer, request.units)
         outcome = "lost"
-        writer = None
+        client = None
         try:
             async with asyncio.timeout(CLIENT_TIMEOUT_US / 1e6 + ANSWER_GRACE_SECONDS):
-                reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                status = await Client(reader, writer).ask(self._http_request(trace, request), b"")
-            outcome = OUTCOMES.get(status, "aborted")
+                client = await HttpClient.connect((LOOPBACK, port))
+                response = await client.exchange(self._http_request(trace, request))
+            outcome = outcome_of(response.status)
         except (OSError, h11.ProtocolError):
             pass  # counted as lost
         finally:
-            if writer is not None:
-                writer.close()
+            if client is not None:
+                client.close()
         self.counter.count_outcome(self.now(), request.customer, request.units, outcome)
 
     def _http_request(self, trace: str, request: SentRequest) -> h11.Request:
-        headers = [
-            ("Host", "onyxpost"),
-            ("X-Trace-Id", trace),
-            ("Plan", PLAN),
-            ("Cookie", f"key={request.customer:016x}"),
-            ("X-Expires-In", f"{CLIENT_TIMEOUT_US // 1000}m"),
-            ("Quota-Info", f"units={request.units},spread={self.options.forwarders},first=0"),
-        ]
-        return h11.Request(method="GET", target=f"/{FRONTEND}/1", headers=headers)
+        fields = RequestFields(
+            trace_id=trace,
+            plan=PLAN,
+            customer=request.customer,
+            timeout_ms=CLIENT_TIMEOUT_US / US_PER_MS,
+            units=request.units,
+            node_count=self.options.forwarders,
+        )
+        return h11.Request(method="GET", target=f"/{FRONTEND}/1", headers=fields.headers())
--- /dev/null
+++ b/tests/simulation/stub_upstreams/test_fault_script.py
@@ -0,0 +1,27 @@
+"""Files of faults that do not have the form are rejected with the place of the error."""
+
+from pathlib import Path
+
+import pytest
+
+from onyxpost.simulation.errors import InvalidSimulationInputError
+from onyxpost.simulation.stub_upstreams import read_fault_script
+
+
+@pytest.mark.parametrize(
+    ("text", "place"),
+    [
+        pytest.param('[[faults]]\nat_s = 1\nkind = "no"', "$.faults[0].kind", id="unknown kind"),
+        pytest.param("[[faults]]\nat_s = -1", "$.faults[0]", id="negative time"),
+        pytest.param(
+            '[[faults]]\nat_s = 1\nkind = "hang"\nserver = 3', "$.faults[0].server", id="no such server"
+        ),
+        pytest.param("faults = 1", "$.faults", id="not a list"),
+    ],
+)
+def test_an_invalid_script_is_rejected_with_its_place(tmp_path: Path, text: str, place: str) -> None:
+    path = tmp_path / "faults.toml"
+    path.write_text(text)
+    with pytest.raises(InvalidSimulationInputError) as error:
+        read_fault_script(path, 3)
+    assert place in str(error.value)
