--- a/onyxpost/simulation/cli_sockets.py
+++ b/onyxpost/simulation/cli_sockets.py
@@ -87,16 +87,16 @@
     from onyxpost.node import config
     from onyxpost.simulation import load as generator
 
-    rates = generator.Load(
+    rates = generator.LoadOptions(
         options.rate, options.seconds, options.customers, options.connections, options.seed
     )
-    bounded = generator.bounded(rates)
-    target = generator.loopback(parse_address(options.address))
+    bounded = generator.check_options(rates)
+    target = generator.require_loopback(parse_address(options.address))
     deployment = config.read({"EDGE_CONFIG": str(options.node_file)}).deployment
-    counts = generator.send(target, deployment, bounded)
-    click.echo(generator.text(counts))
+    counts = generator.generate_load(target, deployment, bounded)
+    click.echo(counts.to_text())
     if options.out is not None:
-        results.write(options.out, results.encode(counts.lines(bounded)))
+        results.write(options.out, results.encode(counts.to_lines(bounded)))
 
 
 @click.command()
@@ -123,16 +123,16 @@
 
     from onyxpost.config.address import parse_address
     from onyxpost.simulation import stub_upstreams
-    from onyxpost.simulation.load import loopback
+    from onyxpost.simulation.load import require_loopback
 
-    script = stub_upstreams.Script()
+    script = stub_upstreams.StubFaultScript()
     if options.faults is not None:
-        script = stub_upstreams.script(options.faults, options.servers)
-    discovery = loopback(parse_address(options.discovery))
-    environment = stub_upstreams.Stand(options.servers, options.delay, options.port, discovery)
+        script = stub_upstreams.read_fault_script(options.faults, options.servers)
+    discovery = require_loopback(parse_address(options.discovery))
+    environment = stub_upstreams.StubEnvironment(options.servers, options.delay, options.port, discovery)
 
     def on_ready() -> None:
-        stub_upstreams.write_node(options.example, options.out, environment)
+        stub_upstreams.write_node_file(options.example, options.out, environment)
         click.echo(
             f"{options.servers} app servers and discovery at {options.discovery};"
             f" the node's file is {options.out}",
@@ -141,7 +141,9 @@
 
     log = partial(click.echo, err=True)
     try:
-        served = asyncio.run(stub_upstreams.run(environment, script, options.seconds, on_ready, log))
+        served = asyncio.run(
+            stub_upstreams.run_environment(environment, script, options.seconds, on_ready, log)
+        )
     except KeyboardInterrupt:
         return
     click.echo(f"{served} requests served")
--- a/tests/compatibility/record_simulations.py
+++ b/tests/compatibility/record_simulations.py
@@ -161,5 +161,5 @@
             },
             "deterministic": {"0-3": seeds.read_text(encoding="utf-8")},
             "deterministic, mutation": {"2,5": failed.read_text(encoding="utf-8")},
-            "load": simulation_meanings.load_results(LOAD_SAMPLES).decode(),
+            "load": simulation_meanings.load_result_lines(LOAD_SAMPLES).decode(),
         }
--- a/tests/compatibility/simulation_meanings.py
+++ b/tests/compatibility/simulation_meanings.py
@@ -11,9 +11,11 @@
 
 import msgspec
 
-from onyxpost.simulation import deterministic, load, results
+from onyxpost.simulation import deterministic, results
 from onyxpost.simulation.deterministic.fault_script import script as draw_deterministic_faults
 from onyxpost.simulation.invariants import Violation
+from onyxpost.simulation.load.options import LoadOptions
+from onyxpost.simulation.load.results import LoadResults
 from onyxpost.simulation.multiprocess import scenario as scenarios
 from onyxpost.simulation.multiprocess.fault_script import decode_script, encode_script
 from tests.compatibility import meanings
@@ -71,15 +73,15 @@
     return results.encode([deterministic.line(outcome)])
 
 
-def load_results(samples: Iterable[tuple[float, float, str]]) -> bytes:
+def load_result_lines(samples: Iterable[tuple[float, float, str]]) -> bytes:
     """Results of `lab load --out`; a sample is when a request was due in s, ms to its answer, and its end."""
-    counts = load.Counts()
-    for due, took_ms, final in samples:
-        counts.add(due, took_ms, final)
-    counts.opened = 3
-    counts.late_sent = 1
-    options = load.Load(rate=50.0, seconds=2.0, customers=20, connections=200, seed=1)
-    return results.encode(counts.lines(options))
+    load_results = LoadResults()
+    for due_seconds, latency_ms, outcome in samples:
+        load_results.add(due_seconds, latency_ms, outcome)
+    load_results.connections_opened = 3
+    load_results.late_requests = 1
+    options = LoadOptions(rate=50.0, seconds=2.0, customers=20, connections=200, seed=1)
+    return results.encode(load_results.to_lines(options))
 
 
 def read_results(path: Path) -> dict[str, Any]:
--- a/tests/compatibility/test_build_results.py
+++ b/tests/compatibility/test_build_results.py
@@ -107,4 +107,4 @@
 
 
 def test_load_results_are_written_as_recorded() -> None:
-    assert simulation_meanings.load_results(record_simulations.LOAD_SAMPLES).decode() == BUILD["load"]
+    assert simulation_meanings.load_result_lines(record_simulations.LOAD_SAMPLES).decode() == BUILD["load"]
