--- a/tests/simulation/discrete_event/test_command_line.py
+++ b/tests/simulation/discrete_event/test_command_line.py
@@ -23,9 +23,9 @@
     return path
 
 
-def run_command(*words: object) -> Result:
+def run_command(*arguments: object) -> Result:
     """Runs a command of the simulation in this process."""
-    return CliRunner().invoke(main, ["lab", *map(str, words)])
+    return CliRunner().invoke(main, ["lab", *map(str, arguments)])
 
 
 def test_results_do_not_depend_on_the_number_of_processes(scenario_file: Path, tmp_path: Path) -> None:
@@ -50,9 +50,9 @@
     scenario_file: Path, tmp_path: Path
 ) -> None:
     out = tmp_path / "out.jsonl"
-    words = ["lab", "run", str(scenario_file), "--seeds", "1-500", "--jobs", "2", "--out", str(out)]
+    arguments = ["lab", "run", str(scenario_file), "--seeds", "1-500", "--jobs", "2", "--out", str(out)]
     with subprocess.Popen(
-        [sys.executable, "-u", "-m", "onyxpost", *words],
+        [sys.executable, "-u", "-m", "onyxpost", *arguments],
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
         text=True,
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         ("run", "no-such"),
         ("run", "small.toml", "--seeds", "5-1"),
@@ -112,13 +112,13 @@
 )
 @pytest.mark.usefixtures("scenario_file")
 def test_invalid_input_is_reported_in_one_line_with_exit_code_2(
-    words: tuple[str, ...], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    arguments: tuple[str, ...], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.chdir(tmp_path)
     old = results.encode([{"kind": "total"}]).replace(b'"version":1', b'"version":0')
     Path("old.jsonl").write_bytes(old)
     Path("truncated.jsonl").write_text('{"kind": "to')
-    result = run_command(*words)
+    result = run_command(*arguments)
     reports = [line for line in result.output.splitlines() if line.startswith("onyxpost: ")]
     assert result.exit_code == 2, result.output
     assert len(reports) == 1, result.output
--- a/tests/simulation/discrete_event/test_scenario_files.py
+++ b/tests/simulation/discrete_event/test_scenario_files.py
@@ -1,4 +1,4 @@
-"""Scenario files: those shipped, refusals with their place, sizes from the command line."""
+"""Scenario files: those shipped, refusals with their location, sizes from the command line."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "place"),
+    ("text", "location"),
     [
         (SMALL_SCENARIO.replace("nodes = 4", 'nodes = "4"'), "$.fleet.nodes"),
         (SMALL_SCENARIO.replace("nodes = 4", "nodes = 0"), "$.fleet.nodes"),
@@ -48,10 +48,10 @@
         "malformed TOML",
     ],
 )
-def test_invalid_scenario_is_rejected_in_one_line_with_its_place(text: str, place: str) -> None:
+def test_invalid_scenario_is_rejected_in_one_line_with_its_place(text: str, location: str) -> None:
     with pytest.raises(InvalidSimulationInputError) as caught:
         parse_scenario(text, "small")
-    assert place in str(caught.value)
+    assert location in str(caught.value)
     assert "\n" not in str(caught.value)
 
 
