--- a/tests/simulation/discrete_event/test_scenario_files.py
+++ b/tests/simulation/discrete_event/test_scenario_files.py
@@ -14,7 +14,7 @@
 from tests.simulation.discrete_event.small_scenario import SMALL_SCENARIO, fault_section
 
 
-def test_at_least_eight_scenarios_are_shipped() -> None:
+def test_eight_scenarios_or_more_are_shipped() -> None:
     assert len(shipped_scenarios()) >= 8
 
 
@@ -48,7 +48,7 @@
         "malformed TOML",
     ],
 )
-def test_invalid_scenario_is_rejected_in_one_line_with_its_place(text: str, location: str) -> None:
+def test_invalid_scenario_is_rejected_in_one_line_with_its_location(text: str, location: str) -> None:
     with pytest.raises(InvalidSimulationInputError) as caught:
         parse_scenario(text, "small")
     assert location in str(caught.value)
