--- a/tests/simulation/discrete_event/test_scenario_files.py
+++ b/tests/simulation/discrete_event/test_scenario_files.py
@@ -1,4 +1,4 @@
-"""Scenario files: those shipped, refusals with their place, sizes from the command line."""
+"""Scenario files: those shipped, refusals with their location, sizes from the command line."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.simulation.discrete_event.small_scenario import SMALL_SCENARIO, fault_section
 
 
-def test_at_least_eight_scenarios_are_shipped() -> None:
+def test_eight_scenarios_or_more_are_shipped() -> None:
     assert len(shipped_scenarios()) >= 8
 
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "place"),
+    ("text", "location"),
     [
         (SMALL_SCENARIO.replace("nodes = 4", 'nodes = "4"'), "$.fleet.nodes"),
         (SMALL_SCENARIO.replace("nodes = 4", "nodes = 0"), "$.fleet.nodes"),
@@ -48,10 +48,10 @@
         "malformed TOML",
     ],
 )
-def test_invalid_scenario_is_rejected_in_one_line_with_its_place(text: str, place: str) -> None:
+def test_invalid_scenario_is_rejected_in_one_line_with_its_location(text: str, location: str) -> None:
     with pytest.raises(InvalidSimulationInputError) as caught:
         parse_scenario(text, "small")
-    assert place in str(caught.value)
+    assert location in str(caught.value)
     assert "\n" not in str(caught.value)
 
 
