--- a/onyxpost/simulation/cli.py
+++ b/onyxpost/simulation/cli.py
@@ -148,8 +148,8 @@
         for fault in least.faults:
             click.echo(f"  at {fault.at:.4f} s  {fault.kind} {fault.whom} for {fault.lasts} s ({fault.more})")
         for b in least.violations[:3]:
-            where = f"node {b.node}, req {b.req}, server {b.server}"
-            click.echo(f"  {b.rule} broken at {b.at:.3f} ms: {where}: {b.what}")
+            where = f"node {b.node}, request {b.request_id}, server {b.server}"
+            click.echo(f"  {b.invariant} violated at {b.at_ms:.3f} ms: {where}: {b.description}")
     took = time.perf_counter() - began
     asked = sum(outcome.asked for outcome in outcomes)
     passed = sum(outcome.passed for outcome in outcomes)
--- a/onyxpost/simulation/deterministic/cluster.py
+++ b/onyxpost/simulation/deterministic/cluster.py
@@ -19,8 +19,8 @@
 from onyxpost.node.edge_node import EdgeNode
 from onyxpost.runtime.http1 import encode_message
 from onyxpost.simulation.deterministic.discovery_agent import FailingAgent
-from onyxpost.simulation.invariants import ANSWERS, InvariantChecker
-from onyxpost.simulation.invariants.endpoint_knowledge import COUNTS
+from onyxpost.simulation.invariants import AttemptRecord, Invariant, InvariantChecker, Violation
+from onyxpost.simulation.invariants.endpoint_knowledge import PROPAGATION_MS
 from onyxpost.simulation.settings import PATIENT as PATIENT
 from onyxpost.simulation.settings import SETTINGS as SETTINGS
 from onyxpost.simulation.stubs import AppServer
@@ -44,7 +44,8 @@
         self.cluster.logged.append((round(at - EPOCH, 3), self.name, event))
         if event in ("fault", "overdue"):
             cause = str(fields.get("cause", fields.get("request", "")))[-300:]
-            self.cluster.checker.record_violation(ANSWERS, at - EPOCH, self.name, "", "", f"{event}: {cause}")
+            violation = Violation(Invariant.ANSWERS, at - EPOCH, self.name, "", "", f"{event}: {cause}")
+            self.cluster.checker.record_violation(violation)
 
 
 class Edge:
@@ -117,9 +118,10 @@
         if self.task is task:
             if not task.done():
                 at = self.cluster.now()
-                self.cluster.checker.record_violation(
-                    ANSWERS, at, self.name, "", "", "still there 3 s after SIGTERM"
+                violation = Violation(
+                    Invariant.ANSWERS, at, self.name, "", "", "still running 3 s after SIGTERM"
                 )
+                self.cluster.checker.record_violation(violation)
             self.kill()
             self.start()
 
@@ -156,11 +158,11 @@
         self.frontends = {f.name: f for f in told.frontends}
         self.plans = told.plans
         self.checker = InvariantChecker(
-            grace=settings["rules"]["drain_grace_us"] / 1000.0,
-            cold=told.slow_start,
+            drain_grace_ms=settings["rules"]["drain_grace_us"] / 1000.0,
+            slow_start=told.slow_start,
             plans=told.plans,
-            slack=SLACK,
-            largest=LARGEST,
+            tolerance_ms=SLACK,
+            max_request_units=LARGEST,
         )
         self.meta: dict[str, tuple[str, str]] = {}  # by trace: the plan, the node that last took it
 
@@ -188,12 +190,12 @@
     def reached(self, writer: asyncio.StreamWriter, trace: str, server: AppServer) -> tuple[str, int]:
         node = str(writer.transport.other.name).split(".")[0]  # type: ignore[attr-defined]
         plan = self.meta.get(trace, ("", ""))[0]
-        self.checker.on_attempt_sent(
-            self.now(), node, trace, server.id, server.zone, server.number % 2, plan, self.now()
-        )
+        now = self.now()
+        attempt = AttemptRecord(node, trace, server.id, now, now, server.zone, server.number % 2, plan)
+        self.checker.on_attempt_sent(attempt)
         self.checker.on_call_received(self.now(), server.id, node, trace)
-        taken = self.checker.requests.get((node, trace))
-        return node, len(taken.sent) - 1 if taken is not None else 0
+        taken = self.checker.history.get(node, trace)
+        return node, len(taken.attempts) - 1 if taken is not None else 0
 
     def never_ran(self, node: str, trace: str, number: int) -> None:
         self.checker.on_attempt_ended(self.now(), node, trace, number, True)
@@ -210,7 +212,7 @@
         if edge.program is None or agent is not edge.named or not agent.reachable:
             return
         now = self.now()
-        within = max(COUNTS if agent.disturbed else 0.0, agent.counts_from - now)
+        within = max(PROPAGATION_MS if agent.disturbed else 0.0, agent.counts_from - now)
         if within <= 0.0:
             self.list_told(agent.number, rows)
             return
@@ -270,9 +272,10 @@
             return "left"
         except (OSError, h11.ProtocolError) as err:
             if edge.life == life and edge.program is not None:
-                self.checker.record_violation(
-                    ANSWERS, self.now(), edge.name, trace, "", f"no whole answer: {err!r}"
+                violation = Violation(
+                    Invariant.ANSWERS, self.now(), edge.name, trace, "", f"no complete answer: {err!r}"
                 )
+                self.checker.record_violation(violation)
             return "cut"
         writer.close()
         if edge.life == life and edge.program is not None:
--- a/onyxpost/simulation/deterministic/seed_sweep.py
+++ b/onyxpost/simulation/deterministic/seed_sweep.py
@@ -15,12 +15,12 @@
 
 def shrunk(outcome: Outcome, plant: str = "") -> Outcome:
     """Faults are left out while the same rule still breaks without them."""
-    rules = {breach.rule for breach in outcome.violations}
+    rules = {violation.invariant for violation in outcome.violations}
     best, at = outcome, 0
     while at < len(best.faults):
         fewer = best.faults[:at] + best.faults[at + 1 :]
         tried = play(outcome.seed, fewer, plant)
-        if rules & {breach.rule for breach in tried.violations}:
+        if rules & {violation.invariant for violation in tried.violations}:
             best = tried
         else:
             at += 1
@@ -62,6 +62,6 @@
         "passed": outcome.passed,
         "steps": outcome.steps,
         "digest": outcome.digest,
-        "breaches": [breach._asdict() for breach in outcome.violations],
+        "breaches": [violation.to_record() for violation in outcome.violations],
         "faults": [fault._asdict() for fault in outcome.faults] if outcome.failed else [],
     }
--- a/onyxpost/simulation/discrete_event/world.py
+++ b/onyxpost/simulation/discrete_event/world.py
@@ -13,7 +13,7 @@
 from onyxpost.simulation.discrete_event.node_model import Held, Node
 from onyxpost.simulation.discrete_event.planner_model import PlannerModel
 from onyxpost.simulation.discrete_event.server_model import Server
-from onyxpost.simulation.invariants import InvariantChecker
+from onyxpost.simulation.invariants import AttemptRecord, InvariantChecker
 from onyxpost.simulation.virtual_time import EPOCH
 
 SLACK = 50.0  # ms that the checker allows beside each limit
@@ -68,11 +68,11 @@
         self.works = {work.name: work for work in scenario.work}
         self.plans = self._plans()
         self.checker = InvariantChecker(
-            grace=scenario.drain_grace_ms,
-            cold=self.cold,
+            drain_grace_ms=scenario.drain_grace_ms,
+            slow_start=self.cold,
             plans=self.plans,
-            slack=SLACK,
-            largest=max(work.units for work in scenario.work),
+            tolerance_ms=SLACK,
+            max_request_units=max(work.units for work in scenario.work),
         )
         self.seconds: list[Counter[str]] = [Counter() for _ in range(int(scenario.seconds) + 1)]
         self.modes: Counter[str] = Counter()
@@ -166,7 +166,7 @@
         self.clock.after(100.0, self.look)
 
     def _coldest(self) -> int:
-        loads = [self.checker.slow_start_load(server) for server in self.checker.warming_servers]
+        loads = [self.checker.slow_start_load(server) for server in self.checker.slow_start.servers]
         return round(1000.0 * max(loads, default=0.0))
 
     def sweep(self, node: Node) -> None:
@@ -292,9 +292,9 @@
             beyond = ask.customer.quota.draw(now, ask.units)
             ask.within = not beyond
             self.count("units_beyond", beyond)
-        self.checker.on_attempt_sent(
-            now, node.name, held.rid, server.id, f"h{server.zone}", server.cell, ask.customer.plan.name, now
-        )
+        zone, plan = f"h{server.zone}", ask.customer.plan.name
+        attempt = AttemptRecord(node.name, held.rid, server.id, now, now, zone, server.cell, plan)
+        self.checker.on_attempt_sent(attempt)
 
     # Servers and lists
 
@@ -443,7 +443,7 @@
     for t, second in enumerate(world.seconds[: int(sc.seconds)]):
         yield {"kind": "second", "t": t, **{k: round(v, 3) for k, v in sorted(second.items())}}
     for b in world.checker.violations:
-        yield {"kind": "breach", **b._asdict()}
+        yield {"kind": "breach", **b.to_record()}
     yield {"kind": "total", **head, **totals(world)}
 
 
--- a/onyxpost/simulation/invariants/checker.py
+++ b/onyxpost/simulation/invariants/checker.py
@@ -1,270 +1,228 @@
-"""The rules, checked after every step by whoever hosts a node: emulator, virtual clock or sockets.
+"""Checks the invariants after every step of whoever hosts the nodes: emulator, virtual clock or processes.
 
-No I/O and no clock. The host tells what happened, at its own time in ms; a broken rule becomes a `Violation`
-that names the rule, req, node, server and time. What a node could know and what was so are both told: the
-rules on effects and drains go by what the node was told, or counts as told, those on cold servers by what
-reached the server.
+No I/O and no clock. The host reports each event with its own time in ms; a violated invariant becomes a
+`Violation` with the request, node, server and time. The host reports both what a node could know and what
+was so: the invariants on retries and drains go by what the node was notified of, or counts as notified of;
+those on slow start by what reached the server.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from typing import TYPE_CHECKING
 
-from onyxpost.core.types import (
-    DeduplicationScope,
-    EndpointState,
-    Frontend,
-    Idempotency,
-    Plan,
-    SlowStartPolicy,
-)
 from onyxpost.simulation.invariants.disconnected_clients import DisconnectedClients
-from onyxpost.simulation.invariants.endpoint_knowledge import COUNTS, EndpointKnowledge
-from onyxpost.simulation.invariants.records import (
-    ANSWERS,
-    CEILINGS,
-    COLD,
-    COLD_SUM,
-    DRAINS,
-    EFFECTS,
-    FINALS,
-    GONE,
-    GONE_FIRSTS,
-    TOLD,
-    AttemptRecord,
-    Bucket,
-    RequestRecord,
-    Violation,
-)
-from onyxpost.simulation.invariants.slow_start import WarmingServer
+from onyxpost.simulation.invariants.drains import DrainChecker
+from onyxpost.simulation.invariants.endpoint_knowledge import PROPAGATION_MS, EndpointKnowledge
+from onyxpost.simulation.invariants.hard_limits import HardLimitChecker
+from onyxpost.simulation.invariants.idempotency import IdempotencyChecker
+from onyxpost.simulation.invariants.records import AttemptRecord, Invariant, RequestRecord, Violation
+from onyxpost.simulation.invariants.requests import RequestHistory
+from onyxpost.simulation.invariants.slow_start import Call, SlowStartChecker
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from onyxpost.core.types import EndpointState, Frontend, Plan, SlowStartPolicy
+
+FINAL_ANSWERS = ("passed", "denied", "aborted")
+DEFAULT_CALL_WORK_MS = 1.0
 
 
 class InvariantChecker:
+    """Combines one checker for each concern; each `on_*` method is one event of the host.
+
+    Args:
+        drain_grace_ms: How long a node may go on sending to a server after the notification of its drain.
+        slow_start: The policy that the nodes have.
+        plans: The plans that the nodes have.
+        tolerance_ms: Added to each limit of time.
+        hard_limit_tolerance: The fraction of a hard limit's burst by which it may be exceeded.
+        max_request_units: The units of the largest request: a hard limit may always be exceeded by one.
+    """
+
     def __init__(
         self,
         *,
-        grace: float,
-        cold: SlowStartPolicy,
+        drain_grace_ms: float,
+        slow_start: SlowStartPolicy,
         plans: Iterable[Plan],
-        slack: float = 0.0,
-        ceiling_slack: float = 0.1,
-        largest: int = 1,
+        tolerance_ms: float = 0.0,
+        hard_limit_tolerance: float = 0.1,
+        max_request_units: int = 1,
     ) -> None:
-        self.grace, self.cold_rule, self.slack = grace, cold, slack
-        self.plans = {plan.name: plan for plan in plans}
-        self.ceiling_slack, self.largest = ceiling_slack, largest
+        self.tolerance_ms = tolerance_ms
         self.violations: list[Violation] = []
-        self.requests: dict[tuple[str, str], RequestRecord] = {}
-        self.unanswered: dict[tuple[str, str], RequestRecord] = {}
-        self.endpoint_knowledge, self.disconnected_clients = EndpointKnowledge(), DisconnectedClients(slack)
-        self.buckets: dict[str, Bucket] = {}
-        self.warming_servers: dict[str, WarmingServer] = {}
         self.steps = 0
+        self.history = RequestHistory()
+        self.idempotency = IdempotencyChecker(tolerance_ms)
+        self.endpoint_knowledge = EndpointKnowledge()
+        self.drains = DrainChecker(self.endpoint_knowledge, drain_grace_ms, tolerance_ms)
+        self.disconnected_clients = DisconnectedClients(tolerance_ms)
+        self.hard_limits = HardLimitChecker(plans, hard_limit_tolerance, max_request_units)
+        self.slow_start = SlowStartChecker(slow_start)
 
-    def record_violation(self, rule: str, at: float, node: str, req: str, server: str, what: str) -> None:
-        self.violations.append(Violation(rule, at, node, req, server, what))
+    def record_violation(self, violation: Violation) -> None:
+        """Adds a violation that the host or one of the checkers has found."""
+        self.violations.append(violation)
 
-    # What happens to reqs
+    def _report(self, violation: Violation | None) -> None:
+        if violation is not None:
+            self.violations.append(violation)
 
-    def on_request_received(
-        self, at: float, node: str, req: str, frontend: Frontend, customer: str, units: int, leaves: float
-    ) -> None:
-        self.steps += 1
-        self.requests[node, req] = self.unanswered[node, req] = RequestRecord(
-            node, req, frontend, customer, units, leaves
-        )
+    # Requests and attempts
 
-    def on_attempt_sent(
+    def on_request_received(
         self,
-        at: float,
+        at_ms: float,
         node: str,
-        req: str,
-        server: str,
-        zone: str = "",
-        cell: int = 0,
-        plan: str = "",
-        began: float | None = None,
+        request_id: str,
+        frontend: Frontend,
+        customer: str,
+        units: int,
+        deadline_ms: float,
     ) -> None:
-        """Its last byte is at the server; `began`: when its first byte left."""
+        """A node has received a request; its final answer is owed by the deadline."""
         self.steps += 1
-        first_byte = at if began is None else began
-        told = self.endpoint_knowledge.not_to_send(node, server)
-        if told is not None and first_byte > told.at + self.grace + self.slack:
-            rule, how = (DRAINS, "it was") if told.heard else (TOLD, "its drain counted as")
-            self.record_violation(
-                rule, at, node, req, server, f"sent {first_byte - told.at:.0f} ms after {how} told"
-            )
-        taken = self.requests.get((node, req))
-        if taken is None:
-            self.record_violation(ANSWERS, at, node, req, server, "sent on, but no client asked")
-            return
-        if taken.final:
-            self.record_violation(ANSWERS, at, node, req, server, f"sent on after it was {taken.final}")
-        if what := self.disconnected_clients.sent(taken, first_byte, server):
-            self.record_violation(GONE, at, node, req, server, what)
-        self._effects(taken, at, server, zone, cell)
-        if not taken.sent and plan:
-            self._ceiling(taken, at, server, self.plans[plan])
-        taken.sent.append(AttemptRecord(server, zone, cell, first_byte))
-
-    def _effects(self, taken: RequestRecord, at: float, server: str, zone: str, cell: int) -> None:
-        risky = next((sent for sent in taken.sent if sent.may_have_run), None)
-        if risky is None or taken.frontend.idempotency is Idempotency.IDEMPOTENT:
-            return
-        node, req, f = taken.node, taken.req, taken.frontend
-        if f.idempotency is Idempotency.NON_IDEMPOTENT:
-            what = f"sent again though it may have run at {risky.server}"
-            self.record_violation(EFFECTS, at, node, req, server, what)
+        self.history.add(RequestRecord(node, request_id, frontend, customer, units, at_ms, deadline_ms))
+
+    def on_attempt_sent(self, attempt: AttemptRecord) -> None:
+        """The last byte of an attempt is at its server."""
+        self.steps += 1
+        self._report(self.drains.violation_of(attempt))
+        request = self.history.get(attempt.node, attempt.request_id)
+        if request is None:
+            description = "sent, but no client sent the request"
+            self.record_violation(attempt.violation(Invariant.ANSWERS, description))
             return
-        here, there = (
-            (zone, risky.zone) if f.deduplication_scope is DeduplicationScope.ZONE else (cell, risky.cell)
-        )
-        if f.deduplication_scope is not DeduplicationScope.ALL and here != there:
-            self.record_violation(
-                EFFECTS, at, node, req, server, f"sent again outside of the group of {risky.server}"
-            )
-        if at > risky.at + f.deduplication_window_ms + self.slack:
-            late = at - risky.at - f.deduplication_window_ms
-            self.record_violation(
-                EFFECTS, at, node, req, server, f"sent again {late:.0f} ms past the repeat window"
-            )
-
-    def on_attempt_ended(self, at: float, node: str, req: str, number: int, never_ran: bool) -> None:
-        """An attempt ended; `never_ran`: its end proved so. Numbered among those that reached a server."""
+        if request.final_answer:
+            description = f"sent after its final answer ({request.final_answer})"
+            self.record_violation(attempt.violation(Invariant.ANSWERS, description))
+        self._report(self.disconnected_clients.violation_of(request, attempt))
+        for violation in self.idempotency.violations_of_attempt(request, attempt):
+            self.record_violation(violation)
+        self._report(self.hard_limits.violation_of(request, attempt))
+        request.attempts.append(attempt)
+
+    def on_attempt_ended(
+        self, at_ms: float, node: str, request_id: str, attempt_index: int, never_executed: bool
+    ) -> None:
+        """An attempt has ended.
+
+        Args:
+            at_ms: When it ended.
+            node: The node that sent it.
+            request_id: The request that it belongs to.
+            attempt_index: Its index among the attempts of the request that reached a server.
+            never_executed: Whether its end proves that the server has not executed it.
+        """
         self.steps += 1
-        taken = self.requests.get((node, req))
-        if taken is not None and number < len(taken.sent) and never_ran:
-            taken.sent[number].may_have_run = False
+        request = self.history.get(node, request_id)
+        if request is not None and attempt_index < len(request.attempts) and never_executed:
+            request.attempts[attempt_index].not_executed_at_ms = at_ms
 
-    def on_final_answer(self, at: float, node: str, req: str, final: str) -> None:
+    def on_final_answer(self, at_ms: float, node: str, request_id: str, final_answer: str) -> None:
+        """A client has its final answer, one of `FINAL_ANSWERS`."""
         self.steps += 1
-        taken = self.requests.get((node, req))
-        if taken is None or final not in FINALS:
-            self.record_violation(ANSWERS, at, node, req, "", f"{final}, but no client asked")
+        request = self.history.get(node, request_id)
+        if request is None or final_answer not in FINAL_ANSWERS:
+            description = f"{final_answer}, but no client sent the request"
+            self.record_violation(Violation(Invariant.ANSWERS, at_ms, node, request_id, "", description))
             return
-        if taken.final:
-            self.record_violation(ANSWERS, at, node, req, "", f"{final} after it was {taken.final}")
+        if request.final_answer:
+            description = f"{final_answer} after it was {request.final_answer}"
+            self.record_violation(request.violation(Invariant.ANSWERS, at_ms, description))
             return
-        taken.final = final
-        self.unanswered.pop((node, req), None)
-        if not taken.left and at > taken.leaves + self.slack:
-            self.record_violation(ANSWERS, at, node, req, "", f"{final} {at - taken.leaves:.0f} ms too late")
-        risky = next((sent for sent in taken.sent if sent.may_have_run), None)
-        f = taken.frontend
-        harmless = f.idempotency is Idempotency.IDEMPOTENT or (
-            f.idempotency is Idempotency.IDEMPOTENCY_KEY and f.deduplication_scope is DeduplicationScope.ALL
-        )
-        if final == "denied" and risky is not None and not harmless:
-            self.record_violation(EFFECTS, at, node, req, risky.server, "denied though it may have run")
-
-    def on_client_disconnected(self, at: float, node: str, req: str) -> None:
-        """It closed or cancelled: no answer is owed, and nothing more is to be sent on."""
+        self.history.record_answer(request, final_answer)
+        if not request.is_answer_excused and at_ms > request.deadline_ms + self.tolerance_ms:
+            description = f"{final_answer} {at_ms - request.deadline_ms:.0f} ms too late"
+            self.record_violation(request.violation(Invariant.ANSWERS, at_ms, description))
+        self._report(self.idempotency.violation_of_answer(request, at_ms))
+
+    def on_client_disconnected(self, at_ms: float, node: str, request_id: str) -> None:
+        """A client has closed its connection or cancelled: no answer is owed, nothing more should be sent."""
         self.steps += 1
-        if taken := self.unanswered.pop((node, req), None):
-            taken.left, taken.left_at = True, at
-            self.disconnected_clients.left(taken)
-
-    def excuse_answer(self, node: str, req: str) -> None:
-        """No answer in time is owed any more, though its client may still wait."""
-        if taken := self.unanswered.pop((node, req), None):
-            taken.left = True
-
-    def on_node_killed(self, at: float, node: str) -> None:
-        """What it held is no longer its duty, and its next life is told anew."""
-        for key in [key for key in self.unanswered if key[0] == node]:
-            self.unanswered.pop(key).left = True
-        self.endpoint_knowledge.died(node)
-
-    def forget_request(self, node: str, req: str) -> None:
-        """Nothing more can come of this req: a long run need not hold it."""
-        self.requests.pop((node, req), None)
-
-    def check_deadlines(self, now: float) -> None:
-        """After a step: no one waits past their time."""
-        for key, taken in list(self.unanswered.items()):
-            if now > taken.leaves + self.slack:
-                self.record_violation(
-                    ANSWERS, now, taken.node, taken.req, "", "no answer by the client timeout"
-                )
-                taken.left = True
-                del self.unanswered[key]
-
-    def finish(self, now: float) -> None:
-        """Once, at the end: also what is judged over the whole run."""
-        self.check_deadlines(now)
-        if (last := self.disconnected_clients.many_firsts()) is not None:
-            self.violations.append(last._replace(rule=GONE_FIRSTS))
-
-    # Servers
-
-    def on_endpoint_notified(self, at: float, node: str, server: str, standing: EndpointState) -> None:
+        request = self.history.excuse_answer(node, request_id)
+        if request is not None:
+            request.disconnected_at_ms = at_ms
+            self.disconnected_clients.on_disconnected(request)
+
+    def excuse_answer(self, node: str, request_id: str) -> None:
+        """No answer in time is owed any more, though the client may still wait."""
+        self.history.excuse_answer(node, request_id)
+
+    def forget_request(self, node: str, request_id: str) -> None:
+        """Nothing more can happen to a request, so that a long run need not keep it."""
+        self.history.forget(node, request_id)
+
+    # Nodes and time
+
+    def on_node_killed(self, at_ms: float, node: str) -> None:  # noqa: ARG002 - all events have their time
+        """A node was killed: it owes no answers, and its next incarnation is notified again."""
+        self.history.excuse_answers_of(node)
+        self.endpoint_knowledge.on_node_killed(node)
+
+    def check_deadlines(self, now_ms: float) -> None:
+        """Reports each request that waits past its deadline, once; called after a step."""
+        for request in self.history.overdue(now_ms, self.tolerance_ms):
+            description = "no answer by the client timeout"
+            self.record_violation(request.violation(Invariant.ANSWERS, now_ms, description))
+            self.history.excuse_answer(request.node, request.request_id)
+
+    def finish(self, now_ms: float) -> None:
+        """Checks also what can only be judged over the complete run; called once, at its end."""
+        self.check_deadlines(now_ms)
+        self._report(self.disconnected_clients.violation_of_run())
+
+    # Discovery
+
+    def on_endpoint_notified(self, at_ms: float, node: str, server: str, state: EndpointState) -> None:
+        """A node has received the state of a server."""
         self.steps += 1
-        self.endpoint_knowledge.heard(at, node, server, standing)
+        self.endpoint_knowledge.on_notified(at_ms, node, server, state)
 
     def on_discovery_updated(
-        self, at: float, node: str, server: str, standing: EndpointState, within: float = COUNTS
+        self, at_ms: float, node: str, server: str, state: EndpointState, within_ms: float = PROPAGATION_MS
     ) -> None:
-        """The node could hear of it from now on, whatever becomes of its calls; counts `within` ms later."""
+        """A node can poll the state of a server from now on; it counts as known `within_ms` later."""
         self.steps += 1
-        self.endpoint_knowledge.held(at, node, server, standing, within)
+        self.endpoint_knowledge.on_available(at_ms + within_ms, node, server, state)
 
     def on_discovery_replaced(self, node: str) -> None:
-        """What the node's new discovery has is to be told anew by `discovery_has`."""
-        self.endpoint_knowledge.moved(node)
+        """A node is to use another discovery, whose endpoints are reported by `on_discovery_updated`."""
+        self.endpoint_knowledge.on_discovery_replaced(node)
 
-    def on_server_started(self, at: float, server: str, capacity: float, call: float = 1.0) -> None:
-        """`capacity`: ms of work that it does in one ms when warm; `call`: ms of work of a usual call."""
-        self.warming_servers[server] = WarmingServer(at, capacity, call)
+    # Servers
 
-    def on_server_removed(self, server: str) -> None:
-        self.warming_servers.pop(server, None)
+    def on_server_started(
+        self, at_ms: float, server: str, capacity: float, call_work_ms: float = DEFAULT_CALL_WORK_MS
+    ) -> None:
+        """A server has started; `capacity` is the work (ms) that it completes in one ms when it is warm."""
+        self.slow_start.start(at_ms, server, capacity, call_work_ms)
 
-    def warming_server(self, at: float, server: str) -> WarmingServer | None:
-        one = self.warming_servers.get(server)
-        if one is not None and at - one.started >= self.cold_rule.warmup_ms:
-            del self.warming_servers[server]
-            return None
-        return one
+    def on_server_removed(self, server: str) -> None:
+        """A server has gone for good."""
+        self.slow_start.remove(server)
 
-    def on_work_received(self, at: float, server: str, work: float, node: str = "", req: str = "") -> bool:
-        """False: it was pushed over, by all nodes together; `work` in ms of a warm core."""
+    def on_work_received(
+        self, at_ms: float, server: str, work_ms: float, node: str = "", request_id: str = ""
+    ) -> bool:
+        """Work has reached a server. Returns whether the server bears it: it is warm or not overloaded."""
         self.steps += 1
-        if (one := self.warming_server(at, server)) is None:
-            return True
-        one.work_came(self.cold_rule, at, work)
-        able = one.able(self.cold_rule, at)
-        if one.sum > able and not one.told:
-            one.told = True
-            self.record_violation(
-                COLD, at, node, req, server, f"{one.sum:.0f} ms of work where {able:.0f} is the most"
-            )
-        return one.sum <= able
-
-    def on_call_received(self, at: float, server: str, node: str, req: str) -> None:
-        """The same for hosts whose servers get calls of like work: counted, with what chance adds."""
+        result = self.slow_start.add_work(at_ms, server, work_ms)
+        if result.violation is not None:
+            invariant = Invariant.SLOW_START_WORK
+            self.record_violation(Violation(invariant, at_ms, node, request_id, server, result.violation))
+        return not result.is_overloaded
+
+    def on_call_received(self, at_ms: float, server: str, node: str, request_id: str) -> None:
+        """A call has reached a server of a host whose calls have like work."""
         self.steps += 1
-        if (one := self.warming_server(at, server)) is None:
-            return
-        if what := one.call_came(self.cold_rule, at, self.endpoint_knowledge.of_start(at, node, server)):
-            self.record_violation(COLD_SUM, at, node, req, server, what)
+        call = Call(at_ms, self.endpoint_knowledge.knows_start(at_ms, node, server))
+        description = self.slow_start.violation_of_call(server, call)
+        if description is not None:
+            invariant = Invariant.SLOW_START_CALLS
+            self.record_violation(Violation(invariant, at_ms, node, request_id, server, description))
 
     def slow_start_load(self, server: str) -> float:
-        """The part of the most that a cold server bears which reached it of late."""
-        one = self.warming_servers.get(server)
-        return one.sum / one.able(self.cold_rule, one.came[-1][0]) if one is not None and one.came else 0.0
-
-    # Ceilings
-
-    def _ceiling(self, taken: RequestRecord, at: float, server: str, plan: Plan) -> None:
-        if not plan.hard_limit_rate:
-            return
-        bucket = self.buckets.get(taken.customer)
-        if bucket is None:
-            slack = max(self.ceiling_slack * plan.hard_limit_burst, self.largest)
-            bucket = self.buckets[taken.customer] = Bucket(
-                at, plan.hard_limit_rate, plan.hard_limit_burst, slack
-            )
-        if not bucket.draw(at, taken.units):
-            over = -bucket.level
-            what = f"customer {taken.customer} is {over:.1f} units past its ceiling"
-            self.record_violation(CEILINGS, at, taken.node, taken.req, server, what)
+        """Returns the recent work of a server in slow start as a fraction of what is allowed; else 0."""
+        return self.slow_start.load(server)
--- a/onyxpost/simulation/invariants/disconnected_clients.py
+++ b/onyxpost/simulation/invariants/disconnected_clients.py
@@ -1,42 +1,66 @@
-"""What is still sent on for a client that has closed or cancelled. Pure; times in ms."""
+"""Attempts that begin after their client has closed its connection or cancelled. Times are in ms."""
 
 from __future__ import annotations
 
-from onyxpost.simulation.invariants.records import RequestRecord, Violation
+from typing import TYPE_CHECKING
 
-BEGUN = 100.0  # an attempt that begins so much later is counted
-BORNE = 2  # such attempts in a run; with the next one the rule is broken
-WAITED = 300.0  # a first attempt that begins so much later fails the run, if many do
-SHARE, LEAST = 0.25, 5  # many: over this share of those that waited when their client went, and so many
+from onyxpost.simulation.invariants.records import Invariant, Violation
+
+if TYPE_CHECKING:
+    from onyxpost.simulation.invariants.records import AttemptRecord, RequestRecord
+
+LATE_ATTEMPT_MS = 100.0  # an attempt that begins so long after the client disconnected is counted
+MAX_LATE_ATTEMPTS = 2  # that a run tolerates
+LATE_FIRST_ATTEMPT_MS = 300.0  # a first attempt that begins so long after it is counted by itself
+MAX_LATE_FIRST_FRACTION = 0.25  # tolerated, of the requests that waited when their client disconnected
+MIN_LATE_FIRST_ATTEMPTS = 5  # fewer are tolerated whatever their fraction
 
 
 class DisconnectedClients:
-    def __init__(self, slack: float) -> None:
-        self.slack = slack
-        self.attempts = 0  # begun too late, first or further
-        self.waited = 0  # reqs that still waited for their first attempt when their client went
-        self.firsts: list[Violation] = []  # what was sent on of those, far too late
-
-    def left(self, taken: RequestRecord) -> None:
-        self.waited += not taken.sent
-
-    def sent(self, taken: RequestRecord, first_byte: float, server: str) -> str:
-        """Returns the violation, if any; called before the attempt is added to the request."""
-        if taken.left_at is None:
-            return ""
-        after = first_byte - taken.left_at
-        if not taken.sent and after > WAITED + self.slack:
-            what = f"first sent on {after:.0f} ms after its client went"
-            self.firsts.append(Violation("", first_byte, taken.node, taken.req, server, what))
-        if after <= BEGUN + self.slack:
-            return ""
-        self.attempts += 1
-        return f"begun {after:.0f} ms after its client went" if self.attempts > BORNE else ""
-
-    def many_firsts(self) -> Violation | None:
-        """The last one of them, where they are too many for the run."""
-        late = len(self.firsts)
-        if late < LEAST or late <= SHARE * self.waited:
+    """Counts the late attempts of a run; each limit is extended by the tolerance."""
+
+    def __init__(self, tolerance_ms: float) -> None:
+        self.tolerance_ms = tolerance_ms
+        self._late_attempts = 0
+        self._waiting_requests = 0  # not yet sent to any server when their client disconnected
+        self._late_first_attempts: list[Violation] = []
+
+    def on_disconnected(self, request: RequestRecord) -> None:
+        """Counts a request whose client has disconnected."""
+        if not request.attempts:
+            self._waiting_requests += 1
+
+    def violation_of(self, request: RequestRecord, attempt: AttemptRecord) -> Violation | None:
+        """Counts an attempt that is not yet added to its request. Returns a violation if it is too many."""
+        if request.disconnected_at_ms is None:
+            return None
+        delay_ms = attempt.first_byte_at_ms - request.disconnected_at_ms
+        if not request.attempts and delay_ms > LATE_FIRST_ATTEMPT_MS + self.tolerance_ms:
+            self._record_first_attempt(attempt, delay_ms)
+        if delay_ms <= LATE_ATTEMPT_MS + self.tolerance_ms:
+            return None
+        self._late_attempts += 1
+        if self._late_attempts <= MAX_LATE_ATTEMPTS:
+            return None
+        description = f"begun {delay_ms:.0f} ms after its client disconnected"
+        return attempt.violation(Invariant.DISCONNECTED_CLIENTS, description)
+
+    def _record_first_attempt(self, attempt: AttemptRecord, delay_ms: float) -> None:
+        violation = Violation(
+            Invariant.DISCONNECTED_FIRST_ATTEMPTS,
+            attempt.first_byte_at_ms,
+            attempt.node,
+            attempt.request_id,
+            attempt.server,
+            f"first sent {delay_ms:.0f} ms after its client disconnected",
+        )
+        self._late_first_attempts.append(violation)
+
+    def violation_of_run(self) -> Violation | None:
+        """Returns the last late first attempt if the run has too many of them; called at its end."""
+        late = len(self._late_first_attempts)
+        if late < MIN_LATE_FIRST_ATTEMPTS or late <= MAX_LATE_FIRST_FRACTION * self._waiting_requests:
             return None
-        what = f"{late} of {self.waited} that waited; this one {self.firsts[-1].what}"
-        return self.firsts[-1]._replace(what=what)
+        last = self._late_first_attempts[-1]
+        description = f"{late} of {self._waiting_requests} that waited; this one {last.description}"
+        return last._replace(description=description)
--- a/onyxpost/simulation/invariants/endpoint_knowledge.py
+++ b/onyxpost/simulation/invariants/endpoint_knowledge.py
@@ -1,64 +1,82 @@
-"""From when on a node counts as told of a server: what it heard, and what it could have heard. Pure; ms.
+"""From when on a node counts as notified of a server's state: what it received, and what it could have.
 
-The operators' rule: whatever became of the node's calls, a change counts as told 6 s after discovery had
-it and could be reached.
+The operators' rule: whatever became of the node's calls to discovery, a change counts as known
+`PROPAGATION_MS` after discovery had it and could be reached. Times are in ms.
 """
 
 from __future__ import annotations
 
+from math import inf
 from typing import NamedTuple
 
 from onyxpost.core.types import EndpointState
 
-COUNTS = 6000.0  # ms after which a change counts as told, heard or not
+PROPAGATION_MS = 6000.0  # after which a change counts as known, received or not
 
-Key = tuple[str, str]  # node, server
+EndpointKey = tuple[str, str]
+"""The name of a node and the id of a server."""
 
 
 class EndpointNotification(NamedTuple):
-    at: float
-    heard: bool  # else it only counts
+    """When a node was notified that it must not send to a server any more."""
+
+    at_ms: float
+    was_received: bool
+    """Whether the node received it; otherwise it only counts as notified."""
 
 
 class EndpointKnowledge:
+    """What each node knows, or counts as knowing, of the servers' states."""
+
     def __init__(self) -> None:
-        self.unwanted: dict[Key, float] = {}  # heard: nothing more to that server
-        self.counted: dict[Key, float] = {}  # when the same counts as told
-        self.started: dict[Key, float] = {}  # told of that life of the server, by either
-
-    def heard(self, at: float, node: str, server: str, standing: EndpointState) -> None:
-        key = node, server
-        if standing is EndpointState.READY:
-            self.unwanted.pop(key, None)
-            self.started[key] = min(at, self.started.get(key, at))
+        self._drain_received_at_ms: dict[EndpointKey, float] = {}
+        self._drain_known_from_ms: dict[EndpointKey, float] = {}
+        self._start_known_from_ms: dict[EndpointKey, float] = {}  # by either way
+
+    def on_notified(self, at_ms: float, node: str, server: str, state: EndpointState) -> None:
+        """Records that a node has received the state of a server."""
+        key = (node, server)
+        if state is EndpointState.READY:
+            self._drain_received_at_ms.pop(key, None)
+            self._start_known_from_ms[key] = min(at_ms, self._start_known_from_ms.get(key, at_ms))
         else:
-            self.unwanted.setdefault(key, at)
-
-    def held(self, at: float, node: str, server: str, standing: EndpointState, within: float) -> None:
-        """Discovery has it and the node could ask: it counts `within` ms later."""
-        key, counts = (node, server), at + within
-        if standing is EndpointState.READY:
-            self.counted.pop(key, None)
-            self.started.setdefault(key, counts)
+            self._drain_received_at_ms.setdefault(key, at_ms)
+
+    def on_available(self, known_from_ms: float, node: str, server: str, state: EndpointState) -> None:
+        """Records that a node could poll the state of a server, which counts as known from a time on."""
+        key = (node, server)
+        if state is EndpointState.READY:
+            self._drain_known_from_ms.pop(key, None)
+            self._start_known_from_ms.setdefault(key, known_from_ms)
         else:
-            self.counted.setdefault(key, counts)
-
-    def moved(self, node: str) -> None:
-        """What an agent held that the node is to leave counts no more by itself."""
-        for key in [key for key in self.counted if key[0] == node]:
-            del self.counted[key]
-
-    def died(self, node: str) -> None:
-        for told in (self.unwanted, self.counted, self.started):
-            for key in [key for key in told if key[0] == node]:
-                del told[key]
-
-    def not_to_send(self, node: str, server: str) -> EndpointNotification | None:
-        """From when on the node was told to send no more there."""
-        heard, counted = self.unwanted.get((node, server)), self.counted.get((node, server))
-        if heard is not None and (counted is None or heard <= counted):
-            return EndpointNotification(heard, True)
-        return None if counted is None else EndpointNotification(counted, False)
-
-    def of_start(self, at: float, node: str, server: str) -> bool:
-        return self.started.get((node, server), float("inf")) <= at
+            self._drain_known_from_ms.setdefault(key, known_from_ms)
+
+    def on_discovery_replaced(self, node: str) -> None:
+        """Discards what counts as known only because the discovery that the node leaves had it."""
+        _remove_node(self._drain_known_from_ms, node)
+
+    def on_node_killed(self, node: str) -> None:
+        """Discards all that the node knew: its next incarnation is notified again."""
+        _remove_node(self._drain_received_at_ms, node)
+        _remove_node(self._drain_known_from_ms, node)
+        _remove_node(self._start_known_from_ms, node)
+
+    def drain_notification(self, node: str, server: str) -> EndpointNotification | None:
+        """Returns the earliest notification that the node must not send to the server any more."""
+        key = (node, server)
+        received_at_ms = self._drain_received_at_ms.get(key)
+        known_from_ms = self._drain_known_from_ms.get(key)
+        if received_at_ms is not None and (known_from_ms is None or received_at_ms <= known_from_ms):
+            return EndpointNotification(received_at_ms, was_received=True)
+        if known_from_ms is not None:
+            return EndpointNotification(known_from_ms, was_received=False)
+        return None
+
+    def knows_start(self, at_ms: float, node: str, server: str) -> bool:
+        """Whether the node knows, or counts as knowing, that this incarnation of the server has started."""
+        return self._start_known_from_ms.get((node, server), inf) <= at_ms
+
+
+def _remove_node(times: dict[EndpointKey, float], node: str) -> None:
+    for key in [key for key in times if key[0] == node]:
+        del times[key]
--- a/onyxpost/simulation/invariants/records.py
+++ b/onyxpost/simulation/invariants/records.py
@@ -1,60 +1,111 @@
-"""What the checker's rules are called, and what it remembers of reqs, ceilings and cold servers."""
+"""What the checker remembers of requests and attempts, and how it reports a violation.
+
+All times are in ms on the clock of whoever hosts the nodes.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import NamedTuple
+from enum import StrEnum
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+if TYPE_CHECKING:
+    from onyxpost.core.types import Frontend
+
 
-from onyxpost.core.types import Frontend
+class Invariant(StrEnum):
+    """The invariants; their values stand in result files."""
 
-ANSWERS, EFFECTS, DRAINS, COLD, CEILINGS = "answers", "effects", "drains", "cold", "ceilings"
-# Sent on for a client that has gone; the same of too many that waited; a drain that counts as told, heard or
-# not; calls to a cold server past what is allowed and past chance.
-GONE, GONE_FIRSTS, TOLD, COLD_SUM = "gone", "gone firsts", "told", "cold sum"
-RULES = (ANSWERS, EFFECTS, DRAINS, COLD, CEILINGS, GONE, GONE_FIRSTS, TOLD, COLD_SUM)
-FINALS = ("passed", "denied", "aborted")
+    ANSWERS = "answers"
+    """Each request has exactly one final answer in time, and no attempt after it."""
+    IDEMPOTENCY = "effects"
+    """A request that was possibly executed is retried and rejected only as its idempotency permits."""
+    DRAIN_NOTIFIED = "drains"
+    """No attempt to a server past the drain grace, counted from the notification of its node."""
+    DRAIN_PROPAGATED = "told"
+    """The same, counted from when the node counts as notified, whether it was or not."""
+    SLOW_START_WORK = "cold"
+    """A server in slow start is not overloaded by the work that reaches it."""
+    SLOW_START_CALLS = "cold sum"
+    """The same by a count of calls of like work, beyond what chance explains."""
+    HARD_LIMITS = "ceilings"
+    """All nodes together send no more of a customer's units than its hard limit."""
+    DISCONNECTED_CLIENTS = "gone"
+    """Few attempts begin late after their client has disconnected."""
+    DISCONNECTED_FIRST_ATTEMPTS = "gone firsts"
+    """Few of the requests that wait when their client disconnects are first sent long after it."""
 
 
 class Violation(NamedTuple):
-    rule: str
-    at: float
+    """A violated invariant, with the request, node and server concerned; "" where there is none."""
+
+    invariant: Invariant
+    at_ms: float
     node: str
-    req: str
+    request_id: str
     server: str
-    what: str
+    description: str
+
+    def to_record(self) -> dict[str, Any]:
+        """Returns the violation with the keys that result files have."""
+        return {
+            "rule": str(self.invariant),
+            "at": self.at_ms,
+            "node": self.node,
+            "req": self.request_id,
+            "server": self.server,
+            "what": self.description,
+        }
 
 
 @dataclass(slots=True)
 class AttemptRecord:
+    """One attempt whose last byte reached a server."""
+
+    node: str
+    request_id: str
     server: str
-    zone: str
-    cell: int
-    at: float
-    may_have_run: bool = True
+    sent_at_ms: float
+    """When its last byte was at the server."""
+    first_byte_at_ms: float
+    """When its first byte left the node."""
+    zone: str = ""
+    cell: int = 0
+    plan: str = ""
+    not_executed_at_ms: float | None = None
+    """When it ended with a proof that the server had not executed it."""
+
+    @property
+    def is_possibly_executed(self) -> bool:
+        """Whether nothing proves that the server has not executed it."""
+        return self.not_executed_at_ms is None
+
+    def violation(self, invariant: Invariant, description: str) -> Violation:
+        """Returns a violation by this attempt, when it was sent."""
+        return Violation(invariant, self.sent_at_ms, self.node, self.request_id, self.server, description)
 
 
 @dataclass(slots=True)
 class RequestRecord:
+    """One request of a client and what became of it."""
+
     node: str
-    req: str
+    request_id: str
     frontend: Frontend
     customer: str
     units: int
-    leaves: float
-    sent: list[AttemptRecord] = field(default_factory=list)
-    final: str = ""
-    left: bool = False  # the client has gone, or the node died: no answer is owed any more
-    left_at: float | None = None  # the client closed or cancelled
-
-
-class Bucket:
-    """A ceiling: what all nodes together may still send on for one customer."""
+    received_at_ms: float
+    deadline_ms: float
+    attempts: list[AttemptRecord] = field(default_factory=list)
+    final_answer: str = ""
+    is_answer_excused: bool = False
+    """The client disconnected, its node was killed or held up, or it was reported: no answer is owed."""
+    disconnected_at_ms: float | None = None
 
-    def __init__(self, now: float, rate: float, burst: float, slack: float) -> None:
-        self.at, self.rate, self.burst, self.slack, self.level = now, rate, burst, slack, burst
-        self.lowest = burst
+    def first_possible_execution(self) -> AttemptRecord | None:
+        """Returns the first attempt that the server possibly executed, if there is one."""
+        return next((attempt for attempt in self.attempts if attempt.is_possibly_executed), None)
 
-    def draw(self, now: float, units: float) -> bool:
-        self.level = min(self.burst, self.level + self.rate * (now - self.at) / 1000.0) - units
-        self.at, self.lowest = now, min(self.lowest, self.level)
-        return self.level >= -self.slack
+    def violation(self, invariant: Invariant, at_ms: float, description: str, server: str = "") -> Violation:
+        """Returns a violation by this request."""
+        return Violation(invariant, at_ms, self.node, self.request_id, server, description)
--- a/onyxpost/simulation/invariants/slow_start.py
+++ b/onyxpost/simulation/invariants/slow_start.py
@@ -1,50 +1,148 @@
-"""What reaches a server while it is cold, from all nodes together. Pure; times in ms."""
+"""What reaches a server during its slow start, from all nodes together. Times and work are in ms."""
 
 from __future__ import annotations
 
 from collections import deque
 from math import sqrt
+from typing import TYPE_CHECKING, NamedTuple
 
-from onyxpost.core.types import SlowStartPolicy
+if TYPE_CHECKING:
+    from onyxpost.core.types import SlowStartPolicy
 
-TOLD_SHARE = 2.0 / 3.0  # of the calls: only over it are the nodes to blame
+INFORMED_CALLS_FRACTION = 2.0 / 3.0  # only where more calls come from informed nodes are the nodes to blame
 
 
-def most_calls(n: float) -> float:
-    """Calls in a window in which the settings allow `n`; what chance adds is borne."""
-    return n + 2.0 * sqrt(n) + 2.0
+class Work(NamedTuple):
+    """Work that reached a server."""
+
+    at_ms: float
+    work_ms: float
+
+
+class Call(NamedTuple):
+    """A call that reached a server."""
+
+    at_ms: float
+    is_informed: bool
+    """Whether it is from a node that knows that the server has started."""
+
+
+class WorkResult(NamedTuple):
+    """What became of a server when work reached it."""
+
+    is_overloaded: bool
+    violation: str | None = None
+    """A description, at the first overload of this incarnation."""
+
+
+def max_calls(allowed: float) -> float:
+    """Returns the calls tolerated in a window that should have `allowed`.
+
+    With independent nodes the count is nearly Poisson: its mean plus two standard deviations, and two calls
+    for rounding.
+    """
+    return allowed + 2.0 * sqrt(allowed) + 2.0
 
 
 class WarmingServer:
-    """One server's life while it is cold."""
-
-    def __init__(self, started: float, capacity: float, call: float) -> None:
-        """`capacity`: ms of work that it does in one ms when warm; `call`: ms of work of a usual call."""
-        self.started, self.capacity, self.call = started, capacity, call
-        self.came: deque[tuple[float, float]] = deque()  # when, work
-        self.sum = 0.0
-        self.told = self.told_calls = False  # that it was pushed over
-        self.calls: deque[tuple[float, bool]] = deque()  # when, from a node told of the start
-
-    def able(self, rule: SlowStartPolicy, at: float) -> float:
-        """ms of work that the settings allow it in the window that ends at `at`."""
-        share = max(rule.initial_fraction, (at - self.started) / rule.warmup_ms)
-        return self.capacity * share * rule.overload_window_ms * rule.overload_multiple
-
-    def work_came(self, rule: SlowStartPolicy, at: float, work: float) -> None:
-        self.came.append((at, work))
-        self.sum += work
-        while self.came and self.came[0][0] <= at - rule.overload_window_ms:
-            self.sum -= self.came.popleft()[1]
-
-    def call_came(self, rule: SlowStartPolicy, at: float, told: bool) -> str:
-        """What is broken by it, if anything is; said once."""
-        calls = self.calls
-        calls.append((at, told))
-        while calls[0][0] <= at - rule.overload_window_ms:
+    """One incarnation of a server during its slow start.
+
+    Args:
+        started_at_ms: When it started.
+        capacity: The work (ms) that it completes in one ms when it is warm.
+        call_work_ms: The work of a usual call.
+    """
+
+    def __init__(self, started_at_ms: float, capacity: float, call_work_ms: float) -> None:
+        self.started_at_ms = started_at_ms
+        self.capacity = capacity
+        self.call_work_ms = call_work_ms
+        self.recent_work_ms = 0.0
+        self.was_overload_reported = False
+        self._work: deque[Work] = deque()
+        self._calls: deque[Call] = deque()
+        self._were_calls_reported = False
+
+    def max_work_ms(self, policy: SlowStartPolicy, at_ms: float) -> float:
+        """Returns the work that the policy permits in the window that ends at `at_ms`."""
+        warmup_fraction = max(policy.initial_fraction, (at_ms - self.started_at_ms) / policy.warmup_ms)
+        return self.capacity * warmup_fraction * policy.overload_window_ms * policy.overload_multiple
+
+    def add_work(self, policy: SlowStartPolicy, at_ms: float, work_ms: float) -> None:
+        """Adds work to the window that ends now."""
+        self._work.append(Work(at_ms, work_ms))
+        self.recent_work_ms += work_ms
+        while self._work and self._work[0].at_ms <= at_ms - policy.overload_window_ms:
+            self.recent_work_ms -= self._work.popleft().work_ms
+
+    def load(self, policy: SlowStartPolicy) -> float:
+        """Returns the work of the last window as a fraction of what the policy permits."""
+        if not self._work:
+            return 0.0
+        return self.recent_work_ms / self.max_work_ms(policy, self._work[-1].at_ms)
+
+    def violation_of_call(self, policy: SlowStartPolicy, call: Call) -> str | None:
+        """Counts a call. Returns a description of the first one that is too many."""
+        calls = self._calls
+        calls.append(call)
+        while calls[0].at_ms <= call.at_ms - policy.overload_window_ms:
             calls.popleft()
-        n, by_told = self.able(rule, at) / self.call, sum(told for _, told in calls)
-        if self.told_calls or len(calls) <= most_calls(n) or by_told <= TOLD_SHARE * len(calls):
-            return ""
-        self.told_calls = True
-        return f"{len(calls)} calls where {n:.1f} are allowed; {by_told} from nodes told of its start"
+        allowed = self.max_work_ms(policy, call.at_ms) / self.call_work_ms
+        informed = sum(one.is_informed for one in calls)
+        if self._were_calls_reported or len(calls) <= max_calls(allowed):
+            return None
+        if informed <= INFORMED_CALLS_FRACTION * len(calls):
+            return None
+        self._were_calls_reported = True
+        return (
+            f"{len(calls)} calls where {allowed:.1f} are allowed; {informed} from nodes that know its start"
+        )
+
+
+class SlowStartChecker:
+    """All servers that are in their slow start."""
+
+    def __init__(self, policy: SlowStartPolicy) -> None:
+        self.policy = policy
+        self.servers: dict[str, WarmingServer] = {}
+
+    def start(self, at_ms: float, server: str, capacity: float, call_work_ms: float) -> None:
+        """Records that a server has started; see `WarmingServer` for the units."""
+        self.servers[server] = WarmingServer(at_ms, capacity, call_work_ms)
+
+    def remove(self, server: str) -> None:
+        """Forgets a server."""
+        self.servers.pop(server, None)
+
+    def load(self, server: str) -> float:
+        """Returns the recent work of a server as a fraction of what is allowed; 0 if it is warm."""
+        warming = self.servers.get(server)
+        return 0.0 if warming is None else warming.load(self.policy)
+
+    def add_work(self, at_ms: float, server: str, work_ms: float) -> WorkResult:
+        """Counts work that has reached a server."""
+        warming = self._get(at_ms, server)
+        if warming is None:
+            return WorkResult(is_overloaded=False)
+        warming.add_work(self.policy, at_ms, work_ms)
+        max_work_ms = warming.max_work_ms(self.policy, at_ms)
+        if warming.recent_work_ms <= max_work_ms:
+            return WorkResult(is_overloaded=False)
+        if warming.was_overload_reported:
+            return WorkResult(is_overloaded=True)
+        warming.was_overload_reported = True
+        description = f"{warming.recent_work_ms:.0f} ms of work where {max_work_ms:.0f} are allowed"
+        return WorkResult(is_overloaded=True, violation=description)
+
+    def violation_of_call(self, server: str, call: Call) -> str | None:
+        """Counts a call. Returns a description of the first one that is too many."""
+        warming = self._get(call.at_ms, server)
+        return None if warming is None else warming.violation_of_call(self.policy, call)
+
+    def _get(self, at_ms: float, server: str) -> WarmingServer | None:
+        """Returns the server if it is in its slow start, and forgets it once that has ended."""
+        warming = self.servers.get(server)
+        if warming is not None and at_ms - warming.started_at_ms >= self.policy.warmup_ms:
+            del self.servers[server]
+            return None
+        return warming
--- a/onyxpost/simulation/multiprocess/edge_invariants.py
+++ b/onyxpost/simulation/multiprocess/edge_invariants.py
@@ -16,7 +16,7 @@
     Plan,
     SlowStartPolicy,
 )
-from onyxpost.simulation.invariants import ANSWERS, EFFECTS, InvariantChecker
+from onyxpost.simulation.invariants import AttemptRecord, Invariant, InvariantChecker
 from onyxpost.simulation.multiprocess.checker import Away, Event, Found, Late
 
 SLACK = 50.0  # ms past a client timeout
@@ -42,7 +42,11 @@
         away, late = Away(events), Late(events)
         lag = late.slack
         checker = InvariantChecker(
-            grace=self.grace, cold=self.cold, plans=self.plans, slack=SLACK + lag, largest=self.largest
+            drain_grace_ms=self.grace,
+            slow_start=self.cold,
+            plans=self.plans,
+            tolerance_ms=SLACK + lag,
+            max_request_units=self.largest,
         )
         told: dict[str, Event] = {}
         play: dict[str, Callable[[Event], None]] = {
@@ -69,7 +73,13 @@
         checker.finish(float("inf"))
         last = float(events[-1]["t"]) if events else 0.0
         found = [
-            (b.rule, min(b.at, last), b.node, f"req {b.req} {b.server}: {b.what}") for b in checker.violations
+            (
+                violation.invariant.value,
+                min(violation.at_ms, last),
+                violation.node,
+                f"req {violation.request_id} {violation.server}: {violation.description}",
+            )
+            for violation in checker.violations
         ]
         return found + self.outside(events, told, away, late) + self.ran(events, told)
 
@@ -97,16 +107,16 @@
     def sent(self, checker: InvariantChecker, told: dict[str, Event], e: Event) -> None:
         asked = told.get(e["trace"])
         if asked is not None:  # else of an earlier run
-            zone, cell = e["zone"], e["cell"]
-            checker.on_attempt_sent(
-                e["t"], e["node"], e["trace"], e["server"], zone, cell, asked["plan"], e["t"]
+            attempt = AttemptRecord(
+                e["node"], e["trace"], e["server"], e["t"], e["t"], e["zone"], e["cell"], asked["plan"]
             )
+            checker.on_attempt_sent(attempt)
 
     def never_ran(self, checker: InvariantChecker, told: dict[str, Event], e: Event) -> None:
         asked = told.get(e["trace"])
-        taken = checker.requests.get((asked["node"], e["trace"])) if asked is not None else None
-        for number, sent in enumerate(taken.sent if taken is not None else ()):
-            if sent.server == e["server"] and sent.may_have_run:
+        taken = checker.history.get(asked["node"], e["trace"]) if asked is not None else None
+        for number, sent in enumerate(taken.attempts if taken is not None else ()):
+            if sent.server == e["server"] and sent.is_possibly_executed:
                 checker.on_attempt_ended(
                     e["t"], taken.node if taken is not None else "", e["trace"], number, True
                 )
@@ -137,7 +147,9 @@
         found: Found = []
         for e in events:
             if e["event"] == "more":
-                found.append((ANSWERS, e["t"], told[e["trace"]]["node"], f"req {e['trace']}: {e['what']}"))
+                found.append(
+                    (Invariant.ANSWERS, e["t"], told[e["trace"]]["node"], f"req {e['trace']}: {e['what']}")
+                )
             if e["event"] not in ("gone", "refused") or e.get("how") in ("timed out", "left"):
                 continue
             asked = told[e["trace"]] if e["event"] == "gone" else e
@@ -146,7 +158,7 @@
             leaving = any(a + ACCEPTS - lag <= begin <= b for a, b in away.leaving.get(node, ()))
             if not leaving and not away.within(node, begin - lag, float(e["t"]) + lag):
                 how = e.get("how", "refused")
-                found.append((ANSWERS, e["t"], node, f"req {e['trace']}: {how} without an answer"))
+                found.append((Invariant.ANSWERS, e["t"], node, f"req {e['trace']}: {how} without an answer"))
         return found
 
     def ran(self, events: Sequence[Event], told: dict[str, Event]) -> Found:
@@ -167,5 +179,5 @@
             )
             if f.idempotency is Idempotency.NON_IDEMPOTENT or not inside:
                 what = f"req {e['trace']} ran at {before['server']} and again at {e['server']}"
-                found.append((EFFECTS, e["t"], asked["node"] if asked else "", what))
+                found.append((Invariant.IDEMPOTENCY, e["t"], asked["node"] if asked else "", what))
         return found
--- a/onyxpost/simulation/planner_cluster/usage_counter.py
+++ b/onyxpost/simulation/planner_cluster/usage_counter.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from onyxpost.simulation.discrete_event.world import Quota
-from onyxpost.simulation.invariants import Bucket
+from onyxpost.simulation.invariants import HardLimitBucket
 from onyxpost.simulation.planner_cluster.options import HARD_LIMIT_FACTOR, MAX_REQUEST_UNITS
 
 if TYPE_CHECKING:
@@ -23,7 +23,7 @@
         customers = range(options.customers)
         self.quotas = {customer: self._new_quota() for customer in customers}
         self.ideal_quotas = {customer: self._new_quota() for customer in customers}
-        self.hard_limits: dict[int, Bucket] = {}
+        self.hard_limits: dict[int, HardLimitBucket] = {}
         self.outcomes: Counter[str] = Counter()  # requests by their final answer
         self.kills = 0
         self.violations: list[str] = []
@@ -49,13 +49,13 @@
         if bucket is None:
             bucket = self._new_hard_limit(now)
             self.hard_limits[customer] = bucket
-        if not bucket.draw(now, units):
+        if not bucket.consume(now, units):
             self.violations.append(f"{now:.0f} ms: customer {customer} at {bucket.level:.1f} units")
 
-    def _new_hard_limit(self, now: float) -> Bucket:
+    def _new_hard_limit(self, now: float) -> HardLimitBucket:
         rate = HARD_LIMIT_FACTOR * self.options.quota_rate
         burst = HARD_LIMIT_FACTOR * self.options.quota_burst
-        return Bucket(now, rate, burst, max(SLACK_SHARE * burst, float(MAX_REQUEST_UNITS)))
+        return HardLimitBucket(now, rate, burst, max(SLACK_SHARE * burst, float(MAX_REQUEST_UNITS)))
 
     def count_outcome(self, now: float, customer: int, units: int, outcome: str) -> None:
         """A request has its final answer: passed, denied, aborted, or lost for none at all."""
--- a/tests/compatibility/meanings.py
+++ b/tests/compatibility/meanings.py
@@ -319,7 +319,7 @@
     scenario = msgspec.structs.replace(resized(load("calm"), 4, 4), seconds=2.0, events=[])
     data, _ = emulate(packed(scenario), 1, {})
     lines = data.splitlines(keepends=True)
-    breaches = [EmulatorBreach("once", 12.5, "n0", "r1", "s-1", "ran twice")._asdict()]
+    breaches = [EmulatorBreach("once", 12.5, "n0", "r1", "s-1", "ran twice").to_record()]
     broken = results.encode({"kind": "breach", **one} for one in breaches)
     return b"".join([*lines[:-1], broken, lines[-1]])
 
--- a/tests/planner/cluster.py
+++ b/tests/planner/cluster.py
@@ -37,7 +37,7 @@
 from onyxpost.policy.gateway import Gateway
 from onyxpost.runtime.structured_log import StructuredLog
 from onyxpost.simulation import virtual_time
-from onyxpost.simulation.invariants import Bucket
+from onyxpost.simulation.invariants import HardLimitBucket
 from onyxpost.simulation.virtual_time import EPOCH, Network
 
 if TYPE_CHECKING:
@@ -161,7 +161,7 @@
         self.forwarders: list[ForwarderModel] = []
         self.forwarders += [ForwarderModel(self, index) for index in range(forwarders)]
         self.forwarder_names = tuple(forwarder.name for forwarder in self.forwarders)
-        self.hard_limits: dict[str, Bucket] = {}
+        self.hard_limits: dict[str, HardLimitBucket] = {}
         self.violations: list[str] = []
         self.units_sent: Counter[str] = Counter()
 
@@ -225,9 +225,9 @@
         self.units_sent[customer] += units
         bucket = self.hard_limits.get(customer)
         if bucket is None:
-            bucket = Bucket(now, self.plan.hard_limit_rate, self.plan.hard_limit_burst, 1e-6)
+            bucket = HardLimitBucket(now, self.plan.hard_limit_rate, self.plan.hard_limit_burst, 1e-6)
             self.hard_limits[customer] = bucket
-        if not bucket.draw(now, units):
+        if not bucket.consume(now, units):
             self.violations.append(f"{now:.0f} ms: {forwarder.name} passes {customer} by {-bucket.level:.2f}")
 
     def stop(self) -> None:
--- a/tests/rollout/test_routing_rules_deterministic.py
+++ b/tests/rollout/test_routing_rules_deterministic.py
@@ -16,7 +16,7 @@
 from onyxpost.rollout.routing_rules.context import RoutingContext
 from onyxpost.simulation import deterministic
 from onyxpost.simulation.deterministic import Fault, Outcome, cluster
-from onyxpost.simulation.invariants import EFFECTS
+from onyxpost.simulation.invariants import Invariant
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -102,4 +102,4 @@
         failed = next((outcome for outcome in outcomes if outcome.failed), None)
     if failed is None:
         pytest.fail("no seed detects it")
-    assert {breach.rule for breach in failed.violations} == {EFFECTS}
+    assert {violation.invariant for violation in failed.violations} == {Invariant.IDEMPOTENCY}
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -20,7 +20,7 @@
 from onyxpost.leadership.service_log import LEASE_ACQUIRED, LEASE_LOST, RECORD_COMMITTED
 from onyxpost.runtime.http1 import encode_message, read_response
 from onyxpost.simulation.deterministic.cluster import LARGEST, SETTINGS
-from onyxpost.simulation.invariants import ANSWERS, CEILINGS, COLD, COLD_SUM, DRAINS, EFFECTS, GONE
+from onyxpost.simulation.invariants import Invariant
 from onyxpost.simulation.multiprocess import fault_script, leadership_invariants, runner, scenario
 from onyxpost.simulation.multiprocess.checker import check, faults
 from onyxpost.simulation.multiprocess.edge_invariants import Edge
@@ -215,25 +215,31 @@
             for e in (asked(1.0, r), reached(2.0, 0, i) | {"trace": r}, done(9.0, trace=r))
         ]
         for rule, events in (
-            (ANSWERS, [asked(0.0), gone]),
-            (ANSWERS, [asked(0.0), cut]),
-            (ANSWERS, [asked(0.0), done(1290.0)]),
-            (ANSWERS, [asked(0.0), done(9.0), at(10.0, "more", trace="r1", what="after its answer")]),
-            (ANSWERS, [asked(0.0), done(9.0), sent(90.0)]),
-            (ANSWERS, [at(0.0, "refused", node="n0", trace="r1")]),
-            (EFFECTS, [asked(0.0), sent(1.0), sent(300.0, 1), done(340.0)]),
-            (EFFECTS, [asked(0.0), reached(1.0), reached(300.0, 1, 2), done(340.0)]),
-            (EFFECTS, [asked(0.0, frontend="post"), sent(1.0), sent(700.0, 2), done(740.0)]),
-            (DRAINS, [told, asked(300.0), sent(301.0), done(340.0)]),
-            (CEILINGS, burst),
-            (GONE, left),
+            (Invariant.ANSWERS, [asked(0.0), gone]),
+            (Invariant.ANSWERS, [asked(0.0), cut]),
+            (Invariant.ANSWERS, [asked(0.0), done(1290.0)]),
+            (
+                Invariant.ANSWERS,
+                [asked(0.0), done(9.0), at(10.0, "more", trace="r1", what="after its answer")],
+            ),
+            (Invariant.ANSWERS, [asked(0.0), done(9.0), sent(90.0)]),
+            (Invariant.ANSWERS, [at(0.0, "refused", node="n0", trace="r1")]),
+            (Invariant.IDEMPOTENCY, [asked(0.0), sent(1.0), sent(300.0, 1), done(340.0)]),
+            (Invariant.IDEMPOTENCY, [asked(0.0), reached(1.0), reached(300.0, 1, 2), done(340.0)]),
+            (Invariant.IDEMPOTENCY, [asked(0.0, frontend="post"), sent(1.0), sent(700.0, 2), done(740.0)]),
+            (Invariant.DRAIN_NOTIFIED, [told, asked(300.0), sent(301.0), done(340.0)]),
+            (Invariant.HARD_LIMITS, burst),
+            (Invariant.DISCONNECTED_CLIENTS, left),
             ("faults", [at(5.0, "fault", node="n1", cause="ValueError")]),
             ("faults", [process(5.0, "overstayed")]),
         ):
             self.assertEqual(self.violated_invariants(*events), [rule], events)
-        self.assertEqual(self.violated_invariants(*started, *calls), [COLD, COLD_SUM])
         self.assertEqual(
-            self.violated_invariants(*started, *calls[:-3]), [COLD]
+            self.violated_invariants(*started, *calls),
+            [Invariant.SLOW_START_WORK, Invariant.SLOW_START_CALLS],
+        )
+        self.assertEqual(
+            self.violated_invariants(*started, *calls[:-3]), [Invariant.SLOW_START_WORK]
         )  # chance is borne in calls, not in work
 
     def test_what_faults_excuse_is_no_breach(self) -> None:
@@ -260,9 +266,9 @@
         ):
             self.assertEqual(self.violated_invariants(*events), [], events)
         other = at(900.0, "lag", node="n1", ms=200.0)
-        self.assertEqual(self.violated_invariants(asked(0.0), other, late), [ANSWERS])
+        self.assertEqual(self.violated_invariants(asked(0.0), other, late), [Invariant.ANSWERS])
         begun = [process(0.0, "terminated"), asked(100.0), cut | {"t": 610.0}, process(900.0, "left")]
-        self.assertEqual(self.violated_invariants(*begun), [ANSWERS])  # it still accepted then
+        self.assertEqual(self.violated_invariants(*begun), [Invariant.ANSWERS])  # it still accepted then
 
 
 def duty(t: float, node: str, event: str, fence: int, **fields: Any) -> dict[str, Any]:
@@ -361,7 +367,7 @@
         one = scenario.sized(scenario.load("edge-cuts"), 3, 2.5)
         told = fault_script.Script("edge-cuts", 3, 3, 2.5, [Fault(0.3, "drain", "s0", 1.9)], "deaf-to-drains")
         outcome = runner.play(one, told, kept)
-        self.assertIn(DRAINS, {breach.rule for breach in outcome.violations})
+        self.assertIn(Invariant.DRAIN_NOTIFIED, {breach.rule for breach in outcome.violations})
         self.assertEqual(fault_script.decode((kept / "edge-cuts-3" / "script.json").read_bytes(), ""), told)
 
     def test_interrupted_it_exits_130_and_leaves_no_process(self) -> None:
--- a/tests/test_seeds.py
+++ b/tests/test_seeds.py
@@ -9,7 +9,7 @@
 from onyxpost.simulation import deterministic, virtual_time
 from onyxpost.simulation.deterministic.cluster import Cluster, Edge
 from onyxpost.simulation.deterministic.discovery_agent import FailingAgent
-from onyxpost.simulation.invariants import CEILINGS, COLD_SUM, DRAINS, EFFECTS, GONE, GONE_FIRSTS, TOLD
+from onyxpost.simulation.invariants import Invariant
 
 
 class Seeds(unittest.TestCase):
@@ -35,19 +35,21 @@
     def test_each_bug_that_is_put_in_is_found_and_shrunk_to_what_it_takes(self) -> None:
         # `answer-lost` needs two things in one round, and no seed of the first 60 has them.
         for plant, rule in (
-            ("resends-all", EFFECTS),
-            ("deaf-to-drains", DRAINS),
-            ("ceilings-off", CEILINGS),
-            ("lost-never-ran", EFFECTS),
-            ("sends-for-the-gone", GONE),
-            ("sends-for-the-gone", GONE_FIRSTS),
-            ("deaf-watch", TOLD),
-            ("eager-cold", COLD_SUM),
+            ("resends-all", Invariant.IDEMPOTENCY),
+            ("deaf-to-drains", Invariant.DRAIN_NOTIFIED),
+            ("ceilings-off", Invariant.HARD_LIMITS),
+            ("lost-never-ran", Invariant.IDEMPOTENCY),
+            ("sends-for-the-gone", Invariant.DISCONNECTED_CLIENTS),
+            ("sends-for-the-gone", Invariant.DISCONNECTED_FIRST_ATTEMPTS),
+            ("deaf-watch", Invariant.DRAIN_PROPAGATED),
+            ("eager-cold", Invariant.SLOW_START_CALLS),
         ):
             with self.subTest(plant=plant, rule=rule):
                 found = self.first(plant, rule)
-                seed, breach = found.seed, next(b for b in found.violations if b.rule == rule)
-                self.assertTrue(breach.at > 0.0 and breach.node and breach.req and breach.server, breach)
+                seed, breach = found.seed, next(b for b in found.violations if b.invariant == rule)
+                self.assertTrue(
+                    breach.at_ms > 0.0 and breach.node and breach.request_id and breach.server, breach
+                )
                 least = deterministic.shrunk(found, plant)
                 self.assertLessEqual(len(least.faults), len(found.faults))
                 self.assertEqual(deterministic.play(seed, least.faults, plant), least)
@@ -55,11 +57,16 @@
 
     def first(self, plant: str, rule: str) -> deterministic.Outcome:
         """Of the first 60, of those with what the bug is to be met by."""
-        needs = {GONE: "leave", GONE_FIRSTS: "leave", TOLD: "watch-silent", COLD_SUM: "cold-burst"}.get(rule)
+        needs = {
+            Invariant.DISCONNECTED_CLIENTS: "leave",
+            Invariant.DISCONNECTED_FIRST_ATTEMPTS: "leave",
+            Invariant.DRAIN_PROPAGATED: "watch-silent",
+            Invariant.SLOW_START_CALLS: "cold-burst",
+        }.get(rule)
         for seed in range(60):
             if needs is None or needs in {fault.kind for fault in deterministic.script(seed)}:
                 found = deterministic.play(seed, None, plant)
-                if rule in {breach.rule for breach in found.violations}:
+                if rule in {breach.invariant for breach in found.violations}:
                     return found
         raise AssertionError(f"no seed of the first 60 finds {plant}")
 
@@ -82,8 +89,8 @@
         agent.learn(c.servers[number].row())
 
     def told(self, c: Cluster, server: str = "s0-0") -> tuple[float, bool] | None:
-        told = c.checker.endpoint_knowledge.not_to_send("n0", server)
-        return None if told is None else (round(told.at - c.now()), told.heard)
+        told = c.checker.endpoint_knowledge.drain_notification("n0", server)
+        return None if told is None else (round(told.at_ms - c.now()), told.was_received)
 
     def test_at_once_where_the_last_call_went_well(self) -> None:
         async def story(c: Cluster, edge: Edge) -> None:
@@ -106,7 +113,7 @@
                 self.drain(c, agent, 1)
                 self.assertEqual(self.told(c, "s1-0"), (6000, False))
                 await agent.mend(how)
-                c.checker.endpoint_knowledge.moved("n0")
+                c.checker.endpoint_knowledge.on_discovery_replaced("n0")
 
         self.play(story)
 
