--- a/onyxpost/simulation/deterministic/cluster.py
+++ b/onyxpost/simulation/deterministic/cluster.py
@@ -24,7 +24,7 @@
 from onyxpost.simulation.settings import PATIENT as PATIENT
 from onyxpost.simulation.settings import SETTINGS as SETTINGS
 from onyxpost.simulation.stubs import AppServer
-from onyxpost.simulation.virtual_time import EPOCH, Hosted, Network
+from onyxpost.simulation.virtual_time import EPOCH, Network, VirtualHost
 
 # Servers as small as the load: 5 calls a second each, of which 4 are allowed in a second once it has started.
 CALL, CAPACITY = 20.0, 0.1  # ms of work of a call; ms of work in one ms
@@ -62,7 +62,7 @@
         self.life = 0
         self.program: EdgeNode | None = None
         self.task: asyncio.Task[int] | None = None
-        self.net: Hosted
+        self.net: VirtualHost
 
     def told(self) -> nodes.NodeConfig:
         settings = self.cluster.settings | {"ordinal": self.number, "n_instances": len(self.cluster.edges)}
@@ -91,7 +91,7 @@
         self.named.counts_from = self.cluster.now() + MOVED
         self.cluster.checker.on_discovery_replaced(self.name)
         self.cluster.held(self.named, list(self.named.held.values()))
-        self.net.reread()
+        self.net.send_sighup()
 
     def known(self) -> list[dict[str, Any]]:
         return [row for row in self.agents[self.agent].held.values() if row["lifecycle"] != "removed"]
@@ -111,7 +111,7 @@
         task, net = self.task, self.net
         if task is None:
             return
-        net.stop()
+        net.send_sigterm()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(3.0):
                 await asyncio.shield(task)
@@ -137,7 +137,7 @@
             self.program.events.post = lambda event: None  # type: ignore[method-assign]
             self.program.events.inbox.clear()
             self.program.sweep = lambda: None  # type: ignore[method-assign]
-        self.cluster.net.die(self.net.name)
+        self.cluster.net.kill_host(self.net.name)
         self.program = self.task = None
 
 
@@ -188,7 +188,7 @@
     # Told to the rules
 
     def reached(self, writer: asyncio.StreamWriter, trace: str, server: AppServer) -> tuple[str, int]:
-        node = str(writer.transport.other.name).split(".")[0]  # type: ignore[attr-defined]
+        node = str(writer.transport.peer.host).split(".")[0]  # type: ignore[attr-defined]
         plan = self.meta.get(trace, ("", ""))[0]
         now = self.now()
         attempt = AttemptRecord(node, trace, server.id, now, now, server.zone, server.number % 2, plan)
@@ -228,7 +228,7 @@
         row = server.row()
         for edge in self.edges:
             for agent in edge.agents:
-                late = self.lateness + self.net.chance.uniform(0.01, 0.2)
+                late = self.lateness + self.net.rng.uniform(0.01, 0.2)
                 self.net.loop.call_later(late, agent.learn, row)
 
     # Clients
--- a/onyxpost/simulation/deterministic/faults.py
+++ b/onyxpost/simulation/deterministic/faults.py
@@ -13,6 +13,7 @@
 from onyxpost.simulation.deterministic.discovery_agent import FailingAgent
 from onyxpost.simulation.deterministic.fault_script import EDGES, SERVERS, Fault
 from onyxpost.simulation.stubs import AppServer
+from onyxpost.simulation.virtual_time import PlannedBreak
 
 
 class Playing(Protocol):
@@ -64,12 +65,12 @@
 
     def break_(self, fault: Fault) -> None:
         """The next connections to it break at some byte, of the req or of the answer."""
-        plan = self.cluster.net.break_next[self.server(fault).host]
+        plan = self.cluster.net.planned_breaks[self.server(fault).host]
         for i in range(1 + int(4 * fault.lasts)):
-            plan.append((int(fault.more * 97 + i) % 2, 1 + int(fault.more * 1009 + 61 * i) % 320))
+            plan.append(PlannedBreak(int(fault.more * 97 + i) % 2, 1 + int(fault.more * 1009 + 61 * i) % 320))
 
     def reset(self, fault: Fault) -> None:
-        self.cluster.net.reset_some(self.server(fault).host)
+        self.cluster.net.reset_connections(self.server(fault).host)
 
     def spoil(self, fault: Fault) -> None:
         self.server(fault).spoil += ["short", "twice", "noise", "long"][: 1 + int(4 * fault.more)]
@@ -95,7 +96,7 @@
 
     def crash(self, fault: Fault) -> None:
         server = self.server(fault)
-        self.cluster.net.die(server.host)
+        self.cluster.net.kill_host(server.host)
         self.later(fault, self.spawn_renew, server)
 
     def spawn_renew(self, old: AppServer) -> None:
@@ -106,7 +107,7 @@
         c = self.cluster
         if c.servers[old.number] is not old:
             return
-        c.net.die(old.host)
+        c.net.kill_host(old.host)
         old.standing = EndpointState.GONE
         c.change(old)
         new = c.servers[old.number] = c.server(old.number, old.life + 1)
@@ -136,9 +137,9 @@
         """Many clients that go early, while all servers' connections come up late (`PATIENT`)."""
         chance, net = Random(f"{self.seed}/leave/{fault.at}"), self.cluster.net
         for server in self.cluster.servers:
-            net.reset_some(server.host)
-            net.late[server.host] = 0.25 + 0.33 * fault.more
-            self.later(fault, net.late.pop, server.host, 0.0)
+            net.reset_connections(server.host)
+            net.connect_delays[server.host] = 0.25 + 0.33 * fault.more
+            self.later(fault, net.connect_delays.pop, server.host, 0.0)
         for _ in range(16):
             edge = self.cluster.edges[chance.randrange(EDGES)]
             self.playing.client(chance, edge, chance.uniform(10.0, 60.0))
@@ -153,7 +154,7 @@
         for edge in self.cluster.edges:
             for agent in edge.agents:
                 agent.learn(row)
-        self.cluster.net.reset_some(server.host)
+        self.cluster.net.reset_connections(server.host)
         self.later(fault, self.spawn_renew, server)
 
     def cross(self, fault: Fault) -> None:
@@ -169,8 +170,8 @@
             self.playing.client(chance, self.cluster.edges[chance.randrange(EDGES)])
 
     def loss(self, fault: Fault) -> None:
-        self.cluster.net.loses = fault.more
-        self.later(fault, setattr, self.cluster.net, "loses", 0.0)
+        self.cluster.net.datagram_loss = fault.more
+        self.later(fault, setattr, self.cluster.net, "datagram_loss", 0.0)
 
     def lists_late(self, fault: Fault) -> None:
         self.cluster.lateness = fault.more
@@ -192,8 +193,8 @@
     def agent_late(self, fault: Fault) -> None:
         """Its connections end, and come up late again; some later than a node waits for one."""
         net, host = self.cluster.net, f"agent{fault.whom}"
-        net.late[host] = 0.05 + 1.2 * fault.more
-        self.later(fault, net.late.pop, host, 0.0)
+        net.connect_delays[host] = 0.05 + 1.2 * fault.more
+        self.later(fault, net.connect_delays.pop, host, 0.0)
         self.watch_reset(fault)
 
     def agent_refuse(self, fault: Fault) -> None:
--- a/onyxpost/simulation/deterministic/seed_run.py
+++ b/onyxpost/simulation/deterministic/seed_run.py
@@ -101,7 +101,7 @@
     chosen, collects = script(seed) if faults is None else faults, gc.isenabled()
     gc.disable()
     try:
-        return virtual_time.run(Play(seed, chosen, PLANTS[plant]).run())  # type: ignore[no-any-return]
+        return virtual_time.run(Play(seed, chosen, PLANTS[plant]).run())
     finally:
         if collects:
             gc.enable()
--- a/onyxpost/simulation/model_checking/failover_timing.py
+++ b/onyxpost/simulation/model_checking/failover_timing.py
@@ -22,7 +22,7 @@
     town = Town(seed, size)
     await town.start()
     holder = await town.until_held("d0")
-    await asyncio.sleep(3.0 + town.net.chance.random() * 2.0)
+    await asyncio.sleep(3.0 + town.net.rng.random() * 2.0)
     holder = town.holders("d0")[0]
     town.nodes[holder].leadership.write("d0", b"kept %d" % seed)
     await asyncio.sleep(0.1)
--- a/onyxpost/simulation/model_checking/virtual_nodes.py
+++ b/onyxpost/simulation/model_checking/virtual_nodes.py
@@ -71,7 +71,7 @@
         self.nodes: dict[str, Node] = {}
         self.logs: list[tuple[float, str, LogEvent]] = []
         self.cut: set[tuple[str, str]] = set()
-        self.net.silent = lambda here, there: (here, there) in self.cut  # type: ignore[method-assign]
+        self.net.blocked_links = self.cut
         self.overlaps = 0
 
     def now(self) -> float:
@@ -87,7 +87,7 @@
         node = self.nodes.pop(name)
         node.leadership.close()
         node.links.close()
-        self.net.die(name)
+        self.net.kill_host(name)
         await asyncio.sleep(0.0)
 
     async def leave(self, name: str) -> None:
--- a/onyxpost/simulation/virtual_time/__init__.py
+++ b/onyxpost/simulation/virtual_time/__init__.py
@@ -1,23 +1,26 @@
-"""An asyncio event loop whose time jumps to what is due next, and a network in memory that can fail.
+"""An asyncio event loop whose time skips to what is due next, and a network in memory that can fail.
 
-The edge node's own code runs on it unchanged: only `onyxpost.runtime.transport.Transport` is
-implemented anew.
+The edge node's own code runs on it unchanged: only `onyxpost.runtime.transport.Transport` has another
+implementation.
 """
 
 from onyxpost.simulation.errors import SimulationStalledError
-from onyxpost.simulation.virtual_time.loop import STUCK, Loop, run
-from onyxpost.simulation.virtual_time.network import EPOCH, Hosted, Listening, Network
-from onyxpost.simulation.virtual_time.wires import End, Wire
+from onyxpost.simulation.virtual_time.connection import Connection, ConnectionEnd
+from onyxpost.simulation.virtual_time.host import EPOCH, VirtualHost
+from onyxpost.simulation.virtual_time.listener import VirtualListener
+from onyxpost.simulation.virtual_time.loop import MAX_TURNS_AT_ONE_TIME, VirtualTimeLoop, run
+from onyxpost.simulation.virtual_time.network import Network, PlannedBreak
 
 __all__ = [
     "EPOCH",
-    "STUCK",
-    "End",
-    "Hosted",
-    "Listening",
-    "Loop",
+    "MAX_TURNS_AT_ONE_TIME",
+    "Connection",
+    "ConnectionEnd",
     "Network",
+    "PlannedBreak",
     "SimulationStalledError",
-    "Wire",
+    "VirtualHost",
+    "VirtualListener",
+    "VirtualTimeLoop",
     "run",
 ]
--- /dev/null
+++ b/onyxpost/simulation/virtual_time/connection.py
@@ -0,0 +1,216 @@
+"""Connections in memory: two ends and the bytes in flight between them. Times are in seconds."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Protocol
+
+MIN_SPACING_SECONDS = 1e-7  # between two events of one direction: the loop does not order what is due at once
+
+
+class Link(Protocol):
+    """What a connection needs to know of the network that it is on."""
+
+    loop: asyncio.AbstractEventLoop
+
+    def is_blocked(self, source: str, target: str) -> bool:
+        """Whether nothing that one host sends reaches the other."""
+
+    def delay_seconds(self, source: str, target: str) -> float:
+        """Returns how long the next bytes or datagram take from one host to another."""
+
+
+class ConnectionEnd(asyncio.Transport):
+    """One end of a connection, as a stream's transport."""
+
+    def __init__(self, connection: Connection, host: str) -> None:
+        super().__init__()
+        self.connection = connection
+        self.host = host
+        self.loop = connection.link.loop
+        self.protocol: asyncio.Protocol = asyncio.Protocol()
+        self.max_size = 0  # a socket's transport has it: the bytes read at once
+        self.bytes_sent = 0
+        self.is_shut = False
+        self.is_lost = False
+        self.has_sent_end = False
+        self.has_received_end = False
+        self._is_paused = False
+        self._unread: list[bytes] = []  # received while reading was paused; b"" is the end
+        self._undeliverable_bytes = 0  # sent while the other end could not be reached
+
+    @property
+    def peer(self) -> ConnectionEnd:
+        """The other end."""
+        first, second = self.connection.ends
+        return second if self is first else first
+
+    @property
+    def has_unread(self) -> bool:
+        """Whether bytes or the end were received that the program has not read."""
+        return bool(self._unread)
+
+    # Calls of the program
+
+    def write(self, data: bytes | bytearray | memoryview) -> None:
+        """Sends bytes."""
+        if not self.is_shut and not self.has_sent_end and data:
+            self.bytes_sent += len(data)
+            self.connection.carry(self, bytes(data))
+
+    def write_eof(self) -> None:
+        """Sends the end of the stream; the other direction stays open."""
+        if not self.has_sent_end and not self.is_shut:
+            self.has_sent_end = True
+            self.connection.carry(self, b"")
+
+    def can_write_eof(self) -> bool:
+        """Whether one direction can be closed alone."""
+        return True
+
+    def close(self) -> None:
+        """Closes this end after what it has sent."""
+        if not self.is_shut:
+            self.write_eof()
+            self.is_shut = True
+            self.loop.call_soon(self.lose, None)
+
+    def abort(self) -> None:
+        """Resets the connection."""
+        if not self.is_shut:
+            self.is_shut = True
+            self.connection.reset_peer_of(self)
+            self.loop.call_soon(self.lose, None)
+
+    def is_closing(self) -> bool:
+        """Whether this end is closed or is being closed."""
+        return self.is_shut
+
+    def get_extra_info(self, name: str, default: object = None) -> object:  # noqa: ARG002 - asyncio's
+        """Returns the default: there is no socket."""
+        return default
+
+    def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
+        """Does nothing: writing never pauses."""
+
+    def get_write_buffer_size(self) -> int:
+        """Returns all bytes that the other end has not read: no kernel buffers a part of them here."""
+        in_flight = self.connection.bytes_in_flight[self.peer]
+        return in_flight + sum(len(chunk) for chunk in self.peer._unread) + self._undeliverable_bytes
+
+    def pause_reading(self) -> None:
+        """Keeps what arrives until reading is resumed."""
+        self._is_paused = True
+
+    def resume_reading(self) -> None:
+        """Passes on what has arrived meanwhile."""
+        self._is_paused = False
+        unread = self._unread
+        self._unread = []
+        for chunk in unread:
+            self.receive(chunk)
+
+    def is_reading(self) -> bool:
+        """Whether what arrives is passed on at once."""
+        return not self._is_paused and not self.is_shut
+
+    # Events of the network
+
+    def connect(self, protocol: asyncio.Protocol) -> None:
+        """Passes all further events to a protocol, and first that the connection is open."""
+        self.protocol = protocol
+        protocol.connection_made(self)
+
+    def receive(self, data: bytes) -> None:
+        """Handles bytes that arrive, or the end of the stream: b""."""
+        if self.is_lost or self.is_shut:
+            return
+        self.has_received_end = self.has_received_end or not data
+        if self._is_paused:
+            self._unread.append(data)
+        elif data:
+            self.protocol.data_received(data)
+        elif not self.protocol.eof_received():
+            self.close()
+
+    def reset(self) -> None:
+        """Handles a reset by the other end or by the network."""
+        if not self.is_lost and not self.is_shut:
+            self.is_shut = True
+            self.lose(ConnectionResetError("reset"))
+
+    def lose(self, error: Exception | None) -> None:
+        """Reports to the program, once, that the connection has ended."""
+        if not self.is_lost:
+            self.is_lost = True
+            self.protocol.connection_lost(error)
+
+    def kill(self) -> None:
+        """The process of this end is killed: its program gets no report, the other end a reset."""
+        self.is_shut = True
+        self.is_lost = True
+        self.connection.reset_peer_of(self)
+
+    def add_undeliverable(self, count: int) -> None:
+        """Counts bytes that were sent while the other end could not be reached."""
+        self._undeliverable_bytes += count
+
+    def clear_undeliverable(self) -> None:
+        """The other end can be reached again."""
+        self._undeliverable_bytes = 0
+
+
+class Connection:
+    """Carries bytes from each end to the other, in order and delayed; may break after a number of bytes."""
+
+    def __init__(self, link: Link, source: str, target: str) -> None:
+        self.link = link
+        self.loop = link.loop
+        self.is_broken = False
+        self.ends = (ConnectionEnd(self, source), ConnectionEnd(self, target))
+        self.bytes_in_flight: dict[ConnectionEnd, int] = dict.fromkeys(self.ends, 0)  # to this end
+        self._breaks_after_bytes: dict[ConnectionEnd, int] = {}  # sent by this end
+        self._last_arrival_seconds: dict[ConnectionEnd, float] = dict.fromkeys(self.ends, 0.0)
+
+    def break_after(self, end: ConnectionEnd, byte_count: int) -> None:
+        """Has the connection break once so many bytes sent by this end have been delivered."""
+        self._breaks_after_bytes[end] = byte_count
+
+    def carry(self, end: ConnectionEnd, data: bytes) -> None:
+        """Takes bytes that an end has sent; b"" is the end of the stream."""
+        if self.is_broken or self.link.is_blocked(end.host, end.peer.host):
+            end.add_undeliverable(len(data))
+            return
+        end.clear_undeliverable()
+        last_byte = self._breaks_after_bytes.get(end)
+        if last_byte is None or end.bytes_sent < last_byte:
+            self._deliver(end, data)
+            return
+        delivered = data[: max(0, len(data) - (end.bytes_sent - last_byte))]
+        if delivered:
+            self._deliver(end, delivered)
+        self.break_at(self._next_arrival_seconds(end))
+
+    def reset_peer_of(self, end: ConnectionEnd) -> None:
+        """Resets the other end, behind all that this one has sent."""
+        self.loop.call_at(self._next_arrival_seconds(end), end.peer.reset)
+
+    def break_at(self, time_seconds: float) -> None:
+        """Breaks the connection now; its ends learn of it at the given time."""
+        self.is_broken = True
+        for end in self.ends:
+            self.loop.call_at(time_seconds, end.reset)
+
+    def _next_arrival_seconds(self, end: ConnectionEnd) -> float:
+        delay_seconds = self.link.delay_seconds(end.host, end.peer.host)
+        earliest = self._last_arrival_seconds[end] + MIN_SPACING_SECONDS
+        self._last_arrival_seconds[end] = max(earliest, self.loop.time() + delay_seconds)
+        return self._last_arrival_seconds[end]
+
+    def _deliver(self, end: ConnectionEnd, data: bytes) -> None:
+        self.bytes_in_flight[end.peer] += len(data)
+        self.loop.call_at(self._next_arrival_seconds(end), self._arrive, end, data)
+
+    def _arrive(self, end: ConnectionEnd, data: bytes) -> None:
+        self.bytes_in_flight[end.peer] -= len(data)
+        end.peer.receive(data)
--- /dev/null
+++ b/onyxpost/simulation/virtual_time/host.py
@@ -0,0 +1,134 @@
+"""The network in memory as one host has it: its listeners, connections, datagrams, clock and signals."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING, Any, Protocol
+
+from onyxpost.runtime.transport import Unread
+from onyxpost.simulation.virtual_time.connection import ConnectionEnd
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from _typeshed import ReadableBuffer as Buffer
+
+    from onyxpost.config.address import Address
+    from onyxpost.runtime.transport import ConnectionHandler, DialedConnection
+    from onyxpost.simulation.virtual_time.listener import VirtualListener
+
+EPOCH = 1_000_000_000_000.0  # Unix ms at the start of a run
+MS_PER_SECOND = 1000.0
+DESCRIPTOR_LIMIT = 1 << 20
+
+
+class SharedNetwork(Protocol):
+    """The network that all hosts share; see `Network` for each call."""
+
+    loop: asyncio.AbstractEventLoop
+    hosts: dict[Address, str]
+    datagram_protocols: dict[Address, asyncio.DatagramProtocol]
+
+    def listen(self, host: str, address: Address, serve: ConnectionHandler, limit: int) -> VirtualListener:
+        """Listens for a host."""
+
+    async def dial(self, host: str, address: Address, limit: int) -> DialedConnection:
+        """Opens a connection for a host."""
+
+    def send_datagram(self, host: str, source: Address, data: bytes, target: Address) -> None:
+        """Sends a datagram for a host."""
+
+
+class VirtualDatagramTransport(asyncio.DatagramTransport):
+    """Datagrams of one host at one address."""
+
+    def __init__(self, network: SharedNetwork, host: str, address: Address) -> None:
+        super().__init__()
+        self._network = network
+        self._host = host
+        self._address = address
+
+    def sendto(
+        self, data: bytes | bytearray | memoryview, addr: tuple[Any, ...] | str | Buffer | None = None
+    ) -> None:
+        """Sends a datagram to a host and port."""
+        assert isinstance(addr, tuple)
+        host, port = addr
+        self._network.send_datagram(self._host, self._address, bytes(data), (host, port))
+
+    def close(self) -> None:
+        """Receives no more."""
+        self._network.datagram_protocols.pop(self._address, None)
+
+
+class VirtualHost:
+    """One host: an `onyxpost.runtime.transport.Transport` that needs neither sockets nor real time."""
+
+    def __init__(self, network: SharedNetwork, name: str) -> None:
+        self.network = network
+        self.name = name
+        self._on_stop: Callable[[], None] = _ignore_signal
+        self._on_reload: Callable[[], None] = _ignore_signal
+
+    def clock(self) -> float:
+        """Returns the Unix time in ms."""
+        return EPOCH + self.monotonic()
+
+    def monotonic(self) -> float:
+        """Returns the time in ms since the start of the run."""
+        return self.network.loop.time() * MS_PER_SECOND
+
+    async def listen(
+        self,
+        serve: ConnectionHandler,
+        address: Address,
+        limit: int,
+        accepts: int,  # noqa: ARG002 - the protocol's: there is no backlog here
+    ) -> VirtualListener:
+        """Listens at `address`; `limit` is the stream's buffer limit in bytes. Raises OSError."""
+        return self.network.listen(self.name, address, serve, limit)
+
+    async def dial(self, address: Address, limit: int) -> DialedConnection:
+        """Opens a connection; `limit` is the stream's buffer limit in bytes. Raises OSError."""
+        return await self.network.dial(self.name, address, limit)
+
+    def unread(self, transport: asyncio.BaseTransport) -> Unread:
+        """Returns what an accepted connection has received that the event loop has not read yet."""
+        assert isinstance(transport, ConnectionEnd)
+        if transport.is_shut or transport.has_received_end:
+            return Unread.END
+        return Unread.BYTES if transport.has_unread else Unread.NOTHING
+
+    async def open_datagram_endpoint(self, protocol: asyncio.DatagramProtocol, address: Address) -> None:
+        """Receives datagrams at `address`."""
+        self.network.hosts[address] = self.name
+        self.network.datagram_protocols[address] = protocol
+        protocol.connection_made(VirtualDatagramTransport(self.network, self.name, address))
+
+    def install_signal_handlers(self, stop: Callable[[], None], reload: Callable[[], None]) -> None:
+        """Calls `stop` on SIGTERM and `reload` on SIGHUP."""
+        self._on_stop = stop
+        self._on_reload = reload
+
+    def ignore_signals(self) -> None:
+        """Ignores SIGHUP from now on; a second SIGTERM changes nothing."""
+        self._on_reload = _ignore_signal
+
+    def send_sigterm(self) -> None:
+        """Sends SIGTERM to the program of this host."""
+        self._on_stop()
+
+    def send_sighup(self) -> None:
+        """Sends SIGHUP to the program of this host."""
+        self._on_reload()
+
+    def freeze_startup_objects(self) -> None:
+        """Does nothing: many hosts share one process."""
+
+    def descriptor_limit(self) -> int:
+        """Returns more than any program here needs."""
+        return DESCRIPTOR_LIMIT
+
+
+def _ignore_signal() -> None:
+    """A program that has not installed its handlers yet."""
--- a/onyxpost/simulation/virtual_time/loop.py
+++ b/onyxpost/simulation/virtual_time/loop.py
@@ -1,70 +1,106 @@
-"""An asyncio event loop whose time jumps to what is due next."""
+"""An asyncio event loop whose time skips to what is due next. Times are in seconds."""
 
 from __future__ import annotations
 
 import asyncio
 import selectors
-from collections.abc import Awaitable
-from typing import Any
+from typing import TYPE_CHECKING, TypeVar
 
 from onyxpost.simulation.errors import SimulationStalledError
 
-STUCK = 200_000  # turns of the loop at one time: something goes round in circles
+if TYPE_CHECKING:
+    from collections.abc import Awaitable
 
+    from _typeshed import FileDescriptorLike
 
-class _Jump(selectors.BaseSelector):
-    """Waits for nothing: it moves the time on by as long as the loop would have waited."""
+Result = TypeVar("Result")
+
+MAX_TURNS_AT_ONE_TIME = 200_000  # more turns of the loop without any progress of time are a livelock
+CLOCK_RESOLUTION_SECONDS = 1e-9  # what is due later than this is not due yet
+CANCEL_TIMEOUT_SECONDS = 10.0  # of virtual time, for the tasks that are left at the end
+
+
+class SkipIdleSelector(selectors.BaseSelector):
+    """Waits for nothing: it moves the time on by as long as the loop would have waited.
+
+    Raises:
+        SimulationStalledError: Nothing is due any more, or time does not progress.
+    """
 
     def __init__(self) -> None:
-        self.now = 0.0
-        self.turns = 0
-        self.keys: dict[Any, selectors.SelectorKey] = {}
+        self.now_seconds = 0.0
+        self._turns_at_this_time = 0
+        self._keys: dict[FileDescriptorLike, selectors.SelectorKey] = {}
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
+        """Moves the time on by `timeout`; no file is ever ready."""
         if timeout is None:
             raise SimulationStalledError("nothing is due any more")
-        self.turns = 0 if timeout > 0.0 else self.turns + 1
-        if self.turns > STUCK:
-            raise SimulationStalledError(f"time stands still at {self.now:.6f} s")
-        self.now += max(0.0, timeout)
+        self._turns_at_this_time = 0 if timeout > 0.0 else self._turns_at_this_time + 1
+        if self._turns_at_this_time > MAX_TURNS_AT_ONE_TIME:
+            raise SimulationStalledError(f"time stands still at {self.now_seconds:.6f} s")
+        self.now_seconds += max(0.0, timeout)
         return []
 
-    def register(self, fileobj: Any, events: int, data: Any = None) -> selectors.SelectorKey:
-        # Only the loop's own pipe to itself is ever registered, and never speaks.
-        key = self.keys[fileobj] = selectors.SelectorKey(fileobj, int(fileobj), events, data)
+    def register(
+        self, fileobj: FileDescriptorLike, events: int, data: object = None
+    ) -> selectors.SelectorKey:
+        """Registers the loop's own pipe to itself, the only file that there is; it is never ready."""
+        key = selectors.SelectorKey(fileobj, _file_descriptor(fileobj), events, data)
+        self._keys[fileobj] = key
         return key
 
-    def unregister(self, fileobj: Any) -> selectors.SelectorKey:
-        return self.keys.pop(fileobj)
+    def unregister(self, fileobj: FileDescriptorLike) -> selectors.SelectorKey:
+        """Removes a file."""
+        return self._keys.pop(fileobj)
 
-    def get_map(self) -> dict[Any, selectors.SelectorKey]:
-        return self.keys
+    def get_map(self) -> dict[FileDescriptorLike, selectors.SelectorKey]:
+        """Returns the registered files."""
+        return self._keys
 
     def close(self) -> None:
-        self.keys.clear()
+        """Removes all files."""
+        self._keys.clear()
+
 
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
+    """An event loop on virtual time, which begins at 0."""
 
-class Loop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
-        self.jump = _Jump()
-        super().__init__(self.jump)
-        self._clock_resolution = 1e-9  # what is due a little later is not due yet
+        self._skip_idle = SkipIdleSelector()
+        super().__init__(self._skip_idle)
+        self._clock_resolution = CLOCK_RESOLUTION_SECONDS
 
     def time(self) -> float:
-        return self.jump.now
+        """Returns the virtual time in seconds."""
+        return self._skip_idle.now_seconds
 
 
-def run(main: Awaitable[Any]) -> Any:
-    loop = Loop()
+def run(main: Awaitable[Result]) -> Result:
+    """Runs a coroutine on a new loop of virtual time, as `asyncio.run` does, and returns its result.
+
+    Raises:
+        SimulationStalledError: Nothing is due any more, or time does not progress.
+    """
+    loop = VirtualTimeLoop()
     try:
         asyncio.set_event_loop(loop)
         return loop.run_until_complete(main)
     finally:
-        loop.set_exception_handler(lambda loop, context: None)  # what is cut short here was not meant to end
-        left = asyncio.all_tasks(loop)
-        for task in left:
-            task.cancel()
-        if left:
-            loop.run_until_complete(asyncio.wait(left, timeout=10.0))
+        _cancel_tasks(loop)
         asyncio.set_event_loop(None)
         loop.close()
+
+
+def _file_descriptor(fileobj: FileDescriptorLike) -> int:
+    return fileobj if isinstance(fileobj, int) else fileobj.fileno()
+
+
+def _cancel_tasks(loop: VirtualTimeLoop) -> None:
+    # Tasks that are cancelled here were not meant to end: what they raise is no fault.
+    loop.set_exception_handler(lambda _loop, _context: None)
+    tasks = asyncio.all_tasks(loop)
+    for task in tasks:
+        task.cancel()
+    if tasks:
+        loop.run_until_complete(asyncio.wait(tasks, timeout=CANCEL_TIMEOUT_SECONDS))
--- a/onyxpost/simulation/virtual_time/network.py
+++ b/onyxpost/simulation/virtual_time/network.py
@@ -1,177 +1,156 @@
-"""A network in memory that can fail, and a host's place in it."""
+"""A network in memory that can fail: who listens, every open connection, and who reaches whom."""
 
 from __future__ import annotations
 
 import asyncio
 from collections import defaultdict
-from collections.abc import Callable
-from random import Random
-from typing import Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
-from onyxpost.config.address import Address
-from onyxpost.runtime.transport import ConnectionHandler, CountingReader, DialedConnection, Unread
-from onyxpost.simulation.virtual_time.wires import End, Wire
+from onyxpost.runtime.transport import CountingReader, DialedConnection
+from onyxpost.simulation.virtual_time.connection import Connection
+from onyxpost.simulation.virtual_time.host import VirtualHost
+from onyxpost.simulation.virtual_time.listener import VirtualListener
 
-EPOCH = 1_000_000_000_000.0  # Unix ms at a run's start
+if TYPE_CHECKING:
+    from random import Random
 
+    from onyxpost.config.address import Address
+    from onyxpost.runtime.transport import ConnectionHandler
+    from onyxpost.simulation.virtual_time.connection import ConnectionEnd
 
-class Listening:
-    """A listener in memory, with `asyncio.Server`'s way of being closed."""
+MIN_DELAY_SECONDS = 0.0002  # one way
+MAX_DELAY_SECONDS = 0.002
+NEVER_SECONDS = 3600.0  # later than any timeout of a program
 
-    def __init__(self, net: Network, address: Address, serve: ConnectionHandler, limit: int) -> None:
-        self.net, self.address, self.serve, self.limit = net, address, serve, limit
-        self.tasks: set[asyncio.Task[None]] = set()
 
-    @property
-    def sockets(self) -> tuple[Any, ...]:
-        return ()
+class PlannedBreak(NamedTuple):
+    """Where the next connection to a host breaks."""
 
-    def close(self) -> None:
-        if self.net.listeners.get(self.address) is self:
-            del self.net.listeners[self.address]
+    side: int
+    """Whose bytes are counted: 0 the end that dialed, 1 the end that accepted."""
+    after_bytes: int
 
 
 class Network:
-    """All that listens, every open connection, and who can hear whom."""
+    """All that listens, every open connection, and who reaches whom; must be created in a running loop.
 
-    def __init__(self, chance: Random) -> None:
+    Its tables are public, as faults change them while it runs.
+    """
+
+    def __init__(self, rng: Random) -> None:
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
-        self.chance = chance
-        self.listeners: dict[Address, Listening] = {}
+        self.rng = rng
+        self.listeners: dict[Address, VirtualListener] = {}
         self.hosts: dict[Address, str] = {}
-        self.datagram: dict[Address, tuple[str, asyncio.DatagramProtocol]] = {}
-        self.cut_off: set[str] = set()  # hosts that are not heard and hear nobody
-        self.loses = 0.0  # share of datagrams lost
-        self.late: dict[str, float] = {}  # s by which connections to a host come up late
-        self.wires: dict[str, list[Wire]] = defaultdict(list)  # by host, either side
-        # For the next connections to a host: the side that says too little, and after how many bytes.
-        self.break_next: dict[str, list[tuple[int, int]]] = defaultdict(list)
-
-    def silent(self, here: str, there: str) -> bool:
-        return here in self.cut_off or there in self.cut_off
-
-    def delay(self, here: str, there: str) -> float:
-        return self.chance.uniform(0.0002, 0.002)
-
-    def host(self, name: str) -> Hosted:
-        return Hosted(self, name)
-
-    async def dial(self, name: str, address: Address, limit: int) -> DialedConnection:
-        await asyncio.sleep(2.0 * self.delay(name, str(address)))
-        there = self.hosts.get(address, "")
-        if there in self.late:
-            await asyncio.sleep(self.late[there])
-        if self.silent(name, there):
-            await asyncio.sleep(3600.0)  # it never comes up: whoever waits gives up
+        self.datagram_protocols: dict[Address, asyncio.DatagramProtocol] = {}
+        self.connections: dict[str, list[Connection]] = defaultdict(list)  # by host, either end
+        self.cut_off: set[str] = set()  # hosts that reach nobody and are not reached
+        self.blocked_links: set[tuple[str, str]] = set()  # from a host to another, in this direction alone
+        self.datagram_loss = 0.0  # the fraction of datagrams that are lost
+        self.connect_delays: dict[str, float] = {}  # extra seconds until a connection to a host is open
+        self.planned_breaks: dict[str, list[PlannedBreak]] = defaultdict(list)  # of the next ones to a host
+
+    def is_blocked(self, source: str, target: str) -> bool:
+        """Whether nothing that one host sends reaches the other."""
+        if source in self.cut_off or target in self.cut_off:
+            return True
+        return (source, target) in self.blocked_links
+
+    def delay_seconds(self, source: str, target: str) -> float:  # noqa: ARG002 - tests replace it by link
+        """Returns how long the next bytes or datagram take from one host to another."""
+        return self.rng.uniform(MIN_DELAY_SECONDS, MAX_DELAY_SECONDS)
+
+    def host(self, name: str) -> VirtualHost:
+        """Returns the network as a host with this name has it."""
+        return VirtualHost(self, name)
+
+    def listen(self, host: str, address: Address, serve: ConnectionHandler, limit: int) -> VirtualListener:
+        """Listens for a host; `limit` is the stream's buffer limit in bytes.
+
+        Raises:
+            OSError: Somebody listens there already.
+        """
+        if address in self.listeners:
+            raise OSError(f"{address} is taken")
+        self.hosts[address] = host
+        listener = VirtualListener(self, address, serve, limit)
+        self.listeners[address] = listener
+        return listener
+
+    def stop_listening(self, listener: VirtualListener) -> None:
+        """Ends a listener, unless another one has its address by now."""
+        if self.listeners.get(listener.address) is listener:
+            del self.listeners[listener.address]
+
+    async def dial(self, host: str, address: Address, limit: int) -> DialedConnection:
+        """Opens a connection for a host; `limit` is the stream's buffer limit in bytes.
+
+        Raises:
+            ConnectionRefusedError: Nobody listens there.
+        """
+        await asyncio.sleep(2.0 * self.delay_seconds(host, str(address)))
+        target = self.hosts.get(address, "")
+        if target in self.connect_delays:
+            await asyncio.sleep(self.connect_delays[target])
+        if self.is_blocked(host, target):
+            await asyncio.sleep(NEVER_SECONDS)
         listener = self.listeners.get(address)
         if listener is None:
             raise ConnectionRefusedError(f"nobody at {address}")
-        wire = Wire(self, name, there)
-        for host in {name, there}:
-            self.wires[host].append(wire)
-        if planned := self.break_next[there]:
-            side, after = planned.pop(0)
-            wire.breaks[wire.ends[side]] = after
-        near, far = wire.ends
+        connection = self._new_connection(host, target)
+        near, far = connection.ends
         reader = CountingReader(limit=limit, loop=self.loop)
         protocol = asyncio.StreamReaderProtocol(reader, loop=self.loop)
-        near.protocol = protocol
-        far_reader = CountingReader(limit=listener.limit, loop=self.loop)
+        self._accept(listener, far)
+        near.connect(protocol)
+
+        def is_all_read() -> bool:
+            return not connection.bytes_in_flight[near] and not near.has_unread and not near.is_lost
+
+        writer = asyncio.StreamWriter(near, protocol, reader, self.loop)
+        return DialedConnection(reader, writer, is_all_read, lambda: True)
+
+    def _new_connection(self, host: str, target: str) -> Connection:
+        connection = Connection(self, host, target)
+        for one in {host, target}:
+            self.connections[one].append(connection)
+        planned_breaks = self.planned_breaks[target]
+        if planned_breaks:
+            planned = planned_breaks.pop(0)
+            connection.break_after(connection.ends[planned.side], planned.after_bytes)
+        return connection
+
+    def _accept(self, listener: VirtualListener, end: ConnectionEnd) -> None:
+        reader = CountingReader(limit=listener.limit, loop=self.loop)
         serve: Any = listener.serve
-        far.protocol = asyncio.StreamReaderProtocol(far_reader, serve, loop=self.loop)
-        far.protocol.connection_made(far)
-        protocol.connection_made(near)
+        end.connect(asyncio.StreamReaderProtocol(reader, serve, loop=self.loop))
 
-        def unread() -> bool:
-            return not wire.flying[near] and not near.waiting and not near.lost
-
-        return DialedConnection(
-            reader, asyncio.StreamWriter(near, protocol, reader, self.loop), unread, lambda: True
-        )
-
-    def die(self, host: str) -> None:
-        """Its connections are reset, and nobody listens any more."""
+    def kill_host(self, host: str) -> None:
+        """Kills the process of a host: its connections are reset, and it listens no more."""
         for address in [address for address, owner in self.hosts.items() if owner == host]:
             self.listeners.pop(address, None)
-            self.datagram.pop(address, None)
-        for wire in self.wires.pop(host, []):
-            for end in wire.ends:
-                if end.name == host:
-                    end.shut = end.lost = True
-                    wire.reset(end)
-                    wire.broken = True
-
-    def reset_some(self, host: str) -> None:
-        for wire in self.wires[host]:
-            if not wire.broken and not wire.ends[0].lost:
-                wire.snap(self.loop.time())
-
-    def sendto(self, name: str, source: Address, data: bytes, address: Address) -> None:
-        there = self.hosts.get(address, "")
-        if self.silent(name, there) or self.chance.random() < self.loses:
+            self.datagram_protocols.pop(address, None)
+        for connection in self.connections.pop(host, []):
+            for end in connection.ends:
+                if end.host == host:
+                    end.kill()
+                    connection.is_broken = True
+
+    def reset_connections(self, host: str) -> None:
+        """Resets the open connections of a host."""
+        for connection in self.connections[host]:
+            if not connection.is_broken and not connection.ends[0].is_lost:
+                connection.break_at(self.loop.time())
+
+    def send_datagram(self, host: str, source: Address, data: bytes, target: Address) -> None:
+        """Sends a datagram for a host; it may be lost."""
+        target_host = self.hosts.get(target, "")
+        if self.is_blocked(host, target_host) or self.rng.random() < self.datagram_loss:
             return
-        self.loop.call_later(self.delay(name, there), self.arrive, source, data, address)
-
-    def arrive(self, source: Address, data: bytes, address: Address) -> None:
-        if address in self.datagram:
-            self.datagram[address][1].datagram_received(data, source)
-
-
-class _Datagrams(asyncio.DatagramTransport):
-    def __init__(self, net: Network, name: str, address: Address) -> None:
-        super().__init__()
-        self.net, self.name, self.address = net, name, address
-
-    def sendto(self, data: Any, addr: Any = None) -> None:
-        self.net.sendto(self.name, self.address, bytes(data), addr)
-
-    def close(self) -> None:
-        self.net.datagram.pop(self.address, None)
-
-
-class Hosted:
-    """The network as one host has it: `onyxpost.runtime.transport.Transport`."""
-
-    def __init__(self, net: Network, name: str) -> None:
-        self.net, self.name = net, name
-        self.stop: Callable[[], None] = lambda: None
-        self.reread: Callable[[], None] = lambda: None
-
-    def clock(self) -> float:
-        return EPOCH + self.monotonic()
-
-    def monotonic(self) -> float:
-        return self.net.loop.time() * 1000.0
-
-    async def listen(self, serve: ConnectionHandler, address: Address, limit: int, accepts: int) -> Listening:
-        if address in self.net.listeners:
-            raise OSError(f"{address} is taken")
-        self.net.hosts[address] = self.name
-        listener = self.net.listeners[address] = Listening(self.net, address, serve, limit)
-        return listener
-
-    async def dial(self, address: Address, limit: int) -> DialedConnection:
-        return await self.net.dial(self.name, address, limit)
-
-    def unread(self, transport: asyncio.BaseTransport) -> Unread:
-        assert isinstance(transport, End)
-        if transport.shut or transport.heard_all:
-            return Unread.END
-        return Unread.BYTES if transport.waiting else Unread.NOTHING
-
-    async def open_datagram_endpoint(self, protocol: asyncio.DatagramProtocol, address: Address) -> None:
-        self.net.hosts[address] = self.name
-        self.net.datagram[address] = self.name, protocol
-        protocol.connection_made(_Datagrams(self.net, self.name, address))
-
-    def install_signal_handlers(self, stop: Callable[[], None], reread: Callable[[], None]) -> None:
-        self.stop, self.reread = stop, reread
-
-    def ignore_signals(self) -> None:
-        self.reread = lambda: None
-
-    def freeze_startup_objects(self) -> None:
-        pass
+        delay_seconds = self.delay_seconds(host, target_host)
+        self.loop.call_later(delay_seconds, self.deliver_datagram, source, data, target)
 
-    def descriptor_limit(self) -> int:
-        return 1 << 20
+    def deliver_datagram(self, source: Address, data: bytes, target: Address) -> None:
+        """Passes a datagram to whoever receives at the address by now."""
+        if target in self.datagram_protocols:
+            self.datagram_protocols[target].datagram_received(data, source)
--- a/tests/cluster/test_connections.py
+++ b/tests/cluster/test_connections.py
@@ -29,8 +29,10 @@
             sender.send("n1", TOPIC, bytes(MAX_BODY_BYTES + 10_000))
         assert sender.send("n1", TOPIC, bytes(MAX_BODY_BYTES))
         await asyncio.sleep(1.0)
-        wires = [wire for wires in cluster.network.wires.values() for wire in wires]
-        open_connections = sum(not wire.broken for wire in wires) // 2
+        connections = [
+            connection for of_host in cluster.network.connections.values() for connection in of_host
+        ]
+        open_connections = sum(not connection.is_broken for connection in connections) // 2
         assert cluster.states_seen_by("n0") == {PeerState.ALIVE}
 
     cluster = run_scenario(scenario, size=5)
@@ -147,7 +149,7 @@
         await asyncio.sleep(10.0)
         await cluster.start("n1")
         await asyncio.sleep(6.0)
-        cluster.network.reset_some("n1")
+        cluster.network.reset_connections("n1")
         await asyncio.sleep(0.3)
         assert cluster.members["n0"].state_of("n1") is PeerState.ALIVE
 
--- a/tests/cluster/test_races.py
+++ b/tests/cluster/test_races.py
@@ -26,7 +26,7 @@
     async def scenario(cluster: VirtualCluster) -> None:
         member = cluster.members["n1"]
         transport: Any = member.established["n0"].writer.transport
-        transport.came(encode_frame(Payload(TOPIC, b"late")))
+        transport.receive(encode_frame(Payload(TOPIC, b"late")))
         member.close()
         await asyncio.sleep(0.1)
 
@@ -41,7 +41,7 @@
         await asyncio.sleep(0.01)
         (writer,) = member.listener.unidentified
         transport: Any = writer.transport
-        transport.came(hello_frame("n1"))
+        transport.receive(hello_frame("n1"))
         transport.abort()
         await asyncio.sleep(0.1)
         assert member.incarnation_of("n0") == incarnation
@@ -59,7 +59,7 @@
         await asyncio.sleep(0.01)
         (writer,) = member.listener.unidentified
         transport: Any = writer.transport
-        transport.came(hello_frame("n2"))
+        transport.receive(hello_frame("n2"))
         if hello_first:
             await asyncio.sleep(0)  # the hello is validated
         member.update_membership(membership_of(2, "n1", "n2"))
@@ -118,9 +118,9 @@
         await asyncio.sleep(0.1)
         old_transport: Any = member.established["n0"].writer.transport
         new_transport: Any = next(iter(member.listener.unidentified)).transport
-        old_transport.came(encode_frame(Payload(TOPIC, b"old")))
-        new_transport.came(hello_frame("n2", dial_number=2) + encode_frame(Payload(TOPIC, b"new")))
-        old_transport.cut()
+        old_transport.receive(encode_frame(Payload(TOPIC, b"old")))
+        new_transport.receive(hello_frame("n2", dial_number=2) + encode_frame(Payload(TOPIC, b"new")))
+        old_transport.reset()
         await asyncio.sleep(0.1)
         assert member.state_of("n0") is PeerState.ALIVE
         assert member.handshake.latest["n0"].dial_number == 2
--- a/tests/cluster/virtual_cluster.py
+++ b/tests/cluster/virtual_cluster.py
@@ -66,7 +66,7 @@
         self.logs: dict[str, list[LogEvent]] = {name: [] for name in self.names}
         self.start_count = 0
         self.blocked: set[tuple[str, str]] = set()  # pairs of a host and one that does not hear it
-        self.network.silent = lambda here, there: (here, there) in self.blocked  # type: ignore[method-assign]
+        self.network.blocked_links = self.blocked
 
     async def start(self, name: str) -> PeerConnections:
         self.start_count += 1
@@ -87,7 +87,7 @@
 
     def kill(self, name: str) -> None:
         self.members[name].close()
-        self.network.die(name)
+        self.network.kill_host(name)
 
     def partition(self, one: str, other: str) -> None:
         self.blocked |= {(one, other), (other, one)}
--- a/tests/compatibility/record_simulation_digests.py
+++ b/tests/compatibility/record_simulation_digests.py
@@ -178,12 +178,12 @@
     def host(name: str) -> int:
         return digest.number(("host", name))
 
-    def connection(wire: virtual_time.Wire) -> int:
+    def connection(wire: virtual_time.Connection) -> int:
         return digest.number(wire)
 
-    def at_end(kind: str, end: virtual_time.End, *values: Value) -> None:
-        side = end.wire.ends.index(end)
-        digest.add(now(end.loop), kind, connection(end.wire), side, *values)
+    def at_end(kind: str, end: virtual_time.ConnectionEnd, *values: Value) -> None:
+        side = end.connection.ends.index(end)
+        digest.add(now(end.loop), kind, connection(end.connection), side, *values)
 
     async def dial(original: Any, net: virtual_time.Network, name: str, address: Any, limit: int) -> Any:
         digest.add(now(net.loop), "connect", host(name), *address)
@@ -192,29 +192,31 @@
         except OSError:
             digest.add(now(net.loop), "refused", host(name), *address)
             raise
-        wire = line.writer.transport.wire
+        wire = line.writer.transport.connection
         digest.add(now(net.loop), "accepted", host(name), *address, connection(wire))
         return line
 
-    def carry(original: Any, wire: virtual_time.Wire, end: virtual_time.End, data: bytes) -> None:
+    def carry(
+        original: Any, wire: virtual_time.Connection, end: virtual_time.ConnectionEnd, data: bytes
+    ) -> None:
         at_end("write", end, data)
         original(wire, end, data)
 
-    def came(original: Any, end: virtual_time.End, data: bytes) -> None:
+    def came(original: Any, end: virtual_time.ConnectionEnd, data: bytes) -> None:
         at_end("read", end, data)
         original(end, data)
 
-    def close(original: Any, end: virtual_time.End) -> None:
-        if not end.shut:
+    def close(original: Any, end: virtual_time.ConnectionEnd) -> None:
+        if not end.is_shut:
             at_end("close", end)
         original(end)
 
-    def abort(original: Any, end: virtual_time.End) -> None:
-        if not end.shut:
+    def abort(original: Any, end: virtual_time.ConnectionEnd) -> None:
+        if not end.is_shut:
             at_end("abort", end)
         original(end)
 
-    def ended(original: Any, end: virtual_time.End, error: Exception | None) -> None:
+    def ended(original: Any, end: virtual_time.ConnectionEnd, error: Exception | None) -> None:
         at_end("lost", end, int(error is not None))
         original(end, error)
 
@@ -235,28 +237,28 @@
         original(net, name)
 
     async def listen(
-        original: Any, hosted: virtual_time.Hosted, serve: Any, address: Any, limit: int, accepts: int
+        original: Any, hosted: virtual_time.VirtualHost, serve: Any, address: Any, limit: int, accepts: int
     ) -> Any:
-        digest.add(now(hosted.net.loop), "listen", host(hosted.name), *address)
+        digest.add(now(hosted.network.loop), "listen", host(hosted.name), *address)
         return await original(hosted, serve, address, limit, accepts)
 
-    def stop_listening(original: Any, listening: virtual_time.Listening) -> None:
-        digest.add(now(listening.net.loop), "stop-listening", *listening.address)
+    def stop_listening(original: Any, listening: virtual_time.VirtualListener) -> None:
+        digest.add(now(listening.table.loop), "stop-listening", *listening.address)
         original(listening)
 
     with contextlib.ExitStack() as stack:
         for owner, name, wrapper in (
             (virtual_time.Network, "dial", dial),
-            (virtual_time.Network, "sendto", send_datagram),
-            (virtual_time.Network, "arrive", receive_datagram),
-            (virtual_time.Network, "die", die),
-            (virtual_time.Hosted, "listen", listen),
-            (virtual_time.Listening, "close", stop_listening),
-            (virtual_time.Wire, "carry", carry),
-            (virtual_time.End, "came", came),
-            (virtual_time.End, "close", close),
-            (virtual_time.End, "abort", abort),
-            (virtual_time.End, "ended", ended),
+            (virtual_time.Network, "send_datagram", send_datagram),
+            (virtual_time.Network, "deliver_datagram", receive_datagram),
+            (virtual_time.Network, "kill_host", die),
+            (virtual_time.VirtualHost, "listen", listen),
+            (virtual_time.VirtualListener, "close", stop_listening),
+            (virtual_time.Connection, "carry", carry),
+            (virtual_time.ConnectionEnd, "receive", came),
+            (virtual_time.ConnectionEnd, "close", close),
+            (virtual_time.ConnectionEnd, "abort", abort),
+            (virtual_time.ConnectionEnd, "lose", ended),
         ):
             stack.enter_context(wrapped(owner, name, wrapper))
         yield
--- a/tests/compatibility/test_http_bytes.py
+++ b/tests/compatibility/test_http_bytes.py
@@ -84,7 +84,7 @@
                 return Connection(line.reader, line.writer)
 
             def stop_node(self) -> None:
-                node_host.stop()
+                node_host.send_sigterm()
 
         settings = config.decode(node_file)
         log = StructuredLog("n0", out=io.TextIOWrapper(io.BytesIO()))
--- a/tests/edge/test_discovery_faults.py
+++ b/tests/edge/test_discovery_faults.py
@@ -136,7 +136,7 @@
 
         host.dial = troubled  # type: ignore[method-assign]
         if trouble in DIALS and point != "between two":
-            loop.call_at(begins / 1000.0, net.reset_some, "agent1" if moved else "agent0")
+            loop.call_at(begins / 1000.0, net.reset_connections, "agent1" if moved else "agent0")
         self_serve = listener.serve
         if trouble == "late":  # a late connection is in trouble by being late alone
             agent.strike = lambda writer, begun=False: asyncio.sleep(3600.0)  # type: ignore[method-assign]
--- a/tests/forwarder/test_planner_client.py
+++ b/tests/forwarder/test_planner_client.py
@@ -33,7 +33,7 @@
 def test_stopping_forwarder_returns_a_lease_that_is_still_being_granted(turns: int) -> None:
     async def main() -> None:
         cluster = VirtualCluster(1, 3, 1, PLAN)
-        cluster.net.delay = lambda here, there: 0.0008  # type: ignore[method-assign]
+        cluster.net.delay_seconds = lambda here, there: 0.0008  # type: ignore[method-assign]
         cluster.start()
         await asyncio.sleep(START_SECONDS)
         stopping = cluster.forwarders[0]
@@ -127,9 +127,9 @@
         client.update_membership(cluster.members(), 2)
         client.start()
         await asyncio.sleep(3.0)
-        connections = cluster.net.wires["f0"]
+        connections = cluster.net.connections["f0"]
         assert len(connections) == 1
-        assert not connections[0].ends[0].lost
+        assert not connections[0].ends[0].is_lost
         client.close()
 
     run_planner(scenario)
@@ -147,7 +147,7 @@
         await stopping
         await asyncio.sleep(1.0)  # longer than the delay of a reconnect
         assert planner.writers == {}
-        assert len(cluster.net.wires["f0"]) == 1
+        assert len(cluster.net.connections["f0"]) == 1
         client.close()
 
     run_planner(scenario)
@@ -165,13 +165,13 @@
 
         client.start()
         await asyncio.sleep(1.0)
-        cluster.net.silent = lambda here, there: True  # type: ignore[method-assign]
+        cluster.net.is_blocked = lambda here, there: True  # type: ignore[method-assign]
         await asyncio.sleep(6.0)
         assert aborted_connections() == []
         client.report_units_spent(ReportUnitsSpent(7, "p", 3, 0))
         await asyncio.sleep(3.2)
         assert aborted_connections() == ["p0"]
-        cluster.net.silent = lambda here, there: False  # type: ignore[method-assign]
+        cluster.net.is_blocked = lambda here, there: False  # type: ignore[method-assign]
         await asyncio.sleep(1.5)
         assert list(client.writers) == ["p0"]
         client.close()
--- a/tests/planner/cluster.py
+++ b/tests/planner/cluster.py
@@ -92,7 +92,7 @@
     def kill(self) -> None:
         self.is_alive = False
         self.client.close()
-        self.cluster.net.die(self.host)
+        self.cluster.net.kill_host(self.host)
 
     def restart(self) -> None:
         if self.is_alive:
@@ -206,7 +206,7 @@
         if planner is not None:
             self.tasks[name].cancel()
             planner.close()
-            self.net.die(self.planner_host(name))
+            self.net.kill_host(self.planner_host(name))
             self.planners[name] = None
 
     def restart_all_planners(self) -> None:
--- a/tests/planner/scripted_forwarder.py
+++ b/tests/planner/scripted_forwarder.py
@@ -28,7 +28,7 @@
     async def connect(self) -> ScriptedForwarder:
         host = self.cluster.net.host(self.name)
         self.reader, self.writer, *_ = await host.dial(planner_address("p0"), 65536)
-        self.planner_end = self.cluster.net.wires[self.name][-1].ends[1]
+        self.planner_end = self.cluster.net.connections[self.name][-1].ends[1]
         return self
 
     async def greet(self) -> ScriptedForwarder:
@@ -43,7 +43,7 @@
 
     def deliver_now(self, *messages: protocol.Message) -> None:
         """Lets the planner read messages in this very turn of the loop."""
-        self.planner_end.came(b"".join(protocol.encode_frame(message) for message in messages))
+        self.planner_end.receive(b"".join(protocol.encode_frame(message) for message in messages))
 
     async def receive(self) -> list[protocol.Message]:
         """All messages of the planner so far, but for its welcome."""
--- /dev/null
+++ b/tests/simulation/virtual_time/test_loop.py
@@ -0,0 +1,34 @@
+"""Time skips to what is due next; a program that waits for ever is reported."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from onyxpost.simulation import virtual_time
+
+
+def test_an_hour_passes_at_once() -> None:
+    async def main() -> float:
+        await asyncio.sleep(3600.0)
+        return asyncio.get_running_loop().time()
+
+    assert virtual_time.run(main()) == pytest.approx(3600.0, abs=5e-8)
+
+
+def test_program_that_waits_for_ever_is_reported() -> None:
+    async def main() -> None:
+        await asyncio.get_running_loop().create_future()
+
+    with pytest.raises(virtual_time.SimulationStalledError):
+        virtual_time.run(main())
+
+
+def test_program_that_never_lets_time_pass_is_reported() -> None:
+    async def main() -> None:
+        while True:
+            await asyncio.sleep(0)
+
+    with pytest.raises(virtual_time.SimulationStalledError, match="time stands still"):
+        virtual_time.run(main())
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -150,7 +150,7 @@
             await asyncio.sleep(0.1)
             self.asked = len(old.polls)
             await asyncio.sleep(9.9)
-            net.reset_some("n")  # begun anew it is no move any more
+            net.reset_connections("n")  # begun anew it is no move any more
             await asyncio.sleep(1.0)
             self.assertEqual(len(node.watches), 1)
 
@@ -201,7 +201,7 @@
             node.alternative_address = ("a1", 1)
             node.start()
             await asyncio.sleep(1.0)
-            net.reset_some("n")
+            net.reset_connections("n")
             await asyncio.sleep(1.0)
             self.assertIsNone(node.alternative_address)
 
@@ -215,7 +215,7 @@
             for _ in range(5):
                 await asyncio.sleep(1.0)
                 self.ended.append(net.loop.time() * 1000.0)
-                net.reset_some("n")
+                net.reset_connections("n")
             await asyncio.sleep(1.0)
 
         self.ended = list[float]()
