--- a/onyxpost/simulation/cli.py
+++ b/onyxpost/simulation/cli.py
@@ -126,33 +126,36 @@
     """
     from onyxpost.simulation import deterministic as virtual
     from onyxpost.simulation.discrete_event import batch
-    from onyxpost.simulation.mutations import PLANTS
+    from onyxpost.simulation.mutations import MUTATIONS, is_mutation
 
-    if plant not in PLANTS:
-        what = f"no bug {plant!r}; there are: {', '.join(filter(None, PLANTS))}"
+    if not is_mutation(plant):
+        what = f"no bug {plant!r}; there are: {', '.join(MUTATIONS)}"
         raise InvalidOptionError(what, "--plant")
     chosen, began = batch.seeds(wanted), time.perf_counter()
     outcomes: list[virtual.Outcome] = []
     interrupted = False
     try:
-        for outcome in virtual.many(chosen, jobs, plant):
+        for outcome in virtual.run_seeds(chosen, jobs, plant):
             outcomes.append(outcome)
     except KeyboardInterrupt:
         interrupted = True
     failed = [outcome for outcome in outcomes if outcome.failed]
     if out is not None and outcomes:
-        results.write(out, results.encode(virtual.line(outcome) for outcome in outcomes))
+        results.write(out, results.encode(outcome.to_record() for outcome in outcomes))
     for outcome in failed[:5]:
-        least = virtual.shrunk(outcome, plant)
+        least = virtual.shrink(outcome, plant)
         click.echo(f"seed {outcome.seed}: {len(outcome.faults)} faults, {len(least.faults)} of them needed")
         for fault in least.faults:
-            click.echo(f"  at {fault.at:.4f} s  {fault.kind} {fault.whom} for {fault.lasts} s ({fault.more})")
+            click.echo(
+                f"  at {fault.at_seconds:.4f} s  {fault.kind} {fault.target} for {fault.duration_seconds} s"
+                f" ({fault.magnitude})"
+            )
         for b in least.violations[:3]:
             where = f"node {b.node}, request {b.request_id}, server {b.server}"
             click.echo(f"  {b.invariant} violated at {b.at_ms:.3f} ms: {where}: {b.description}")
     took = time.perf_counter() - began
-    asked = sum(outcome.asked for outcome in outcomes)
-    passed = sum(outcome.passed for outcome in outcomes)
+    asked = sum(outcome.requests for outcome in outcomes)
+    passed = sum(outcome.succeeded for outcome in outcomes)
     click.echo(
         f"{len(outcomes)} seeds, {len(failed)} failed; {asked} reqs, {passed} passed;"
         f" {sum(outcome.steps for outcome in outcomes)} steps checked; {took:.1f} s on {jobs} processes"
--- /dev/null
+++ b/onyxpost/simulation/deterministic/cluster_faults.py
@@ -0,0 +1,103 @@
+"""Faults of the network and of the load."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING
+
+from onyxpost.simulation.deterministic.deployment import NODE_COUNT, SERVER_COUNT
+from onyxpost.simulation.deterministic.fault_context import FaultGroup, run_at_end
+
+if TYPE_CHECKING:
+    from onyxpost.simulation.deterministic.fault_context import FaultContext
+    from onyxpost.simulation.deterministic.fault_script import Fault
+    from onyxpost.simulation.deterministic.server_faults import ServerFaults
+
+BURST_REQUESTS = 12
+EARLY_DISCONNECT_REQUESTS = 16
+REQUESTS_PER_NODE_ON_ANSWER = 3
+ANSWER_LATENCY_MS = 20.0  # of an app server
+MAX_ANSWER_DELAY_MS = 14.0  # of the way of a request and of its answer
+MIN_EARLY_PATIENCE_MS = 10.0
+MAX_EARLY_PATIENCE_MS = 60.0
+MIN_CONNECT_DELAY_SECONDS = 0.25
+MAX_EXTRA_CONNECT_DELAY_SECONDS = 0.33
+MIN_BURST_DELAY_SECONDS = 0.3  # after servers have begun their slow start
+MAX_EXTRA_BURST_DELAY_SECONDS = 0.5
+
+
+class NetworkFaults(FaultGroup):
+    """Begins each fault of the network."""
+
+    def cut_off_server(self, fault: Fault) -> None:
+        """A server neither reaches anybody nor is reached for a time."""
+        self._cut_off(fault, self.server_of(fault).host)
+
+    def cut_off_servers(self, fault: Fault) -> None:
+        """Two of the app servers are cut off for a time."""
+        self._cut_off(fault, self.cluster.servers[0].host)
+        self._cut_off(fault, self.cluster.servers[1].host)
+
+    def _cut_off(self, fault: Fault, host: str) -> None:
+        cut_off = self.cluster.network.cut_off
+        cut_off.add(host)
+        run_at_end(fault, lambda: cut_off.discard(host))
+
+    def lose_datagrams(self, fault: Fault) -> None:
+        """A part of the datagrams between nodes is lost for a time."""
+        network = self.cluster.network
+        network.datagram_loss = fault.magnitude
+        run_at_end(fault, lambda: setattr(network, "datagram_loss", 0.0))
+
+    def delay_updates(self, fault: Fault) -> None:
+        """Agents learn of changes later for a time."""
+        cluster = self.cluster
+        cluster.extra_update_delay_seconds = fault.magnitude
+        run_at_end(fault, lambda: setattr(cluster, "extra_update_delay_seconds", 0.0))
+
+
+class LoadFaults(FaultGroup):
+    """Begins each fault that clients cause."""
+
+    def __init__(self, context: FaultContext, servers: ServerFaults) -> None:
+        super().__init__(context)
+        self._servers = servers
+
+    def burst(self, fault: Fault) -> None:
+        """Many clients send at once."""
+        rng = self.rng_of("burst", fault)
+        for _ in range(BURST_REQUESTS):
+            self.context.start_client(rng, self.cluster.nodes[rng.randrange(NODE_COUNT)])
+
+    def burst_during_slow_start(self, fault: Fault) -> None:
+        """Two servers are replaced, and many clients send at once a little later."""
+        self._servers.replace(fault.target)
+        self._servers.replace((fault.target + 1) % SERVER_COUNT)
+        delay_seconds = MIN_BURST_DELAY_SECONDS + MAX_EXTRA_BURST_DELAY_SECONDS * fault.magnitude
+        asyncio.get_running_loop().call_later(delay_seconds, self.burst, fault)
+
+    def disconnect_on_answer(self, fault: Fault) -> None:
+        """Clients disconnect in the very ms in which their answers are due."""
+        rng = self.rng_of("cross", fault)
+        for node in self.cluster.nodes:
+            for _ in range(REQUESTS_PER_NODE_ON_ANSWER):
+                patience_ms = ANSWER_LATENCY_MS + rng.uniform(0.0, MAX_ANSWER_DELAY_MS)
+                self.context.start_client(rng, node, patience_ms)
+
+    def disconnect_early(self, fault: Fault) -> None:
+        """Many clients disconnect early, while connections to all servers are open late (`PATIENT`)."""
+        rng = self.rng_of("leave", fault)
+        network = self.cluster.network
+        extra_seconds = MAX_EXTRA_CONNECT_DELAY_SECONDS * fault.magnitude
+        for server in self.cluster.servers:
+            network.reset_connections(server.host)
+            network.connect_delays[server.host] = MIN_CONNECT_DELAY_SECONDS + extra_seconds
+            self._end_connect_delay_later(fault, server.host)
+        for _ in range(EARLY_DISCONNECT_REQUESTS):
+            node = self.cluster.nodes[rng.randrange(NODE_COUNT)]
+            patience_ms = rng.uniform(MIN_EARLY_PATIENCE_MS, MAX_EARLY_PATIENCE_MS)
+            self.context.start_client(rng, node, patience_ms)
+
+    def _end_connect_delay_later(self, fault: Fault, host: str) -> None:
+        connect_delays = self.cluster.network.connect_delays
+        run_at_end(fault, lambda: connect_delays.pop(host, 0.0))
--- a/onyxpost/simulation/deterministic/discovery_agent.py
+++ b/onyxpost/simulation/deterministic/discovery_agent.py
@@ -1,121 +1,160 @@
-"""A discovery agent that can fail in each way that a node's call to it can, on the virtual clock."""
+"""A discovery agent that can fail in each way that a node's poll can, on the virtual clock."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-from typing import Any, Protocol
+from enum import Enum, auto
+from typing import TYPE_CHECKING, Any, Protocol
 
-from onyxpost.config.address import Address
-from onyxpost.runtime.transport import Transport
 from onyxpost.simulation.stubs import DiscoveryAgent, EndpointsResponse, RequestObserver
 
-LIFE = ("up", "draining", "removed")
-BUSY = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+if TYPE_CHECKING:
+    from onyxpost.config.address import Address
+    from onyxpost.runtime.transport import Transport
 
+LIFECYCLE_ORDER = ("up", "draining", "removed")
+BUSY_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
-class Holding(RequestObserver, Protocol):
-    """Whoever wants to know as well what an agent holds, told or not."""
 
-    def held(self, agent: FailingAgent, rows: list[dict[str, Any]]) -> None: ...
+class AgentFailure(Enum):
+    """What becomes of the polls of an agent that is up."""
+
+    NONE = auto()
+    REFUSES = auto()
+    BUSY = auto()
+    TRUNCATES = auto()
+
+
+class DiscoveryObserver(RequestObserver, Protocol):
+    """Is notified also of what an agent holds, sent or not."""
+
+    def on_endpoints_held(self, agent: FailingAgent, rows: list[dict[str, Any]]) -> None:
+        """The agent holds these rows, in the form of the discovery protocol."""
 
 
 class FailingAgent(DiscoveryAgent):
-    """Silent, it is discovery that is down: it learns nothing until it speaks again. Else it learns, and
+    """An agent that fails on demand.
+
+    While it is silent, discovery is down: it learns nothing until it recovers. With an `AgentFailure` it
+    learns, but polls fail. Polls that were silenced get no answer; those that begin later do.
 
-    `how` says what becomes of calls: `refuse`, `busy` (503), `cut` in the middle of an answer; a watch that
-    was hushed gets no answer, and one begun anew does. `disturbed`: a call may have come to nothing since
-    the last whole answer, and what it holds does not count as told at once.
+    Attributes:
+        failure: What becomes of polls now.
+        may_have_failed_polls: A poll may have failed since the last complete response, so that what the
+            agent holds does not count as known at once.
+        known_from_ms: What it holds counts as known no sooner, after a SIGHUP.
     """
 
-    def __init__(self, net: Transport, watching: Holding, number: int, address: Address) -> None:
-        super().__init__(net, watching, number, address)
-        self.holding = watching
-        self.how = ""
-        self.disturbed = False
-        self.counts_from = 0.0  # ms: after a SIGHUP what it holds counts no sooner
-        self.hushed: set[asyncio.StreamWriter] = set()
-        self.missed: list[dict[str, Any]] = []
+    def __init__(
+        self, transport: Transport, observer: DiscoveryObserver, node_index: int, address: Address
+    ) -> None:
+        super().__init__(transport, observer, node_index, address)
+        self.failure = AgentFailure.NONE
+        self.may_have_failed_polls = False
+        self.known_from_ms = 0.0
+        self._discovery_observer = observer
+        self._silenced: set[asyncio.StreamWriter] = set()
+        self._missed_rows: list[dict[str, Any]] = []
 
     @property
-    def reachable(self) -> bool:
-        return not self.is_silent and self.how != "refuse"
+    def is_reachable(self) -> bool:
+        """Whether a poll could reach it."""
+        return not self.is_silent and self.failure is not AgentFailure.REFUSES
 
     def update_endpoint(self, row: dict[str, Any]) -> None:
+        """Learns a row, unless it is late and a newer one is held; while silent, only when it recovers."""
         if self.is_silent:
-            self.missed.append(row)
+            self._missed_rows.append(row)
             return
         held = self.endpoints.get(row["instanceId"])
-        if held is not None and LIFE.index(held["lifecycle"]) > LIFE.index(row["lifecycle"]):
-            return  # that list was late, and a newer one is here
+        if held is not None and _lifecycle_rank(held) > _lifecycle_rank(row):
+            return
         super().update_endpoint(row)
-        self.holding.held(self, [row])
+        self._discovery_observer.on_endpoints_held(self, [row])
 
-    def speak(self) -> None:
-        """Discovery is up again, and what it had to tell is here at once."""
+    def recover(self) -> None:
+        """Discovery is up again, and the agent learns at once what it missed."""
         self.is_silent = False
-        missed, self.missed = self.missed, []
-        for row in missed:
+        missed_rows = self._missed_rows
+        self._missed_rows = []
+        for row in missed_rows:
             self.update_endpoint(row)
-        self.holding.held(self, list(self.endpoints.values()))
+        self._report_all_held()
 
-    def hush(self) -> None:
-        """The open watches fall silent."""
-        self.hushed |= self.writers
-        self.disturbed = True
+    def silence_polls(self) -> None:
+        """The polls on the open connections get no answer."""
+        self._silenced |= self.writers
+        self.may_have_failed_polls = True
 
-    def reset(self) -> None:
+    def reset_polls(self) -> None:
+        """Resets the open connections."""
         for writer in list(self.writers):
             writer.transport.abort()
-        self.disturbed = True
+        self.may_have_failed_polls = True
 
-    def fail(self, how: str) -> None:
-        self.how, self.disturbed = how, True
-        if how == "refuse":
+    def begin_failure(self, failure: AgentFailure) -> None:
+        """Polls fail from now on."""
+        self.failure = failure
+        self.may_have_failed_polls = True
+        if failure is AgentFailure.REFUSES:
             assert self.listener is not None
             self.listener.close()
-            self.reset()
+            self.reset_polls()
 
-    async def mend(self, how: str) -> None:
-        if self.how != how:
-            return  # another fault has begun since
-        self.how = ""
-        if how == "refuse":
+    async def end_failure(self, failure: AgentFailure) -> None:
+        """Ends a failure, unless another one has begun since."""
+        if self.failure is not failure:
+            return
+        self.failure = AgentFailure.NONE
+        if failure is AgentFailure.REFUSES:
             await self.open()
-            self.holding.held(self, list(self.endpoints.values()))
+            self._report_all_held()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answers the polls of one connection."""
         self.writers.add(writer)
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-            while await self.one(reader, writer):
+            while await self._serve_poll(reader, writer):
                 pass
         self.writers.discard(writer)
-        self.hushed.discard(writer)
+        self._silenced.discard(writer)
         writer.close()
 
-    async def one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+    async def _serve_poll(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+        """Serves one poll; returns whether the connection may serve another."""
         head = await reader.readuntil(b"\r\n\r\n")
-        rows, text = await self.answer(head)
+        rows, encoded = await self._wait_for_response(head)
         if writer.is_closing():
-            return False  # nobody is told by it any more
-        if writer in self.hushed:
-            await reader.read()  # until the node gives it up
             return False
-        if self.how == "cut":
-            writer.write(text[: len(text) * 2 // 3])
+        if writer in self._silenced:
+            await reader.read()  # until the node closes it
+            return False
+        if self.failure is AgentFailure.TRUNCATES:
+            writer.write(encoded[: len(encoded) * 2 // 3])
             return False
-        writer.write(text)
-        if text is not BUSY:
-            self.disturbed, self.counts_from = False, 0.0
+        writer.write(encoded)
+        if encoded is not BUSY_RESPONSE:
+            self.may_have_failed_polls = False
+            self.known_from_ms = 0.0
             self.observer.on_endpoints_sent(self.node_index, rows)
         return True
 
-    async def answer(self, head: bytes) -> EndpointsResponse:
+    async def _wait_for_response(self, head: bytes) -> EndpointsResponse:
         while True:
-            while self.is_silent:
-                await asyncio.sleep(0.05)
-            if self.how == "busy":
-                return EndpointsResponse([], BUSY)
-            told = await self.wait_for_update(head)
-            if not self.is_silent and self.how != "busy":
-                return told
+            await self.wait_while_silent()
+            if self._is_busy():
+                return EndpointsResponse([], BUSY_RESPONSE)
+            response = await self.wait_for_update(head)
+            if not self.is_silent and not self._is_busy():
+                return response
+
+    def _is_busy(self) -> bool:
+        return self.failure is AgentFailure.BUSY
+
+    def _report_all_held(self) -> None:
+        self._discovery_observer.on_endpoints_held(self, list(self.endpoints.values()))
+
+
+def _lifecycle_rank(row: dict[str, Any]) -> int:
+    return LIFECYCLE_ORDER.index(row["lifecycle"])
--- a/onyxpost/simulation/deterministic/fault_script.py
+++ b/onyxpost/simulation/deterministic/fault_script.py
@@ -1,82 +1,185 @@
-"""The faults that a seed draws. Pure."""
+"""The faults that a seed draws. No I/O; what a seed draws must never change."""
 
 from __future__ import annotations
 
+from enum import StrEnum
 from random import Random
-from typing import NamedTuple
-
-SECONDS = 4.0  # that a script lasts; then all that is owed is waited for
-EDGES, SERVERS = 3, 4
+from typing import Any, NamedTuple
+
+from onyxpost.simulation.deterministic.deployment import NODE_COUNT, SERVER_COUNT
+
+SCRIPT_SECONDS = 4.0  # that a script lasts; then all that is owed is waited for
+PERMANENT_DRAIN_SECONDS = 9.0  # that a run goes on after it: the drain counts as known by then
+
+
+LONG_DISCOVERY_FAULT_FRACTION = 0.5
+
+
+class FaultKind(StrEnum):
+    """What happens; the values stand in result files."""
+
+    DRAIN = "drain"
+    CRASH = "crash"
+    HANG = "hang"
+    FAIL = "fail"
+    BUSY = "busy"
+    DROP = "drop"
+    SLOW = "slow"
+    BREAK = "break"
+    RESET = "reset"
+    MALFORMED_RESPONSES = "spoil"
+    CUT_OFF = "cut"
+    KILL = "kill"
+    SIGTERM = "term"
+    SIGHUP = "hup"
+    AGENT_SILENT = "agent-silent"
+    NODE_CUT_OFF = "edge-cut"
+    DATAGRAM_LOSS = "loss"
+    LATE_UPDATES = "lists-late"
+    BURST = "burst"
+    DRAIN_ON_RESET = "drain-on-reset"
+    DISCONNECT_ON_ANSWER = "cross"
+    PERMANENT_DRAIN = "drain-on"
+    SLOW_START_BURST = "cold-burst"
+    EARLY_DISCONNECTS = "leave"
+    POLLS_SILENT = "watch-silent"
+    POLLS_RESET = "watch-reset"
+    AGENT_LATE = "agent-late"
+    AGENT_REFUSES = "agent-refuse"
+    AGENT_BUSY = "agent-busy"
+    AGENT_TRUNCATES = "agent-cut"
 
 
 class Fault(NamedTuple):
-    at: float  # s
-    kind: str
-    whom: int
-    lasts: float
-    more: float
-
-
-SERVER_KINDS = ("drain", "crash", "hang", "fail", "busy", "drop", "slow", "break", "reset", "spoil", "cut")
-EDGE_KINDS = ("kill", "term", "hup", "agent-silent", "edge-cut")
-FLEET_KINDS = ("loss", "lists-late", "burst", "drain-on-reset", "cross")
-
-
-DISCOVERY_KINDS = (
-    "watch-silent",
-    "watch-silent",
-    "watch-reset",
-    "agent-late",
-    "agent-refuse",
-    "agent-busy",
-    "agent-cut",
-    "agent-silent",
-    "watch-silent",
+    """One fault of a script; scripts are sorted by their fields in this order."""
+
+    at_seconds: float
+    kind: FaultKind
+    target: int
+    """The index of the server or node concerned."""
+    duration_seconds: float
+    magnitude: float
+    """From 0 to 1; what it means depends on the kind."""
+
+    def to_record(self) -> dict[str, Any]:
+        """Returns the fault with the keys that result files have."""
+        return {
+            "at": self.at_seconds,
+            "kind": self.kind.value,
+            "whom": self.target,
+            "lasts": self.duration_seconds,
+            "more": self.magnitude,
+        }
+
+
+# The order of each tuple is part of what a seed draws.
+SERVER_FAULTS = (
+    FaultKind.DRAIN,
+    FaultKind.CRASH,
+    FaultKind.HANG,
+    FaultKind.FAIL,
+    FaultKind.BUSY,
+    FaultKind.DROP,
+    FaultKind.SLOW,
+    FaultKind.BREAK,
+    FaultKind.RESET,
+    FaultKind.MALFORMED_RESPONSES,
+    FaultKind.CUT_OFF,
+)
+NODE_FAULTS = (
+    FaultKind.KILL,
+    FaultKind.SIGTERM,
+    FaultKind.SIGHUP,
+    FaultKind.AGENT_SILENT,
+    FaultKind.NODE_CUT_OFF,
+)
+CLUSTER_FAULTS = (
+    FaultKind.DATAGRAM_LOSS,
+    FaultKind.LATE_UPDATES,
+    FaultKind.BURST,
+    FaultKind.DRAIN_ON_RESET,
+    FaultKind.DISCONNECT_ON_ANSWER,
+)
+DISCOVERY_FAULTS = (
+    FaultKind.POLLS_SILENT,
+    FaultKind.POLLS_SILENT,
+    FaultKind.POLLS_RESET,
+    FaultKind.AGENT_LATE,
+    FaultKind.AGENT_REFUSES,
+    FaultKind.AGENT_BUSY,
+    FaultKind.AGENT_TRUNCATES,
+    FaultKind.AGENT_SILENT,
+    FaultKind.POLLS_SILENT,
 )
-STAYS = 9.0  # s that a run goes on after a drain that stays: its news counts as told by then
-
-
-def script(seed: int) -> list[Fault]:
-    """What was drawn first, and for some seeds a crossing beside it, from a draw of its own."""
-    return sorted([*drawn(seed), *crossing(seed)])
-
-
-def crossing(seed: int) -> list[Fault]:
-    chance = Random(f"{seed}/crossing")
-    at, lasts, more = chance.uniform(0.3, 2.5), chance.uniform(0.1, 1.5), round(chance.random(), 6)
-    at, lasts = round(at, 4), round(lasts, 4)
-    edge, server = chance.randrange(EDGES), chance.randrange(SERVERS)
-    match chance.randrange(6):
-        case 0 | 1:  # the node does not hear in the usual way that a server drains
-            after = round(at + chance.uniform(-0.1, min(lasts, 0.8)), 4)
-            if chance.random() < 0.5:
-                lasts = round(chance.uniform(1.5, 6.5), 4)
-            return [
-                Fault(at, chance.choice(DISCOVERY_KINDS), edge, lasts, more),
-                Fault(after, "drain-on", server, lasts, more),
-            ]
-        case 2:
-            return [Fault(at, "cold-burst", server, lasts, more)]
-        case 3:
-            return [Fault(at, "leave", server, lasts, more)]
-        case _:
-            return []
 
 
-def ends(faults: list[Fault]) -> float:
-    """s for which clients come."""
-    stay = [fault.at + STAYS for fault in faults if fault.kind == "drain-on"]
-    stay += [fault.at + fault.lasts + STAYS for fault in faults if stay and fault.kind == "agent-refuse"]
-    return max([SECONDS, *stay])
+def draw_script(seed: int) -> list[Fault]:
+    """Returns the base faults of a seed and, for two thirds of the seeds, a coincidence beside them."""
+    return sorted([*draw_base_faults(seed), *draw_coincidence(seed)])
 
 
-def drawn(seed: int) -> list[Fault]:
-    chance = Random(f"{seed}/script")
-    faults = []
-    for _ in range(chance.randint(2, 7)):
-        kinds = chance.choice((SERVER_KINDS, SERVER_KINDS, EDGE_KINDS, FLEET_KINDS))
-        kind = chance.choice(kinds)
-        whom = chance.randrange(SERVERS if kinds is SERVER_KINDS else EDGES)
-        at, lasts = chance.uniform(0.2, SECONDS - 0.5), chance.uniform(0.1, 1.5)
-        faults.append(Fault(round(at, 4), kind, whom, round(lasts, 4), round(chance.random(), 6)))
-    return sorted(faults)
+def draw_base_faults(seed: int) -> list[Fault]:
+    """Returns two to seven faults, independent of each other."""
+    rng = Random(f"{seed}/script")
+    return sorted(_draw_fault(rng) for _ in range(rng.randint(2, 7)))
+
+
+def _draw_fault(rng: Random) -> Fault:
+    kinds = rng.choice((SERVER_FAULTS, SERVER_FAULTS, NODE_FAULTS, CLUSTER_FAULTS))
+    kind = rng.choice(kinds)
+    target = rng.randrange(SERVER_COUNT if kinds is SERVER_FAULTS else NODE_COUNT)
+    at_seconds = rng.uniform(0.2, SCRIPT_SECONDS - 0.5)
+    duration_seconds = rng.uniform(0.1, 1.5)
+    return Fault(round(at_seconds, 4), kind, target, round(duration_seconds, 4), round(rng.random(), 6))
+
+
+def draw_coincidence(seed: int) -> list[Fault]:
+    """Returns faults that are meant to coincide, from a random source of their own; none for a third."""
+    rng = Random(f"{seed}/crossing")
+    at_seconds = round(rng.uniform(0.3, 2.5), 4)
+    duration_seconds = round(rng.uniform(0.1, 1.5), 4)
+    magnitude = round(rng.random(), 6)
+    node = rng.randrange(NODE_COUNT)
+    server = rng.randrange(SERVER_COUNT)
+    match rng.randrange(6):
+        case 0 | 1:
+            kind = FaultKind.PERMANENT_DRAIN
+            drain = Fault(at_seconds, kind, server, duration_seconds, magnitude)
+            return _draw_unnoticed_drain(rng, drain, node)
+        case 2:
+            kind = FaultKind.SLOW_START_BURST
+        case 3:
+            kind = FaultKind.EARLY_DISCONNECTS
+        case _:
+            return []
+    return [Fault(at_seconds, kind, server, duration_seconds, magnitude)]
+
+
+def _draw_unnoticed_drain(rng: Random, drain: Fault, node: int) -> list[Fault]:
+    """The discovery of a node fails at about the time at which servers begin to drain for good."""
+    at_seconds = drain.at_seconds
+    duration_seconds = drain.duration_seconds
+    drain_at_seconds = round(at_seconds + rng.uniform(-0.1, min(duration_seconds, 0.8)), 4)
+    if rng.random() < LONG_DISCOVERY_FAULT_FRACTION:
+        duration_seconds = round(rng.uniform(1.5, 6.5), 4)
+    kind = rng.choice(DISCOVERY_FAULTS)
+    return [
+        Fault(at_seconds, kind, node, duration_seconds, drain.magnitude),
+        drain._replace(at_seconds=drain_at_seconds, duration_seconds=duration_seconds),
+    ]
+
+
+def script_seconds(faults: list[Fault]) -> float:
+    """Returns for how long clients send requests."""
+    ends = [
+        fault.at_seconds + PERMANENT_DRAIN_SECONDS
+        for fault in faults
+        if fault.kind is FaultKind.PERMANENT_DRAIN
+    ]
+    if ends:
+        ends += [
+            fault.at_seconds + fault.duration_seconds + PERMANENT_DRAIN_SECONDS
+            for fault in faults
+            if fault.kind is FaultKind.AGENT_REFUSES
+        ]
+    return max([SCRIPT_SECONDS, *ends])
--- a/onyxpost/simulation/deterministic/seed_run.py
+++ b/onyxpost/simulation/deterministic/seed_run.py
@@ -1,107 +1,186 @@
-"""One script's run on the virtual clock, from its first req to the digest of all that happened."""
+"""The run of one script on the virtual clock, from its first request to the digest of all that happened."""
 
 from __future__ import annotations
 
 import asyncio
 import gc
 import hashlib
-from collections.abc import Callable
 from random import Random
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
-from onyxpost.node.edge_node import EdgeNode
 from onyxpost.simulation import virtual_time
+from onyxpost.simulation.deterministic.client import ClientOutcome, ClientRequest
 from onyxpost.simulation.deterministic.cluster import PATIENT, SETTINGS, Cluster
-from onyxpost.simulation.deterministic.fault_script import EDGES, SERVERS, Fault, ends, script
-from onyxpost.simulation.deterministic.faults import Faults
-from onyxpost.simulation.invariants import Violation
-from onyxpost.simulation.mutations import PLANTS
+from onyxpost.simulation.deterministic.deployment import MAX_REQUEST_UNITS, NODE_COUNT, SERVER_COUNT
+from onyxpost.simulation.deterministic.fault_injector import FaultInjector
+from onyxpost.simulation.deterministic.fault_script import Fault, FaultKind, draw_script, script_seconds
+from onyxpost.simulation.mutations import find_mutation
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Coroutine
+
+    from onyxpost.node.edge_node import EdgeNode
+    from onyxpost.simulation.deterministic.node import SimulatedNode
+    from onyxpost.simulation.invariants import Violation
+
+WARM_UP_SECONDS = 0.05  # until the first request
+SETTLE_SECONDS = 1.5  # after the last request: no answer is owed any more
+REQUESTS_PER_SECOND = 12.0
+FRONTENDS = ("look", "post", "pay")
+PLANS_AND_CUSTOMERS = (("open", 1), ("open", 2), ("tight", 3))
+IMPATIENT_FRACTION = 0.15  # of the clients, which disconnect before the client timeout
+PATIENCE_PAST_TIMEOUT_MS = 300.0  # of the others
+DIGEST_LENGTH = 16
 
 
 class Outcome(NamedTuple):
+    """What a run found."""
+
     seed: int
     violations: list[Violation]
     faults: list[Fault]
-    asked: int
-    passed: int
+    requests: int
+    succeeded: int
     steps: int
-    digest: str  # of all that happened, in its order
+    """Events that the invariants were checked after."""
+    digest: str
+    """Of all that happened, in its order."""
 
     @property
     def failed(self) -> bool:
+        """Whether an invariant was violated."""
         return bool(self.violations)
 
-
-class Play:
-    """One script's run."""
-
-    def __init__(self, seed: int, faults: list[Fault], plant: Callable[[EdgeNode], None] | None) -> None:
-        self.seed, self.faults, self.plant = seed, faults, plant
-        self.tasks: set[asyncio.Task[Any]] = set()
-        self.history: list[str] = []
-        self.asked = 0
-
-    def spawn(self, coroutine: Any) -> None:
-        task = asyncio.get_running_loop().create_task(coroutine)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+    def to_record(self) -> dict[str, Any]:
+        """Returns the outcome with the keys that result files have."""
+        return {
+            "kind": "seed",
+            "seed": self.seed,
+            "asked": self.requests,
+            "passed": self.succeeded,
+            "steps": self.steps,
+            "digest": self.digest,
+            "breaches": [violation.to_record() for violation in self.violations],
+            "faults": [fault.to_record() for fault in self.faults] if self.failed else [],
+        }
+
+
+class ScriptRun:
+    """One script's run on a cluster: the `FaultContext` of its faults."""
+
+    def __init__(self, seed: int, faults: list[Fault], cluster: Cluster) -> None:
+        self.seed = seed
+        self.cluster = cluster
+        self._faults = faults
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._history: list[str] = []
+        self._request_count = 0
 
     async def run(self) -> Outcome:
+        """Runs the script and waits for all that is owed."""
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda loop, context: None)
-        settings = PATIENT if any(fault.kind == "leave" for fault in self.faults) else SETTINGS
-        c = self.cluster = Cluster(self.seed, EDGES, SERVERS, self.plant, settings)
-        await c.open()
-        await asyncio.sleep(0.05)
-        faults = Faults(self)
-        for fault in self.faults:
-            loop.call_at(fault.at, self.begin, faults, fault)
-        clients = Random(f"{self.seed}/clients")
-        until = ends(self.faults)
-        while loop.time() < until:
-            self.client(clients, c.edges[clients.randrange(EDGES)])
-            await asyncio.sleep(clients.expovariate(12.0))
-        while any(not task.done() for task in self.tasks):
+        loop.set_exception_handler(lambda _loop, _context: None)
+        await self.cluster.open()
+        await asyncio.sleep(WARM_UP_SECONDS)
+        injector = FaultInjector(self)
+        for fault in self._faults:
+            loop.call_at(fault.at_seconds, self._begin, injector, fault)
+        await self._send_requests(script_seconds(self._faults))
+        while any(not task.done() for task in self._tasks):  # noqa: ASYNC110 - each may start others
             await asyncio.sleep(0.1)
-        await asyncio.sleep(1.5)
-        c.checker.finish(c.now())
-        for edge in c.edges:
-            edge.kill()
-        digest = _digest(self.history, c)
+        await asyncio.sleep(SETTLE_SECONDS)
+        return self._finish()
+
+    async def _send_requests(self, until_seconds: float) -> None:
+        rng = Random(f"{self.seed}/clients")
+        loop = asyncio.get_running_loop()
+        while loop.time() < until_seconds:
+            self.start_client(rng, self.cluster.nodes[rng.randrange(NODE_COUNT)])
+            await asyncio.sleep(rng.expovariate(REQUESTS_PER_SECOND))
+
+    def _finish(self) -> Outcome:
+        cluster = self.cluster
+        cluster.checker.finish(cluster.now_ms())
+        for node in cluster.nodes:
+            node.kill()
         return Outcome(
-            self.seed, list(c.checker.violations), self.faults, c.asked, c.passed, c.checker.steps, digest
+            self.seed,
+            list(cluster.checker.violations),
+            self._faults,
+            cluster.clients.connected,
+            cluster.clients.outcomes[ClientOutcome.SUCCEEDED],
+            cluster.checker.steps,
+            _digest(self._history, cluster),
         )
 
-    def client(self, chance: Random, edge: Any, patience: float | None = None) -> None:
-        self.asked += 1
-        frontend = chance.choice(("look", "post", "pay"))
-        plan, customer = chance.choice((("open", 1), ("open", 2), ("tight", 3)))
-        timeout = self.cluster.frontends[frontend].client_timeout_ms
-        stays = timeout * chance.uniform(0.4, 1.0) if chance.random() < 0.15 else timeout + 300.0
-        units = chance.randint(1, 3)
-        self.spawn(self.ask(f"t{self.asked}", edge, frontend, plan, customer, units, patience or stays))
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Runs a coroutine beside; the run ends after it."""
+        task = asyncio.get_running_loop().create_task(coroutine)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    def start_client(self, rng: Random, node: SimulatedNode, patience_ms: float | None = None) -> None:
+        """Has a client send a request; it disconnects after its patience, which is drawn if not given."""
+        self._request_count += 1
+        frontend = self.cluster.frontends[rng.choice(FRONTENDS)]
+        plan, customer = rng.choice(PLANS_AND_CUSTOMERS)
+        drawn_patience_ms = frontend.client_timeout_ms + PATIENCE_PAST_TIMEOUT_MS
+        if rng.random() < IMPATIENT_FRACTION:
+            drawn_patience_ms = frontend.client_timeout_ms * rng.uniform(0.4, 1.0)
+        request = ClientRequest(
+            f"t{self._request_count}",
+            node,
+            frontend,
+            plan,
+            customer,
+            rng.randint(1, MAX_REQUEST_UNITS),
+            patience_ms or drawn_patience_ms,
+        )
+        self.spawn(self._send(request))
 
-    async def ask(self, trace: str, edge: Any, *what: Any) -> None:
-        final = await self.cluster.ask(trace, edge, *what)
-        self.cluster.checker.check_deadlines(self.cluster.now())
-        self.history.append(f"{self.cluster.now():.3f} {trace} {final}")
+    async def _send(self, request: ClientRequest) -> None:
+        outcome = await self.cluster.clients.send(request)
+        self.cluster.checker.check_deadlines(self.cluster.now_ms())
+        self._history.append(f"{self.cluster.now_ms():.3f} {request.trace_id} {outcome}")
 
-    def begin(self, faults: Faults, fault: Fault) -> None:
-        self.history.append(f"{self.cluster.now():.3f} {fault.kind} {fault.whom}")
-        faults.begin(fault)
+    def _begin(self, injector: FaultInjector, fault: Fault) -> None:
+        self._history.append(f"{self.cluster.now_ms():.3f} {fault.kind} {fault.target}")
+        injector.begin(fault)
 
 
-def _digest(history: list[str], cluster: Cluster) -> str:
-    told = [*history, *map(str, cluster.logged), *map(str, cluster.checker.violations)]
-    return hashlib.sha256("\n".join(told).encode()).hexdigest()[:16]
+async def run_script(
+    seed: int, faults: list[Fault], mutation: Callable[[EdgeNode], None] | None = None
+) -> Outcome:
+    """Runs a script on a new cluster, in the running loop of virtual time."""
+    is_patient = any(fault.kind is FaultKind.EARLY_DISCONNECTS for fault in faults)
+    settings = PATIENT if is_patient else SETTINGS
+    cluster = Cluster(seed, NODE_COUNT, SERVER_COUNT, mutation, settings)
+    return await ScriptRun(seed, faults, cluster).run()
 
 
-def play(seed: int, faults: list[Fault] | None = None, plant: str = "") -> Outcome:
-    """The collector rests meanwhile: tasks of a killed node that it finds would be told as a fault."""
-    chosen, collects = script(seed) if faults is None else faults, gc.isenabled()
+def _digest(history: list[str], cluster: Cluster) -> str:
+    log_lines = [str(tuple(line)) for line in cluster.log_lines]
+    violations = [str(violation.to_record()) for violation in cluster.checker.violations]
+    events = [*history, *log_lines, *violations]
+    return hashlib.sha256("\n".join(events).encode()).hexdigest()[:DIGEST_LENGTH]
+
+
+def run_seed(seed: int, faults: list[Fault] | None = None, mutation: str = "") -> Outcome:
+    """Runs one seed on a new loop of virtual time.
+
+    Args:
+        seed: Everything that is random is drawn from it.
+        faults: The script; by default the one that the seed draws.
+        mutation: The name of a known bug to inject; "" for none.
+    """
+    script = draw_script(seed) if faults is None else faults
+    found = find_mutation(mutation)
+    inject = found.inject if found is not None else None
+    # A task of a killed node that the collector finds would be logged as a fault.
+    was_collecting = gc.isenabled()
     gc.disable()
     try:
-        return virtual_time.run(Play(seed, chosen, PLANTS[plant]).run())
+        return virtual_time.run(run_script(seed, script, inject))
     finally:
-        if collects:
+        if was_collecting:
             gc.enable()
--- a/onyxpost/simulation/deterministic/seed_sweep.py
+++ b/onyxpost/simulation/deterministic/seed_sweep.py
@@ -3,65 +3,51 @@
 from __future__ import annotations
 
 import gc
-import time
-from collections.abc import Iterator
-from typing import Any
+from typing import TYPE_CHECKING
 
-from onyxpost.simulation.deterministic.seed_run import Outcome, play
+from onyxpost.simulation.deterministic.seed_run import Outcome, run_seed
 from onyxpost.simulation.discrete_event.batch import pool_of
 
-PART = 25  # seeds that one process is handed at a time
+if TYPE_CHECKING:
+    from collections.abc import Iterator
 
+BATCH_SIZE = 25  # seeds that a process is given at a time
 
-def shrunk(outcome: Outcome, plant: str = "") -> Outcome:
-    """Faults are left out while the same rule still breaks without them."""
-    rules = {violation.invariant for violation in outcome.violations}
-    best, at = outcome, 0
-    while at < len(best.faults):
-        fewer = best.faults[:at] + best.faults[at + 1 :]
-        tried = play(outcome.seed, fewer, plant)
-        if rules & {violation.invariant for violation in tried.violations}:
-            best = tried
+
+def shrink(outcome: Outcome, mutation: str = "") -> Outcome:
+    """Returns the run with as few faults as still violate one of the same invariants."""
+    violated = {violation.invariant for violation in outcome.violations}
+    smallest = outcome
+    index = 0
+    while index < len(smallest.faults):
+        fewer = smallest.faults[:index] + smallest.faults[index + 1 :]
+        attempt = run_seed(outcome.seed, fewer, mutation)
+        if violated & {violation.invariant for violation in attempt.violations}:
+            smallest = attempt
         else:
-            at += 1
-    return best
+            index += 1
+    return smallest
 
 
-def part(seeds: list[int], plant: str) -> list[Outcome]:
+def run_batch(seeds: list[int], mutation: str = "") -> list[Outcome]:
+    """Runs seeds one after the other in this process."""
     gc.disable()
-    found = []
+    outcomes = []
     for seed in seeds:
-        found.append(play(seed, None, plant))
+        outcomes.append(run_seed(seed, None, mutation))
         gc.collect(1)
     gc.enable()
     gc.collect()
-    return found
+    return outcomes
 
 
-def many(seeds: list[int], jobs: int, plant: str = "") -> Iterator[Outcome]:
-    parts = [seeds[at : at + PART] for at in range(0, len(seeds), PART)]
+def run_seeds(seeds: list[int], jobs: int, mutation: str = "") -> Iterator[Outcome]:
+    """Runs seeds in `jobs` processes and yields their outcomes in the order of the seeds."""
+    batches = [seeds[start : start + BATCH_SIZE] for start in range(0, len(seeds), BATCH_SIZE)]
     if jobs <= 1:
-        for one in parts:
-            yield from part(one, plant)
+        for batch in batches:
+            yield from run_batch(batch, mutation)
         return
     with pool_of(jobs) as pool:
-        for found in pool.map(part, parts, [plant] * len(parts)):
-            yield from found
-
-
-def timed(seeds: list[int], jobs: int, plant: str = "") -> tuple[list[Outcome], float]:
-    began = time.perf_counter()
-    return list(many(seeds, jobs, plant)), time.perf_counter() - began
-
-
-def line(outcome: Outcome) -> dict[str, Any]:
-    return {
-        "kind": "seed",
-        "seed": outcome.seed,
-        "asked": outcome.asked,
-        "passed": outcome.passed,
-        "steps": outcome.steps,
-        "digest": outcome.digest,
-        "breaches": [violation.to_record() for violation in outcome.violations],
-        "faults": [fault._asdict() for fault in outcome.faults] if outcome.failed else [],
-    }
+        for outcomes in pool.map(run_batch, batches, [mutation] * len(batches)):
+            yield from outcomes
--- a/onyxpost/simulation/multiprocess/mutated_program.py
+++ b/onyxpost/simulation/multiprocess/mutated_program.py
@@ -9,9 +9,12 @@
 from onyxpost.node import serve
 from onyxpost.node.edge_node import EdgeNode
 from onyxpost.simulation.multiprocess import leadership_mutations
-from onyxpost.simulation.mutations import PLANTS as OF_REQS
+from onyxpost.simulation.mutations import MUTATIONS
 
-PLANTS = OF_REQS | leadership_mutations.PLANTS
+OF_REQS: dict[str, Callable[[EdgeNode], None] | None] = {
+    name: mutation.inject for mutation in MUTATIONS.values() for name in (mutation.name, mutation.old_name)
+}
+PLANTS = {"": None} | OF_REQS | leadership_mutations.PLANTS
 
 
 def planted(plant: Callable[[EdgeNode], None]) -> type[EdgeNode]:
--- a/onyxpost/simulation/mutations.py
+++ b/onyxpost/simulation/mutations.py
@@ -1,124 +1,177 @@
-"""Bugs put into an edge node that seeds and rig must find."""
+"""Mutations of an edge node: known bugs that the simulations must find.
+
+Each wraps a handler or replaces a rule of one collaborator of the node.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import replace
-from typing import Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from onyxpost.core.events import RequestArrived
 from onyxpost.core.types import AttemptResult, EndpointState
-from onyxpost.edge.messages import ClientDisconnected, SendAnswer
-from onyxpost.node.edge_node import EdgeNode
+from onyxpost.edge.messages import AttemptEnded, ClientDisconnected, SendAnswer
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
+
+    from onyxpost.core.events import Event as DecisionEvent
+    from onyxpost.edge.messages import EdgeEvent, Effect, EndpointUpdate
+    from onyxpost.edge.state_machine import EdgeStateMachine
+    from onyxpost.node.edge_node import EdgeNode
+
+NEVER_MS = 3_600_000.0
+
+
+class Mutation(NamedTuple):
+    """A known bug.
+
+    Attributes:
+        inject: Puts the bug into a node that has not started yet.
+        old_name: The name that the command line had for it before, and still accepts.
+    """
+
+    name: str
+    inject: Callable[[EdgeNode], None]
+    old_name: str
 
 
-def _resends_all(program: EdgeNode) -> None:
-    """Further attempts whatever may have run."""
-    gateway: Any = program.state_machine.decision_maker
+def find_mutation(name: str) -> Mutation | None:
+    """Returns the mutation of a name or old name; None for "".
+
+    Raises:
+        KeyError: There is none.
+    """
+    if not name:
+        return None
+    for mutation in MUTATIONS.values():
+        if name in (mutation.name, mutation.old_name):
+            return mutation
+    raise KeyError(name)
+
+
+def is_mutation(name: str) -> bool:
+    """Whether `find_mutation` accepts the name."""
+    return not name or any(name in (one.name, one.old_name) for one in MUTATIONS.values())
+
+
+def _retry_possibly_executed(node: EdgeNode) -> None:
+    """Retries go on whatever a server possibly executed."""
+    gateway: Any = node.state_machine.decision_maker
     on_request_arrived = gateway.handlers[RequestArrived]
 
-    def careless(event: RequestArrived) -> None:
+    def forget_executions(event: RequestArrived) -> None:
         on_request_arrived(event)
         if event.request_id in gateway.requests:
             gateway.requests[event.request_id].first_possible_execution = lambda: None
 
-    gateway.handlers[RequestArrived] = careless
+    gateway.handlers[RequestArrived] = forget_executions
 
 
-def _deaf_to_drains(program: EdgeNode) -> None:
-    state_machine = program.state_machine
-    handle_endpoint_update = state_machine.handle_endpoint_update
+def _ignore_drains(node: EdgeNode) -> None:
+    """Endpoints that drain are taken for ready."""
 
-    def careless(told: Any) -> Any:
-        rows = [
-            type(row)(row.server, row.zone, row.cell, EndpointState.READY, row.weight, row.started_at)
-            if row.state is EndpointState.DRAINING
-            else row
-            for row in told.endpoints
+    def with_drains_as_ready(update: EndpointUpdate) -> EndpointUpdate:
+        endpoints = [
+            replace(endpoint, state=EndpointState.READY)
+            if endpoint.state is EndpointState.DRAINING
+            else endpoint
+            for endpoint in update.endpoints
         ]
-        return handle_endpoint_update(told._replace(endpoints=rows))
+        return update._replace(endpoints=endpoints)
 
-    state_machine.handle_endpoint_update = careless  # type: ignore[assignment, method-assign]
+    _change_endpoint_updates(node.state_machine, with_drains_as_ready)
 
 
-def _answer_lost_in_a_crossing(program: EdgeNode) -> None:
-    """An answer in the round in which another client leaves is forgotten."""
-    state_machine = program.state_machine
-    step = state_machine.step
+def _skip_slow_start(node: EdgeNode) -> None:
+    """Servers that have just started are taken for warm."""
 
-    def careless(now: float, values: Any) -> Any:
-        effects = step(now, values)
-        if any(isinstance(value, ClientDisconnected) for value in values):
-            effects = [effect for effect in effects if not isinstance(effect, SendAnswer)]
-        return effects
+    def without_start_times(update: EndpointUpdate) -> EndpointUpdate:
+        return update._replace(endpoints=[replace(endpoint, started_at=0.0) for endpoint in update.endpoints])
 
-    state_machine.step = careless  # type: ignore[assignment, method-assign]
+    _change_endpoint_updates(node.state_machine, without_start_times)
 
 
-def _ceilings_off(program: EdgeNode) -> None:
-    """Ceilings and quotas are not looked at."""
-    gateway: Any = program.state_machine.decision_maker
-    gateway.quotas.has_capacity = lambda now, request: True
+def _change_endpoint_updates(
+    state_machine: EdgeStateMachine, change: Callable[[EndpointUpdate], EndpointUpdate]
+) -> None:
+    handle_endpoint_update = state_machine.handle_endpoint_update
 
+    def handle_changed(update: EndpointUpdate) -> DecisionEvent:
+        return handle_endpoint_update(change(update))
 
-def _lost_means_never_ran(program: EdgeNode) -> None:
-    servers = program.servers
-    post = servers.post
+    state_machine.handle_endpoint_update = handle_changed  # type: ignore[method-assign]
 
-    def careless(value: Any) -> None:
-        if getattr(value, "result", None) is AttemptResult.LOST:
-            value = value._replace(result=AttemptResult.NO_CONNECTION)
-        post(value)
 
-    servers.post = careless
+def _lose_answers(node: EdgeNode) -> None:
+    """Answers of a round in which another client disconnects are lost."""
+    state_machine = node.state_machine
+    step = state_machine.step
 
+    def step_without_answers(now: float, events: Sequence[EdgeEvent]) -> list[Effect]:
+        effects = step(now, events)
+        if any(isinstance(event, ClientDisconnected) for event in events):
+            return [effect for effect in effects if not isinstance(effect, SendAnswer)]
+        return effects
 
-def _sends_for_the_gone(program: EdgeNode) -> None:
-    """That a client has gone is not heard of, and not looked at before a first byte."""
-    post = program.clients.post
+    state_machine.step = step_without_answers  # type: ignore[method-assign]
 
-    def careless(value: Any) -> None:
-        if not isinstance(value, ClientDisconnected):
-            post(value)
 
-    program.clients.post = careless
-    program.clients.is_waiting = lambda connection_id: True  # type: ignore[method-assign]
+def _ignore_limits(node: EdgeNode) -> None:
+    """Quotas and hard limits always have capacity."""
+    gateway: Any = node.state_machine.decision_maker
+    gateway.quotas.has_capacity = lambda _now, _request: True
 
 
-def _deaf_watch(program: EdgeNode) -> None:
-    """A watch that has fallen silent is waited for, for ever."""
-    discovery = program.discovery
-    start_watch = discovery.start_watch
+def _treat_lost_as_not_sent(node: EdgeNode) -> None:
+    """An attempt whose connection broke counts as never sent."""
+    servers = node.servers
+    post = servers.post
 
-    def careless(*args: Any, **kwargs: Any) -> None:
-        start_watch(*args, **kwargs)
-        for clock in discovery.watches.values():
-            clock.on_poll_started = lambda *args, **kwargs: 3_600_000.0  # type: ignore[method-assign]
+    def post_changed(event: Any) -> None:  # noqa: ANN401 - all events of the upstream pool
+        if isinstance(event, AttemptEnded) and event.result is AttemptResult.LOST:
+            event = event._replace(result=AttemptResult.NO_CONNECTION)
+        post(event)
 
-    discovery.start_watch = careless  # type: ignore[method-assign]
+    servers.post = post_changed
 
 
-def _eager_cold(program: EdgeNode) -> None:
-    """Servers that have just started are taken for warm."""
-    state_machine = program.state_machine
-    handle_endpoint_update = state_machine.handle_endpoint_update
+def _ignore_disconnects(node: EdgeNode) -> None:
+    """Clients that disconnect are not noticed, not even just before the first byte of an attempt."""
+    clients = node.clients
+    post = clients.post
 
-    def careless(told: Any) -> Any:
-        return handle_endpoint_update(
-            told._replace(endpoints=[replace(row, started_at=0.0) for row in told.endpoints])
-        )
+    def post_without_disconnects(event: Any) -> None:  # noqa: ANN401 - all events of the client listener
+        if not isinstance(event, ClientDisconnected):
+            post(event)
 
-    state_machine.handle_endpoint_update = careless  # type: ignore[assignment, method-assign]
+    clients.post = post_without_disconnects
+    clients.is_waiting = lambda connection_id: True  # type: ignore[method-assign]  # noqa: ARG005
 
 
-PLANTS: dict[str, Callable[[EdgeNode], None] | None] = {
-    "": None,
-    "resends-all": _resends_all,
-    "deaf-to-drains": _deaf_to_drains,
-    "answer-lost": _answer_lost_in_a_crossing,
-    "ceilings-off": _ceilings_off,
-    "lost-never-ran": _lost_means_never_ran,
-    "sends-for-the-gone": _sends_for_the_gone,
-    "deaf-watch": _deaf_watch,
-    "eager-cold": _eager_cold,
+def _never_repeat_silent_polls(node: EdgeNode) -> None:
+    """A poll of discovery that gets no answer is waited for, for ever."""
+    discovery = node.discovery
+    start_watch = discovery.start_watch
+
+    def start_patient_watch(*arguments: Any, **options: Any) -> None:  # noqa: ANN401 - passed on
+        start_watch(*arguments, **options)
+        for clock in discovery.watches.values():
+            clock.on_poll_started = lambda *_arguments, **_options: NEVER_MS  # type: ignore[method-assign]
+
+    discovery.start_watch = start_patient_watch  # type: ignore[method-assign]
+
+
+MUTATIONS: dict[str, Mutation] = {
+    mutation.name: mutation
+    for mutation in (
+        Mutation("retry-possibly-executed", _retry_possibly_executed, "resends-all"),
+        Mutation("ignore-drains", _ignore_drains, "deaf-to-drains"),
+        Mutation("lose-answers", _lose_answers, "answer-lost"),
+        Mutation("ignore-limits", _ignore_limits, "ceilings-off"),
+        Mutation("treat-lost-as-not-sent", _treat_lost_as_not_sent, "lost-never-ran"),
+        Mutation("ignore-disconnects", _ignore_disconnects, "sends-for-the-gone"),
+        Mutation("never-repeat-silent-polls", _never_repeat_silent_polls, "deaf-watch"),
+        Mutation("skip-slow-start", _skip_slow_start, "eager-cold"),
+    )
 }
--- a/tests/compatibility/record_simulation_digests.py
+++ b/tests/compatibility/record_simulation_digests.py
@@ -29,15 +29,14 @@
 from onyxpost.node.edge_node import EdgeNode
 from onyxpost.rollout.analysis.decision import Outcome
 from onyxpost.simulation import virtual_time
-from onyxpost.simulation.deterministic.fault_script import script
-from onyxpost.simulation.deterministic.seed_run import Play
+from onyxpost.simulation.deterministic.fault_script import draw_script
+from onyxpost.simulation.deterministic.seed_run import run_script
 from onyxpost.simulation.discrete_event.node_model import Node
 from onyxpost.simulation.discrete_event.scenario import load, read, resized
 from onyxpost.simulation.discrete_event.server_model import Server
 from onyxpost.simulation.discrete_event.world import World, totals
 from onyxpost.simulation.model_checking.failover_timing import story
 from onyxpost.simulation.model_checking.leadership_model import TERMS, DutyWorld
-from onyxpost.simulation.mutations import PLANTS
 from onyxpost.simulation.rollout_analysis.cluster import EmulatedCluster
 from onyxpost.simulation.rollout_analysis.scenario import Scenario
 from onyxpost.simulation.rollout_analysis.stage import run_stage
@@ -290,13 +289,13 @@
     """One seed of `onyxpost lab seeds`."""
     digest = EventDigest()
     with without_collector(), observe_network(digest), observe_exits(digest):
-        simulation = Play(seed, script(seed), PLANTS[""])
-        outcome, sha256, events = virtual_time.run(final_digest(digest, simulation.run()))
+        simulation = run_script(seed, draw_script(seed))
+        outcome, sha256, events = virtual_time.run(final_digest(digest, simulation))
     return {
         "sha256": sha256,
         "events": events,
-        "requests": outcome.asked,
-        "passed": outcome.passed,
+        "requests": outcome.requests,
+        "passed": outcome.succeeded,
         "violations": len(outcome.violations),
     }
 
--- a/tests/process/test_operator_errors.py
+++ b/tests/process/test_operator_errors.py
@@ -190,7 +190,7 @@
     def get_stuck(*_: object, **__: object) -> None:
         raise SimulationStalledError("nothing is due any more")
 
-    monkeypatch.setattr("onyxpost.simulation.deterministic.many", get_stuck)
+    monkeypatch.setattr("onyxpost.simulation.deterministic.run_seeds", get_stuck)
     result = CliRunner().invoke(main, ["lab", "seeds", "--seeds", "1"])
     assert result.exit_code == 1
     assert_one_line(result.output, "", "nothing is due", SimulationStalledError)
--- a/tests/rollout/test_routing_rules_deterministic.py
+++ b/tests/rollout/test_routing_rules_deterministic.py
@@ -15,7 +15,8 @@
 from onyxpost.rollout.routing_rules.compiled import CompiledConstraint
 from onyxpost.rollout.routing_rules.context import RoutingContext
 from onyxpost.simulation import deterministic
-from onyxpost.simulation.deterministic import Fault, Outcome, cluster
+from onyxpost.simulation.deterministic import Fault, FaultKind, Outcome
+from onyxpost.simulation.deterministic.node import SimulatedNode
 from onyxpost.simulation.invariants import Invariant
 
 if TYPE_CHECKING:
@@ -42,17 +43,19 @@
 def run_with_reloads(folder: Path, seed: int) -> Run:
     """The seed's own faults and two SIGHUPs; whenever a node reads its file, it names another version."""
     rng = Random(seed)
-    original_node = cluster.Edge.told
+    original_node = SimulatedNode.read_config
     original_supersedes = file.supersedes
-    reloads = [Fault(rng.uniform(0.5, 3.5), "hup", rng.randrange(3), 0.0, 0.0) for _ in range(2)]
+    reloads = [Fault(rng.uniform(0.5, 3.5), FaultKind.SIGHUP, rng.randrange(3), 0.0, 0.0) for _ in range(2)]
     path = folder / f"{seed}.toml"
     versions = iter(range(1, 1000))
     rule_changes = 0
 
-    def node_with_rules(edge: Any) -> NodeConfig:
+    def node_with_rules(simulated_node: Any) -> NodeConfig:
         rules = ", ".join(f"{{{rule}}}" for rule in rng.sample(RULES, 3))
         path.write_text(f"version = {next(versions)}\nzones = ['a', 'b']\nrules = [{rules}]")
-        node = replace(original_node(edge), zone="ab"[edge.number % 2], routing_rules_path=str(path))
+        node = replace(
+            original_node(simulated_node), zone="ab"[simulated_node.index % 2], routing_rules_path=str(path)
+        )
         zones = [endpoint.zone for endpoint in node.known_endpoints.endpoints]
         context = RoutingContext.of_deployment(node.deployment, zones, node.zone)
         return replace(node, routing_rules=file.read_rules(str(path), context))
@@ -63,10 +66,10 @@
         return True
 
     with (
-        mock.patch.object(cluster.Edge, "told", node_with_rules),
+        mock.patch.object(SimulatedNode, "read_config", node_with_rules),
         mock.patch.object(file, "supersedes", count_changes),
     ):
-        outcome = deterministic.play(seed, sorted([*deterministic.script(seed), *reloads]))
+        outcome = deterministic.run_seed(seed, sorted([*deterministic.draw_script(seed), *reloads]))
     return Run(outcome, rule_changes)
 
 
@@ -91,7 +94,7 @@
     for seed in range(30):
         run = run_with_reloads(tmp_path, seed)
         assert run.outcome.violations == [], f"seed {seed}: {run.outcome.faults}"
-        assert run.outcome.passed > 10
+        assert run.outcome.succeeded > 10
         rule_changes += run.rule_changes
     assert rule_changes > 40
 
--- a/tests/simulation/virtual_time/test_loop.py
+++ b/tests/simulation/virtual_time/test_loop.py
@@ -27,8 +27,13 @@
 
 def test_program_that_never_lets_time_pass_is_reported() -> None:
     async def main() -> None:
-        while True:
-            await asyncio.sleep(0)
+        loop = asyncio.get_running_loop()
+
+        def call_again() -> None:
+            loop.call_soon(call_again)
+
+        call_again()
+        await loop.create_future()
 
     with pytest.raises(virtual_time.SimulationStalledError, match="time stands still"):
         virtual_time.run(main())
