--- a/onyxpost/edge/client_http.py
+++ b/onyxpost/edge/client_http.py
@@ -66,6 +66,10 @@
         self._is_ready = is_ready
         self._begin_closing = begin_closing
 
+    def begin_shutdown(self) -> None:
+        """Makes each further response close its connection."""
+        self.is_shutting_down = True
+
     def handle_bytes(self, connection: ClientConnection, data: bytes) -> None:
         """Handles bytes that were read from an open connection."""
         if connection.awaits_answer:
@@ -101,8 +105,8 @@
         """Rejects the current request, complete or not, with status 503 and closes the connection."""
         self._respond(connection, SERVICE_UNAVAILABLE, [(b"Retry-After", b"1")], b"", close=True)
 
-    def _reject(self, connection: ClientConnection, status: int, reason: str, close: bool) -> None:
-        self._respond(connection, status, [], reason.encode()[:MAX_ERROR_TEXT_BYTES], close)
+    def _reject(self, connection: ClientConnection, status: int, reason: str, *, close: bool) -> None:
+        self._respond(connection, status, [], reason.encode()[:MAX_ERROR_TEXT_BYTES], close=close)
 
     def _decode(self, connection: ClientConnection) -> None:
         """Decodes the complete parts of what has been received; an invalid request is rejected."""
@@ -117,7 +121,8 @@
                     pass
             # Hundreds of pipelined requests, each answered with an error, would delay all other clients.
             connection.has_pipelined = bool(http.trailing_data[0])
-            self._reject(connection, err.status, str(err), err.framing_unknown or connection.has_pipelined)
+            closes = err.framing_unknown or connection.has_pipelined
+            self._reject(connection, err.status, str(err), close=closes)
 
     def _handle_http_events(self, connection: ClientConnection, http: h11.Connection) -> None:
         while not connection.awaits_answer and (event := http.next_event()) is not h11.NEED_DATA:
@@ -162,6 +167,7 @@
         status: int,
         headers: Headers,
         body: bytes,
+        *,
         close: bool = False,
     ) -> None:
         http = connection.http
--- a/onyxpost/simulation/deterministic/node.py
+++ b/onyxpost/simulation/deterministic/node.py
@@ -17,6 +17,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from onyxpost.node.node_config import NodeConfig
     from onyxpost.simulation.deterministic.observer import ClusterObserver
     from onyxpost.simulation.invariants import InvariantChecker
     from onyxpost.simulation.virtual_time import Network, VirtualHost
@@ -106,7 +107,7 @@
         """Whether that incarnation still runs."""
         return self.incarnation == incarnation and self.program is not None
 
-    def read_config(self) -> config.NodeConfig:
+    def read_config(self) -> NodeConfig:
         """Returns the node's file as it is now, decoded."""
         nodes = self._cluster.nodes
         settings = self._cluster.settings | {"ordinal": self.index, "n_instances": len(nodes)}
--- a/onyxpost/simulation/multiprocess/cli.py
+++ b/onyxpost/simulation/multiprocess/cli.py
@@ -44,8 +44,9 @@
     from onyxpost.simulation.multiprocess.errors import InvalidScenarioError
     from onyxpost.simulation.multiprocess.fault_script import Script, decode
     from onyxpost.simulation.multiprocess.mutated_program import PLANTS
+    from onyxpost.simulation.mutations import current_name
 
-    if plant not in PLANTS:
+    if current_name(plant) not in PLANTS:
         raise InvalidScenarioError(
             f"no plant {plant!r}; there are {', '.join(name for name in PLANTS if name)}"
         )
--- a/onyxpost/simulation/multiprocess/mutated_program.py
+++ b/onyxpost/simulation/multiprocess/mutated_program.py
@@ -9,10 +9,10 @@
 from onyxpost.node import serve
 from onyxpost.node.edge_node import EdgeNode
 from onyxpost.simulation.multiprocess import leadership_mutations
-from onyxpost.simulation.mutations import MUTATIONS
+from onyxpost.simulation.mutations import MUTATIONS, current_name
 
 OF_REQS: dict[str, Callable[[EdgeNode], None] | None] = {
-    name: mutation.inject for mutation in MUTATIONS.values() for name in (mutation.name, mutation.old_name)
+    name: mutation.inject for name, mutation in MUTATIONS.items()
 }
 PLANTS = {"": None} | OF_REQS | leadership_mutations.PLANTS
 
@@ -27,7 +27,7 @@
 
 
 if __name__ == "__main__":
-    found = PLANTS.get(sys.argv[1]) if sys.argv[2:] == ["serve"] else None
+    found = PLANTS.get(current_name(sys.argv[1])) if sys.argv[2:] == ["serve"] else None
     if found is None:
         sys.exit(f"one of {', '.join(name for name in PLANTS if name)}, then serve")
     vars(serve)["EdgeNode"] = planted(found)
--- a/onyxpost/simulation/mutations.py
+++ b/onyxpost/simulation/mutations.py
@@ -8,9 +8,9 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from onyxpost.core.events import RequestArrived
 from onyxpost.core.types import AttemptResult, EndpointState
 from onyxpost.edge.messages import AttemptEnded, ClientDisconnected, SendAnswer
+from onyxpost.policy.gateway import Gateway
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -44,28 +44,30 @@
     """
     if not name:
         return None
-    for mutation in MUTATIONS.values():
-        if name in (mutation.name, mutation.old_name):
-            return mutation
-    raise KeyError(name)
+    return MUTATIONS[current_name(name)]
+
+
+def current_name(name: str) -> str:
+    """Returns the present name of a mutation by its present or old one; any other name as it is."""
+    return next((one.name for one in MUTATIONS.values() if name == one.old_name), name)
 
 
 def is_mutation(name: str) -> bool:
     """Whether `find_mutation` accepts the name."""
-    return not name or any(name in (one.name, one.old_name) for one in MUTATIONS.values())
+    return not name or current_name(name) in MUTATIONS
 
 
-def _retry_possibly_executed(node: EdgeNode) -> None:
-    """Retries go on whatever a server possibly executed."""
-    gateway: Any = node.state_machine.decision_maker
-    on_request_arrived = gateway.handlers[RequestArrived]
+def _gateway_of(node: EdgeNode) -> Gateway:
+    """Returns the decision code of a node."""
+    gateway = node.state_machine.decision_maker
+    if not isinstance(gateway, Gateway):
+        raise TypeError(f"a mutation needs a Gateway, not {type(gateway).__name__}")
+    return gateway
 
-    def forget_executions(event: RequestArrived) -> None:
-        on_request_arrived(event)
-        if event.request_id in gateway.requests:
-            gateway.requests[event.request_id].first_possible_execution = lambda: None
 
-    gateway.handlers[RequestArrived] = forget_executions
+def _retry_possibly_executed(node: EdgeNode) -> None:
+    """Retries go on whatever a server possibly executed."""
+    _gateway_of(node).execution.replace_rule(lambda _request: None)
 
 
 def _ignore_drains(node: EdgeNode) -> None:
@@ -119,8 +121,7 @@
 
 def _ignore_limits(node: EdgeNode) -> None:
     """Quotas and hard limits always have capacity."""
-    gateway: Any = node.state_machine.decision_maker
-    gateway.quotas.has_capacity = lambda _now, _request: True
+    _gateway_of(node).quota_control.quotas.replace_capacity_rule(lambda _now, _request: True)
 
 
 def _treat_lost_as_not_sent(node: EdgeNode) -> None:
@@ -138,15 +139,15 @@
 
 def _ignore_disconnects(node: EdgeNode) -> None:
     """Clients that disconnect are not noticed, not even just before the first byte of an attempt."""
-    clients = node.clients
-    post = clients.post
+    connections = node.clients.connections
+    post = connections.post
 
     def post_without_disconnects(event: Any) -> None:  # noqa: ANN401 - all events of the client listener
         if not isinstance(event, ClientDisconnected):
             post(event)
 
-    clients.post = post_without_disconnects
-    clients.is_waiting = lambda connection_id: True  # type: ignore[method-assign]  # noqa: ARG005
+    connections.post = post_without_disconnects
+    connections.is_waiting = lambda connection_id: True  # type: ignore[method-assign]  # noqa: ARG005
 
 
 def _never_repeat_silent_polls(node: EdgeNode) -> None:
@@ -156,8 +157,8 @@
 
     def start_patient_watch(*arguments: Any, **options: Any) -> None:  # noqa: ANN401 - passed on
         start_watch(*arguments, **options)
-        for clock in discovery.watches.values():
-            clock.on_poll_started = lambda *_arguments, **_options: NEVER_MS  # type: ignore[method-assign]
+        for watch in discovery.watches.values():
+            watch.tracker.on_poll_started = lambda *_arguments, **_options: NEVER_MS  # type: ignore[method-assign]
 
     discovery.start_watch = start_patient_watch  # type: ignore[method-assign]
 
--- a/tests/edge/harness.py
+++ b/tests/edge/harness.py
@@ -11,6 +11,7 @@
 from onyxpost.edge.upstream_pool import UpstreamPool, UpstreamPoolOptions
 from onyxpost.node import config
 from onyxpost.node.edge_node import EdgeNode
+from onyxpost.node.node_config import NodeConfig
 from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.runtime.structured_log import StructuredLog
 
@@ -176,8 +177,8 @@
         self.running = asyncio.get_running_loop().create_task(self.program.run())
         while not self.program.is_ready():
             await asyncio.sleep(0.001)
-        assert self.program.clients.server is not None
-        self.address = self.program.clients.server.sockets[0].getsockname()
+        assert self.program.clients.listener.server is not None
+        self.address = self.program.clients.listener.server.sockets[0].getsockname()
         self.reader, self.writer = await asyncio.open_connection(*self.address)
         return self
 
@@ -199,5 +200,5 @@
             length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
             return head, await self.reader.readexactly(length)
 
-    def _reread_config(self) -> config.NodeConfig:
+    def _reread_config(self) -> NodeConfig:
         return config.decode(self.file or {}, is_reload=True)
