--- a/onyxpost/simulation/deterministic/node.py
+++ b/onyxpost/simulation/deterministic/node.py
@@ -103,9 +103,14 @@
         """The agent that the node's file names."""
         return self.agents[self._agent_index]
 
+    @property
+    def is_running(self) -> bool:
+        """Whether it has been started and not killed since."""
+        return self.program is not None
+
     def is_running_incarnation(self, incarnation: int) -> bool:
         """Whether that incarnation still runs."""
-        return self.incarnation == incarnation and self.program is not None
+        return self.incarnation == incarnation and self.is_running
 
     def read_config(self) -> NodeConfig:
         """Returns the node's file as it is now, decoded."""
--- a/onyxpost/simulation/deterministic/node_faults.py
+++ b/onyxpost/simulation/deterministic/node_faults.py
@@ -27,20 +27,20 @@
     def kill(self, fault: Fault) -> None:
         """The node is killed and started again after a time."""
         node = self.node_of(fault)
-        if node.program is not None:
+        if node.is_running:
             node.kill()
             run_at_end(fault, lambda: _start_again(node))
 
     def restart(self, fault: Fault) -> None:
         """The node gets SIGTERM."""
         node = self.node_of(fault)
-        if node.program is not None:
+        if node.is_running:
             self.context.spawn(node.restart())
 
     def reload(self, fault: Fault) -> None:
         """The node gets SIGHUP."""
         node = self.node_of(fault)
-        if node.program is not None:
+        if node.is_running:
             node.reload()
 
 
@@ -84,5 +84,5 @@
 
 
 def _start_again(node: SimulatedNode) -> None:
-    if node.program is None:
+    if not node.is_running:
         node.start()
--- a/onyxpost/simulation/deterministic/observer.py
+++ b/onyxpost/simulation/deterministic/observer.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, Protocol
 
 from onyxpost.edge.messages import LIFECYCLE_STATES
 from onyxpost.simulation.deterministic.deployment import CALL_WORK_MS, SERVER_CAPACITY
@@ -14,22 +14,35 @@
     import asyncio
 
     from onyxpost.simulation.deterministic.discovery_agent import FailingAgent
-    from onyxpost.simulation.deterministic.node import SimulatedNode
     from onyxpost.simulation.invariants import InvariantChecker
     from onyxpost.simulation.stubs import AppServer, ServerIdentity
     from onyxpost.simulation.virtual_time import VirtualHost
 
 
+class ObservedNode(Protocol):
+    """What the observer needs to know of a node."""
+
+    name: str
+
+    @property
+    def is_running(self) -> bool:
+        """Whether it has been started and not killed since."""
+
+    @property
+    def agent(self) -> FailingAgent:
+        """The agent that it polls."""
+
+
 class ClusterObserver:
     """A `DiscoveryObserver` of all stubs of a cluster."""
 
     def __init__(self, clock: VirtualHost, checker: InvariantChecker) -> None:
         self._clock = clock
         self._checker = checker
-        self._nodes: list[SimulatedNode] = []
+        self._nodes: list[ObservedNode] = []
         self._plans: dict[str, str] = {}  # by trace id
 
-    def add_node(self, node: SimulatedNode) -> None:
+    def add_node(self, node: ObservedNode) -> None:
         """Observes the agents of a node, whose index is the count of those before."""
         self._nodes.append(node)
 
@@ -70,7 +83,7 @@
     def on_endpoints_held(self, agent: FailingAgent, rows: list[dict[str, Any]]) -> None:
         """What the agent that a node polls holds counts as known at once; after a failed poll, later."""
         node = self._nodes[agent.node_index]
-        if node.program is None or agent is not node.agent or not agent.is_reachable:
+        if not node.is_running or agent is not node.agent or not agent.is_reachable:
             return
         now_ms = self._clock.monotonic()
         propagation_ms = PROPAGATION_MS if agent.may_have_failed_polls else 0.0
