--- a/tests/rollout/test_routing_rules_deterministic.py
+++ b/tests/rollout/test_routing_rules_deterministic.py
@@ -77,10 +77,11 @@
 def constraints_that_widen() -> Iterator[None]:
     """Servers that were offered once are permitted again; the edge node holds back those that drain."""
     select = CompiledConstraint.select
-    offered_by_loop: dict[int, list[Any]] = {}
+    # By the loop itself: a later run's loop may get the id() of one that is gone, and so its servers.
+    offered_by_loop: dict[asyncio.AbstractEventLoop, list[Any]] = {}
 
     def widened(constraint: Any, servers: list[Any]) -> list[Any]:
-        offered = offered_by_loop.setdefault(id(asyncio.get_running_loop()), [])
+        offered = offered_by_loop.setdefault(asyncio.get_running_loop(), [])
         offered += [server for server in servers if server not in offered]
         removed = [server for server in offered if server not in servers]
         return removed or select(constraint, servers)
