--- a/onyxpost/simulation/cli_deterministic.py
+++ b/onyxpost/simulation/cli_deterministic.py
@@ -12,6 +12,7 @@
 from onyxpost.simulation.cli_errors import report_operator_errors
 from onyxpost.simulation.cli_options import SEEDS_HELP, jobs_option, pass_options, seeds_out_option
 from onyxpost.simulation.cli_output import InterruptCatcher, ViolationLine, echo_violations, exit_code
+from onyxpost.simulation.deprecation import warn_deprecated
 from onyxpost.simulation.errors import InvalidOptionError
 
 if TYPE_CHECKING:
@@ -49,8 +50,8 @@
 
     def summary(self) -> str:
         """Returns the sums over all seeds in one line."""
-        requests = sum(outcome.asked for outcome in self.outcomes)
-        passed = sum(outcome.passed for outcome in self.outcomes)
+        requests = sum(outcome.requests for outcome in self.outcomes)
+        passed = sum(outcome.succeeded for outcome in self.outcomes)
         steps = sum(outcome.steps for outcome in self.outcomes)
         return (
             f"{len(self.outcomes)} seeds, {len(self.failed())} failed; {requests} requests, {passed} passed;"
@@ -80,10 +81,10 @@
     began = time.perf_counter()
     finished = FinishedSeeds()
     with InterruptCatcher() as interrupt:
-        for outcome in simulation.many(seeds, options.jobs, options.mutation):
+        for outcome in simulation.run_seeds(seeds, options.jobs, options.mutation):
             finished.add(outcome)
     if options.out is not None and finished.outcomes:
-        results.write(options.out, results.encode(map(simulation.line, finished.outcomes)))
+        results.write(options.out, results.encode(outcome.to_record() for outcome in finished.outcomes))
     failed = finished.failed()
     for outcome in failed[:MAX_PRINTED_SEEDS]:
         _echo_failed_seed(outcome, options.mutation)
@@ -94,30 +95,35 @@
 
 def _check_mutation(name: str) -> None:
     """Raises InvalidOptionError unless there is a mutation of this name, or none is asked for."""
-    from onyxpost.simulation.mutations import PLANTS
+    from onyxpost.simulation.mutations import MUTATIONS, current_name, is_mutation
 
-    if name not in PLANTS:
-        names = ", ".join(filter(None, PLANTS))
+    if not is_mutation(name):
+        names = ", ".join(MUTATIONS)
         raise InvalidOptionError(f"no mutation {name!r}; there are: {names}", "--mutation")
+    if current_name(name) != name:
+        warn_deprecated(name, current_name(name))
 
 
 def _echo_failed_seed(outcome: Outcome, mutation: str) -> None:
     """Prints the faults that a failed seed takes, and its first violations with only these."""
-    from onyxpost.simulation.deterministic import shrunk
+    from onyxpost.simulation.deterministic import shrink
 
-    smallest = shrunk(outcome, mutation)
+    smallest = shrink(outcome, mutation)
     click.echo(f"seed {outcome.seed}: {len(outcome.faults)} faults, {len(smallest.faults)} of them needed")
     for fault in smallest.faults:
-        click.echo(f"  at {fault.at:.4f} s  {fault.kind} {fault.whom} for {fault.lasts} s ({fault.more})")
+        click.echo(
+            f"  at {fault.at_seconds:.4f} s  {fault.kind} {fault.target} for {fault.duration_seconds} s"
+            f" ({fault.magnitude})"
+        )
     echo_violations(map(_violation_line, smallest.violations), MAX_PRINTED_VIOLATIONS)
 
 
 def _violation_line(violation: Violation) -> ViolationLine:
     return ViolationLine(
-        invariant=violation.rule,
-        at_ms=violation.at,
+        invariant=violation.invariant,
+        at_ms=violation.at_ms,
         node=violation.node,
-        request=violation.req,
+        request=violation.request_id,
         server=violation.server,
-        description=violation.what,
+        description=violation.description,
     )
--- a/onyxpost/simulation/discrete_event/invariant_recorder.py
+++ b/onyxpost/simulation/discrete_event/invariant_recorder.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from onyxpost.simulation.invariants import InvariantChecker
+from onyxpost.simulation.invariants import AttemptRecord, InvariantChecker
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -30,11 +30,11 @@
     ) -> None:
         self._clock = clock
         self._checker = InvariantChecker(
-            grace=scenario.drain_grace_ms,
-            cold=slow_start,
+            drain_grace_ms=scenario.drain_grace_ms,
+            slow_start=slow_start,
             plans=plans,
-            slack=TOLERANCE_MS,
-            largest=max(work.units for work in scenario.work),
+            tolerance_ms=TOLERANCE_MS,
+            max_request_units=max(work.units for work in scenario.work),
         )
 
     @property
@@ -45,14 +45,7 @@
     def violation_records(self) -> Iterator[dict[str, Any]]:
         """Returns the violations as result files have them."""
         for violation in self._checker.violations:
-            yield {
-                "rule": violation.rule,
-                "at": violation.at,
-                "node": violation.node,
-                "req": violation.req,
-                "server": violation.server,
-                "what": violation.what,
-            }
+            yield violation.to_record()
 
     # Requests
 
@@ -67,7 +60,9 @@
     def attempt_sent(self, node: str, request_id: str, server: str, zone: int, cell: int, plan: str) -> None:
         """The last byte of an attempt arrived at a server."""
         now_ms = self._clock.now_ms
-        self._checker.on_attempt_sent(now_ms, node, request_id, server, zone_name(zone), cell, plan, now_ms)
+        self._checker.on_attempt_sent(
+            AttemptRecord(node, request_id, server, now_ms, now_ms, zone_name(zone), cell, plan)
+        )
 
     def attempt_ended(self, node: str, request_id: str, sent_index: int, never_executed: bool) -> None:
         """An attempt that was sent has its result; it was the `sent_index`-th of its request, from 0."""
@@ -120,4 +115,4 @@
     def max_slow_start_load(self) -> float:
         """Returns the largest work at a server that warms up, as a share of what overloads it."""
         checker = self._checker
-        return max((checker.slow_start_load(server) for server in checker.warming_servers), default=0.0)
+        return max((checker.slow_start_load(server) for server in checker.slow_start.servers), default=0.0)
--- a/onyxpost/simulation/model_checking/failover_timing.py
+++ b/onyxpost/simulation/model_checking/failover_timing.py
@@ -58,7 +58,7 @@
     cluster = VirtualCluster(seed, size)
     await cluster.start()
     await cluster.wait_for_leader(ROLE)
-    await asyncio.sleep(MIN_LEASE_SECONDS + cluster.network.chance.random() * MAX_EXTRA_LEASE_SECONDS)
+    await asyncio.sleep(MIN_LEASE_SECONDS + cluster.network.rng.random() * MAX_EXTRA_LEASE_SECONDS)
     leader = cluster.leaders_of(ROLE)[0]
     cluster.nodes[leader].leadership.write(ROLE, b"kept %d" % seed)
     await asyncio.sleep(WRITE_SECONDS)
--- a/onyxpost/simulation/model_checking/virtual_cluster.py
+++ b/onyxpost/simulation/model_checking/virtual_cluster.py
@@ -67,7 +67,6 @@
         names = tuple(f"n{index:02d}" for index in range(size))
         addresses = {name: (f"10.8.0.{index}", PORT) for index, name in enumerate(names)}
         self.network = virtual_time.Network(Random(f"{seed}/net"))
-        self.network.silent = self._is_blocked  # type: ignore[method-assign]
         self.membership = Membership(1, addresses)
         self.config = LeadershipConfig(
             AcceptorSet(1, names[:acceptors]),
@@ -81,7 +80,7 @@
         )
         self.nodes: dict[str, VirtualNode] = {}
         self.logs: list[NodeLogEvent] = []
-        self.blocked_links: set[tuple[str, str]] = set()
+        self.blocked_links = self.network.blocked_links
         self.overlaps = 0
         self._started_nodes = 0
 
@@ -102,7 +101,7 @@
     async def kill(self, name: str) -> None:
         """Ends a node as SIGKILL does; it may be started again."""
         self.nodes.pop(name).close()
-        self.network.die(name)
+        self.network.kill_host(name)
         await asyncio.sleep(0.0)
 
     async def terminate(self, name: str) -> None:
@@ -165,8 +164,5 @@
             tokens_of_role[fields["role"]].append(fields["fencing_token"])
         return all(tokens == sorted(set(tokens)) for tokens in tokens_of_role.values())
 
-    def _is_blocked(self, here: str, there: str) -> bool:
-        return (here, there) in self.blocked_links
-
     def _log_of(self, name: str) -> Callable[[LogEvent], None]:
         return lambda event: self.logs.append(NodeLogEvent(self.now_ms(), name, event))
--- a/onyxpost/simulation/multiprocess/batch.py
+++ b/onyxpost/simulation/multiprocess/batch.py
@@ -8,8 +8,8 @@
 from onyxpost.simulation.multiprocess.environments import LEADERSHIP, environment_name
 from onyxpost.simulation.multiprocess.errors import InvalidScenarioError
 from onyxpost.simulation.multiprocess.fault_script import FaultScript, decode_script
-from onyxpost.simulation.multiprocess.leadership_mutations import LEADERSHIP_MUTATIONS, current_name
-from onyxpost.simulation.multiprocess.mutated_program import is_known_mutation, mutation_names
+from onyxpost.simulation.multiprocess.leadership_mutations import LEADERSHIP_MUTATIONS
+from onyxpost.simulation.multiprocess.mutated_program import current_name, is_known_mutation, mutation_names
 from onyxpost.simulation.multiprocess.scenario import (
     OLD_NAMES,
     Scenario,
--- a/onyxpost/simulation/multiprocess/client_invariants.py
+++ b/onyxpost/simulation/multiprocess/client_invariants.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from onyxpost.core.types import DeduplicationScope, Frontend, Idempotency
-from onyxpost.simulation.invariants import ANSWERS, EFFECTS
+from onyxpost.simulation.invariants import Invariant
 from onyxpost.simulation.multiprocess.checker import Finding, events_of_type
 from onyxpost.simulation.multiprocess.history import (
     DISCONNECTED,
@@ -43,7 +43,7 @@
     """A client receives its own response, once, and nothing after it."""
     for event in events_of_type(events, UnexpectedResponse):
         node = requests[event.trace].node
-        yield Finding(ANSWERS, event.at_ms, node, f"request {event.trace}: {event.description}")
+        yield Finding(Invariant.ANSWERS, event.at_ms, node, f"request {event.trace}: {event.description}")
 
 
 def connections_are_answered(
@@ -64,7 +64,7 @@
                 continue
         if not _is_excused(failure, availability, lag):
             description = f"request {failure.trace}: {failure.cause} without an answer"
-            yield Finding(ANSWERS, failure.end_ms, failure.node, description)
+            yield Finding(Invariant.ANSWERS, failure.end_ms, failure.node, description)
 
 
 def _is_excused(failure: FailedConnection, availability: ProcessAvailability, lag: SchedulingLag) -> bool:
@@ -103,7 +103,7 @@
             description = (
                 f"request {attempt.trace} was executed at {first.server} and again at {attempt.server}"
             )
-            yield Finding(EFFECTS, attempt.at_ms, request.node, description)
+            yield Finding(Invariant.IDEMPOTENCY, attempt.at_ms, request.node, description)
 
 
 def may_execute_again(frontend: Frontend, first: AttemptReceived, attempt: AttemptReceived) -> bool:
--- a/onyxpost/simulation/multiprocess/edge_invariants.py
+++ b/onyxpost/simulation/multiprocess/edge_invariants.py
@@ -10,7 +10,7 @@
 from math import inf
 from typing import TYPE_CHECKING, NamedTuple
 
-from onyxpost.simulation.invariants import InvariantChecker
+from onyxpost.simulation.invariants import AttemptRecord, InvariantChecker
 from onyxpost.simulation.multiprocess.checker import Finding, events_of_type
 from onyxpost.simulation.multiprocess.client_invariants import (
     connections_are_answered,
@@ -110,11 +110,11 @@
         self.lag = lag
         self.requests: dict[str, RequestSent] = {}
         self.checker = InvariantChecker(
-            grace=limits.drain_grace_ms,
-            cold=limits.slow_start,
+            drain_grace_ms=limits.drain_grace_ms,
+            slow_start=limits.slow_start,
             plans=limits.plans,
-            slack=DEADLINE_TOLERANCE_MS + lag.tolerance_ms,
-            largest=limits.max_request_units,
+            tolerance_ms=DEADLINE_TOLERANCE_MS + lag.tolerance_ms,
+            max_request_units=limits.max_request_units,
         )
 
     def run(self, events: Sequence[HistoryEvent]) -> list[Finding]:
@@ -132,10 +132,10 @@
         last_ms = events[-1].at_ms if events else 0.0
         return [
             Finding(
-                violation.rule,
-                min(violation.at, last_ms),
+                violation.invariant,
+                min(violation.at_ms, last_ms),
                 violation.node,
-                f"request {violation.req} {violation.server}: {violation.what}",
+                f"request {violation.request_id} {violation.server}: {violation.description}",
             )
             for violation in self.checker.violations
         ]
@@ -203,27 +203,28 @@
         request = self.requests.get(event.trace)
         if request is None:  # of a run before a restart
             return
-        self.checker.on_attempt_sent(
-            event.at_ms,
+        attempt = AttemptRecord(
             event.node,
             event.trace,
             event.server,
-            event.zone,
-            event.cell,
-            request.plan,
-            event.at_ms,
+            sent_at_ms=event.at_ms,
+            first_byte_at_ms=event.at_ms,
+            zone=event.zone,
+            cell=event.cell,
+            plan=request.plan,
         )
+        self.checker.on_attempt_sent(attempt)
 
     def _on_attempt_not_executed(self, event: AttemptNotExecuted) -> None:
         """Marks the first attempt at that server that may have been executed."""
         request = self.requests.get(event.trace)
         if request is None:
             return
-        record = self.checker.requests.get((request.node, event.trace))
+        record = self.checker.history.get(request.node, event.trace)
         if record is None:
             return
-        for index, attempt in enumerate(record.sent):
-            if attempt.server == event.server and attempt.may_have_run:
+        for index, attempt in enumerate(record.attempts):
+            if attempt.server == event.server and attempt.is_possibly_executed:
                 self.checker.on_attempt_ended(event.at_ms, record.node, event.trace, index, True)
                 return
 
--- a/onyxpost/simulation/multiprocess/mutated_program.py
+++ b/onyxpost/simulation/multiprocess/mutated_program.py
@@ -7,8 +7,14 @@
 
 from onyxpost.node import serve
 from onyxpost.node.edge_node import EdgeNode
-from onyxpost.simulation.multiprocess.leadership_mutations import LEADERSHIP_MUTATIONS, current_name
-from onyxpost.simulation.mutations import PLANTS as EDGE_MUTATIONS
+from onyxpost.simulation.multiprocess.leadership_mutations import (
+    LEADERSHIP_MUTATIONS,
+)
+from onyxpost.simulation.multiprocess.leadership_mutations import (
+    current_name as current_leadership_name,
+)
+from onyxpost.simulation.mutations import MUTATIONS as EDGE_MUTATIONS
+from onyxpost.simulation.mutations import current_name as current_edge_name
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -18,7 +24,12 @@
 
 def mutation_names() -> list[str]:
     """Returns the names of all mutations, those of edge nodes first."""
-    return [name for name in EDGE_MUTATIONS if name] + list(LEADERSHIP_MUTATIONS)
+    return [*EDGE_MUTATIONS, *LEADERSHIP_MUTATIONS]
+
+
+def current_name(name: str) -> str:
+    """Returns the present name of a mutation that is given by an old name; any other name as it is."""
+    return current_leadership_name(current_edge_name(name))
 
 
 def is_known_mutation(name: str) -> bool:
@@ -35,7 +46,7 @@
     leadership_mutation = LEADERSHIP_MUTATIONS.get(current_name(name))
     if leadership_mutation is not None:
         return leadership_mutation.inject
-    return EDGE_MUTATIONS[name]
+    return EDGE_MUTATIONS[current_name(name)].inject
 
 
 def mutated_node(inject: Callable[[EdgeNode], None]) -> type[EdgeNode]:
--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -93,6 +93,14 @@
         "name an address on loopback, as 127.0.0.1:8081",
         "name an address on loopback, as in 127.0.0.1:8081",
     ),
+    (
+        "resends-all, deaf-to-drains, answer-lost, ceilings-off, lost-never-ran, sends-for-the-gone, "
+        "deaf-watch, eager-cold",
+        "retry-possibly-executed, ignore-drains, lose-answers, ignore-limits, treat-lost-as-not-sent, "
+        "ignore-disconnects, never-repeat-silent-polls, skip-slow-start",
+    ),
+    # Descriptions of violations in result files.
+    (" ms after it was told", " ms after its node was notified of the drain"),
 )
 
 USAGE_ERROR = re.compile(r"^Error: .*", re.MULTILINE | re.DOTALL)
--- a/tests/compatibility/simulation_meanings.py
+++ b/tests/compatibility/simulation_meanings.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from onyxpost.simulation import deterministic, results
-from onyxpost.simulation.deterministic.fault_script import script as draw_deterministic_faults
+from onyxpost.simulation.deterministic.fault_script import draw_script as draw_deterministic_faults
 from onyxpost.simulation.invariants import Violation
 from onyxpost.simulation.load.options import LoadOptions
 from onyxpost.simulation.load.results import LoadResults
@@ -70,7 +70,7 @@
     """The line of `lab seeds --out` for a seed that failed: the only one with the faults that were drawn."""
     violation = Violation("once", 12.5, "n0", "t1", "s-1", "ran twice")
     outcome = deterministic.Outcome(seed, [violation], draw_deterministic_faults(seed), 9, 8, 7, "0" * 16)
-    return results.encode([deterministic.line(outcome)])
+    return results.encode([outcome.to_record()])
 
 
 def load_result_lines(samples: Iterable[tuple[float, float, str]]) -> bytes:
--- a/tests/edge/faulty_discovery.py
+++ b/tests/edge/faulty_discovery.py
@@ -200,7 +200,7 @@
         loop = asyncio.get_running_loop()
         _inject_connection_faults(network, faulty, AGENT_ADDRESSES[faulty_index])
         if fault in CONNECTION_FAULTS and moment is not Moment.BETWEEN_POLLS:
-            loop.call_at(begins_at / 1000.0, network.reset_some, f"agent{faulty_index}")
+            loop.call_at(begins_at / 1000.0, network.reset_connections, f"agent{faulty_index}")
         discovery.start()
         if moment is Moment.AFTER_MOVE:
             await asyncio.sleep(begins_at / 1000.0)
--- a/tests/edge/test_discovery_moves.py
+++ b/tests/edge/test_discovery_moves.py
@@ -46,7 +46,7 @@
         await asyncio.sleep(0.1)
         polls_after_move.append(len(old_agent.polls))
         await asyncio.sleep(9.9)
-        network.reset_some(NODE_HOST)  # a new connection to the same address is no move
+        network.reset_connections(NODE_HOST)  # a new connection to the same address is no move
         await asyncio.sleep(1.0)
         assert len(discovery.watches) == 1
 
@@ -107,7 +107,7 @@
         assert discovery.alternative_address == AGENT_ADDRESSES[1]
         discovery.start()
         await asyncio.sleep(1.0)
-        network.reset_some(NODE_HOST)
+        network.reset_connections(NODE_HOST)
         await asyncio.sleep(1.0)
         assert discovery.alternative_address is None
 
--- a/tests/edge/test_discovery_watch.py
+++ b/tests/edge/test_discovery_watch.py
@@ -141,7 +141,7 @@
         for _ in range(5):
             await asyncio.sleep(1.0)
             reset_at_ms.append(network.loop.time() * 1000.0)
-            network.reset_some(NODE_HOST)
+            network.reset_connections(NODE_HOST)
         await asyncio.sleep(1.0)
 
     agent = Agent()
--- a/tests/planner/cluster.py
+++ b/tests/planner/cluster.py
@@ -15,7 +15,7 @@
 from onyxpost.planner.planner import Planner
 from onyxpost.runtime.structured_log import StructuredLog
 from onyxpost.simulation import virtual_time
-from onyxpost.simulation.invariants import Bucket
+from onyxpost.simulation.invariants import HardLimitBucket
 from onyxpost.simulation.virtual_time import EPOCH, Network
 from tests.planner.forwarder_model import SAFE_SHARE, ForwarderModel
 
@@ -42,7 +42,7 @@
         self.forwarders: list[ForwarderModel] = []
         self.forwarders += [ForwarderModel(self, index) for index in range(forwarders)]
         self.forwarder_names = tuple(forwarder.name for forwarder in self.forwarders)
-        self.hard_limits: dict[str, Bucket] = {}
+        self.hard_limits: dict[str, HardLimitBucket] = {}
         self.violations: list[str] = []
         self.units_sent: Counter[str] = Counter()
 
@@ -88,7 +88,7 @@
         if planner is not None:
             self.tasks[name].cancel()
             planner.close()
-            self.net.die(self.planner_host(name))
+            self.net.kill_host(self.planner_host(name))
             self.planners[name] = None
 
     def restart_all_planners(self) -> None:
@@ -107,9 +107,9 @@
         self.units_sent[customer] += units
         bucket = self.hard_limits.get(customer)
         if bucket is None:
-            bucket = Bucket(now_ms, self.plan.hard_limit_rate, self.plan.hard_limit_burst, 1e-6)
+            bucket = HardLimitBucket(now_ms, self.plan.hard_limit_rate, self.plan.hard_limit_burst, 1e-6)
             self.hard_limits[customer] = bucket
-        if not bucket.draw(now_ms, units):
+        if not bucket.consume(now_ms, units):
             self.violations.append(
                 f"{now_ms:.0f} ms: {forwarder.name} passes {customer} by {-bucket.level:.2f}"
             )
--- a/tests/planner/forwarder_model.py
+++ b/tests/planner/forwarder_model.py
@@ -79,7 +79,7 @@
     def kill(self) -> None:
         self.is_alive = False
         self.client.close()
-        self.cluster.net.die(self.host)
+        self.cluster.net.kill_host(self.host)
 
     def restart(self) -> None:
         if self.is_alive:
--- a/tests/simulation/multiprocess/test_edge_invariants.py
+++ b/tests/simulation/multiprocess/test_edge_invariants.py
@@ -9,7 +9,7 @@
 from onyxpost.config import deployment
 from onyxpost.core.types import EndpointState
 from onyxpost.simulation.deterministic.cluster import LARGEST, SETTINGS
-from onyxpost.simulation.invariants import ANSWERS, CEILINGS, COLD, COLD_SUM, DRAINS, EFFECTS, GONE
+from onyxpost.simulation.invariants import Invariant
 from onyxpost.simulation.multiprocess.checker import check_history
 from onyxpost.simulation.multiprocess.edge_invariants import EdgeInvariants, EdgeLimits
 from onyxpost.simulation.multiprocess.history import (
@@ -109,11 +109,17 @@
 @pytest.mark.parametrize(
     ("invariant", "events"),
     [
-        pytest.param(ANSWERS, [request_sent(0.0), timed_out(1500.0)], id="no answer before the timeout"),
-        pytest.param(ANSWERS, [request_sent(0.0), unanswered(20.0)], id="connection ended without answer"),
-        pytest.param(ANSWERS, [request_sent(0.0), answered(1290.0)], id="answer after the deadline"),
         pytest.param(
-            ANSWERS,
+            Invariant.ANSWERS, [request_sent(0.0), timed_out(1500.0)], id="no answer before the timeout"
+        ),
+        pytest.param(
+            Invariant.ANSWERS, [request_sent(0.0), unanswered(20.0)], id="connection ended without answer"
+        ),
+        pytest.param(
+            Invariant.ANSWERS, [request_sent(0.0), answered(1290.0)], id="answer after the deadline"
+        ),
+        pytest.param(
+            Invariant.ANSWERS,
             [
                 request_sent(0.0),
                 answered(9.0),
@@ -122,23 +128,25 @@
             id="bytes after the answer",
         ),
         pytest.param(
-            ANSWERS,
+            Invariant.ANSWERS,
             [request_sent(0.0), answered(9.0), attempt_forwarded(90.0)],
             id="attempt after the answer",
         ),
-        pytest.param(ANSWERS, [ConnectionRefused(0.0, node="n0", trace="r1")], id="connection refused"),
         pytest.param(
-            EFFECTS,
+            Invariant.ANSWERS, [ConnectionRefused(0.0, node="n0", trace="r1")], id="connection refused"
+        ),
+        pytest.param(
+            Invariant.IDEMPOTENCY,
             [request_sent(0.0), attempt_forwarded(1.0), attempt_forwarded(300.0, 1), answered(340.0)],
             id="retry outside of the deduplication scope",
         ),
         pytest.param(
-            EFFECTS,
+            Invariant.IDEMPOTENCY,
             [request_sent(0.0), attempt_received(1.0), attempt_received(300.0, 1, 2), answered(340.0)],
             id="executed again outside of the deduplication scope",
         ),
         pytest.param(
-            EFFECTS,
+            Invariant.IDEMPOTENCY,
             [
                 request_sent(0.0, frontend="post"),
                 attempt_forwarded(1.0),
@@ -148,7 +156,7 @@
             id="retry after the deduplication window",
         ),
         pytest.param(
-            DRAINS,
+            Invariant.DRAIN_NOTIFIED,
             [
                 notified(0.0, EndpointState.DRAINING),
                 request_sent(300.0),
@@ -157,9 +165,11 @@
             ],
             id="attempt at a server that drains",
         ),
-        pytest.param(CEILINGS, burst_beyond_the_hard_limit(), id="burst beyond the hard limit"),
+        pytest.param(Invariant.HARD_LIMITS, burst_beyond_the_hard_limit(), id="burst beyond the hard limit"),
         pytest.param(
-            GONE, attempts_after_clients_disconnected(), id="attempts after the client disconnected"
+            Invariant.DISCONNECTED_CLIENTS,
+            attempts_after_clients_disconnected(),
+            id="attempts after the client disconnected",
         ),
         pytest.param(
             PROCESS_FAILURES, [UnhandledError(5.0, node="n1", cause="ValueError")], id="unhandled error"
@@ -174,11 +184,14 @@
 
 
 def test_too_many_calls_to_a_starting_server_violate_both_slow_start_limits() -> None:
-    assert violated_invariants(calls_to_a_server_that_starts(11)) == [COLD, COLD_SUM]
+    assert violated_invariants(calls_to_a_server_that_starts(11)) == [
+        Invariant.SLOW_START_WORK,
+        Invariant.SLOW_START_CALLS,
+    ]
 
 
 def test_limit_of_calls_is_above_the_limit_of_work() -> None:
-    assert violated_invariants(calls_to_a_server_that_starts(10)) == [COLD]
+    assert violated_invariants(calls_to_a_server_that_starts(10)) == [Invariant.SLOW_START_WORK]
 
 
 @pytest.mark.parametrize(
@@ -235,7 +248,7 @@
 
 def test_lag_of_another_node_excuses_no_late_answer() -> None:
     events = [request_sent(0.0), lag(900.0, 200.0, "n1"), answered(1290.0)]
-    assert violated_invariants(events) == [ANSWERS]
+    assert violated_invariants(events) == [Invariant.ANSWERS]
 
 
 def test_connection_soon_after_sigterm_must_be_answered() -> None:
@@ -245,4 +258,4 @@
         unanswered(610.0),
         process(900.0, ProcessChange.EXITED),
     ]
-    assert violated_invariants(events) == [ANSWERS]
+    assert violated_invariants(events) == [Invariant.ANSWERS]
--- a/tests/simulation/multiprocess/test_edge_processes.py
+++ b/tests/simulation/multiprocess/test_edge_processes.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from onyxpost.simulation.invariants import DRAINS
+from onyxpost.simulation.invariants import Invariant
 from onyxpost.simulation.multiprocess.fault_script import Fault, FaultScript, decode_script
 from onyxpost.simulation.multiprocess.runner import run_script
 from onyxpost.simulation.multiprocess.scenario import load_scenario, with_size
@@ -49,7 +49,7 @@
 def test_mutation_is_found_and_its_kept_script_finds_it_again(tmp_path: Path) -> None:
     script = FaultScript("edge-cuts", SEED, 3, 2.5, [Fault(0.3, "drain", "s0", 1.9)], "deaf-to-drains")
     result = run(script, tmp_path)
-    assert DRAINS in {violation.invariant for violation in result.violations}
+    assert Invariant.DRAIN_NOTIFIED in {violation.invariant for violation in result.violations}
     kept = tmp_path / "edge-cuts-3" / "script.json"
     assert decode_script(kept.read_bytes(), "") == script
 
@@ -69,5 +69,5 @@
     assert replay.returncode == 1, replay.stderr
     seed_line, total_line = map(json.loads, results.read_text().splitlines())
     assert (seed_line["kind"], seed_line["seed"], seed_line["plant"]) == ("seed", SEED, "deaf-to-drains")
-    assert DRAINS in {violation["rule"] for violation in seed_line["breaches"]}
+    assert Invariant.DRAIN_NOTIFIED in {violation["rule"] for violation in seed_line["breaches"]}
     assert (total_line["kind"], total_line["seeds"], total_line["broken"]) == ("total", 1, 1)
