--- a/onyxpost/edge/client_connection.py
+++ b/onyxpost/edge/client_connection.py
@@ -19,6 +19,7 @@
 # For a new connection to send its first request, and for a request that has started to be complete.
 REQUEST_TIMEOUT_MS = 2_500.0
 IDLE_TIMEOUT_MS = 5_000.0  # between requests
+GRACE_FOR_REQUEST_MS = 100.0  # a connection that sends no complete request for longer may be evicted
 
 
 class ClientConnection:
@@ -44,8 +45,15 @@
     """
 
     def __init__(
-        self, connection_id: int, reader: CountingReader, writer: asyncio.StreamWriter, now: float
+        self,
+        connection_id: int,
+        reader: CountingReader,
+        writer: asyncio.StreamWriter,
+        now: float,
+        *,
+        is_over_capacity: bool = False,
     ) -> None:
+        """Creates the state of a connection that was accepted at `now`, in ms."""
         self.connection_id = connection_id
         self.reader = reader
         self.writer = writer
@@ -56,7 +64,7 @@
         self.awaits_answer = False
         self.request_started = False
         self.is_new = True
-        self.is_over_capacity = False
+        self.is_over_capacity = is_over_capacity
         self.has_pipelined = False
         self.grace_given = False
         self.request: h11.Request | None = None
@@ -99,12 +107,28 @@
         self.request_started = True
         self.client_request = None
 
+    def on_request_decoded(self, client_request: ClientRequest) -> None:
+        """Notes the decoded head of a request that is no health check."""
+        self.client_request = client_request
+
+    def on_pipelined_input(self) -> None:
+        """Notes input behind a request that is not answered yet."""
+        self.has_pipelined = True
+
+    def on_request_read(self) -> None:
+        """Notes that no more of a request is read, and whether the client has already sent more."""
+        self.has_pipelined = bool(self.http.trailing_data[0])
+
     def on_request_handed_on(self) -> None:
         """Notes that the request was posted as an event; it has no deadline of the connection."""
         self.request_started = False
         self.awaits_answer = True
         self.deadline = math.inf
 
+    def on_settled(self) -> None:
+        """Notes that the request in flight needs no answer any more."""
+        self.awaits_answer = False
+
     def on_response(self, now: float) -> None:
         """Notes a response, after which the connection is idle."""
         self.request_started = False
@@ -120,6 +144,15 @@
         self.deadline = now + (IDLE_TIMEOUT_MS if self.unsent_bytes() else linger_ms)
         self.body = bytearray()
 
+    def extend_deadline(self, deadline: float) -> None:
+        """Sets a later deadline, in ms, because of unread input."""
+        self.grace_given = True
+        self.deadline = deadline
+
+    def limit_deadline(self, deadline: float) -> None:
+        """Sets an earlier deadline, in ms, if it is earlier."""
+        self.deadline = min(self.deadline, deadline)
+
     def on_next_cycle(self) -> None:
         """Clears the request that was answered."""
         self.request = None
--- a/onyxpost/edge/client_http.py
+++ b/onyxpost/edge/client_http.py
@@ -66,10 +66,14 @@
         self._is_ready = is_ready
         self._begin_closing = begin_closing
 
+    def begin_shutdown(self) -> None:
+        """Makes each further response close its connection."""
+        self.is_shutting_down = True
+
     def handle_bytes(self, connection: ClientConnection, data: bytes) -> None:
         """Handles bytes that were read from an open connection."""
         if connection.awaits_answer:
-            connection.has_pipelined = True
+            connection.on_pipelined_input()
             return
         if not connection.request_started:
             if connection.unsent_bytes() > MAX_UNSENT_BYTES:
@@ -86,7 +90,7 @@
 
     def send_answer(self, connection: ClientConnection, answer: SendAnswer) -> None:
         """Sends the final answer to the request in flight."""
-        connection.awaits_answer = False
+        connection.on_settled()
         try:
             self._respond(connection, *encode_answer(answer), close=connection.has_pipelined)
         except h11.LocalProtocolError:  # the answer cannot be encoded; do not keep its client waiting
@@ -101,8 +105,8 @@
         """Rejects the current request, complete or not, with status 503 and closes the connection."""
         self._respond(connection, SERVICE_UNAVAILABLE, [(b"Retry-After", b"1")], b"", close=True)
 
-    def _reject(self, connection: ClientConnection, status: int, reason: str, close: bool) -> None:
-        self._respond(connection, status, [], reason.encode()[:MAX_ERROR_TEXT_BYTES], close)
+    def _reject(self, connection: ClientConnection, status: int, reason: str, *, close: bool) -> None:
+        self._respond(connection, status, [], reason.encode()[:MAX_ERROR_TEXT_BYTES], close=close)
 
     def _decode(self, connection: ClientConnection) -> None:
         """Decodes the complete parts of what has been received; an invalid request is rejected."""
@@ -116,8 +120,9 @@
                 while http.their_state is h11.SEND_BODY and http.next_event() is not h11.NEED_DATA:
                     pass
             # Hundreds of pipelined requests, each answered with an error, would delay all other clients.
-            connection.has_pipelined = bool(http.trailing_data[0])
-            self._reject(connection, err.status, str(err), err.framing_unknown or connection.has_pipelined)
+            connection.on_request_read()
+            closes = err.framing_unknown or connection.has_pipelined
+            self._reject(connection, err.status, str(err), close=closes)
 
     def _handle_http_events(self, connection: ClientConnection, http: h11.Connection) -> None:
         while not connection.awaits_answer and (event := http.next_event()) is not h11.NEED_DATA:
@@ -140,12 +145,12 @@
         connection.on_request_head(head)
         if head.target != HEALTH_CHECK_TARGET or head.method not in HEALTH_CHECK_METHODS:
             # The client's timeout began when it sent the request, so it counts from the first byte received.
-            connection.client_request = decode_request(
-                connection.connection_id, connection.waiting_since, head, self._deployment
+            connection.on_request_decoded(
+                decode_request(connection.connection_id, connection.waiting_since, head, self._deployment)
             )
 
     def _handle_complete_request(self, connection: ClientConnection) -> None:
-        connection.has_pipelined = bool(connection.http.trailing_data[0])
+        connection.on_request_read()
         if connection.client_request is None:
             status = OK if self._is_ready() else SERVICE_UNAVAILABLE
             self._respond(connection, status, [], b"", close=connection.has_pipelined)
@@ -162,6 +167,7 @@
         status: int,
         headers: Headers,
         body: bytes,
+        *,
         close: bool = False,
     ) -> None:
         http = connection.http
--- a/onyxpost/edge/discovery_poll.py
+++ b/onyxpost/edge/discovery_poll.py
@@ -8,6 +8,7 @@
 
 import h11
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.edge.errors import DiscoveryOverloadedError
 from onyxpost.edge.messages import EndpointUpdate, decode_endpoint_update
 from onyxpost.edge.staleness import PollFailure
@@ -22,7 +23,6 @@
 LATE_ANSWER_TIMEOUT_MS = 4000.0  # how long the oldest poll is kept open beside newer ones
 MAX_ANSWER_BYTES = 8 * 1024 * 1024  # bounds the memory for a list of endpoints
 STATUS_OK = 200
-MS_PER_SECOND = 1000.0
 
 
 class DiscoveryConnection(NamedTuple):
@@ -89,7 +89,9 @@
         if connection is not None:
             connection.abort()
         answer_started = connection is not None and connection.reader.bytes_received > received_before
-        raise PollFailedError(_classify(err, connection is not None, answer_started), err) from err
+        raise PollFailedError(
+            _classify(err, connected=connection is not None, answer_started=answer_started), err
+        ) from err
     except BaseException:
         if connection is not None:
             connection.abort()
@@ -139,7 +141,7 @@
     return decode_endpoint_update(body)
 
 
-def _classify(err: Exception, connected: bool, answer_started: bool) -> PollFailure:
+def _classify(err: Exception, *, connected: bool, answer_started: bool) -> PollFailure:
     """Returns how a poll failed; `answer_started`: bytes of an answer had been received."""
     if isinstance(err, DiscoveryOverloadedError):
         return PollFailure.OVERLOADED
--- a/onyxpost/leadership/fenced_call.py
+++ b/onyxpost/leadership/fenced_call.py
@@ -13,6 +13,7 @@
 
 import h11
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.leadership.errors import FencedCallError, HigherFencingTokenError, NotLeaderError
 from onyxpost.runtime.http1 import READ_CHUNK_BYTES, encode_message, limit_read_size, read_response
 
@@ -47,11 +48,11 @@
         HigherFencingTokenError: the resource knows a higher token.
         FencedCallError: there was no answer, or an unexpected one: the call may have been executed.
     """
-    where = "{}:{}/acts/{}".format(*call.address, call.role)
+    location = "{}:{}/acts/{}".format(*call.address, call.role)
     http = h11.Connection(h11.CLIENT)
     data = encode_message(http, _request(call), call.body)
     try:
-        async with asyncio.timeout(call.timeout_ms / 1000.0):
+        async with asyncio.timeout(call.timeout_ms / MS_PER_SECOND):
             reader, writer, *_ = await net.dial(call.address, READ_CHUNK_BYTES)
             try:
                 limit_read_size(writer, READ_CHUNK_BYTES)
@@ -65,12 +66,14 @@
                 writer.transport.abort()
     except (TimeoutError, OSError, h11.ProtocolError) as error:
         cause = f"no answer: {type(error).__name__} {error}"[:CAUSE_LIMIT_CHARACTERS]
-        raise FencedCallError(cause, where) from error
+        raise FencedCallError(cause, location) from error
     if response.status_code == HTTPStatus.CONFLICT:
         higher = _fencing_token(response)
-        raise HigherFencingTokenError(f"fencing token {call.fencing_token} is below {higher}", where, higher)
+        raise HigherFencingTokenError(
+            f"fencing token {call.fencing_token} is below {higher}", location, higher
+        )
     if response.status_code != HTTPStatus.OK:
-        raise FencedCallError(f"status {response.status_code}", where)
+        raise FencedCallError(f"status {response.status_code}", location)
 
 
 def _request(call: FencedCall) -> h11.Request:
--- a/onyxpost/node/reload.py
+++ b/onyxpost/node/reload.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from onyxpost.node.config import NodeConfig
+    from onyxpost.node.node_config import NodeConfig
 
 RESTART_FIELDS = ("name", "listen", "peer_listen", "peers", "deployment", "zone")
 """Fields of `NodeConfig` whose changes are logged as taking effect after a restart."""
@@ -25,7 +25,7 @@
     restart_keys: tuple[str, ...]
 
 
-def compare_configs(running: NodeConfig, new: NodeConfig, has_routing_rules: bool) -> ConfigChange:
+def compare_configs(running: NodeConfig, new: NodeConfig, *, has_routing_rules: bool) -> ConfigChange:
     """Returns what of `new` takes effect at once, and what only after a restart.
 
     Planners, cluster members, acceptors and routing rules are versioned: their owners compare those.
--- a/onyxpost/planner/lease_ledger.py
+++ b/onyxpost/planner/lease_ledger.py
@@ -20,7 +20,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, NamedTuple
 
-from onyxpost.planner.customer_account import CustomerAccount, Lease, RecentRequest
+from onyxpost.planner.customer_account import CustomerAccount
+from onyxpost.planner.lease import Lease
 from onyxpost.planner.leased_token_bucket import BucketSize
 
 if TYPE_CHECKING:
@@ -41,7 +42,7 @@
     customer: int
     plan: str
     units: int
-    expires_at: float  # by the planner's clock
+    expires_at_ms: float  # by the planner's clock
 
 
 class Rejection(NamedTuple):
@@ -69,11 +70,15 @@
     own, as their safe shares.
     """
 
-    def __init__(self, now: float, plans: Iterable[Plan], terms: LeaseTerms, leasable_share: float) -> None:
+    def __init__(
+        self, now_ms: float, plans: Iterable[Plan], terms: LeaseTerms, leasable_share: float
+    ) -> None:
         self.terms = terms
         self.leasable_share = leasable_share
         self.plans = {plan.name: plan for plan in plans}
-        self.opens_at = now + terms.planner_duration_ms  # by then the previous incarnation's leases are over
+        self.opens_at_ms = (
+            now_ms + terms.planner_duration_ms
+        )  # by then the previous incarnation's leases are over
         self.accounts: dict[int, CustomerAccount] = {}
         self.leases: dict[int, Lease] = {}
         self.last_lease_id = 0
@@ -81,46 +86,41 @@
 
     # Start and recovery
 
-    def reset_and_wait(self, now: float, extra_ms: float = 0.0) -> None:
+    def reset_and_wait(self, now_ms: float, extra_ms: float = 0.0) -> None:
         """Forgets all accounts and leases; grants nothing until those that any planner granted are over."""
-        self.opens_at = now + self.terms.planner_duration_ms + extra_ms
+        self.opens_at_ms = now_ms + self.terms.planner_duration_ms + extra_ms
         self.accounts = {}
         self.leases = {}
 
-    def recover(self, now: float, reports: Iterable[ReportedLease]) -> None:
+    def recover(self, now_ms: float, reports: Iterable[ReportedLease]) -> None:
         """Opens with the leases that all forwarders reported; no other lease can exist.
 
         Use of these leases is not reported to this incarnation, so they count as spent when they expire.
         """
-        self.opens_at = now
+        self.opens_at_ms = now_ms
         self.accounts = {}
         self.leases = {}
         for report in reports:
             plan = self.plans.get(report.plan)
-            if plan is not None and report.expires_at > now:
-                account = self.get_or_create_account(now, report.customer, plan)
-                self.last_lease_id += 1
-                self._add_lease(
-                    account,
-                    Lease(
-                        self.last_lease_id,
-                        report.forwarder,
-                        report.customer,
-                        report.units,
-                        report.expires_at,
-                        is_revoked=True,
-                    ),
+            if plan is not None and report.expires_at_ms > now_ms:
+                lease = Lease(
+                    self._next_lease_id(),
+                    report.forwarder,
+                    report.customer,
+                    report.units,
+                    report.expires_at_ms,
+                    is_revoked=True,
                 )
-                for bucket in account.buckets:
-                    bucket.leased += report.units
+                self.leases[lease.lease_id] = lease
+                self.get_or_create_account(now_ms, report.customer, plan).recover_lease(lease)
 
-    def get_or_create_account(self, now: float, customer: int, plan: Plan) -> CustomerAccount:
+    def get_or_create_account(self, now_ms: float, customer: int, plan: Plan) -> CustomerAccount:
         """The account of a customer, marked as seen now."""
         account = self.accounts.get(customer)
         if account is None:
-            account = CustomerAccount(plan, self._bucket_sizes(plan), self.opens_at, now)
+            account = CustomerAccount(plan, self._bucket_sizes(plan), self.opens_at_ms, now_ms)
             self.accounts[customer] = account
-        account.last_seen_at = now
+        account.mark_seen(now_ms)
         return account
 
     def _bucket_sizes(self, plan: Plan) -> list[BucketSize]:
@@ -131,32 +131,32 @@
             sizes.append((plan.hard_limit_rate, plan.hard_limit_burst))
         return [BucketSize(rate * self.leasable_share, burst * self.leasable_share) for rate, burst in sizes]
 
-    def _add_lease(self, account: CustomerAccount, lease: Lease) -> None:
-        self.leases[lease.lease_id] = lease
-        account.leases[lease.lease_id] = lease
+    def _next_lease_id(self) -> int:
+        self.last_lease_id += 1
+        return self.last_lease_id
 
     # Messages of forwarders
 
     def request_lease(
-        self, now: float, forwarder: str, customer: int, plan_name: str, units: int, min_units: int = 1
+        self, now_ms: float, forwarder: str, customer: int, plan_name: str, units: int, min_units: int = 1
     ) -> Lease | Rejection:
         """Grants up to `units`, or nothing if fewer than `min_units` can be granted."""
         plan = self.plans.get(plan_name)
         if plan is None or units <= 0:
             return self._reject(math.inf)
-        account = self.get_or_create_account(now, customer, plan)
-        account.recent_requests[forwarder] = RecentRequest(now, units)
-        if now < self.opens_at:
-            return self._reject(self.opens_at - now)
+        account = self.get_or_create_account(now_ms, customer, plan)
+        account.record_request(now_ms, forwarder, units)
+        if now_ms < self.opens_at_ms:
+            return self._reject(self.opens_at_ms - now_ms)
         if not account.buckets:  # a plan without limits
-            return self._grant(now, account, forwarder, customer, units)
+            return self._grant(now_ms, account, forwarder, customer, units)
         min_units = max(1, min(min_units, units))
-        share = account.fair_share(now, units, min_units)
+        share = account.fair_share(now_ms, units, min_units)
         granted = min(units, math.floor(share + ROUNDING_TOLERANCE))
-        account.recent_requests[forwarder] = RecentRequest(now, units - max(0, granted))
+        account.record_request(now_ms, forwarder, units - max(0, granted))
         if granted >= min_units:
-            return self._grant(now, account, forwarder, customer, granted)
-        idle_lease = account.revoke_idle_lease(now, forwarder)
+            return self._grant(now_ms, account, forwarder, customer, granted)
+        idle_lease = account.revoke_idle_lease(now_ms, forwarder)
         if idle_lease is not None:
             return self._reject(REVOCATION_RETRY_MS, idle_lease)
         return self._reject(max(MIN_RETRY_MS, account.ms_until_available(min_units)))
@@ -166,30 +166,27 @@
         return Rejection(retry_after_ms, revoked)
 
     def _grant(
-        self, now: float, account: CustomerAccount, forwarder: str, customer: int, units: int
+        self, now_ms: float, account: CustomerAccount, forwarder: str, customer: int, units: int
     ) -> Lease:
-        self.last_lease_id += 1
         self.counters.granted += units
-        expires_at = now + self.terms.planner_duration_ms
-        lease = Lease(self.last_lease_id, forwarder, customer, units, expires_at, last_used_at=now)
-        self._add_lease(account, lease)
-        for bucket in account.buckets:
-            bucket.lease(units)
+        expires_at_ms = now_ms + self.terms.planner_duration_ms
+        lease = Lease(
+            self._next_lease_id(), forwarder, customer, units, expires_at_ms, last_used_at_ms=now_ms
+        )
+        self.leases[lease.lease_id] = lease
+        account.grant_lease(lease)
         return lease
 
-    def record_use(self, now: float, forwarder: str, lease_id: int, units: int) -> None:
+    def record_use(self, now_ms: float, forwarder: str, lease_id: int, units: int) -> None:
         """Counts `units` of a lease as spent; a report about another forwarder's lease is ignored."""
         lease = self._lease_of(forwarder, lease_id)
         if lease is None:
             return
-        spent = min(max(0, units), lease.units)
-        lease.units -= spent
-        lease.last_used_at = now
+        spent = lease.record_use(now_ms, units)
         self.counters.spent += spent
-        for bucket in self.accounts[lease.customer].buckets:
-            bucket.settle(now, spent, 0.0)
+        self.accounts[lease.customer].record_spent(now_ms, spent)
 
-    def return_lease(self, now: float, forwarder: str, lease_id: int, unused_units: int) -> None:
+    def return_lease(self, now_ms: float, forwarder: str, lease_id: int, unused_units: int) -> None:
         """Ends a lease. Units that are not returned as unused count as spent, reported or not."""
         lease = self._lease_of(forwarder, lease_id)
         if lease is None:
@@ -197,42 +194,39 @@
         returned = min(max(0, unused_units), lease.units)
         self.counters.returned += returned
         self.counters.spent += lease.units - returned
-        self._end_lease(now, lease, returned)
+        self._end_lease(now_ms, lease, returned)
 
     def _lease_of(self, forwarder: str, lease_id: int) -> Lease | None:
         lease = self.leases.get(lease_id)
         return lease if lease is not None and lease.forwarder == forwarder else None
 
-    def _end_lease(self, now: float, lease: Lease, unused_units: int) -> None:
-        account = self.accounts[lease.customer]
-        for bucket in account.buckets:
-            bucket.settle(now, lease.units, unused_units)
+    def _end_lease(self, now_ms: float, lease: Lease, unused_units: int) -> None:
+        self.accounts[lease.customer].end_lease(now_ms, lease, unused_units)
         del self.leases[lease.lease_id]
-        del account.leases[lease.lease_id]
 
     # Time and configuration
 
-    def expire(self, now: float) -> list[Lease]:
+    def expire(self, now_ms: float) -> list[Lease]:
         """Ends the leases whose time is over, their units counted as spent; drops unused accounts."""
-        expired = [lease for lease in self.leases.values() if now >= lease.expires_at]
+        expired = [lease for lease in self.leases.values() if now_ms >= lease.expires_at_ms]
         for lease in expired:
             self.counters.expired += lease.units
-            self._end_lease(now, lease, 0)
-        if now >= self.opens_at:
+            self._end_lease(now_ms, lease, 0)
+        if now_ms >= self.opens_at_ms:
             self.accounts = {
                 customer: account
                 for customer, account in self.accounts.items()
-                if not account.is_forgettable(now)
+                if not account.is_forgettable(now_ms)
             }
         return expired
 
-    def update_plans(self, now: float, plans: Iterable[Plan]) -> list[Lease]:
+    def update_plans(self, now_ms: float, plans: Iterable[Plan]) -> list[Lease]:
         """Applies changed plans; returns the leases that are revoked because more is leased than allowed."""
         self.plans = {plan.name: plan for plan in plans}
         revoked: list[Lease] = []
         for account in self.accounts.values():
             plan = self.plans.get(account.plan.name)
-            account.resize(now, plan, [] if plan is None else self._bucket_sizes(plan))
+            account.resize(now_ms, plan, [] if plan is None else self._bucket_sizes(plan))
             revoked += account.revoke_surplus()
         return revoked
 
--- a/onyxpost/rollout/metrics/validation.py
+++ b/onyxpost/rollout/metrics/validation.py
@@ -35,6 +35,17 @@
     strata: dict[tuple[str, str], StratumCounters] = field(default_factory=dict)
     stratum_clock_ms: dict[tuple[str, str], float] = field(default_factory=dict)
 
+    def set_counters(self, clock_ms: float, counters: StratumCounters) -> None:
+        """Replaces the counters of one stratum by merged ones."""
+        self.strata[counters.key] = counters
+        self.stratum_clock_ms[counters.key] = max(clock_ms, self.stratum_clock_ms.get(counters.key, 0.0))
+
+    def advance_clock(self, clock_ms: float, *, has_grown: bool) -> None:
+        """Follows the node's clock; `has_grown` tells whether a snapshot of that time added requests."""
+        if has_grown:
+            self.last_growth_ms = max(self.last_growth_ms, clock_ms)
+        self.clock_ms = max(self.clock_ms, clock_ms)
+
     def request_count(self) -> int:
         """Returns the number of requests over both sides of all strata."""
         return sum(entry.candidate.requests + entry.control.requests for entry in self.strata.values())
@@ -58,7 +69,11 @@
         _check_counters(entry.control)
     for key, entry in reported.items():
         if key in state.strata:
-            _check_monotonic(entry, state.strata[key], snapshot.clock_ms >= state.stratum_clock_ms[key])
+            known = state.strata[key]
+            if snapshot.clock_ms >= state.stratum_clock_ms[key]:
+                _check_monotonic(earlier=known, later=entry)
+            else:
+                _check_monotonic(earlier=entry, later=known)
     _check_rate(snapshot, state, reported)
 
 
@@ -75,9 +90,8 @@
         raise InvalidSnapshotError("a latency that is in no bucket")
 
 
-def _check_monotonic(reported: StratumCounters, known: StratumCounters, reported_is_later: bool) -> None:
+def _check_monotonic(*, earlier: StratumCounters, later: StratumCounters) -> None:
     """Counters must never decrease from the earlier to the later time of the node's clock."""
-    earlier, later = (known, reported) if reported_is_later else (reported, known)
     for before, after in ((earlier.candidate, later.candidate), (earlier.control, later.control)):
         if after.minus(before).has_negative() or before.latencies.keys() - after.latencies.keys():
             raise InvalidSnapshotError("counters that decrease")
--- a/onyxpost/simulation/multiprocess/leadership_mutations.py
+++ b/onyxpost/simulation/multiprocess/leadership_mutations.py
@@ -14,7 +14,9 @@
 from onyxpost.leadership.candidate import Candidate
 from onyxpost.leadership.leader import Leader
 from onyxpost.leadership.protocol import EMPTY_RECORD
-from onyxpost.node.extensions import ClusterExtension, find_extension
+from onyxpost.node.cluster_extension import ClusterExtension
+from onyxpost.node.edge_node import EdgeNode
+from onyxpost.node.extension import find_extension
 from onyxpost.simulation.multiprocess.fenced_resource import FencedResource
 
 if TYPE_CHECKING:
