--- a/onyxpost/simulation/demo.py
+++ b/onyxpost/simulation/demo.py
@@ -22,6 +22,7 @@
 import h11
 import msgspec
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.simulation.errors import ProcessNotStartedError
 from onyxpost.simulation.free_ports import ANY_PORT, LOOPBACK, find_free_ports
 from onyxpost.simulation.http_client import HttpClient, RequestFields, outcome_of
@@ -41,7 +42,6 @@
 CLIENT_TIMEOUT_MS = 1900.0
 MAX_TRIES = 4  # on a slow machine the quota is refilled meanwhile
 UNITS = 4  # of each request; the example's plan holds 10 at once
-MS_PER_SECOND = 1000.0
 HEALTH_CHECK = "/healthz"
 
 
--- a/onyxpost/simulation/load/generator.py
+++ b/onyxpost/simulation/load/generator.py
@@ -14,6 +14,7 @@
 import h11
 
 from onyxpost.core.types import Idempotency
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.simulation.http_client import HttpClient, RequestFields, outcome_of
 from onyxpost.simulation.load.options import LoadOptions, check_options, require_loopback
 from onyxpost.simulation.load.results import LoadResults
@@ -31,7 +32,6 @@
 MAX_UNITS = 4
 MAX_CUSTOMER_NODES = 3
 BODY = b"xx"
-MS_PER_SECOND = 1000.0
 CUT = "cut"
 TIMED_OUT = "timed_out"
 
--- a/onyxpost/simulation/load/results.py
+++ b/onyxpost/simulation/load/results.py
@@ -7,6 +7,7 @@
 
 from hdrh.histogram import HdrHistogram
 
+from onyxpost.core.units import US_PER_MS
 from onyxpost.simulation.http_client import PASSED, REJECTED
 
 if TYPE_CHECKING:
@@ -14,7 +15,6 @@
 
 MAX_LATENCY_US = 60_000_000  # longer latencies count as this
 SIGNIFICANT_DIGITS = 3
-US_PER_MS = 1000.0
 PERCENTILES = (50, 90, 99, 99.9, 100)
 ALL = "all"
 MEASURED_OUTCOMES = (PASSED, REJECTED)  # with latencies of their own
--- a/onyxpost/simulation/model_checking/virtual_cluster.py
+++ b/onyxpost/simulation/model_checking/virtual_cluster.py
@@ -8,6 +8,7 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from onyxpost.cluster.membership import Membership
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.leadership.config import LeadershipConfig
 from onyxpost.leadership.lease_timing import LeaseTiming
 from onyxpost.leadership.membership import AcceptorSet
@@ -26,7 +27,6 @@
 CALL_INTERVAL_MS = 250.0  # between a leader's calls of the fenced resource
 SAMPLE_INTERVAL_SECONDS = 0.001
 DEFAULT_WAIT_MS = 60_000.0
-MS_PER_SECOND = 1000.0
 
 
 class NodeLogEvent(NamedTuple):
--- a/onyxpost/simulation/model_checking/virtual_node.py
+++ b/onyxpost/simulation/model_checking/virtual_node.py
@@ -6,6 +6,7 @@
 
 from onyxpost.cluster.connections import PeerConnections
 from onyxpost.cluster.incarnation import Incarnation
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.leadership.service import LeadershipService
 
 if TYPE_CHECKING:
@@ -17,7 +18,6 @@
     from onyxpost.simulation.virtual_time import Network
 
 TOPIC = "duties"  # of the messages of leader election between nodes
-MS_PER_SECOND = 1000.0
 
 
 class ReceivedMessage(NamedTuple):
--- a/onyxpost/simulation/planner_cluster/load_generator.py
+++ b/onyxpost/simulation/planner_cluster/load_generator.py
@@ -10,6 +10,7 @@
 
 import h11
 
+from onyxpost.core.units import MS_PER_SECOND, US_PER_MS
 from onyxpost.simulation.free_ports import LOOPBACK
 from onyxpost.simulation.http_client import HttpClient, RequestFields, outcome_of
 from onyxpost.simulation.open_loop import BackgroundTasks, poisson_arrivals
@@ -20,8 +21,6 @@
     from onyxpost.simulation.planner_cluster.options import ClusterOptions
     from onyxpost.simulation.planner_cluster.usage_counter import UsageCounter
 
-MS_PER_SECOND = 1000.0
-US_PER_MS = 1000.0
 ANSWER_GRACE_SECONDS = 0.25  # beyond the client's timeout: an answer on its way is not lost
 DRAIN_SECONDS = 10.0  # for the last requests to be answered
 REQUESTS_PER_POPULARITY = 1000  # after so many requests other forwarders get most of the traffic
--- a/onyxpost/simulation/slow_start/emulation.py
+++ b/onyxpost/simulation/slow_start/emulation.py
@@ -6,9 +6,10 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from onyxpost.core.types import EndpointState
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.simulation.discrete_event.event_queue import EventQueue
 from onyxpost.simulation.slow_start.node_model import NodeModel
-from onyxpost.simulation.slow_start.server_model import EPOCH_MS, MS_PER_SECOND, ServerModel, WarmUpLoad
+from onyxpost.simulation.slow_start.server_model import EPOCH_MS, ServerModel, WarmUpLoad
 
 if TYPE_CHECKING:
     from onyxpost.simulation.slow_start.case import SlowStartCase
--- a/onyxpost/simulation/slow_start/server_model.py
+++ b/onyxpost/simulation/slow_start/server_model.py
@@ -6,13 +6,13 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from onyxpost.core.types import EndpointState, EndpointStatus
+from onyxpost.core.units import MS_PER_SECOND
 
 if TYPE_CHECKING:
     from onyxpost.simulation.slow_start.case import SlowStartCase
 
 EPOCH_MS = 1_700_000_000_000.0  # Unix time at the start of the emulation
 NETWORK_DELAY_MS = 20.0
-MS_PER_SECOND = 1000.0
 
 
 class WarmUpLoad(NamedTuple):
--- a/onyxpost/simulation/stub_upstreams/environment.py
+++ b/onyxpost/simulation/stub_upstreams/environment.py
@@ -8,6 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from onyxpost.core.types import EndpointState
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.simulation.free_ports import ANY_PORT, LOOPBACK
 from onyxpost.simulation.stub_upstreams.fault_script import StubFault, StubFaultKind, StubFaultScript
@@ -19,7 +20,6 @@
     from onyxpost.config.address import Address
 
 ZONES = ("a", "b")
-MS_PER_SECOND = 1000.0
 
 
 class StubEnvironment:
--- a/onyxpost/simulation/stubs/app_server.py
+++ b/onyxpost/simulation/stubs/app_server.py
@@ -11,6 +11,7 @@
 import h11
 
 from onyxpost.core.types import EndpointState
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.runtime.http1 import encode_message
 from onyxpost.simulation.stubs.http import ACCEPTS_PER_TURN, STREAM_LIMIT_BYTES, read_request
 from onyxpost.simulation.stubs.observer import RequestObserver, ServerIdentity
@@ -22,7 +23,6 @@
 LIFECYCLES = {EndpointState.READY: "up", EndpointState.DRAINING: "draining", EndpointState.GONE: "removed"}
 DEFAULT_LATENCY_MS = 20.0
 HANG_SECONDS = 3600.0
-MS_PER_SECOND = 1000.0
 
 
 class ServerBehavior(StrEnum):
--- a/onyxpost/simulation/stubs/discovery_agent.py
+++ b/onyxpost/simulation/stubs/discovery_agent.py
@@ -9,6 +9,7 @@
 
 import msgspec
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.simulation.stubs.http import ACCEPTS_PER_TURN, STREAM_LIMIT_BYTES
 
 if TYPE_CHECKING:
@@ -19,7 +20,6 @@
 TIMEOUT_PARAMETER = re.compile(rb"timeout_ms=(\d+)")
 DEFAULT_POLL_TIMEOUT_SECONDS = 5.0
 SILENCE_CHECK_SECONDS = 0.05
-MS_PER_SECOND = 1000.0
 
 
 class EndpointsResponse(NamedTuple):
