--- a/onyxpost/core/token_bucket.py
+++ b/onyxpost/core/token_bucket.py
@@ -4,7 +4,7 @@
 
 from math import inf
 
-MS_PER_SECOND = 1000.0
+from onyxpost.core.units import MS_PER_SECOND
 
 
 class TokenBucket:
--- a/onyxpost/simulation/cli_sockets.py
+++ b/onyxpost/simulation/cli_sockets.py
@@ -87,16 +87,16 @@
     from onyxpost.node import config
     from onyxpost.simulation import load as generator
 
-    rates = generator.LoadOptions(
+    load_options = generator.LoadOptions(
         options.rate, options.seconds, options.customers, options.connections, options.seed
     )
-    bounded = generator.check_options(rates)
+    generator.check_options(load_options)
     target = generator.require_loopback(parse_address(options.address))
     deployment = config.read({"EDGE_CONFIG": str(options.node_file)}).deployment
-    counts = generator.generate_load(target, deployment, bounded)
-    click.echo(counts.to_text())
+    load_results = generator.generate_load(target, deployment, load_options)
+    click.echo(load_results.to_text())
     if options.out is not None:
-        results.write(options.out, results.encode(counts.to_lines(bounded)))
+        results.write(options.out, results.encode(load_results.to_lines(load_options)))
 
 
 @click.command()
--- a/onyxpost/simulation/deterministic/client.py
+++ b/onyxpost/simulation/deterministic/client.py
@@ -11,6 +11,7 @@
 import h11
 
 from onyxpost.core.types import Idempotency
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.runtime.http1 import READ_CHUNK_BYTES, encode_message
 from onyxpost.simulation.invariants import Invariant, Violation
 
@@ -22,7 +23,6 @@
     from onyxpost.simulation.virtual_time import VirtualHost
 
 STREAM_LIMIT_BYTES = 65536
-MS_PER_SECOND = 1000.0
 POST_BODY = b"xx"
 REJECTED_STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
 
--- a/onyxpost/simulation/deterministic/cluster.py
+++ b/onyxpost/simulation/deterministic/cluster.py
@@ -10,6 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from onyxpost.config.deployment import decode_deployment
+from onyxpost.core.units import US_PER_MS
 from onyxpost.simulation.deterministic.client import Clients
 from onyxpost.simulation.deterministic.deployment import (
     MAX_REQUEST_UNITS,
@@ -31,7 +32,6 @@
     from onyxpost.node.edge_node import EdgeNode
 
 LARGEST = MAX_REQUEST_UNITS  # the name by which multiprocess/ imports it
-US_PER_MS = 1000.0
 MIN_UPDATE_DELAY_SECONDS = 0.01  # until an agent learns of a change
 MAX_UPDATE_DELAY_SECONDS = 0.2
 
--- a/onyxpost/simulation/discrete_event/client_model.py
+++ b/onyxpost/simulation/discrete_event/client_model.py
@@ -6,8 +6,8 @@
 from random import Random
 from typing import TYPE_CHECKING, Protocol
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.simulation.discrete_event import metrics as counters
-from onyxpost.simulation.discrete_event.event_queue import MS_PER_SECOND
 from onyxpost.simulation.discrete_event.outcomes import Outcome, OutcomeCallback
 from onyxpost.simulation.discrete_event.workload import ClientRequest, Customer, create_customers, mean_units
 
--- a/onyxpost/simulation/discrete_event/event_queue.py
+++ b/onyxpost/simulation/discrete_event/event_queue.py
@@ -5,7 +5,6 @@
 import heapq
 from collections.abc import Callable
 
-MS_PER_SECOND = 1000.0
 ScheduledCall = tuple[float, int, Callable[..., None], tuple[object, ...]]
 
 
--- a/onyxpost/simulation/discrete_event/exact_quota.py
+++ b/onyxpost/simulation/discrete_event/exact_quota.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from onyxpost.simulation.discrete_event.event_queue import MS_PER_SECOND
+from onyxpost.core.units import MS_PER_SECOND
 
 
 class ExactQuota:
--- a/onyxpost/simulation/discrete_event/fault_injector.py
+++ b/onyxpost/simulation/discrete_event/fault_injector.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from onyxpost.simulation.discrete_event.event_queue import MS_PER_SECOND
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.simulation.discrete_event.scenario_faults import (
     AnyFault,
     FailingServers,
--- a/onyxpost/simulation/discrete_event/message_rate_limit.py
+++ b/onyxpost/simulation/discrete_event/message_rate_limit.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from onyxpost.simulation.discrete_event.event_queue import MS_PER_SECOND
+from onyxpost.core.units import MS_PER_SECOND
 
 if TYPE_CHECKING:
     from onyxpost.simulation.discrete_event.event_queue import EventQueue
--- a/onyxpost/simulation/discrete_event/metrics.py
+++ b/onyxpost/simulation/discrete_event/metrics.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from onyxpost.simulation.discrete_event.event_queue import MS_PER_SECOND
+from onyxpost.core.units import MS_PER_SECOND
 
 if TYPE_CHECKING:
     from onyxpost.simulation.discrete_event.event_queue import EventQueue
--- a/onyxpost/simulation/discrete_event/network.py
+++ b/onyxpost/simulation/discrete_event/network.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Protocol
 
-from onyxpost.simulation.discrete_event.event_queue import MS_PER_SECOND
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.simulation.discrete_event.metrics import MESSAGE_BYTES, MESSAGES, MESSAGES_LOST
 
 if TYPE_CHECKING:
--- a/onyxpost/simulation/discrete_event/workload.py
+++ b/onyxpost/simulation/discrete_event/workload.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from onyxpost.core.types import Frontend, Plan
-from onyxpost.simulation.discrete_event.event_queue import MS_PER_SECOND
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.simulation.discrete_event.exact_quota import ExactQuota
 
 if TYPE_CHECKING:
--- a/onyxpost/simulation/discrete_event/world.py
+++ b/onyxpost/simulation/discrete_event/world.py
@@ -4,9 +4,9 @@
 
 from typing import TYPE_CHECKING
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.simulation.discrete_event.client_model import ClientModel
 from onyxpost.simulation.discrete_event.environment import create_environment
-from onyxpost.simulation.discrete_event.event_queue import MS_PER_SECOND
 from onyxpost.simulation.discrete_event.fault_injector import FaultInjector
 from onyxpost.simulation.discrete_event.metrics import (
     MAX_CONNECTIONS_AT_SERVER,
--- a/onyxpost/simulation/invariants/hard_limits.py
+++ b/onyxpost/simulation/invariants/hard_limits.py
@@ -4,6 +4,7 @@
 
 from typing import TYPE_CHECKING
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.simulation.invariants.records import Invariant
 
 if TYPE_CHECKING:
@@ -12,8 +13,6 @@
     from onyxpost.core.types import Plan
     from onyxpost.simulation.invariants.records import AttemptRecord, RequestRecord, Violation
 
-MS_PER_SECOND = 1000.0
-
 
 class HardLimitBucket:
     """A token bucket that may fall below zero: the units that all nodes may still send of one customer."""
--- a/onyxpost/simulation/multiprocess/edge_server.py
+++ b/onyxpost/simulation/multiprocess/edge_server.py
@@ -6,6 +6,7 @@
 from typing import TYPE_CHECKING
 
 from onyxpost.core.types import EndpointState
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.simulation.deterministic.cluster import ZONES
 from onyxpost.simulation.free_ports import ANY_PORT
 from onyxpost.simulation.stubs import AppServer
@@ -17,7 +18,6 @@
 
 CALL_DURATION_MS = 20.0
 MAX_SLOWDOWN_MS = 900.0  # that the fault `slow` adds, at intensity 1
-MS_PER_SECOND = 1000.0
 
 
 def zone_of(index: int) -> str:
--- a/onyxpost/simulation/multiprocess/lag_monitor.py
+++ b/onyxpost/simulation/multiprocess/lag_monitor.py
@@ -5,6 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.simulation.multiprocess.history import LagMeasured
 
 if TYPE_CHECKING:
@@ -12,7 +13,6 @@
 
 MIN_LAG_MS = 15.0  # less is not recorded
 SAMPLE_INTERVAL_MS = 25.0
-MS_PER_SECOND = 1000.0
 
 
 async def monitor_lag(context: RunContext) -> None:
--- a/onyxpost/simulation/multiprocess/leadership_environment.py
+++ b/onyxpost/simulation/multiprocess/leadership_environment.py
@@ -4,6 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.simulation.deterministic.cluster import SETTINGS
 from onyxpost.simulation.free_ports import ANY_PORT
@@ -34,7 +35,6 @@
 DRIFT = 0.01  # bound of the error of a clock's rate, in the nodes' files
 CALL_INTERVAL_MS = 200.0  # between a leader's fenced calls
 REPORT_VALIDITY_LEASES = 3.0  # for how many leases and skews an acceptor goes by a report of another one
-MS_PER_SECOND = 1000.0
 # No request is sent, but a node must know an app server.
 UNUSED_SERVER = {
     "instanceId": "s-1",
--- a/onyxpost/simulation/multiprocess/leadership_failover.py
+++ b/onyxpost/simulation/multiprocess/leadership_failover.py
@@ -4,6 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.simulation.multiprocess.checker import events_of_type
 from onyxpost.simulation.multiprocess.history import FaultStarted, ProcessChanged
 from onyxpost.simulation.multiprocess.leadership_terms import leadership_terms
@@ -18,7 +19,6 @@
 
 KEPT_ROLE_TOLERANCE_MS = 100.0  # past the lease, in which a leader that is back may still log its end
 SHUTDOWN_MS = 1000.0  # after the start of the last fault; signals after that belong to the end of the run
-MS_PER_SECOND = 1000.0
 FAULT_NAMES = {
     ProcessChange.TERMINATING: "term",
     ProcessChange.KILLED: "kill",
--- a/onyxpost/simulation/multiprocess/leadership_faults.py
+++ b/onyxpost/simulation/multiprocess/leadership_faults.py
@@ -5,6 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.simulation.multiprocess.fault_script import ACCEPTOR_COUNT
 from onyxpost.simulation.multiprocess.leadership_traffic import RESOURCE
 from onyxpost.simulation.multiprocess.link import LinkBehavior
@@ -15,7 +16,6 @@
     from onyxpost.simulation.multiprocess.fault_script import Fault
     from onyxpost.simulation.multiprocess.run_context import RunContext
 
-MS_PER_SECOND = 1000.0
 POLL_SECONDS = 0.01
 CALL_INTERVALS_TO_WAIT = 3.0  # for a leader's next call
 NEW_LEADER_TIMEOUT_SECONDS = 3.0  # after the pause, for another leader's call
--- a/onyxpost/simulation/multiprocess/load_generator.py
+++ b/onyxpost/simulation/multiprocess/load_generator.py
@@ -9,6 +9,7 @@
 import h11
 
 from onyxpost.core.types import Frontend, Idempotency
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.runtime.http1 import READ_CHUNK_BYTES, encode_message, read_response
 from onyxpost.simulation.multiprocess.history import (
     TIMED_OUT,
@@ -29,7 +30,6 @@
 LINGER_SECONDS = 0.1  # after an answer, in which nothing more may arrive
 MAX_RESPONSE_BYTES = 65536
 MAX_DESCRIPTION_CHARS = 200
-MS_PER_SECOND = 1000.0
 OUTCOMES = {200: "passed", 429: "denied", 503: "denied", 502: "aborted"}  # by HTTP status
 BODY = b"xx"
 TIGHT_PLAN_INTERVAL = 3  # each third customer has the plan with the low hard limit
--- a/onyxpost/simulation/multiprocess/run_context.py
+++ b/onyxpost/simulation/multiprocess/run_context.py
@@ -9,6 +9,7 @@
 
 import msgspec
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.simulation.free_ports import LOOPBACK, NoFreePortsError, find_restartable_ports
 from onyxpost.simulation.multiprocess.endpoints import format_address
 from onyxpost.simulation.multiprocess.errors import InvalidScenarioError
@@ -26,7 +27,6 @@
     from onyxpost.simulation.multiprocess.tcp_proxy import ByteObserver, TransferStage
     from onyxpost.simulation.process_group import ProcessChange
 
-MS_PER_SECOND = 1000.0
 PORTS_PER_NODE = 2
 
 
--- a/onyxpost/simulation/multiprocess/scenario_runner.py
+++ b/onyxpost/simulation/multiprocess/scenario_runner.py
@@ -8,6 +8,7 @@
 
 import msgspec
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.simulation.multiprocess.checker import check_history
 from onyxpost.simulation.multiprocess.environments import create_environment
 from onyxpost.simulation.multiprocess.fault_injector import FaultInjector
@@ -27,7 +28,6 @@
 
 RECOVERY_SECONDS = 1.0  # without faults, before all nodes are terminated
 POLL_SECONDS = 0.02
-MS_PER_SECOND = 1000.0
 SCRIPT_FILE = "script.json"
 HISTORY_FILE = "events.jsonl"
 
--- a/onyxpost/simulation/multiprocess/tcp_proxy.py
+++ b/onyxpost/simulation/multiprocess/tcp_proxy.py
@@ -11,6 +11,7 @@
 from enum import Enum, auto
 from typing import TYPE_CHECKING, NamedTuple, cast
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.simulation.free_ports import LOOPBACK
 from onyxpost.simulation.multiprocess.endpoints import endpoint_of
 
@@ -23,7 +24,6 @@
 MAX_BUFFERED_BYTES = 1 << 20  # in one direction of a connection; beyond that nothing more is read
 BUFFER_POLL_SECONDS = 0.01
 READ_CHUNK_BYTES = 65536
-MS_PER_SECOND = 1000.0
 LINGER_ZERO = struct.pack("ii", 1, 0)  # close sends RST
 
 
--- a/onyxpost/simulation/multiprocess/udp_proxy.py
+++ b/onyxpost/simulation/multiprocess/udp_proxy.py
@@ -6,6 +6,7 @@
 from functools import partial
 from typing import TYPE_CHECKING, cast
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.simulation.free_ports import ANY_PORT
 
 if TYPE_CHECKING:
@@ -16,7 +17,6 @@
     from onyxpost.simulation.multiprocess.link import Link, LinkTable
 
 REORDERING_DELAY_MS = 30.0  # of a datagram that later ones overtake
-MS_PER_SECOND = 1000.0
 
 
 class UdpProxy:
--- a/onyxpost/simulation/slow_start/node_model.py
+++ b/onyxpost/simulation/slow_start/node_model.py
@@ -107,23 +107,23 @@
 
     # The gateway's decisions
 
-    def start_attempt(self, request_id: str, server: str, timeout: float, begin_before: float) -> None:  # noqa: ARG002 - an attempt begins at once
+    def start_attempt(self, request_id: str, server: str, timeout_ms: float, begin_before: float) -> None:  # noqa: ARG002 - an attempt begins at once
         """Sends an attempt to a server; its result is known at once and reported when it is due."""
         now_ms = self.environment.events.now_ms
         attempt_index = len(self.gateway.state.requests[request_id].attempts) - 1
         latency_ms = self.servers[server].receive(now_ms, self.environment.draw_work_ms()) - now_ms
-        result = AttemptResult.OK if latency_ms <= timeout else AttemptResult.EXPIRED
-        latency_ms = min(latency_ms, timeout)
+        result = AttemptResult.OK if latency_ms <= timeout_ms else AttemptResult.EXPIRED
+        latency_ms = min(latency_ms, timeout_ms)
         finished = AttemptFinished(
             request_id, attempt_index, result, latency_ms, result is AttemptResult.OK, 0
         )
         self.environment.events.call_after(latency_ms, self._finish_attempt, self.incarnation, finished)
 
-    def start_timer(self, delay: float, token: int) -> None:  # noqa: ARG002 - the gateway starts one timer
+    def start_timer(self, delay_ms: float, token: int) -> None:  # noqa: ARG002 - the gateway starts one timer
         """Starts the gateway's timer."""
-        self.environment.events.call_after(delay, self._fire_timer, self.incarnation)
+        self.environment.events.call_after(delay_ms, self._fire_timer, self.incarnation)
 
-    def reject(self, request_id: str, retry_after: float) -> None:
+    def reject(self, request_id: str, retry_after_ms: float) -> None:
         """Ignored: rejected requests are not counted."""
 
     def abort(self, request_id: str) -> None:
--- a/onyxpost/simulation/virtual_time/host.py
+++ b/onyxpost/simulation/virtual_time/host.py
@@ -5,6 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING, Any, Protocol
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.runtime.transport import Unread
 from onyxpost.simulation.virtual_time.connection import ConnectionEnd
 
@@ -18,7 +19,6 @@
     from onyxpost.simulation.virtual_time.listener import VirtualListener
 
 EPOCH = 1_000_000_000_000.0  # Unix ms at the start of a run
-MS_PER_SECOND = 1000.0
 DESCRIPTOR_LIMIT = 1 << 20
 
 
--- a/onyxpost/simulator_host/units.py
+++ b/onyxpost/simulator_host/units.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-US_PER_MS = 1000.0
+from onyxpost.core.units import US_PER_MS
 
 
 def to_millis(microseconds: float) -> float:
