--- a/onyxpost/config/address.py
+++ b/onyxpost/config/address.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from onyxpost.errors import InvalidAddressError
+from onyxpost.errors import InvalidAddressError, at_key
 
 Address = tuple[str, int]
 """A host's name or IP address, and a port."""
@@ -23,3 +23,20 @@
     if not host or not is_port:
         raise InvalidAddressError(f"no address: {text[:MAX_QUOTED_LENGTH]!r}")
     return host, int(port)
+
+
+def parse_address_at(path: str, text: str, source: str = "") -> Address:
+    """Parses the address of one key of a file.
+
+    Args:
+        path: the key's path in the file, for errors.
+        text: its value.
+        source: the file, for errors; empty if the caller adds it.
+
+    Raises:
+        InvalidAddressError: the text is no address; the message ends with the path.
+    """
+    try:
+        return parse_address(text)
+    except InvalidAddressError as error:
+        raise InvalidAddressError(at_key(error.message, path), source) from error
--- a/onyxpost/node/config.py
+++ b/onyxpost/node/config.py
@@ -6,16 +6,16 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from onyxpost.config.address import Address, parse_address
+from onyxpost.config.address import Address, parse_address_at
 from onyxpost.config.decoding import JsonObject, decode_as, read_json_file
 from onyxpost.config.deployment import build_deployment
 from onyxpost.edge.messages import build_endpoint_update
 from onyxpost.errors import (
     ConflictingValuesError,
-    InvalidAddressError,
     InvalidInputError,
     InvalidValueError,
     NoConfigFileError,
+    at_key,
 )
 from onyxpost.node.config_file import NodeFile
 from onyxpost.node.node_config import NodeConfig, PlannerClientConfig
@@ -108,12 +108,12 @@
         planners=planners,
         cluster=cluster,
         leadership=_build_leadership(file, cluster),
-        listen=_parse_address("listen", file.listen),
-        discovery=_parse_address("discovery", file.discovery),
+        listen=parse_address_at("listen", file.listen),
+        discovery=parse_address_at("discovery", file.discovery),
         alternate_discovery=_parse_optional_address("discovery", file.discovery_too),
         max_descriptors=file.limits.sockets,
         peer_listen=_parse_optional_address("peer_listen", file.peer_listen),
-        peers=[_parse_address(f"peers[{index}]", peer) for index, peer in enumerate(file.peers)],
+        peers=[parse_address_at(f"peers[{index}]", peer) for index, peer in enumerate(file.peers)],
         known_endpoints=build_endpoint_update(file.known, "$.known")._replace(complete=True),
         log_level=file.log_level,
         zone=file.zone,
@@ -125,13 +125,13 @@
         return int(text, 16)
     except ValueError:
         raise InvalidValueError(
-            f"no hexadecimal number: {text[:MAX_QUOTED_LENGTH]!r} - at `$.seed`"
+            at_key(f"no hexadecimal number: {text[:MAX_QUOTED_LENGTH]!r}", "seed")
         ) from None
 
 
 def _build_planner_config(settings: PlannerSettings) -> PlannerClientConfig:
     members = {
-        name: _parse_address(f"planners.members.{name}", text) for name, text in settings.members.items()
+        name: parse_address_at(f"planners.members.{name}", text) for name, text in settings.members.items()
     }
     return PlannerClientConfig(settings.version, members, settings.share)
 
@@ -144,7 +144,7 @@
     cluster = build_cluster_config(file.cluster, file.name)
     if file.cluster.listen in (file.listen, file.peer_listen):
         raise ConflictingValuesError(
-            f"{file.cluster.listen} is taken by clients or peers - at `$.fleet.listen`"
+            at_key(f"{file.cluster.listen} is taken by clients or peers", "fleet.listen")
         )
     return cluster
 
@@ -153,18 +153,11 @@
     if file.leadership is None:
         return None
     if cluster is None:
-        raise ConflictingValuesError("duties without a fleet - at `$.fleet`")
+        raise ConflictingValuesError(at_key("duties without a fleet", "fleet"))
     from onyxpost.leadership.config import read_section  # imported only by nodes that take part in elections
 
     return read_section(file.leadership, tuple(sorted(cluster.membership.members)))
 
 
-def _parse_address(key: str, text: str) -> Address:
-    try:
-        return parse_address(text)
-    except InvalidAddressError as error:
-        raise InvalidAddressError(f"{error.message} - at `$.{key}`") from error
-
-
 def _parse_optional_address(key: str, text: str | None) -> Address | None:
-    return _parse_address(key, text) if text else None
+    return parse_address_at(key, text) if text else None
--- a/onyxpost/node/planner_extension.py
+++ b/onyxpost/node/planner_extension.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from onyxpost.edge.messages import ReportUnitsSpent, ReturnLease
-from onyxpost.errors import StaleVersionError
+from onyxpost.errors import StaleVersionError, at_key
 from onyxpost.node.extension import Extension
 
 if TYPE_CHECKING:
@@ -49,7 +49,7 @@
         new_version = new.planners.membership_version
         if new_version < current_version:
             raise StaleVersionError(
-                f"version {new_version} is older than {current_version} - at `$.planners.version`"
+                at_key(f"version {new_version} is older than {current_version}", "planners.version")
             )
 
     def apply_reload(self, new: NodeConfig) -> list[str]:
--- a/onyxpost/planner/config.py
+++ b/onyxpost/planner/config.py
@@ -7,12 +7,12 @@
 
 from msgspec import Meta
 
-from onyxpost.config.address import Address, parse_address
+from onyxpost.config.address import Address, parse_address_at
 from onyxpost.config.decoding import Settings, decode_as, read_json_file
 from onyxpost.config.deployment import build_plans
 from onyxpost.config.planners import PlannerSettings
 from onyxpost.config.settings import PlanSettings
-from onyxpost.errors import ConflictingValuesError, InvalidAddressError, at_key
+from onyxpost.errors import ConflictingValuesError, at_key
 from onyxpost.planner.lease_terms import LeaseTerms
 
 if TYPE_CHECKING:
@@ -57,9 +57,9 @@
 def decode_config(fields: object, source: str = "planner") -> PlannerConfig:
     """Decodes the content of a planner's file; errors name the `source`."""
     file = decode_as(fields, PlannerFile, source)
-    listen = _parse_address(file.listen, source, "listen")
+    listen = parse_address_at("listen", file.listen, source)
     for name, text in file.planners.members.items():
-        _parse_address(text, source, f"planners.members.{name}")
+        parse_address_at(f"planners.members.{name}", text, source)
     if file.name not in file.planners.members:
         raise ConflictingValuesError(
             at_key(f"{file.name} is none of the planners", "planners.members"), source
@@ -79,13 +79,6 @@
     )
 
 
-def _parse_address(text: str, source: str, key: str) -> Address:
-    try:
-        return parse_address(text)
-    except InvalidAddressError as error:
-        raise InvalidAddressError(at_key(error.message, key), source) from error
-
-
 def is_planner_file(fields: object) -> bool:
     """Whether the content of a file is a planner's, and not a node's."""
     return isinstance(fields, dict) and "forwarders" in fields
--- a/onyxpost/simhost/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The former name of `onyxpost.simulator_host`."""
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Imports between the packages go one way: no two packages import each other."""
+"""Imports between the packages go one way: no circle of modules, no two packages that import each other."""
 
 import ast
 from collections import defaultdict
@@ -54,6 +54,21 @@
     return found
 
 
+def reachable_from(start: str, graph: dict[str, set[str]]) -> set[str]:
+    reached: set[str] = set()
+    remaining = [start]
+    while remaining:
+        new = graph[remaining.pop()] - reached
+        reached |= new
+        remaining += new
+    return reached
+
+
+def test_no_module_imports_itself_through_others() -> None:
+    graph = imports()
+    assert [name for name in graph if name in reachable_from(name, graph)] == []
+
+
 def test_no_two_packages_import_each_other() -> None:
     graph = package_imports()
     pairs = [(one, other) for one in graph for other in graph[one] if one in graph.get(other, set())]
