--- a/onyxpost/simulation/errors.py
+++ b/onyxpost/simulation/errors.py
@@ -21,7 +21,7 @@
     The message ends with the path of the key.
     """
 
-    remedy = "correct the key at that place; docs/lab.md describes the format"
+    remedy = "correct the key at that place; docs/simulation.md describes the format"
 
 
 class InvalidResultsError(InvalidSimulationInputError):
--- a/onyxpost/simulation/multiprocess/leadership_invariants.py
+++ b/onyxpost/simulation/multiprocess/leadership_invariants.py
@@ -21,9 +21,10 @@
     from onyxpost.simulation.multiprocess.history import HistoryEvent
     from onyxpost.simulation.multiprocess.process_availability import Interval
 
-SINGLE_LEADER = "single leader"
-FENCING_TOKENS = "fencing tokens"
-COMMITTED_RECORDS = "committed records"
+# Names of the invariants, as result files have them.
+SINGLE_LEADER = "one holder"
+FENCING_TOKENS = "fences"
+COMMITTED_RECORDS = "records"
 
 
 class ActiveSpan(NamedTuple):
--- a/onyxpost/simulation/multiprocess/process_invariants.py
+++ b/onyxpost/simulation/multiprocess/process_invariants.py
@@ -16,7 +16,7 @@
 
     from onyxpost.simulation.multiprocess.history import HistoryEvent
 
-PROCESS_FAILURES = "process failures"
+PROCESS_FAILURES = "faults"  # as result files have it
 OVERDUE_LAG_MS = 100.0  # before an overdue request, in which lag may have caused it
 MAX_CAUSE_CHARS = 300
 
--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -71,7 +71,7 @@
     ),
     (
         "mend the key at that place; docs/lab.md has the form",
-        "correct the key at that place; docs/lab.md describes the format",
+        "correct the key at that place; docs/simulation.md describes the format",
     ),
     (
         "give a file that `onyxpost lab run --out` of this build wrote whole",
