--- a/onyxpost/core/server_records.py
+++ b/onyxpost/core/server_records.py
@@ -13,7 +13,7 @@
 
 
 class AnswerCounts(NamedTuple):
-    """What attempts came to.
+    """Counts of ended attempts and the sum of their latencies.
 
     Attributes:
         answers: attempts that were answered, or that ended by their timeout.
@@ -27,10 +27,10 @@
 
 
 class LatencyStatistics:
-    """A server's results, and the means that were last worked out from them.
+    """A server's results, and the means that were last computed from them.
 
     Attributes:
-        window: results of late.
+        window: recent results.
         mean_latency_ms: mean within the window, with the age of slow attempts in flight; 0: unknown.
         mean_in_flight: mean number of attempts in flight within the window, plus 1.
     """
--- a/onyxpost/core/sink.py
+++ b/onyxpost/core/sink.py
@@ -17,7 +17,7 @@
         """Forwards a request to a server, for `timeout_ms`; nothing is sent from `begin_before` (ms) on."""
 
     def reject(self, request_id: str, retry_after_ms: float) -> None:
-        """Answers that the request was not executed and may come again after `retry_after_ms`."""
+        """Answers that the request was not executed and may be sent again after `retry_after_ms`."""
 
     def abort(self, request_id: str) -> None:
         """Answers that the request failed and may have been executed."""
--- a/onyxpost/planner/planner.py
+++ b/onyxpost/planner/planner.py
@@ -34,7 +34,7 @@
 
 
 class Planner:
-    """One planner process; `epoch` identifies its incarnation."""
+    """One planner process; `epoch` identifies its incarnation. Nothing of its state is kept on disk."""
 
     def __init__(
         self,
--- a/onyxpost/policy/__init__.py
+++ b/onyxpost/policy/__init__.py
@@ -1,1 +1,1 @@
-"""All decisions of an edge node; `onyxpost/core/types.py` describes how a host calls them."""
+"""All decisions of an edge node; `onyxpost/core/sink.py` defines how a host calls them."""
--- a/onyxpost/policy/attempts.py
+++ b/onyxpost/policy/attempts.py
@@ -1,4 +1,4 @@
-"""Starts attempts: their timeouts, and what they change at server and customer."""
+"""Starts attempts: sets their timeouts and counts them at their servers and customers."""
 
 from onyxpost.core.requests import Request, UpstreamServer
 from onyxpost.core.sink import DecisionSink
--- a/onyxpost/policy/load_shedding.py
+++ b/onyxpost/policy/load_shedding.py
@@ -12,7 +12,7 @@
 
 
 class CompletionCounts(NamedTuple):
-    """Requests that were answered in time or late, but answered."""
+    """Requests that were answered, in time or late."""
 
     completions: float = 0.0
 
@@ -21,7 +21,7 @@
     """Integral control of the rejection probability (the paper's theta), its gain scheduled by load (r).
 
     Attributes:
-        rejection_probability: of a request that arrives in this period.
+        rejection_probability: of a request that arrives in this period; set by `on_timer` alone.
     """
 
     PERIOD_MS = 500.0
@@ -71,7 +71,10 @@
         self._ratios.setdefault(frontend, []).append(latency_ms / frontend.latency_objective_ms)
 
     def on_timer(self, now: float, _event: TimerFired, sink: DecisionSink) -> None:
-        """Sets the probability for the next period, if one has passed."""
+        """Sets the probability for the next period, if one has passed.
+
+        A period in which no request ended leaves it as it is.
+        """
         if now < self._next_update_at:
             return
         self._next_update_at += self.PERIOD_MS
--- a/onyxpost/policy/rejection.py
+++ b/onyxpost/policy/rejection.py
@@ -1,4 +1,4 @@
-"""How rejected requests are answered: after which time the client is asked to come again."""
+"""How requests are rejected, and the time after which their clients are asked to retry (`Retry-After`)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Rejections:
-    """Rejects requests; no client is asked to wait for longer than the deployment permits."""
+    """Rejects requests (429); no client is asked to wait for longer than the deployment permits."""
 
     RETRY_AFTER_FRACTION = 0.03  # of the latency objective: Retry-After where capacity is lacking
 
@@ -20,11 +20,15 @@
         self._leases = leases
 
     def reject_for_capacity(self, request: Request, sink: DecisionSink) -> None:
-        """Rejects a request for lack of capacity; a later return could not be in time."""
+        """Rejects a request for lack of capacity; a retry after a longer wait could not be in time."""
         self._reject(request, self.RETRY_AFTER_FRACTION * request.frontend.latency_objective_ms, sink)
 
     def reject_over_quota(self, request: Request, sink: DecisionSink) -> None:
-        """Rejects a request over its customer's quota, until the bucket holds its units."""
+        """Rejects a request over one of its customer's limits, until the quota's bucket holds its units.
+
+        If that bucket holds them already (the hard limit or the concurrency limit is short, or admission is
+        random), the time is 0 and the answer has no `Retry-After`.
+        """
         self._leases.report_shortage(request, sink)
         self._reject(request, request.customer.quota.wait_ms(request.units), sink)
 
--- a/onyxpost/policy/slow_start.py
+++ b/onyxpost/policy/slow_start.py
@@ -22,7 +22,7 @@
     """Decides when a server that warms up gets its next request from this node.
 
     Attributes:
-        requests: what this node was to send of late.
+        requests: recent requests that this node was to send.
     """
 
     GOLDEN_RATIO = 0.6180339887  # any run of its multiples, modulo 1, is spread evenly from 0 to 1
--- a/onyxpost/simulation/model_checking/__init__.py
+++ b/onyxpost/simulation/model_checking/__init__.py
@@ -1,1 +1,1 @@
-"""Bounded model checking: every order of the actions of a small model, up to a depth (docs/lab.md)."""
+"""Bounded model checking: every order of the actions of a small model, up to a depth (docs/simulation.md)."""
