--- a/onyxpost/core/customer_quota.py
+++ b/onyxpost/core/customer_quota.py
@@ -28,7 +28,7 @@
         units_used: the peer's cumulative count.
         in_flight: attempts that it has in flight.
         recent_units: units that its last report added.
-        reported_at: when that report came, in ms.
+        reported_at: when that report was received, in ms.
     """
 
     incarnation: str = ""
@@ -43,7 +43,7 @@
 
     Attributes:
         key: CRC-32 of the customer's key.
-        last_seen_at: when a request or report of the customer last came, in ms.
+        last_seen_at: when a request or report of the customer was last received, in ms.
         quota: tokens in units of the plan's quota.
         hard_limit: tokens of this node's part of the plan's hard limit.
         leases: by lease id.
--- a/onyxpost/core/events.py
+++ b/onyxpost/core/events.py
@@ -51,7 +51,7 @@
 
 
 class RequestCancelled(NamedTuple):
-    """The client of a pending request has gone: nothing more is owed to it."""
+    """The client of a pending request has disconnected: the request needs no answer any more."""
 
     request_id: str
 
--- a/onyxpost/core/requests.py
+++ b/onyxpost/core/requests.py
@@ -102,13 +102,13 @@
     """A client's request.
 
     Attributes:
-        arrived_at: when it came, in ms.
+        arrived_at: when it arrived, in ms.
         deadline: when the client gives up, in ms.
         latency_deadline: until when an answer is within the frontend's latency objective, in ms.
         units: what it takes from its customer's quota.
-        admitted_at: when it was admitted, in ms; until then, when it came.
+        admitted_at: when it was admitted, in ms; until then, when it arrived.
         constraint: what the routing rules that were in force at its admission permit.
-        is_finished: whether the client has its final answer, or has gone.
+        is_finished: whether the client has its final answer, or has disconnected.
         is_streaming: whether a streamed response has begun.
     """
 
--- a/onyxpost/policy/request_completion.py
+++ b/onyxpost/policy/request_completion.py
@@ -19,7 +19,7 @@
         self._may_cancel = state.options.limits.cancellation
 
     def on_request_cancelled(self, _now: float, event: RequestCancelled, sink: DecisionSink) -> None:
-        """Finishes a request whose client has gone."""
+        """Finishes a request whose client has disconnected."""
         request = self._requests.get(event.request_id)
         if request is not None and not request.is_finished:
             self.finish(request, sink)
--- a/onyxpost/simulation/discrete_event/decision_sink.py
+++ b/onyxpost/simulation/discrete_event/decision_sink.py
@@ -82,7 +82,7 @@
             attempt.cancel()
 
     def reject(self, request_id: str, retry_after: float) -> None:
-        """Answers that the request may come again after `retry_after` ms."""
+        """Answers that the request was not executed and may be sent again after the given time in ms."""
         self._answer(request_id, Outcome.REJECTED, retry_after)
 
     def abort(self, request_id: str) -> None:
--- a/onyxpost/simulation/invariants/slow_start.py
+++ b/onyxpost/simulation/invariants/slow_start.py
@@ -28,7 +28,7 @@
 
 
 class WorkResult(NamedTuple):
-    """What became of a server when work reached it."""
+    """Whether a server survived the work that reached it."""
 
     is_overloaded: bool
     violation: str | None = None
