--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -56,10 +56,21 @@
     for end in range(len(parts), 0, -1):
         file = "/".join(parts[:end]) + ".py"
         if parts[0] and pathlib.Path(file).is_file():
-            return "::".join([file, *parts[end:], case.get("name", "")])
+            return "::".join([file, *parts[end:], without_group(case.get("name", ""))])
     return ""
 
 
+def without_group(name: str) -> str:
+    """Returns a test's name without the `@group` that pytest-xdist appends to tests of a group.
+
+    A function's name has no `@`; what a parameter's id has of them stands before its last bracket.
+    """
+    function, bracket, rest = name.rpartition("]")
+    if bracket:
+        return function + bracket if rest.startswith("@") else name
+    return name.partition("@")[0]
+
+
 def outcome_of(case: ET.Element) -> str:
     """Returns whether a test case passed, failed or was skipped."""
     if case.find("failure") is not None or case.find("error") is not None:
--- a/tests/ci/test_known_red.py
+++ b/tests/ci/test_known_red.py
@@ -32,6 +32,11 @@
     yield
     raise ValueError
 
+@pytest.mark.xdist_group("quiet")
+@pytest.mark.parametrize("word", ["a@b"])
+def test_of_a_group_with_parameters(word):
+    pass
+
 @pytest.mark.xdist_group("quiet")
 def test_end(failing_teardown):
     assert False
@@ -44,6 +49,7 @@
 END = "tests/deep/test_sample.py::test_end"
 PASSES = "tests/deep/test_sample.py::test_passes"
 LEFT_OUT = "tests/deep/test_sample.py::test_left_out"
+OF_A_GROUP = "tests/deep/test_sample.py::test_of_a_group_with_parameters[a@b]"
 ALL = f"{WORD}, the word, all but one, #4\n{EACH}, sums are off, #5\n{END}, fails in teardown, #6\n"
 
 
@@ -83,16 +89,16 @@
             f"known red: {WORD} (cause: the word, all but one; issue: #4)",
             f"known red: {EACH} (cause: sums are off; issue: #5)",
             f"known red: {END} (cause: fails in teardown; issue: #6)",
-            "2 passed, 3 failed",
+            "3 passed, 3 failed",
         ],
     )
 
 
 def test_a_failure_that_is_not_listed_fails(failing: Run) -> None:
     code, lines = failing.verdict(f"{WORD}, the word, #4\n{END}, fails in teardown, #6\n")
-    assert (code, lines[-2:]) == (1, [f"failed: {EACH}", "2 passed, 3 failed"])
+    assert (code, lines[-2:]) == (1, [f"failed: {EACH}", "3 passed, 3 failed"])
     code, lines = failing.verdict(None)
-    assert (code, lines[-1]) == (1, "2 passed, 3 failed")
+    assert (code, lines[-1]) == (1, "3 passed, 3 failed")
     assert sorted(lines[:-1]) == sorted(f"failed: {name}" for name in (WORD, EACH, END))
 
 
@@ -111,6 +117,7 @@
         (ALL.replace("[a, b - c::d[e]@f]", ""), "KNOWN-RED.txt:1: no test that ran is called"),
         (ALL.replace(END, EACH), f"KNOWN-RED.txt:3: {EACH} is listed twice"),
         (ALL.replace(END, PASSES), f"KNOWN-RED.txt:3: {PASSES} passed"),
+        (ALL.replace(END, OF_A_GROUP), f"KNOWN-RED.txt:3: {OF_A_GROUP} passed"),
         (ALL.replace(END, LEFT_OUT), f"KNOWN-RED.txt:3: {LEFT_OUT} skipped"),
     ],
 )
@@ -118,7 +125,7 @@
     code, lines = failing.verdict(listing)
     assert code == 1
     assert [line for line in lines if line.startswith(problem)], lines
-    assert lines[-1] == "2 passed, 3 failed"
+    assert lines[-1] == "3 passed, 3 failed"
 
 
 def test_a_list_that_cannot_be_read_fails(failing: Run) -> None:
