--- a/onyxpost/simulation/multiprocess/edge_traffic.py
+++ b/onyxpost/simulation/multiprocess/edge_traffic.py
@@ -15,6 +15,7 @@
 
 if TYPE_CHECKING:
     from onyxpost.simulation.multiprocess.run_context import RunContext
+    from onyxpost.simulation.multiprocess.tcp_proxy import Transfer
 
 TRACE_ID = re.compile(rb"x-trace-id: ([^\r\n]+)", re.IGNORECASE)
 LIFECYCLE_STATES = {
@@ -44,25 +45,25 @@
     def __init__(self, context: RunContext) -> None:
         self.context = context
 
-    def observe(self, source: str, destination: str, data: bytes, stage: TransferStage) -> None:
+    def observe(self, transfer: Transfer) -> None:
         """Receives all bytes of TCP from the fault proxy.
 
-        A request counts when the proxy has received it, an answer of discovery when it was passed on.
+        A request counts when it arrived in the proxy's socket, an answer of discovery when it was passed on.
         """
-        if destination.startswith("s") and stage is TransferStage.RECEIVED:
-            self._observe_request(source, destination, data)
-        elif source.startswith("d") and stage is TransferStage.FORWARDED:
-            self._observe_discovery(destination, data)
+        if transfer.destination.startswith("s") and transfer.stage is TransferStage.RECEIVED:
+            self._observe_request(transfer)
+        elif transfer.source.startswith("d") and transfer.stage is TransferStage.FORWARDED:
+            self._observe_discovery(transfer.destination, transfer.data)
 
-    def _observe_request(self, node: str, destination: str, data: bytes) -> None:
-        trace = TRACE_ID.search(data)
+    def _observe_request(self, transfer: Transfer) -> None:
+        trace = TRACE_ID.search(transfer.data)
         if trace is None:
             return
-        index, incarnation = (int(number) for number in destination[1:].split("."))
+        index, incarnation = (int(number) for number in transfer.destination[1:].split("."))
         self.context.record(
             AttemptForwarded(
-                self.context.now_ms(),
-                node=node,
+                self.context.ms_before_now(transfer.unread_ms),
+                node=transfer.source,
                 trace=trace[1].decode(),
                 server=f"s{index}-{incarnation}",
                 zone=zone_of(index),
--- a/onyxpost/simulation/multiprocess/history.py
+++ b/onyxpost/simulation/multiprocess/history.py
@@ -38,7 +38,7 @@
 
 
 class RequestAnswered(HistoryEvent, frozen=True, kw_only=True, tag="answered"):
-    """A client has read a complete response."""
+    """A complete response arrived in a client's socket."""
 
     trace: str
     outcome: str = field(name="final")
@@ -76,7 +76,7 @@
 
 
 class AttemptForwarded(HistoryEvent, frozen=True, kw_only=True, tag="sent"):
-    """A fault proxy received a node's request to an app server."""
+    """A node's request to an app server arrived in its fault proxy's socket."""
 
     node: str
     trace: str
@@ -124,7 +124,7 @@
 
 
 class FencedCallSent(HistoryEvent, frozen=True, kw_only=True, tag="act sent"):
-    """A fault proxy received a leader's call to the fenced resource."""
+    """A leader's call to the fenced resource arrived in its fault proxy's socket."""
 
     node: str
     role: str = field(name="duty")
--- a/onyxpost/simulation/multiprocess/leadership_traffic.py
+++ b/onyxpost/simulation/multiprocess/leadership_traffic.py
@@ -11,6 +11,7 @@
 
 if TYPE_CHECKING:
     from onyxpost.simulation.multiprocess.run_context import RunContext
+    from onyxpost.simulation.multiprocess.tcp_proxy import Transfer
 
 CALL = re.compile(rb"POST /acts/(\S+) .*?\r\nfence: (\d+)\r\n", re.IGNORECASE | re.DOTALL)
 RESOURCE = "s0"
@@ -27,14 +28,17 @@
         self.context = context
         self.pieces_sent: Counter[str] = Counter()
 
-    def observe(self, source: str, destination: str, data: bytes, stage: TransferStage) -> None:
-        """Receives all bytes of TCP from the fault proxy."""
-        if destination != RESOURCE or stage is not TransferStage.RECEIVED:
+    def observe(self, transfer: Transfer) -> None:
+        """Receives all bytes of TCP from the fault proxy; a call counts when it arrived in its socket."""
+        if transfer.destination != RESOURCE or transfer.stage is not TransferStage.RECEIVED:
             return
-        self.pieces_sent[source] += 1
-        call = CALL.search(data)
+        self.pieces_sent[transfer.source] += 1
+        call = CALL.search(transfer.data)
         if call is not None:
             event = FencedCallSent(
-                self.context.now_ms(), node=source, role=call[1].decode(), fencing_token=int(call[2])
+                self.context.ms_before_now(transfer.unread_ms),
+                node=transfer.source,
+                role=call[1].decode(),
+                fencing_token=int(call[2]),
             )
             self.context.record(event)
--- a/onyxpost/simulation/multiprocess/load_generator.py
+++ b/onyxpost/simulation/multiprocess/load_generator.py
@@ -18,6 +18,7 @@
     RequestUnanswered,
     UnexpectedResponse,
 )
+from onyxpost.simulation.multiprocess.socket_arrival import unread_ms
 from onyxpost.simulation.open_loop import BackgroundTasks, poisson_arrivals
 
 if TYPE_CHECKING:
@@ -137,7 +138,8 @@
                 http, lambda: reader.read(READ_CHUNK_BYTES), MAX_RESPONSE_BYTES
             )
         outcome = OUTCOMES.get(response.status_code, str(response.status_code))
-        context.record(RequestAnswered(context.now_ms(), trace=trace, outcome=outcome))
+        answered_at_ms = context.ms_before_now(unread_ms(writer))
+        context.record(RequestAnswered(answered_at_ms, trace=trace, outcome=outcome))
         if outcome == "passed" and body != b"page of " + trace.encode():
             self._record_unexpected(trace, f"passed {bytes(body)!r}")
         extra = http.trailing_data[0] + await _read_extra(reader)
--- a/onyxpost/simulation/multiprocess/run_context.py
+++ b/onyxpost/simulation/multiprocess/run_context.py
@@ -23,7 +23,7 @@
     from onyxpost.simulation.multiprocess.fault_script import FaultScript
     from onyxpost.simulation.multiprocess.history import HistoryEvent
     from onyxpost.simulation.multiprocess.scenario import Scenario
-    from onyxpost.simulation.multiprocess.tcp_proxy import ByteObserver, TransferStage
+    from onyxpost.simulation.multiprocess.tcp_proxy import ByteObserver, Transfer
     from onyxpost.simulation.process_group import ProcessChange
 
 MS_PER_SECOND = 1000.0
@@ -74,6 +74,10 @@
         """Milliseconds since the start, as events have it."""
         return round((time.monotonic() - self.started_at) * MS_PER_SECOND, 2)
 
+    def ms_before_now(self, elapsed_ms: float) -> float:
+        """Returns the time of something that happened so long ago; never before the start."""
+        return round(max(0.0, self.now_ms() - elapsed_ms), 2)
+
     def now_seconds(self) -> float:
         """Seconds since the start."""
         return time.monotonic() - self.started_at
@@ -133,6 +137,6 @@
     def _on_process_change(self, node: str, change: ProcessChange) -> None:
         self.record(ProcessChanged(self.now_ms(), node=node, change=change))
 
-    def _observe_bytes(self, source: str, destination: str, data: bytes, stage: TransferStage) -> None:
+    def _observe_bytes(self, transfer: Transfer) -> None:
         if self._observer is not None:
-            self._observer(source, destination, data, stage)
+            self._observer(transfer)
--- a/onyxpost/simulation/multiprocess/tcp_proxy.py
+++ b/onyxpost/simulation/multiprocess/tcp_proxy.py
@@ -13,6 +13,7 @@
 
 from onyxpost.simulation.free_ports import LOOPBACK
 from onyxpost.simulation.multiprocess.endpoints import endpoint_of
+from onyxpost.simulation.multiprocess.socket_arrival import unread_ms
 
 if TYPE_CHECKING:
     from onyxpost.config.address import Address
@@ -34,8 +35,25 @@
     FORWARDED = auto()
 
 
-# Receives the source and destination of the bytes, the bytes, and the stage.
-ByteObserver = Callable[[str, str, bytes, TransferStage], None]
+class Transfer(NamedTuple):
+    """Bytes that a proxy reports.
+
+    Attributes:
+        source: the endpoint that sent them.
+        destination: the endpoint that they are for.
+        data: the bytes.
+        stage: whether the proxy has received or forwarded them.
+        unread_ms: how long they had waited in the proxy's socket until it read them; 0 if forwarded.
+    """
+
+    source: str
+    destination: str
+    data: bytes
+    stage: TransferStage
+    unread_ms: float = 0.0
+
+
+ByteObserver = Callable[[Transfer], None]
 
 
 class Chunk(NamedTuple):
@@ -159,8 +177,8 @@
         requests = _Direction(self.proxy, self.source, self.destination)
         responses = _Direction(self.proxy, self.destination, self.source)
         async with asyncio.TaskGroup() as group:
-            group.create_task(requests.run(self.reader, server_writer))
-            group.create_task(responses.run(server_reader, client_writer))
+            group.create_task(requests.run(self.reader, client_writer, server_writer))
+            group.create_task(responses.run(server_reader, server_writer, client_writer))
 
 
 class _Direction:
@@ -175,17 +193,20 @@
         self.queued_bytes = 0
         self.has_chunk = asyncio.Event()
 
-    async def run(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def run(
+        self, reader: asyncio.StreamReader, sender: asyncio.StreamWriter, receiver: asyncio.StreamWriter
+    ) -> None:
+        """Forwards what `reader` yields, which reads the connection of `sender`, to `receiver`."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._write(writer))
-            await self._read(reader)
+            group.create_task(self._write(receiver))
+            await self._read(reader, sender)
 
-    async def _read(self, reader: asyncio.StreamReader) -> None:
+    async def _read(self, reader: asyncio.StreamReader, sender: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
         while True:
             data = await reader.read(READ_CHUNK_BYTES)
             if data:
-                self.proxy.observe(self.source, self.destination, data, TransferStage.RECEIVED)
+                self._observe(data, TransferStage.RECEIVED, unread_ms(sender))
             due_seconds = loop.time() + self.link.behavior.delay_ms / MS_PER_SECOND
             self.queue.append(Chunk(due_seconds, data))
             self.queued_bytes += len(data)
@@ -201,10 +222,13 @@
             if not data:
                 writer.write_eof()
                 return
-            self.proxy.observe(self.source, self.destination, data, TransferStage.FORWARDED)
+            self._observe(data, TransferStage.FORWARDED)
             writer.write(data)
             await writer.drain()
 
+    def _observe(self, data: bytes, stage: TransferStage, waited_ms: float = 0.0) -> None:
+        self.proxy.observe(Transfer(self.source, self.destination, data, stage, waited_ms))
+
     async def _next_chunk(self) -> bytes:
         """Returns the next bytes once they are due and the link is open."""
         loop = asyncio.get_running_loop()
--- a/tests/simulation/multiprocess/test_fault_proxy.py
+++ b/tests/simulation/multiprocess/test_fault_proxy.py
@@ -13,7 +13,7 @@
 from onyxpost.simulation.free_ports import ANY_PORT, LOOPBACK
 from onyxpost.simulation.multiprocess.fault_proxy import FaultProxy
 from onyxpost.simulation.multiprocess.link import NO_FAULT, LinkBehavior, LinkTable
-from onyxpost.simulation.multiprocess.tcp_proxy import TransferStage
+from onyxpost.simulation.multiprocess.tcp_proxy import Transfer, TransferStage
 from tests.edge.event_loop import in_event_loop, wait_until
 
 if TYPE_CHECKING:
@@ -85,8 +85,8 @@
             if observation.source == "a" and observation.stage is TransferStage.FORWARDED
         ]
 
-    def _observe(self, source: str, destination: str, data: bytes, stage: TransferStage) -> None:
-        self.observations.append(Observation(source, data, stage))
+    def _observe(self, transfer: Transfer) -> None:
+        self.observations.append(Observation(transfer.source, transfer.data, transfer.stage))
 
 
 class DatagramReceiver(asyncio.DatagramProtocol):
