--- a/onyxpost/simulation/multiprocess/node_processes.py
+++ b/onyxpost/simulation/multiprocess/node_processes.py
@@ -97,7 +97,8 @@
         remaining_seconds = READY_TIMEOUT_SECONDS
         while name not in self._serving and self.group.is_running(name) and remaining_seconds > 0.0:
             if not self.group.is_paused(name):
-                if await is_listening(self.addresses[name]):
+                # If the process has ended meanwhile, another one listens there.
+                if await is_listening(self.addresses[name]) and self.group.is_running(name):
                     self._apply_change(name, ProcessChange.SERVING)
                     return
                 remaining_seconds -= READY_POLL_SECONDS
--- a/onyxpost/simulation/multiprocess/run_context.py
+++ b/onyxpost/simulation/multiprocess/run_context.py
@@ -9,12 +9,13 @@
 
 import msgspec
 
-from onyxpost.simulation.free_ports import LOOPBACK, NoFreePortsError, find_restartable_ports
+from onyxpost.simulation.free_ports import LOOPBACK, NoFreePortsError
 from onyxpost.simulation.multiprocess.endpoints import format_address
 from onyxpost.simulation.multiprocess.errors import InvalidScenarioError
 from onyxpost.simulation.multiprocess.fault_proxy import FaultProxy
 from onyxpost.simulation.multiprocess.history import ProcessChanged
 from onyxpost.simulation.multiprocess.node_processes import NodeProcesses
+from onyxpost.simulation.multiprocess.port_reservation import PortReservation
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -53,6 +54,7 @@
         self.processes = NodeProcesses(folder, script.mutation, self.addresses, self._on_process_change)
         self.proxy = FaultProxy(self.addresses.get, self._observe_bytes, Random(f"{self.seed}/relays"))
         self._observer: ByteObserver | None = None
+        self._ports = self._reserve_ports()
         self._assign_node_addresses()
 
     @property
@@ -95,6 +97,11 @@
         """Passes all bytes of TCP on to this observer."""
         self._observer = observer
 
+    async def close(self) -> None:
+        """Closes the proxies and gives the nodes' ports back; their processes must have ended."""
+        await self.proxy.close()
+        self._ports.release()
+
     async def sleep_until(self, seconds: float) -> None:
         """Waits for that time of the run."""
         await asyncio.sleep(max(0.0, seconds - self.now_seconds()))
@@ -123,11 +130,14 @@
             return format_address(self.addresses[f"n{index}/fleet"])
         return format_address(await self.proxy.tcp.open(f"n{index}", f"n{peer}/fleet"))
 
-    def _assign_node_addresses(self) -> None:
+    def _reserve_ports(self) -> PortReservation:
         try:
-            ports = find_restartable_ports(PORTS_PER_NODE * self.scenario.nodes, Random(time.time_ns()))
+            return PortReservation(PORTS_PER_NODE * self.scenario.nodes, Random(time.time_ns()))
         except NoFreePortsError as error:
             raise InvalidScenarioError(str(error)) from error
+
+    def _assign_node_addresses(self) -> None:
+        ports = self._ports.ports
         for index in self.node_indexes:
             address = LOOPBACK, ports[PORTS_PER_NODE * index]
             self.addresses[f"n{index}"] = address
--- a/onyxpost/simulation/multiprocess/scenario_runner.py
+++ b/onyxpost/simulation/multiprocess/scenario_runner.py
@@ -66,7 +66,7 @@
             self.injector.cancel()
             await self.context.processes.group.kill_all()
             await self.environment.close()
-            await self.context.proxy.close()
+            await self.context.close()
 
     async def _start_nodes(self) -> None:
         await self.environment.open()
--- a/tests/simulation/multiprocess/leadership_runs.py
+++ b/tests/simulation/multiprocess/leadership_runs.py
@@ -32,6 +32,10 @@
 STARTUP_TIMEOUT_SECONDS = 60.0
 
 
+class ScriptFailedError(Exception):
+    """A run ended without a result; the message has what its processes wrote to standard error."""
+
+
 class LeadershipRun(NamedTuple):
     """A script and the occasion that it must give.
 
@@ -99,11 +103,34 @@
         )
         script = FaultScript("scenario", SEED, NODES, run.seconds, sorted(run.faults), run.mutation)
         (folder / INPUT_FILE).write_bytes(encode_script(script))
-        subprocess.run(
-            [sys.executable, "-m", "tests.simulation.multiprocess.run_script", str(scenario), name],
-            check=True,
-            stdout=subprocess.DEVNULL,
-            timeout=run.seconds + STARTUP_TIMEOUT_SECONDS,
-        )
+        run_in_process(scenario, folder, run.seconds + STARTUP_TIMEOUT_SECONDS)
         result: dict[str, Any] = msgspec.json.decode((folder / RESULT_FILE).read_bytes())
         return Attempt(result, run.has_occasion(read_history(folder / HISTORY_FILE), result))
+
+
+def run_in_process(scenario: Path, folder: Path, timeout_seconds: float) -> None:
+    """Runs the script of the folder in a process of its own.
+
+    Raises:
+        ScriptFailedError: the process failed or did not end in time; with what it and its nodes wrote.
+    """
+    command = [sys.executable, "-m", "tests.simulation.multiprocess.run_script", str(scenario), str(folder)]
+    try:
+        process = subprocess.run(
+            command,
+            stdin=subprocess.DEVNULL,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.STDOUT,
+            text=True,
+            timeout=timeout_seconds,
+        )
+    except subprocess.TimeoutExpired as error:
+        raise ScriptFailedError(f"no end in {timeout_seconds} s\n{node_errors(folder)}") from error
+    if process.returncode != 0:
+        raise ScriptFailedError(f"exit status {process.returncode}\n{process.stdout}{node_errors(folder)}")
+
+
+def node_errors(folder: Path) -> str:
+    """What the nodes wrote to standard error, each text with the name of its file."""
+    texts = {path.name: path.read_text(errors="replace") for path in sorted(folder.glob("*.err"))}
+    return "".join(f"--- {name}\n{text}" for name, text in texts.items() if text)
