--- a/tests/simulation/multiprocess/test_edge_processes.py
+++ b/tests/simulation/multiprocess/test_edge_processes.py
@@ -30,7 +30,7 @@
     return run_script(with_size(load_scenario("edge-cuts"), script.nodes, script.seconds), script, kept)
 
 
-def test_nodes_that_are_partitioned_paused_and_killed_violate_no_invariant() -> None:
+def test_nodes_that_are_partitioned_paused_and_killed_violate_no_invariant(tmp_path: Path) -> None:
     faults = [
         Fault(0.5, "cut", "n0>n1", 2.0),
         Fault(0.6, "cut", "s1>n3", 0.5),
@@ -38,8 +38,8 @@
         Fault(1.0, "kill", "n2", 0.3),
         Fault(1.2, "drain", "s2", 0.6),
     ]
-    result = run(FaultScript("edge-cuts", SEED, 5, 4.5, faults))
-    assert result.violations == []
+    result = run(FaultScript("edge-cuts", SEED, 5, 4.5, faults), tmp_path)
+    assert result.violations == [], f"worst lag {result.worst_lag_ms} ms; history in {tmp_path}"
     assert result.faults == {"cut": 2, "drain": 1, "kill": 1, "stop": 1}
     counts = result.counts
     assert int(counts["passed"]) > MIN_SUCCEEDED, counts  # type: ignore[arg-type]
