--- a/onyxpost/simulation/multiprocess/edge_invariants.py
+++ b/onyxpost/simulation/multiprocess/edge_invariants.py
@@ -1,9 +1,9 @@
 """Feeds the history of the environment `edge` to the shared invariant checker. No I/O.
 
 What a node sent is judged as it arrived in its fault proxy's socket, and an answer as it arrived in its
-client's (`socket_arrival.py`); what was executed, as it reached the app server. The order of two events within
-`REORDERING_MS` of an answer is not known: arrivals are rounded to the kernel's timer ticks, and a node writes
-to two sockets in any order.
+client's (`socket_arrival.py`); what was executed, as it reached the app server. The order of two events
+within `REORDERING_MS` of an answer is not known: arrivals are rounded to the kernel's timer ticks, and a
+node writes to two sockets in any order.
 """
 
 from __future__ import annotations
