--- a/onyxpost/simulation/cli_output.py
+++ b/onyxpost/simulation/cli_output.py
@@ -51,10 +51,23 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> bool:
-        self.was_interrupted = kind is not None and issubclass(kind, KeyboardInterrupt)
+        self.was_interrupted = _is_interrupt(error)
         return self.was_interrupted
 
 
+def _is_interrupt(error: BaseException | None) -> bool:
+    """Whether an exception is an interrupt, or was raised while one was being handled.
+
+    An interrupt that arrives while the main thread waits for a lock has the lock's own exit raise
+    RuntimeError ("cannot release un-acquired lock") in its place.
+    """
+    while error is not None:
+        if isinstance(error, KeyboardInterrupt):
+            return True
+        error = error.__context__
+    return False
+
+
 def echo_violations(violations: Iterable[object], limit: int) -> None:
     """Prints the first of some violations, a line each."""
     for violation in islice(violations, limit):
--- a/onyxpost/simulation/multiprocess/run_context.py
+++ b/onyxpost/simulation/multiprocess/run_context.py
@@ -10,12 +10,13 @@
 import msgspec
 
 from onyxpost.core.units import MS_PER_SECOND
-from onyxpost.simulation.free_ports import LOOPBACK, NoFreePortsError, find_restartable_ports
+from onyxpost.simulation.free_ports import LOOPBACK, NoFreePortsError
 from onyxpost.simulation.multiprocess.endpoints import format_address
 from onyxpost.simulation.multiprocess.errors import InvalidScenarioError
 from onyxpost.simulation.multiprocess.fault_proxy import FaultProxy
 from onyxpost.simulation.multiprocess.history import ProcessChanged
 from onyxpost.simulation.multiprocess.node_processes import NodeProcesses
+from onyxpost.simulation.multiprocess.port_reservation import PortReservation
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -24,7 +25,7 @@
     from onyxpost.simulation.multiprocess.fault_script import FaultScript
     from onyxpost.simulation.multiprocess.history import HistoryEvent
     from onyxpost.simulation.multiprocess.scenario import Scenario
-    from onyxpost.simulation.multiprocess.tcp_proxy import ByteObserver, TransferStage
+    from onyxpost.simulation.multiprocess.tcp_proxy import ByteObserver, Transfer
     from onyxpost.simulation.process_group import ProcessChange
 
 PORTS_PER_NODE = 2
@@ -53,6 +54,7 @@
         self.processes = NodeProcesses(folder, script.mutation, self.addresses, self._on_process_change)
         self.proxy = FaultProxy(self.addresses.get, self._observe_bytes, Random(f"{self.seed}/relays"))
         self._observer: ByteObserver | None = None
+        self._ports = self._reserve_ports()
         self._assign_node_addresses()
 
     @property
@@ -74,6 +76,10 @@
         """Milliseconds since the start, as events have it."""
         return round((time.monotonic() - self.started_at) * MS_PER_SECOND, 2)
 
+    def ms_before_now(self, elapsed_ms: float) -> float:
+        """Returns the time of something that happened so long ago; never before the start."""
+        return round(max(0.0, self.now_ms() - elapsed_ms), 2)
+
     def now_seconds(self) -> float:
         """Seconds since the start."""
         return time.monotonic() - self.started_at
@@ -91,6 +97,11 @@
         """Passes all bytes of TCP on to this observer."""
         self._observer = observer
 
+    async def close(self) -> None:
+        """Closes the proxies and gives the nodes' ports back; their processes must have ended."""
+        await self.proxy.close()
+        self._ports.release()
+
     async def sleep_until(self, seconds: float) -> None:
         """Waits for that time of the run."""
         await asyncio.sleep(max(0.0, seconds - self.now_seconds()))
@@ -119,11 +130,14 @@
             return format_address(self.addresses[f"n{index}/fleet"])
         return format_address(await self.proxy.tcp.open(f"n{index}", f"n{peer}/fleet"))
 
-    def _assign_node_addresses(self) -> None:
+    def _reserve_ports(self) -> PortReservation:
         try:
-            ports = find_restartable_ports(PORTS_PER_NODE * self.scenario.nodes, Random(time.time_ns()))
+            return PortReservation(PORTS_PER_NODE * self.scenario.nodes, Random(time.time_ns()))
         except NoFreePortsError as error:
             raise InvalidScenarioError(str(error)) from error
+
+    def _assign_node_addresses(self) -> None:
+        ports = self._ports.ports
         for index in self.node_indexes:
             address = LOOPBACK, ports[PORTS_PER_NODE * index]
             self.addresses[f"n{index}"] = address
@@ -133,6 +147,6 @@
     def _on_process_change(self, node: str, change: ProcessChange) -> None:
         self.record(ProcessChanged(self.now_ms(), node=node, change=change))
 
-    def _observe_bytes(self, source: str, destination: str, data: bytes, stage: TransferStage) -> None:
+    def _observe_bytes(self, transfer: Transfer) -> None:
         if self._observer is not None:
-            self._observer(source, destination, data, stage)
+            self._observer(transfer)
--- a/tests/simulation/discrete_event/test_command_line.py
+++ b/tests/simulation/discrete_event/test_command_line.py
@@ -50,7 +50,17 @@
     scenario_file: Path, tmp_path: Path
 ) -> None:
     out = tmp_path / "out.jsonl"
-    arguments = ["lab", "run", str(scenario_file), "--seeds", "1-500", "--jobs", "2", "--out", str(out)]
+    arguments = [
+        "simulate",
+        "discrete-event",
+        str(scenario_file),
+        "--seeds",
+        "1-500",
+        "--jobs",
+        "2",
+        "--out",
+        str(out),
+    ]
     with subprocess.Popen(
         [sys.executable, "-u", "-m", "onyxpost", *arguments],
         stdout=subprocess.PIPE,
--- a/tests/simulation/test_commands.py
+++ b/tests/simulation/test_commands.py
@@ -194,3 +194,17 @@
         "  drains violated at 826.080 ms: node n1, request t16, server s1-0: sent 176 ms after it was told\n"
     )
     assert capsys.readouterr().out == line * 2
+
+
+def test_an_interrupt_that_a_lock_turns_into_another_error_still_counts_as_one() -> None:
+    with InterruptCatcher() as interrupt:
+        try:
+            raise KeyboardInterrupt
+        finally:
+            raise RuntimeError("cannot release un-acquired lock")
+    assert interrupt.was_interrupted
+
+
+def test_an_error_without_an_interrupt_is_not_caught() -> None:
+    with pytest.raises(RuntimeError), InterruptCatcher():
+        raise RuntimeError("any other")
