--- a/tests/ci/test_known_red.py
+++ b/tests/ci/test_known_red.py
@@ -39,12 +39,12 @@
 def test_left_out():
     pytest.skip("not here")
 """
-WORD = "tests/deep/test_sample.py::test_word[a, b - c::d[e]@f]"
+SAMPLE = "tests/deep/test_sample.py::test_word[a, b - c::d[e]@f]"
 EACH = "tests/deep/test_sample.py::Sums::test_each"
 END = "tests/deep/test_sample.py::test_end"
 PASSES = "tests/deep/test_sample.py::test_passes"
 LEFT_OUT = "tests/deep/test_sample.py::test_left_out"
-ALL = f"{WORD}, the word, all but one, #4\n{EACH}, sums are off, #5\n{END}, fails in teardown, #6\n"
+ALL = f"{SAMPLE}, the word, all but one, #4\n{EACH}, sums are off, #5\n{END}, fails in teardown, #6\n"
 
 
 class Run:
@@ -80,7 +80,7 @@
     assert failing.verdict(ALL) == (
         0,
         [
-            f"known red: {WORD} (cause: the word, all but one; issue: #4)",
+            f"known red: {SAMPLE} (cause: the word, all but one; issue: #4)",
             f"known red: {EACH} (cause: sums are off; issue: #5)",
             f"known red: {END} (cause: fails in teardown; issue: #6)",
             "2 passed, 3 failed",
@@ -89,17 +89,17 @@
 
 
 def test_a_failure_that_is_not_listed_fails(failing: Run) -> None:
-    code, lines = failing.verdict(f"{WORD}, the word, #4\n{END}, fails in teardown, #6\n")
+    code, lines = failing.verdict(f"{SAMPLE}, the word, #4\n{END}, fails in teardown, #6\n")
     assert (code, lines[-2:]) == (1, [f"failed: {EACH}", "2 passed, 3 failed"])
     code, lines = failing.verdict(None)
     assert (code, lines[-1]) == (1, "2 passed, 3 failed")
-    assert sorted(lines[:-1]) == sorted(f"failed: {name}" for name in (WORD, EACH, END))
+    assert sorted(lines[:-1]) == sorted(f"failed: {name}" for name in (SAMPLE, EACH, END))
 
 
 @pytest.mark.parametrize(
     ("listing", "problem"),
     [
-        (f"{ALL}{WORD}, again, #7\n", "KNOWN-RED.txt:4: over 3 lines"),
+        (f"{ALL}{SAMPLE}, again, #7\n", "KNOWN-RED.txt:4: over 3 lines"),
         (f"{ALL}\n", "KNOWN-RED.txt:4: over 3 lines"),
         (ALL.replace(", fails in teardown", ""), "KNOWN-RED.txt:3: not `test, cause, issue`"),
         (ALL.replace("#6", " "), "KNOWN-RED.txt:3: not `test, cause, issue`"),
--- a/tests/edge/harness.py
+++ b/tests/edge/harness.py
@@ -188,7 +188,7 @@
         await asyncio.gather(self.running, return_exceptions=True)
         self.program.close()
 
-    async def ask(self, data: bytes) -> tuple[bytes, bytes]:
+    async def send_request(self, data: bytes) -> tuple[bytes, bytes]:
         """Sends a request on the client's connection; returns the head and the body of its answer."""
         self.writer.write(data)
         return await self.answer()
--- a/tests/edge/test_client_capacity.py
+++ b/tests/edge/test_client_capacity.py
@@ -36,7 +36,7 @@
         others = [await asyncio.open_connection(*edge.address) for _ in range(6)]
         for number, (_, writer) in enumerate(others):
             writer.write(encode_request(trace=f"other{number}"))
-        assert (await edge.ask(encode_request()))[1] == b"hello"
+        assert (await edge.send_request(encode_request()))[1] == b"hello"
         for reader, writer in others:
             await reader.readuntil(b"hello")
             writer.close()
@@ -53,13 +53,13 @@
 @in_event_loop
 async def test_a_silent_client_is_evicted_before_one_that_has_sent_a_request() -> None:
     async with StubAppServer() as server, RunningNode(server.address, limits={"sockets": 8}) as edge:
-        await edge.ask(encode_request(trace="a"))  # from the third on, one gives way
+        await edge.send_request(encode_request(trace="a"))  # from the third on, one gives way
         silent, _ = await asyncio.open_connection(*edge.address)
         await wait_until(lambda: len(edge.program.clients.connections.open) >= 2)
         with mock.patch.object(client_eviction, "GRACE_FOR_REQUEST_MS", -1.0):
             _, third = await asyncio.open_connection(*edge.address)
             assert await asyncio.wait_for(silent.read(), 5.0) == b""
-        assert (await edge.ask(encode_request(trace="b")))[1] == b"hello"
+        assert (await edge.send_request(encode_request(trace="b")))[1] == b"hello"
         third.close()
 
 
--- a/tests/edge/test_client_disconnects.py
+++ b/tests/edge/test_client_disconnects.py
@@ -55,7 +55,7 @@
 @in_event_loop
 async def test_a_client_with_its_answer_no_longer_waits() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        await edge.ask(encode_request())
+        await edge.send_request(encode_request())
         assert [
             edge.program.clients.connections.is_waiting(number)
             for number in edge.program.clients.connections.open
--- a/tests/edge/test_client_flow_control.py
+++ b/tests/edge/test_client_flow_control.py
@@ -18,7 +18,7 @@
 @in_event_loop
 async def test_tcp_nodelay_is_set_for_clients_and_servers() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        await edge.ask(encode_request())
+        await edge.send_request(encode_request())
         ((upstream,),) = edge.program.servers.idle_connections.values()
         (client,) = edge.program.clients.connections.open.values()
         for writer in (client.writer, upstream.writer):
@@ -67,7 +67,7 @@
                 if number % 2:
                     client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
                 client.close()
-            assert (await edge.ask(encode_request(trace=f"good{turn}")))[1] == b"hello"
+            assert (await edge.send_request(encode_request(trace=f"good{turn}")))[1] == b"hello"
         await wait_until(
             lambda: len(edge.program.clients.connections.open) == 1
             and not edge.program.clients.connections.closing
--- a/tests/edge/test_client_requests.py
+++ b/tests/edge/test_client_requests.py
@@ -18,9 +18,9 @@
 async def test_an_invalid_request_is_answered_and_not_forwarded() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         for data, status in ((encode_request(X_Trace_Id=""), b"400"), (encode_request("other"), b"404")):
-            assert status in (await edge.ask(data))[0]
+            assert status in (await edge.send_request(data))[0]
         long = encode_request(Content_Length="70000") + b"x" * 70000
-        assert b"413" in (await edge.ask(long))[0]
+        assert b"413" in (await edge.send_request(long))[0]
         assert server.got == []
 
 
@@ -80,6 +80,6 @@
             assert await asyncio.wait_for(silent.read(), 2.0) == b""
             assert b" 408 " in await asyncio.wait_for(slow.read(), 2.0)
         assert server.got == []
-        assert (await edge.ask(encode_request()))[1] == b"hello"
+        assert (await edge.send_request(encode_request()))[1] == b"hello"
         silent_writer.close()
         slow_writer.close()
--- a/tests/edge/test_discovery_over_sockets.py
+++ b/tests/edge/test_discovery_over_sockets.py
@@ -88,7 +88,7 @@
         assert edge.program.clients.listener.server is None
         agent.writers[0].write(encode_list_response(5, "draining"))
         await asyncio.wait_for(start, 5.0)
-        head, _ = await edge.ask(encode_request())
+        head, _ = await edge.send_request(encode_request())
         assert (head.split(b" ")[1], server.got) == (b"429", [])
         await edge.__aexit__()
 
@@ -97,7 +97,7 @@
 async def test_a_start_waits_for_a_silent_agent_no_longer_than_the_drain_grace() -> None:
     async with StubAppServer() as server, StubAppServer(*[None] * 9) as agent:
         async with RunningNode(server.address, discovery="{}:{}".format(*agent.address)) as edge:
-            assert (await edge.ask(encode_request()))[1] == b"hello"
+            assert (await edge.send_request(encode_request()))[1] == b"hello"
             assert edge.program.config.deployment.drain_grace_ms == 250.0
 
 
@@ -113,7 +113,7 @@
             agent.answers = [(encode_list_response(5, "draining"), False), None]
             async with RunningNode(server.address, discovery=first, discovery_too=other) as edge:
                 assert edge.program.discovery.address == agent.address
-                assert (await edge.ask(encode_request()))[0].split(b" ")[1] == b"429"
+                assert (await edge.send_request(encode_request()))[0].split(b" ")[1] == b"429"
         assert server.got == []
 
 
--- a/tests/edge/test_request_headers.py
+++ b/tests/edge/test_request_headers.py
@@ -88,7 +88,7 @@
     assert caught.value.status == status
 
 
-def test_a_forwarded_request_says_how_long_this_node_waits() -> None:
+def test_a_forwarded_request_carries_how_long_this_node_waits() -> None:
     request, _ = forwarded_request(decode(("idempotency-key", "k")), 250.5)
     headers = dict(request.headers)
     assert (request.method, request.target) == (b"GET", b"/check/7?a=b")
--- a/tests/edge/test_shutdown_clients.py
+++ b/tests/edge/test_shutdown_clients.py
@@ -119,7 +119,7 @@
 async def test_a_client_that_never_closes_delays_the_exit_only_shortly() -> None:
     with pytest.MonkeyPatch.context() as patch:
         async with StubAppServer() as server, RunningNode(server.address) as edge:
-            await edge.ask(encode_request())
+            await edge.send_request(encode_request())
             patch.setattr(client_connections, "LINGER_MS", 60_000.0)
             send_sigterm()
             assert await exit_code(edge) == 0
--- a/tests/edge/test_shutdown_requests.py
+++ b/tests/edge/test_shutdown_requests.py
@@ -109,7 +109,7 @@
 @in_event_loop
 async def test_a_request_that_arrives_together_with_the_signal_is_answered() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        await edge.ask(encode_request(trace="a"))
+        await edge.send_request(encode_request(trace="a"))
         send_sigterm()  # the event loop finds the signal and the request in the same turn
         edge.writer.write(encode_request(trace="b"))
         await assert_last_answer(edge)
--- a/tests/edge/test_upstream_responses.py
+++ b/tests/edge/test_upstream_responses.py
@@ -28,7 +28,7 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         monkeypatch.setattr(upstream_pool, "MIN_IDLE_MS", 0.0)
         for trace in ("a", "b"):
-            head, body = await edge.ask(encode_request(trace=trace))
+            head, body = await edge.send_request(encode_request(trace=trace))
             assert (head.split(b"\r\n")[0][:12], body) == (b"HTTP/1.1 200", b"hello")
             assert b"x-mark: 1" in head.lower()
         assert (len(server.got), server.opened) == (2, 1)
@@ -48,7 +48,7 @@
         UPSTREAM_ANSWER.replace(b": 5", b": 70000") + b"x" * 69995,
     ):
         async with StubAppServer(*[(text, True)] * 9) as server, RunningNode(server.address) as edge:
-            head, body = await edge.ask(encode_request())
+            head, body = await edge.send_request(encode_request())
             assert head.split(b" ")[1] in (b"429", b"502"), text[:60]
             assert body == b""
 
@@ -59,18 +59,18 @@
         (UPSTREAM_ANSWER + UPSTREAM_ANSWER.replace(b"hello", b"other"), False)
     ) as server:
         async with RunningNode(server.address) as edge:
-            assert (await edge.ask(encode_request(trace="a")))[1] == b"hello"
-            assert (await edge.ask(encode_request(trace="b")))[1] == b"hello"
+            assert (await edge.send_request(encode_request(trace="a")))[1] == b"hello"
+            assert (await edge.send_request(encode_request(trace="b")))[1] == b"hello"
             assert server.opened == 2
 
 
 @in_event_loop
 async def test_late_bytes_on_an_idle_connection_do_not_answer_the_next_request() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        await edge.ask(encode_request(trace="a"))
+        await edge.send_request(encode_request(trace="a"))
         ((link,),) = edge.program.servers.idle_connections.values()
         link.reader.feed_data(UPSTREAM_ANSWER.replace(b"hello", b"other"))
-        assert (await edge.ask(encode_request(trace="b")))[1] == b"hello"
+        assert (await edge.send_request(encode_request(trace="b")))[1] == b"hello"
 
 
 @in_event_loop
@@ -80,7 +80,7 @@
     monkeypatch.setattr(upstream_pool, "MIN_IDLE_MS", 1e9)
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         for trace in ("a", "b"):
-            assert (await edge.ask(encode_request(trace=trace)))[1] == b"hello"
+            assert (await edge.send_request(encode_request(trace=trace)))[1] == b"hello"
         assert server.opened == 2
 
 
@@ -111,7 +111,7 @@
 async def test_informational_responses_before_the_final_one_are_skipped() -> None:
     early = b"HTTP/1.1 103 Early\r\n\r\n" * 3
     async with StubAppServer((early + UPSTREAM_ANSWER, False)) as server, RunningNode(server.address) as edge:
-        assert (await edge.ask(encode_request()))[1] == b"hello"
+        assert (await edge.send_request(encode_request()))[1] == b"hello"
 
 
 @in_event_loop
@@ -132,8 +132,8 @@
 @in_event_loop
 async def test_a_connection_that_the_server_closed_is_not_reused() -> None:
     async with StubAppServer((UPSTREAM_ANSWER, True)) as server, RunningNode(server.address) as edge:
-        await edge.ask(encode_request(trace="a"))
+        await edge.send_request(encode_request(trace="a"))
         ((link,),) = edge.program.servers.idle_connections.values()
         await wait_until(lambda: link.reader.at_eof())
-        assert (await edge.ask(encode_request(trace="b")))[1] == b"hello"
+        assert (await edge.send_request(encode_request(trace="b")))[1] == b"hello"
         assert (server.opened, len(server.got)) == (2, 2)
--- a/tests/planner/forwarder_model.py
+++ b/tests/planner/forwarder_model.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections import Counter
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
 from onyxpost.core.events import (
     AttemptFinished,
@@ -29,7 +29,9 @@
 from onyxpost.policy.gateway import Gateway
 
 if TYPE_CHECKING:
-    from tests.planner.cluster import VirtualCluster
+    from onyxpost.config.address import Address
+    from onyxpost.core.types import Plan
+    from onyxpost.simulation.virtual_time import Network
 
 SAFE_SHARE = 0.2
 FRONTEND = Frontend(
@@ -37,10 +39,25 @@
 )
 
 
+class ForwarderEnvironment(Protocol):
+    """What a forwarder needs of the cluster that it belongs to."""
+
+    net: Network
+    plan: Plan
+    membership_version: int
+    forwarders: list[ForwarderModel]
+
+    def members(self) -> dict[str, Address]:
+        """Returns the planners' addresses by name."""
+
+    def count_sent(self, forwarder: ForwarderModel, customer: str, units: int) -> None:
+        """Counts units that a forwarder has sent on."""
+
+
 class ForwarderModel:
     """A gateway and its planner client; its one server answers at once, so that only limits decide."""
 
-    def __init__(self, cluster: VirtualCluster, index: int) -> None:
+    def __init__(self, cluster: ForwarderEnvironment, index: int) -> None:
         self.cluster = cluster
         self.index = index
         self.name = f"f{index}"
--- a/tests/process/test_node_file.py
+++ b/tests/process/test_node_file.py
@@ -54,6 +54,6 @@
 @pytest.mark.parametrize(
     "invalid", [{"lifecycle": "up"}, ENDPOINT | {"lifecycle": "odd"}, ENDPOINT | {"hostPort": "x"}, 7]
 )
-def test_an_endpoint_update_with_one_invalid_endpoint_is_rejected_as_a_whole(invalid: object) -> None:
+def test_an_endpoint_update_with_one_invalid_endpoint_is_rejected_altogether(invalid: object) -> None:
     with pytest.raises(InvalidInputError):
         decode_endpoint_update({"generation": 1, "instances": [ENDPOINT, invalid]})
--- a/tests/simulation/deterministic/test_discovery_agent.py
+++ b/tests/simulation/deterministic/test_discovery_agent.py
@@ -110,7 +110,7 @@
     run_scenario(scenario)
 
 
-def test_poll_without_news_is_answered_within_the_time_that_it_gives() -> None:
+def test_poll_without_changes_is_answered_within_the_time_that_it_gives() -> None:
     async def scenario(cluster: Cluster, _node: SimulatedNode) -> None:
         await asyncio.sleep(20.0)
         assert [line for line in cluster.log_lines if "discovery" in line.event] == []
--- a/tests/simulation/invariants/test_slow_start.py
+++ b/tests/simulation/invariants/test_slow_start.py
@@ -31,7 +31,7 @@
     assert host.checker.on_work_received(10_000.0, "s1", 9e9) is True  # it is warm
 
 
-def test_more_calls_than_allowed_and_than_chance_explains() -> None:
+def test_more_calls_than_allowed_beyond_the_random_spread_violate_the_invariant() -> None:
     host = host_with_calls(10, informed_nodes=3)  # 4 and twice its root and 2
     host.assert_no_violation()
     host.checker.on_call_received(500.0, "s1", "n1", "r")
--- a/tests/simulation/stub_upstreams/test_fault_script.py
+++ b/tests/simulation/stub_upstreams/test_fault_script.py
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "place"),
+    ("text", "location"),
     [
         pytest.param('[[faults]]\nat_s = 1\nkind = "no"', "$.faults[0].kind", id="unknown kind"),
         pytest.param("[[faults]]\nat_s = -1", "$.faults[0]", id="negative time"),
@@ -19,9 +19,11 @@
         pytest.param("faults = 1", "$.faults", id="not a list"),
     ],
 )
-def test_an_invalid_script_is_rejected_with_its_place(tmp_path: Path, text: str, place: str) -> None:
+def test_an_invalid_script_is_rejected_with_the_location_of_its_error(
+    tmp_path: Path, text: str, location: str
+) -> None:
     path = tmp_path / "faults.toml"
     path.write_text(text)
     with pytest.raises(InvalidSimulationInputError) as error:
         read_fault_script(path, 3)
-    assert place in str(error.value)
+    assert location in str(error.value)
--- a/tests/simulation/test_commands.py
+++ b/tests/simulation/test_commands.py
@@ -26,14 +26,14 @@
 DEPRECATED = "is deprecated, use"
 
 
-def invoke(words: str) -> Result:
-    return CliRunner().invoke(main, words.split())
+def invoke(command: str) -> Result:
+    return CliRunner().invoke(main, command.split())
 
 
 def help_names(output: str) -> set[str]:
     """The commands and options that a help text lists: the first words of its indented rows."""
     rows = [line.strip() for line in output.splitlines() if line.startswith("  ")]
-    return {word.strip(",") for row in rows for word in row.split()[:2]}
+    return {name.strip(",") for row in rows for name in row.split()[:2]}
 
 
 def test_the_group_has_the_commands_of_todays_spelling_and_no_other() -> None:
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "old", "current"),
+    ("arguments", "old", "current"),
     [
         ("lab --help", "lab", "simulate"),
         *(
@@ -74,18 +74,18 @@
     ],
 )
 def test_an_old_spelling_works_and_is_announced_once_on_standard_error(
-    words: str, old: str, current: str
+    arguments: str, old: str, current: str
 ) -> None:
-    result = invoke(words)
+    result = invoke(arguments)
     assert result.exit_code == 0
     assert result.stderr == f"onyxpost: '{old}' {DEPRECATED} '{current}'\n"
     assert DEPRECATED not in result.stdout
-    todays = invoke(" ".join(parse_simulation_command(words.split()).argv))
+    todays = invoke(" ".join(parse_simulation_command(arguments.split()).argv))
     assert (todays.stdout, todays.stderr) == (result.stdout, "")
 
 
 @pytest.mark.parametrize(
-    ("words", "error"),
+    ("arguments", "error"),
     [
         ("lab unknown", "Error: No such command 'unknown'."),
         ("lab seeds --unknown", "Error: No such option '--unknown'."),
@@ -93,8 +93,8 @@
         ("lab rig edge-cuts --plant no-such", "'no-such'"),
     ],
 )
-def test_the_announcement_is_the_first_line_of_a_refused_command(words: str, error: str) -> None:
-    result = invoke(words)
+def test_the_announcement_is_the_first_line_of_a_refused_command(arguments: str, error: str) -> None:
+    result = invoke(arguments)
     assert result.exit_code == 2
     announced, *refusal = result.stderr.splitlines()
     assert DEPRECATED in announced
@@ -116,19 +116,23 @@
 
 
 def test_a_process_announces_an_old_spelling_once_whatever_its_number_of_processes(tmp_path: Path) -> None:
-    words = ["lab", "seeds", "--seeds", "1-2", "--jobs", "2", "--out", str(tmp_path / "out.jsonl")]
+    arguments = ["lab", "seeds", "--seeds", "1-2", "--jobs", "2", "--out", str(tmp_path / "out.jsonl")]
     result = subprocess.run(
-        [sys.executable, "-m", "onyxpost", *words], capture_output=True, text=True, timeout=60.0, check=True
+        [sys.executable, "-m", "onyxpost", *arguments],
+        capture_output=True,
+        text=True,
+        timeout=60.0,
+        check=True,
     )
     assert result.stderr == "onyxpost: 'lab seeds' is deprecated, use 'simulate deterministic'\n"
     assert DEPRECATED not in result.stdout
 
 
-@pytest.mark.parametrize("words", ["--help", "simulate --help", "lab --help"])
-def test_help_lists_current_names_only(words: str) -> None:
-    names = help_names(invoke(words).stdout)
+@pytest.mark.parametrize("arguments", ["--help", "simulate --help", "lab --help"])
+def test_help_lists_current_names_only(arguments: str) -> None:
+    names = help_names(invoke(arguments).stdout)
     assert names.isdisjoint({"lab", *CURRENT_COMMANDS})
-    expected = {"simulate"} if words == "--help" else set(COMMANDS)
+    expected = {"simulate"} if arguments == "--help" else set(COMMANDS)
     assert expected <= names
 
 
@@ -139,7 +143,7 @@
     assert names.isdisjoint(CURRENT_OPTIONS)
 
 
-def test_words_that_are_no_names_keep_their_spelling() -> None:
+def test_arguments_that_are_no_names_keep_their_spelling() -> None:
     command = parse_simulation_command(["simulate", "stubs", "rig", "--plant", "lab"])
     assert command.argv == ["simulate", "stubs", "rig", "--plant", "lab"]
     assert command.names == [Spelling("simulate", "simulate"), Spelling("stubs", "stubs")]
--- a/tests/simulation/test_process_group.py
+++ b/tests/simulation/test_process_group.py
@@ -70,7 +70,7 @@
     ids=["exit code 0", "exit code 3"],
 )
 @in_event_loop
-async def test_exit_code_after_sigterm_tells_an_exit_from_a_crash(
+async def test_exit_code_after_sigterm_distinguishes_an_exit_from_a_crash(
     tmp_path: Path, handler: str, change: ProcessChange
 ) -> None:
     changes: list[ProcessChange] = []
