--- a/tests/compatibility/test_simulation_digests.py
+++ b/tests/compatibility/test_simulation_digests.py
@@ -4,11 +4,20 @@
 
 import functools
 import json
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
 from tests.compatibility import record_simulation_digests as recorder
+from tests.compatibility.deterministic_digests import CLUSTER_SEEDS, cluster_record
+from tests.compatibility.discrete_event_digests import emulator_record, emulator_runs
+from tests.compatibility.leadership_digests import FAILOVER_RUNS, LEASE_SEEDS, failover_record, lease_record
+from tests.compatibility.rollout_digests import rollout_record, rollout_runs
+
+if TYPE_CHECKING:
+    from pathlib import Path
+
+    from tests.compatibility.event_digest import Record
 
 SEEDS_PER_TEST = 5
 
@@ -24,9 +33,9 @@
 
 
 @functools.cache
-def recorded() -> dict[str, dict[str, recorder.Record]]:
+def recorded() -> dict[str, dict[str, Record]]:
     """What was recorded, by simulation and run."""
-    found: dict[str, dict[str, recorder.Record]] = json.loads(recorder.DATA.read_text(encoding="utf-8"))
+    found: dict[str, dict[str, Record]] = json.loads(recorder.DATA.read_text(encoding="utf-8"))
     return found
 
 
@@ -34,43 +43,43 @@
     """No run is left out of the record, and none is in it that no test replays."""
     assert {kind: list(runs) for kind, runs in recorded().items()} == {
         "cluster": [str(seed) for seed in range(100)],
-        "emulator": [f"{name}/{seed}" for name, seed in recorder.emulator_runs()],
+        "emulator": [f"{name}/{seed}" for name, seed in emulator_runs()],
         "lease": [str(seed) for seed in range(30)],
-        "failover": [f"{fault}/{seed}" for fault, seed in recorder.FAILOVER_RUNS],
-        "rollout": [f"{name}/{seed}" for name, seed in recorder.rollout_runs()],
+        "failover": [f"{fault}/{seed}" for fault, seed in FAILOVER_RUNS],
+        "rollout": [f"{name}/{seed}" for name, seed in rollout_runs()],
     }
 
 
-@pytest.mark.parametrize("seeds", chunks(recorder.CLUSTER_SEEDS), ids=chunk_name)
+@pytest.mark.parametrize("seeds", chunks(CLUSTER_SEEDS), ids=chunk_name)
 def test_cluster_of_edge_nodes(seeds: range) -> None:
     """All bytes, connections, datagrams and exits of whole edge nodes under scripted faults."""
     for seed in seeds:
-        assert recorder.cluster_record(seed) == recorded()["cluster"][str(seed)], f"seed {seed}"
+        assert cluster_record(seed) == recorded()["cluster"][str(seed)], f"seed {seed}"
 
 
-@pytest.mark.parametrize(("name", "seed"), recorder.emulator_runs())
+@pytest.mark.parametrize(("name", "seed"), emulator_runs())
 def test_emulator(name: str, seed: int) -> None:
     """All attempts, answers and peer messages of an emulated fleet, and its figures to the last digit."""
-    assert recorder.emulator_record(name, seed) == recorded()["emulator"][f"{name}/{seed}"]
+    assert emulator_record(name, seed) == recorded()["emulator"][f"{name}/{seed}"]
 
 
-@pytest.mark.parametrize("seeds", chunks(recorder.LEASE_SEEDS), ids=chunk_name)
+@pytest.mark.parametrize("seeds", chunks(LEASE_SEEDS), ids=chunk_name)
 def test_lease_random_walk(seeds: range) -> None:
     """All messages, grants and confirmed writes of one lease under messages late, twice or never."""
     for seed in seeds:
-        assert recorder.lease_record(seed) == recorded()["lease"][str(seed)], f"seed {seed}"
+        assert lease_record(seed) == recorded()["lease"][str(seed)], f"seed {seed}"
 
 
-@pytest.mark.parametrize(("fault", "seed"), recorder.FAILOVER_RUNS)
+@pytest.mark.parametrize(("fault", "seed"), FAILOVER_RUNS)
 def test_lease_failover(fault: str, seed: int) -> None:
     """All bytes between nodes while a lease passes to another holder, and when it was lost and taken."""
-    assert recorder.failover_record(fault, seed) == recorded()["failover"][f"{fault}/{seed}"]
+    assert failover_record(fault, seed) == recorded()["failover"][f"{fault}/{seed}"]
 
 
-@pytest.mark.parametrize(("name", "seed"), recorder.rollout_runs())
+@pytest.mark.parametrize(("name", "seed"), rollout_runs())
 def test_rollout_verdict(name: str, seed: int) -> None:
     """The verdict on an emulated rollout, when it was reached, and the counts that led to it."""
-    assert recorder.rollout_record(name, seed) == recorded()["rollout"][f"{name}/{seed}"]
+    assert rollout_record(name, seed) == recorded()["rollout"][f"{name}/{seed}"]
 
 
 def test_the_recorder_does_not_overwrite(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
