--- a/tests/cluster/virtual_cluster.py
+++ b/tests/cluster/virtual_cluster.py
@@ -3,21 +3,24 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Coroutine
 from random import Random
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from onyxpost.cluster.connections import PeerConnections
-from onyxpost.cluster.failure_detector import PeerState
 from onyxpost.cluster.frames import encode_frame
 from onyxpost.cluster.incarnation import Incarnation
 from onyxpost.cluster.membership import Membership
 from onyxpost.cluster.protocol import Hello
-from onyxpost.config.address import Address
-from onyxpost.runtime.log_event import LogEvent
-from onyxpost.runtime.transport import DialedConnection
 from onyxpost.simulation import virtual_time
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Coroutine
+
+    from onyxpost.cluster.failure_detector import PeerState
+    from onyxpost.config.address import Address
+    from onyxpost.runtime.log_event import LogEvent
+    from onyxpost.runtime.transport import DialedConnection
+
 TOPIC = "t"
 READ_LIMIT = 65536
 FORGED_INCARNATION = Incarnation(9999, "s")  # later than those of all started members
--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -13,14 +13,16 @@
 import socket
 import subprocess
 import sys
-from collections.abc import Iterator
-from pathlib import Path
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from click.testing import CliRunner
 
 from onyxpost import cli
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+    from pathlib import Path
+
 FOLDER = "FOLDER"  # in a recorded command: where its files are
 HELD_PORT = "HELD_PORT"  # in a recorded command: a port of 127.0.0.1 that another process listens on
 PROCESS_TIMEOUT_SECONDS = 60.0
--- a/tests/compatibility/meanings.py
+++ b/tests/compatibility/meanings.py
@@ -8,20 +8,17 @@
 
 import re
 from pathlib import Path
-from typing import Any, cast
+from typing import TYPE_CHECKING, Any, cast
 
 import msgspec
 
-from onyxpost.core import types
 from onyxpost.errors import OperatorError
 from onyxpost.leadership.acceptor_log import AcceptorLog
 from onyxpost.leadership.acceptor_state import AcceptorState
 from onyxpost.leadership.ballots import Ballot
-from onyxpost.leadership.config import LeadershipConfig
 from onyxpost.leadership.errors import AcceptorLogError
 from onyxpost.leadership.protocol import Record
 from onyxpost.node import config as edge_node
-from onyxpost.node.node_config import NodeConfig, PlannerClientConfig
 from onyxpost.planner import config as planner_file
 from onyxpost.rollout.routing_rules import schema
 from onyxpost.simulation import report, results
@@ -35,6 +32,11 @@
 from onyxpost.simulation.multiprocess.run_result import RunResult
 from tests.compatibility import command_line
 
+if TYPE_CHECKING:
+    from onyxpost.core import types
+    from onyxpost.leadership.config import LeadershipConfig
+    from onyxpost.node.node_config import NodeConfig, PlannerClientConfig
+
 JsonObject = dict[str, Any]
 
 # The recorded results name this invariant, which no checker has; result files may hold any name.
--- a/tests/compatibility/record.py
+++ b/tests/compatibility/record.py
@@ -8,14 +8,16 @@
 import json
 import sys
 import tempfile
-from collections.abc import Callable
 from functools import partial
 from hashlib import sha256
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from tests.compatibility import inputs, meanings, record_simulations, refused, values
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 DATA = Path(__file__).with_name("data")
 
 
@@ -194,7 +196,7 @@
         print(f"kept as it was recorded: {name}")
     for name, make in missing.items():
         text = json.dumps(make(), indent=1, ensure_ascii=False) + "\n"
-        with open(DATA / name, "x", encoding="utf-8") as file:
+        with (DATA / name).open("x", encoding="utf-8") as file:
             file.write(text)
         print(f"recorded: {name}")
     return 0 if missing else 1
--- a/tests/compatibility/record_http_and_wire.py
+++ b/tests/compatibility/record_http_and_wire.py
@@ -11,15 +11,17 @@
 import lzma
 import subprocess
 from collections import Counter
-from collections.abc import Callable, Iterator
 from functools import partial
-from pathlib import Path
 from random import Random
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from tests.compatibility import test_http_bytes as http
 from tests.compatibility import test_simulator_wire as wire
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterator
+    from pathlib import Path
+
 Fields = dict[str, Any]
 
 # HTTP
@@ -482,7 +484,8 @@
         assert self.program.wait() == 0
 
     def exchange(self) -> None:
-        assert self.program.stdin is not None and self.program.stdout is not None
+        assert self.program.stdin is not None
+        assert self.program.stdout is not None
         batch = {"at_time_us": self.now, "news": self.news}
         line = json.dumps(batch, separators=(",", ":")).encode() + b"\n"
         self.news = []
--- a/tests/compatibility/simulation_meanings.py
+++ b/tests/compatibility/simulation_meanings.py
@@ -5,9 +5,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import msgspec
 
@@ -20,6 +19,9 @@
 from onyxpost.simulation.multiprocess.fault_script import decode_script, encode_script
 from tests.compatibility import meanings
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
 RECORDED_ENVIRONMENTS = {"edge": "edge", "leadership": "duties"}  # by their name today
 
 
--- a/tests/compatibility/test_build_results.py
+++ b/tests/compatibility/test_build_results.py
@@ -3,13 +3,15 @@
 from __future__ import annotations
 
 import json
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
 from tests.compatibility import command_line, record_simulations, recorded, simulation_meanings
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 BUILD: dict[str, Any] = recorded.load("build-results.json")
 RUNS: dict[str, Any] = BUILD["real processes"]
 # Beside the figures: a digest of log lines, whose wording may change.
--- a/tests/compatibility/test_commands.py
+++ b/tests/compatibility/test_commands.py
@@ -2,13 +2,15 @@
 
 from __future__ import annotations
 
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
 from tests.compatibility import command_cases, command_line, recorded
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 COMMANDS: dict[str, Any] = recorded.load("commands.json")
 
 
--- a/tests/compatibility/test_fault_scripts.py
+++ b/tests/compatibility/test_fault_scripts.py
@@ -3,14 +3,16 @@
 from __future__ import annotations
 
 from hashlib import sha256
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
 from tests.compatibility import record_simulations, recorded, simulation_meanings
 from tests.compatibility.simulation_meanings import ScriptDraw
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 SCRIPTS: dict[str, Any] = recorded.load("fault-scripts.json")
 DRAWN: dict[str, Any] = SCRIPTS["real processes"]
 DETERMINISTIC: dict[str, Any] = SCRIPTS["deterministic"]
--- a/tests/compatibility/test_files.py
+++ b/tests/compatibility/test_files.py
@@ -3,13 +3,15 @@
 from __future__ import annotations
 
 import json
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
 from tests.compatibility import command_line, inputs, meanings, recorded
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 CONFIGS: dict[str, Any] = recorded.load("configs.json")
 REFUSED: dict[str, Any] = recorded.load("refused-files.json")
 VOTER_FILES: dict[str, Any] = recorded.load("voter-files.json")
--- a/tests/edge/discovery_agents.py
+++ b/tests/edge/discovery_agents.py
@@ -6,13 +6,15 @@
 from collections.abc import Awaitable, Callable, Sequence
 from math import inf
 from random import Random
-from typing import NamedTuple, Protocol
+from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 from onyxpost.edge.discovery_client import DiscoveryClient, DiscoveryOptions
-from onyxpost.edge.messages import EdgeEvent
-from onyxpost.runtime.log_event import LogEvent
 from onyxpost.simulation.virtual_time import Network, run
 
+if TYPE_CHECKING:
+    from onyxpost.edge.messages import EdgeEvent
+    from onyxpost.runtime.log_event import LogEvent
+
 NODE_HOST = "n"
 READ_SIZE = 65536
 MAX_ACCEPTS_PER_TURN = 16
--- a/tests/edge/harness.py
+++ b/tests/edge/harness.py
@@ -11,7 +11,6 @@
 from onyxpost.edge.upstream_pool import UpstreamPool, UpstreamPoolOptions
 from onyxpost.node import config
 from onyxpost.node.edge_node import EdgeNode
-from onyxpost.node.node_config import NodeConfig
 from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.runtime.structured_log import StructuredLog
 
@@ -19,6 +18,7 @@
     from collections.abc import Callable
 
     from onyxpost.config.address import Address
+    from onyxpost.node.node_config import NodeConfig
 
 SETTINGS: dict[str, Any] = {
     "ordinal": 0,
--- a/tests/edge/test_attempt_start.py
+++ b/tests/edge/test_attempt_start.py
@@ -5,20 +5,22 @@
 import asyncio
 import socket
 from math import inf
-from typing import Any
+from typing import TYPE_CHECKING, Any
 from unittest import mock
 
 import pytest
 
-from onyxpost.config.address import Address
 from onyxpost.core.types import AttemptResult, Idempotency
 from onyxpost.edge.messages import MAX_BODY_BYTES, AttemptEnded, EdgeEvent, Endpoint, SendAttempt
-from onyxpost.edge.upstream_connection import UpstreamConnection
 from onyxpost.runtime.transport import DialedConnection, FlowControlProtocol
 from tests.edge.event_loop import in_event_loop, wait_until
 from tests.edge.harness import CLIENT_REQUEST, RunningNode, StubAppServer, encode_request, upstream_pool
 from tests.policy.gateway_host import Host
 
+if TYPE_CHECKING:
+    from onyxpost.config.address import Address
+    from onyxpost.edge.upstream_connection import UpstreamConnection
+
 
 class HeldDials:
     """Holds a node's connections to one server back until `release` is called."""
@@ -94,7 +96,7 @@
         send = SendAttempt(
             7, Endpoint("s0", server.address), CLIENT_REQUEST, 900.0, begin_before=now[0] + 100.0
         )
-        with mock.patch.object(program.clients.connections, "is_waiting", lambda client: True):
+        with mock.patch.object(program.clients.connections, "is_waiting", autospec=True, return_value=True):
             assert program.may_start_attempt(send, 900.0)
             now[0] += 100.0
             assert not program.may_start_attempt(send, 900.0)
@@ -105,7 +107,7 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         program = edge.program
         send = SendAttempt(7, Endpoint("s0", server.address), CLIENT_REQUEST, 900.0)
-        with mock.patch.object(program.clients.connections, "is_waiting", lambda client: True):
+        with mock.patch.object(program.clients.connections, "is_waiting", autospec=True, return_value=True):
             tick = program.config.deployment.tick_ms
             decisions = [program.may_start_attempt(send, left) for left in (tick + 0.1, tick)]
             assert decisions == [True, False]
--- a/tests/edge/test_client_closing.py
+++ b/tests/edge/test_client_closing.py
@@ -122,7 +122,7 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         client = await idle_client(edge)
         begin_shutdown(edge)
-        with mock.patch.object(edge.program.descriptors, "in_use", lambda: 1 << 30):
+        with mock.patch.object(edge.program.descriptors, "in_use", autospec=True, return_value=1 << 30):
             upstream_count = edge.program.servers.connection_count
             assert edge.program.descriptors.has_server_capacity()
         assert (edge.program.clients.connections.closing, edge.program.servers.connection_count) == (
--- a/tests/edge/test_client_disconnects.py
+++ b/tests/edge/test_client_disconnects.py
@@ -5,12 +5,11 @@
 import asyncio
 import socket
 from random import Random
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
 from onyxpost.edge.clients import build_clients
-from onyxpost.edge.messages import EdgeEvent
 from onyxpost.simulation import virtual_time
 from tests.edge.client_sockets import RESET, connect_client
 from tests.edge.event_loop import in_event_loop, wait_until
@@ -21,6 +20,9 @@
 )
 from tests.stream_transports import pause_reading
 
+if TYPE_CHECKING:
+    from onyxpost.edge.messages import EdgeEvent
+
 
 async def send_unanswered_request(edge: RunningNode, server: StubAppServer) -> tuple[socket.socket, int]:
     client = connect_client(edge)
--- a/tests/edge/test_discovery_over_sockets.py
+++ b/tests/edge/test_discovery_over_sockets.py
@@ -56,25 +56,25 @@
         StubAppServer(None) as server,
         StubAppServer(*silent) as old,
         StubAppServer(None, (b"", True)) as new,
+        RunningNode(server.address, discovery="{}:{}".format(*old.address)) as edge,
     ):
-        async with RunningNode(server.address, discovery="{}:{}".format(*old.address)) as edge:
-            edge.writer.write(encode_request(X_Expires_In="900m"))
-            await wait_until(lambda: server.got and old.got)
-            signal.raise_signal(signal.SIGHUP)  # a file that cannot be used
-            await wait_until(lambda: b"reload refused" in edge.out.getvalue())
-            edge.file = node_fields(server.address, discovery="{}:{}".format(*new.address))
-            signal.raise_signal(signal.SIGHUP)
-            await wait_until(lambda: new.got)
-            assert b"GET /v1/servers HTTP" in new.got[0]
-            assert [watch.cancelled() for watch in edge.program.discovery.watches] == [False] * 2
-            new.answers = [(encode_list_response(6, "up"), False), *silent]
-            assert (await edge.answer())[0].split(b" ")[1] in (b"429", b"502")  # it was pending throughout
-            await wait_until(lambda: b"since=6" in new.got[-1])
-            assert len(edge.program.discovery.watches) == 1
-            old_poll_count = len(old.got)
-            new_poll_count = len(new.got)
-            await wait_until(lambda: len(new.got) > new_poll_count)  # it is silent, and polled again
-            assert (len(old.got), edge.running.done()) == (old_poll_count, False)
+        edge.writer.write(encode_request(X_Expires_In="900m"))
+        await wait_until(lambda: server.got and old.got)
+        signal.raise_signal(signal.SIGHUP)  # a file that cannot be used
+        await wait_until(lambda: b"reload refused" in edge.out.getvalue())
+        edge.file = node_fields(server.address, discovery="{}:{}".format(*new.address))
+        signal.raise_signal(signal.SIGHUP)
+        await wait_until(lambda: new.got)
+        assert b"GET /v1/servers HTTP" in new.got[0]
+        assert [watch.cancelled() for watch in edge.program.discovery.watches] == [False] * 2
+        new.answers = [(encode_list_response(6, "up"), False), *silent]
+        assert (await edge.answer())[0].split(b" ")[1] in (b"429", b"502")  # it was pending throughout
+        await wait_until(lambda: b"since=6" in new.got[-1])
+        assert len(edge.program.discovery.watches) == 1
+        old_poll_count = len(old.got)
+        new_poll_count = len(new.got)
+        await wait_until(lambda: len(new.got) > new_poll_count)  # it is silent, and polled again
+        assert (len(old.got), edge.running.done()) == (old_poll_count, False)
 
 
 @in_event_loop
@@ -95,10 +95,13 @@
 
 @in_event_loop
 async def test_a_start_waits_for_a_silent_agent_no_longer_than_the_drain_grace() -> None:
-    async with StubAppServer() as server, StubAppServer(*[None] * 9) as agent:
-        async with RunningNode(server.address, discovery="{}:{}".format(*agent.address)) as edge:
-            assert (await edge.send_request(encode_request()))[1] == b"hello"
-            assert edge.program.config.deployment.drain_grace_ms == 250.0
+    async with (
+        StubAppServer() as server,
+        StubAppServer(*[None] * 9) as agent,
+        RunningNode(server.address, discovery="{}:{}".format(*agent.address)) as edge,
+    ):
+        assert (await edge.send_request(encode_request()))[1] == b"hello"
+        assert edge.program.config.deployment.drain_grace_ms == 250.0
 
 
 @in_event_loop
@@ -134,9 +137,7 @@
 @in_event_loop
 async def test_an_agent_with_a_malformed_or_no_answer_is_polled_again() -> None:
     nonsense = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]"
-    with mock.patch.object(
-        StalenessTracker, "on_poll_started", lambda self, now, long_poll_ms, *, after_move=False: 400.0
-    ):
+    with mock.patch.object(StalenessTracker, "on_poll_started", autospec=True, return_value=400.0):
         async with StubAppServer(
             (nonsense, False), None, (encode_list_response(5, "up"), False), None
         ) as agent:
--- a/tests/edge/test_shutdown_of_node.py
+++ b/tests/edge/test_shutdown_of_node.py
@@ -5,10 +5,9 @@
 import asyncio
 import signal
 import socket
+from typing import TYPE_CHECKING
 from unittest import mock
 
-import pytest
-
 from onyxpost.edge.messages import SendPeerMessage
 from tests.edge.event_loop import in_event_loop, wait_until
 from tests.edge.harness import (
@@ -17,6 +16,9 @@
     encode_request,
 )
 
+if TYPE_CHECKING:
+    import pytest
+
 
 @in_event_loop
 async def test_after_sigterm_accepted_and_late_requests_are_answered() -> None:
@@ -49,7 +51,8 @@
     async def until_accepted(seconds: float) -> None:
         nonlocal accepted_turns
         if seconds != 0.6:
-            return await original_sleep(seconds)
+            await original_sleep(seconds)
+            return
         late.connect(edge.address)  # the kernel takes it at once
         late.sendall(encode_request(trace="late"))
         again = asyncio.get_running_loop().create_future()
--- a/tests/edge/test_state_machine.py
+++ b/tests/edge/test_state_machine.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from math import inf
-from typing import Any
+from typing import TYPE_CHECKING, Any
 from unittest import mock
 
 import pytest
@@ -33,6 +32,9 @@
 from onyxpost.runtime.log_event import LogEvent
 from tests.edge.harness import CLIENT_REQUEST, SETTINGS, node_fields
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
 DEPLOYMENT = deployment.decode_deployment(SETTINGS)
 ENDPOINT_FIELDS = {"instanceId": "s0", "hostPort": "127.0.0.1:9", "lifecycle": "up"}
 ENDPOINT = Endpoint("s0", ("127.0.0.1", 9))
--- a/tests/edge/test_upstream_responses.py
+++ b/tests/edge/test_upstream_responses.py
@@ -4,8 +4,7 @@
 
 import asyncio
 import socket
-
-import pytest
+from typing import TYPE_CHECKING
 
 from onyxpost.core.types import AttemptResult
 from onyxpost.edge import upstream_pool
@@ -20,6 +19,9 @@
 )
 from tests.edge.harness import upstream_pool as create_pool
 
+if TYPE_CHECKING:
+    import pytest
+
 
 @in_event_loop
 async def test_a_response_is_forwarded_unchanged_and_its_connection_reused(
@@ -55,13 +57,13 @@
 
 @in_event_loop
 async def test_unsolicited_bytes_do_not_answer_the_next_request() -> None:
-    async with StubAppServer(
-        (UPSTREAM_ANSWER + UPSTREAM_ANSWER.replace(b"hello", b"other"), False)
-    ) as server:
-        async with RunningNode(server.address) as edge:
-            assert (await edge.send_request(encode_request(trace="a")))[1] == b"hello"
-            assert (await edge.send_request(encode_request(trace="b")))[1] == b"hello"
-            assert server.opened == 2
+    async with (
+        StubAppServer((UPSTREAM_ANSWER + UPSTREAM_ANSWER.replace(b"hello", b"other"), False)) as server,
+        RunningNode(server.address) as edge,
+    ):
+        assert (await edge.send_request(encode_request(trace="a")))[1] == b"hello"
+        assert (await edge.send_request(encode_request(trace="b")))[1] == b"hello"
+        assert server.opened == 2
 
 
 @in_event_loop
--- a/tests/forwarder/test_planner_client.py
+++ b/tests/forwarder/test_planner_client.py
@@ -12,7 +12,6 @@
 from onyxpost.forwarder.cached_lease import CachedLease
 from onyxpost.forwarder.planner_client import PlannerClient
 from onyxpost.planner import protocol
-from onyxpost.runtime.log_event import LogEvent
 from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.simulation import virtual_time
 from tests.cluster.slow_socket import count_messages, limit_receive_buffer, send_and_read_to_end
@@ -23,6 +22,7 @@
     from collections.abc import Callable
 
     from onyxpost.planner.planner import Planner
+    from onyxpost.runtime.log_event import LogEvent
 
 
 LEASE_COUNT = 1000
--- a/tests/planner/cluster.py
+++ b/tests/planner/cluster.py
@@ -8,7 +8,6 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from onyxpost.config.address import Address
 from onyxpost.core.types import Plan
 from onyxpost.planner.config import PlannerConfig
 from onyxpost.planner.lease_terms import LeaseTerms
@@ -22,6 +21,8 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
+    from onyxpost.config.address import Address
+
 LEASE_TERMS = LeaseTerms(1000.0, 0.01)
 PORT = 7000
 PLAN = Plan("p", 40.0, 60.0, 0, 1.0, 60.0, 80.0)
--- a/tests/process/conftest.py
+++ b/tests/process/conftest.py
@@ -2,10 +2,13 @@
 
 from __future__ import annotations
 
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 
 @pytest.fixture
 def config_file(tmp_path: Path) -> Path:
--- a/tests/process/operator_errors.py
+++ b/tests/process/operator_errors.py
@@ -2,13 +2,15 @@
 
 from __future__ import annotations
 
-import io
 import json
 import re
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from onyxpost.errors import OperatorError
+if TYPE_CHECKING:
+    import io
+
+    from onyxpost.errors import OperatorError
 
 PLANNER: dict[str, Any] = json.loads(Path("deploy/example-planner.json").read_text())
 
--- a/tests/process/test_operator_errors.py
+++ b/tests/process/test_operator_errors.py
@@ -6,8 +6,8 @@
 import importlib
 import pkgutil
 import re
-from collections.abc import Iterator
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
@@ -15,6 +15,9 @@
 from onyxpost import errors
 from onyxpost.errors import OperatorError
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
 ON_CALL_PAGE = Path("docs/on-call.md").read_text()
 
 
--- a/tests/process/test_rejected_reloads.py
+++ b/tests/process/test_rejected_reloads.py
@@ -5,12 +5,11 @@
 import asyncio
 import io
 import signal
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
 from onyxpost import errors
-from onyxpost.errors import OperatorError
 from onyxpost.planner import config
 from onyxpost.planner.errors import RestartRequiredError
 from onyxpost.planner.planner import Planner
@@ -18,6 +17,9 @@
 from tests.edge.harness import RunningNode, node_fields
 from tests.process.operator_errors import PLANNER, rejected_reloads
 
+if TYPE_CHECKING:
+    from onyxpost.errors import OperatorError
+
 
 @pytest.mark.parametrize(
     ("changed", "kind", "path"),
--- a/tests/process/test_reported_errors.py
+++ b/tests/process/test_reported_errors.py
@@ -7,15 +7,13 @@
 import socket
 import subprocess
 import sys
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 from click.testing import CliRunner
 
 from onyxpost import errors, process
 from onyxpost.cli import main
-from onyxpost.errors import OperatorError
 from onyxpost.node.serve import serve
 from onyxpost.planner import config
 from onyxpost.simulation.errors import (
@@ -29,6 +27,11 @@
 from tests.edge.harness import SETTINGS, node_fields
 from tests.process.operator_errors import PLANNER, assert_one_line
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
+    from onyxpost.errors import OperatorError
+
 TOO_MANY_OPEN_FILES = 24
 
 
--- a/tests/rollout/analysis_evidence.py
+++ b/tests/rollout/analysis_evidence.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from random import Random
+from typing import TYPE_CHECKING
 
 from onyxpost.rollout.analysis.decision import Decision, Outcome, decide
 from onyxpost.rollout.analysis.evidence import Evidence
@@ -10,6 +10,9 @@
 from onyxpost.rollout.metrics.aggregation import CounterIncrement, NodeActivity, Stratum
 from onyxpost.rollout.metrics.protocol import RequestCounters
 
+if TYPE_CHECKING:
+    from random import Random
+
 ALL_ACTIVE = NodeActivity(active=10, stalled=0, silent=0)
 LONG_ENOUGH_MS = 200_000.0
 
--- a/tests/rollout/test_routing_rules_matching.py
+++ b/tests/rollout/test_routing_rules_matching.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TYPE_CHECKING, Any
 from unittest import mock
 from zlib import crc32
 
@@ -15,10 +15,12 @@
 from onyxpost.rollout.routing_rules import compiled
 from onyxpost.rollout.routing_rules.compiled import CompiledConstraint, compile_rule
 from onyxpost.rollout.routing_rules.customer_hash import HASH_RANGE, customer_hash
-from onyxpost.rollout.routing_rules.reachability import TrafficClass
 from onyxpost.rollout.routing_rules.schema import Rule
 from tests.rollout.rules import ZONES, Server, compiled_rules, to_zones
 
+if TYPE_CHECKING:
+    from onyxpost.rollout.routing_rules.reachability import TrafficClass
+
 CUSTOMERS = [crc32(f"c{index}".encode()) for index in range(60)]
 SERVER_IDS = [f"s{index}" for index in range(6)]
 ATTRIBUTES = (("zone", "zones"), ("cell", "cells"), ("id", "names"))
--- a/tests/rollout/test_routing_rules_reload.py
+++ b/tests/rollout/test_routing_rules_reload.py
@@ -11,7 +11,6 @@
 
 import pytest
 
-from onyxpost.errors import OperatorError
 from onyxpost.node.serve import serve
 from onyxpost.policy.gateway import Gateway
 from onyxpost.rollout.routing_rules.errors import (
@@ -26,6 +25,8 @@
     from collections.abc import Callable
     from pathlib import Path
 
+    from onyxpost.errors import OperatorError
+
 APPLIED = "routing rules applied"
 REJECTED = "routing rules rejected"
 UNUSED_SERVER = ("127.0.0.1", 9)
--- a/tests/simulation/test_commands.py
+++ b/tests/simulation/test_commands.py
@@ -4,8 +4,7 @@
 
 import subprocess
 import sys
-from collections.abc import Callable
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 import pytest
@@ -23,6 +22,10 @@
     warn_deprecated,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from pathlib import Path
+
 DEPRECATED = "is deprecated, use"
 
 
