--- a/tests/compatibility/command_cases.py
+++ b/tests/compatibility/command_cases.py
@@ -49,16 +49,16 @@
 class Command:
     """A command in which FOLDER stands for the place of its files, HELD_PORT for a port in use."""
 
-    words: str | list[str]
+    arguments: str | list[str]
     files: Files = field(default_factory=dict)
     environment: dict[str, str] = field(default_factory=dict)
     own_process: bool = False
 
     def case(self) -> dict[str, Any]:
         """The form in which it is recorded."""
-        words = self.words.split() if isinstance(self.words, str) else self.words
+        arguments = self.arguments.split() if isinstance(self.arguments, str) else self.arguments
         return {
-            "command": words,
+            "command": arguments,
             "files": self.files,
             "environment": self.environment,
             "own process": self.own_process,
@@ -76,10 +76,10 @@
         "lab run": emulator_commands(),
         "lab compare": compare_commands(),
         "lab seeds": seeds_commands(),
-        "lab rig": rig_commands(),
+        "lab rig": process_commands(),
         "lab load": load_commands(),
         "lab stand": stand_commands(),
-        "lab town": town_commands(),
+        "lab town": planner_cluster_commands(),
     }
     return {f"{group}: {name}": one for group, cases in groups.items() for name, one in cases.items()}
 
@@ -107,7 +107,7 @@
     named = {"EDGE_CONFIG": "FOLDER/config.json"}
     good = inputs.changed("node", lambda f: f)
     held = inputs.changed("node", hold_node_port)
-    unheard = inputs.changed("node", without_peers)
+    without_peers_file = inputs.changed("node", without_peers)
     no_listen = inputs.changed("node", lambda f: f.pop("listen"))
     no_json: Files = {"config.json": '{"name": '}
     return {
@@ -125,7 +125,7 @@
         "name variable empty": Command("serve", held, {**named, "EDGE_NAME": ""}, own_process=True),
         "port in use": Command("serve", held, named, own_process=True),
         "port of a variable in use": Command(
-            "serve", unheard, {**named, "EDGE_LISTEN": "127.0.0.1:HELD_PORT"}, own_process=True
+            "serve", without_peers_file, {**named, "EDGE_LISTEN": "127.0.0.1:HELD_PORT"}, own_process=True
         ),
         "a planner's file": Command("serve", inputs.changed("planner", lambda f: f), named),
         "an argument": Command("serve x"),
@@ -358,7 +358,7 @@
     }
 
 
-def rig_commands() -> dict[str, Command]:
+def process_commands() -> dict[str, Command]:
     """Of the simulation with real processes, none of which comes to start one."""
     scenario = {"own.toml": PROCESSES_SCENARIO}
 
@@ -470,9 +470,9 @@
     node = inputs.changed("node", lambda f: f)
 
     def stood(options: str = "", faults: str = STUB_FAULTS, discovery: str = "127.0.0.1:0") -> Command:
-        words = "lab stand FOLDER/out.json --example FOLDER/config.json --faults FOLDER/faults.toml"
-        words += f" --discovery {discovery} --seconds 0.1 {options}"
-        return Command(words, {**node, "faults.toml": faults})
+        arguments = "lab stand FOLDER/out.json --example FOLDER/config.json --faults FOLDER/faults.toml"
+        arguments += f" --discovery {discovery} --seconds 0.1 {options}"
+        return Command(arguments, {**node, "faults.toml": faults})
 
     short = "--discovery 127.0.0.1:0 --seconds 0.1"
     return {
@@ -504,7 +504,7 @@
     }
 
 
-def town_commands() -> dict[str, Command]:
+def planner_cluster_commands() -> dict[str, Command]:
     """Of the planner cluster, none of which comes to start a process."""
     options = {
         "seconds none": "--seconds 0",
--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -123,35 +123,35 @@
     return recorded
 
 
-def without_deprecation(words: list[str], error: str) -> str:
+def without_deprecation(arguments: list[str], error: str) -> str:
     """Standard error without the one line that announces an old spelling; a second such line stays."""
-    if any(word in OLD_SPELLINGS for word in words) and (announced := DEPRECATION.match(error)):
+    if any(argument in OLD_SPELLINGS for argument in arguments) and (announced := DEPRECATION.match(error)):
         return error[announced.end() :]
     return error
 
 
-def run(words: list[str], environment: dict[str, str] | None = None) -> Result:
+def run(arguments: list[str], environment: dict[str, str] | None = None) -> Result:
     """Runs a command in this process. Raises what the command did not handle."""
     unset: dict[str, str | None] = {name: None for name in os.environ if name.startswith("EDGE_")}
     with signals_restored():
-        done = CliRunner().invoke(cli.main, words, env=unset | (environment or {}))
+        done = CliRunner().invoke(cli.main, arguments, env=unset | (environment or {}))
     if done.exception is not None and not isinstance(done.exception, SystemExit):
         raise done.exception
-    return Result(done.exit_code, done.stdout, without_deprecation(words, done.stderr))
+    return Result(done.exit_code, done.stdout, without_deprecation(arguments, done.stderr))
 
 
-def run_process(words: list[str], environment: dict[str, str] | None = None) -> Result:
+def run_process(arguments: list[str], environment: dict[str, str] | None = None) -> Result:
     """Runs a command as `python -m onyxpost`."""
     inherited = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
     done = subprocess.run(
-        [sys.executable, "-m", "onyxpost", *words],
+        [sys.executable, "-m", "onyxpost", *arguments],
         env=inherited | (environment or {}),
         capture_output=True,
         text=True,
         timeout=PROCESS_TIMEOUT_SECONDS,
         check=False,
     )
-    return Result(done.returncode, done.stdout, without_deprecation(words, done.stderr))
+    return Result(done.returncode, done.stdout, without_deprecation(arguments, done.stderr))
 
 
 def refusal(error: str) -> dict[str, str]:
@@ -191,9 +191,9 @@
 
         for name, text in case["files"].items():
             (folder / name).write_text(filled(text), encoding="utf-8")
-        words = [filled(word) for word in case["command"]]
+        arguments = [filled(argument) for argument in case["command"]]
         environment = {name: filled(value) for name, value in case["environment"].items()}
-        result = run_process(words, environment) if case["own process"] else run(words, environment)
+        result = run_process(arguments, environment) if case["own process"] else run(arguments, environment)
         error = result.error.replace(str(folder), FOLDER).replace(port, HELD_PORT)
     # What a command that succeeds writes to standard error beside its results may hold times.
     return {"exit code": int(result.exit_code), "refusal": refusal(error) if result.exit_code else None}
--- a/tests/compatibility/discrete_event_digests.py
+++ b/tests/compatibility/discrete_event_digests.py
@@ -19,7 +19,8 @@
     from collections import Counter
     from collections.abc import Iterator
 
-EMULATOR_NODES = EMULATOR_SERVERS = 6
+EMULATOR_NODES = 6
+EMULATOR_SERVERS = 6
 EMULATOR_RUNS = (
     ("calm", 1),
     ("many-killed", 2),
--- a/tests/compatibility/inputs.py
+++ b/tests/compatibility/inputs.py
@@ -49,14 +49,14 @@
     return {"config.json": json.dumps(fields)}
 
 
-def ruled(text: str) -> Files:
+def node_with_rules(text: str) -> Files:
     """A node's file with rules of its own beside it."""
     return {**changed("ruled", lambda f: f.update(rules="rules.toml")), "rules.toml": text}
 
 
 def rule(body: str) -> Files:
     """A node's file with one rule."""
-    return ruled(f"version = 1\n[[rules]]\n{body}\n")
+    return node_with_rules(f"version = 1\n[[rules]]\n{body}\n")
 
 
 def bad_configs() -> dict[str, Files]:
@@ -90,8 +90,8 @@
         "planner out of its planners": changed("planner", lambda f: f.update(name="p9")),
         "planner with a forwarder twice": changed("planner", lambda f: f.update(forwarders=["f0", "f0"])),
         "planner with a short lease": changed("planner", lambda f: f.update(lease_ms=1)),
-        "rules are no TOML": ruled("version ="),
-        "rules without a version": ruled("rules = []"),
+        "rules are no TOML": node_with_rules("version ="),
+        "rules without a version": node_with_rules("rules = []"),
         "rules file is missing": changed("ruled", lambda f: f.update(rules="none.toml")),
         "rule with an unknown key": rule("unknown = 1"),
         "rule of an unknown frontend": rule('frontends = ["x"]'),
@@ -99,7 +99,9 @@
         "rule without a last fallback": rule('servers = {zones = ["a"]}'),
         "rule that names no server": rule('servers = {fallbacks = ["any"]}'),
         "rule with a share above 1": rule("customers = {share = 1.5}"),
-        "rule that never matches": ruled("version = 1\n[[rules]]\nattempts = 1\n[[rules]]\nattempts = 2\n"),
+        "rule that never matches": node_with_rules(
+            "version = 1\n[[rules]]\nattempts = 1\n[[rules]]\nattempts = 2\n"
+        ),
         "fallback after any": rule('servers = {zones = ["a"], fallbacks = ["any", "any"]}'),
     }
 
--- a/tests/compatibility/meanings.py
+++ b/tests/compatibility/meanings.py
@@ -71,7 +71,7 @@
     try:
         acceptor_log = AcceptorLog(str(path))
     except AcceptorLogError as error:
-        return {"refused": {"place": place_in(str(error)), "remedy": error.remedy}}
+        return {"refused": {"place": error_location(str(error)), "remedy": error.remedy}}
     acceptor_log.close()
     leases = {name: voter_state(state) for name, state in acceptor_log.states.items()}
     return {"leases": leases, "bytes kept": path.stat().st_size}
@@ -79,7 +79,8 @@
 
 def voter_state(state: AcceptorState) -> JsonObject:
     """What a voter must not forget of one lease."""
-    ballot, record = state.promised, state.record
+    ballot = state.promised
+    record = state.record
     return {
         "lease": state.role,
         "membership version": state.acceptor_set_version,
@@ -171,7 +172,8 @@
 
 def deployment(read: Any) -> JsonObject:
     """The part of a node's file that the simulator gives too."""
-    allowed, cold = read.limits, read.slow_start
+    allowed = read.limits
+    slow_start = read.slow_start
     return {
         "node number": read.node_index,
         "nodes": read.node_count,
@@ -179,10 +181,10 @@
         "frontends": [frontend(one) for one in read.frontends],
         "plans": [plan(one) for one in read.plans],
         "cold start": {
-            "start share": cold.initial_fraction,
-            "warm ms": cold.warmup_ms,
-            "overload multiple": cold.overload_multiple,
-            "overload window ms": cold.overload_window_ms,
+            "start share": slow_start.initial_fraction,
+            "warm ms": slow_start.warmup_ms,
+            "overload multiple": slow_start.overload_multiple,
+            "overload window ms": slow_start.overload_window_ms,
         },
         "allowed": {
             "attempts": allowed.max_attempts,
@@ -266,7 +268,9 @@
     """What rules look at in a server."""
 
     def __init__(self, name: str, zone: str, cell: int) -> None:
-        self.id, self.zone, self.cell = name, zone, cell
+        self.id = name
+        self.zone = zone
+        self.cell = cell
 
 
 CUSTOMER_HASHES = [number * 0x9E3779B1 % 2**32 for number in range(24)]
@@ -296,7 +300,8 @@
 
 def rule(read: schema.Rule) -> JsonObject:
     """One routing rule."""
-    customers, servers = read.customers, read.servers
+    customers = read.customers
+    servers = read.servers
     return {
         "name": read.name,
         "frontends": read.frontends,
@@ -338,7 +343,7 @@
         lines = results.read(path)
         compared = report.compare(report.read_runs(path), report.read_runs(path)) if is_run(lines) else []
     except OperatorError as error:
-        return {"refused": {"place": place_in(str(error)), "remedy": error.remedy}}
+        return {"refused": {"place": error_location(str(error)), "remedy": error.remedy}}
     columns = {row.figure: [row.first.low, row.first.mean, row.first.high] for row in compared}
     return {"lines": lines, "scenarios": sorted({row.scenario for row in compared}), "columns": columns}
 
@@ -361,7 +366,7 @@
 SCRIPT = FaultScript("edge-cuts", 7, 3, 4.0, FAULTS, mutation="")
 
 
-def rig_results() -> bytes:
+def process_results() -> bytes:
     """Results of a play with real processes."""
     violation = Violation(invariant="once", seed=7, at_ms=812.5, node="n0", description="ran twice")
     played = {"cut": 1, "groups": 1}
@@ -404,15 +409,15 @@
 # --- refusals by the command line -------------------------------------------------------------------------
 
 
-def place_in(text: str) -> str | None:
+def error_location(text: str) -> str | None:
     """The place that a message names: a key, a line or a byte."""
     found = re.search(r"`(\$[^`]*)`|(\bline \d+)|(\bbyte \d+)", text)
     return None if found is None else next(group for group in found.groups() if group)
 
 
-def run_command(words: list[str]) -> tuple[int, str]:
+def run_command(arguments: list[str]) -> tuple[int, str]:
     """Exit code and output of the command line, without the line that announces an old spelling."""
-    result = command_line.run(words)
+    result = command_line.run(arguments)
     return result.exit_code, result.output + result.error
 
 
--- a/tests/compatibility/record.py
+++ b/tests/compatibility/record.py
@@ -55,12 +55,13 @@
 
 def gossip_records() -> dict[str, Any]:
     """Datagrams of each case with what a receiver makes of them, and datagrams that are not taken."""
-    sent, taken = {}, {}
+    sent = {}
+    received_datagrams = {}
     for case in values.gossip_senders():
         sent[case] = values.gossip_datagrams(case)
         for number, (_, data) in enumerate(sent[case]):
             received = values.gossip_received(bytes.fromhex(data), 1)
-            taken[f"{case}, {number}"] = {"bytes": data, "peer": 1, "received": received}
+            received_datagrams[f"{case}, {number}"] = {"bytes": data, "peer": 1, "received": received}
     valid = bytes.fromhex(sent["a count"][0][1])
     wrong: dict[str, tuple[bytes, int | None]] = {
         "stranger": (valid, None),
@@ -76,8 +77,8 @@
     }
     for case, (bad, peer) in wrong.items():
         received = values.gossip_received(bad, peer)
-        taken[case] = {"bytes": bad.hex(), "peer": peer, "received": received}
-    return {"sent": sent, "received": taken}
+        received_datagrams[case] = {"bytes": bad.hex(), "peer": peer, "received": received}
+    return {"sent": sent, "received": received_datagrams}
 
 
 def split_records() -> list[dict[str, Any]]:
@@ -113,16 +114,16 @@
         (folder / name).write_text(text, encoding="utf-8")
 
 
-def refused_record(files: dict[str, str], words: list[str]) -> dict[str, Any]:
+def refused_record(files: dict[str, str], arguments: list[str]) -> dict[str, Any]:
     """Exit code, place and remedy of a command, in which FOLDER stands for where the files are."""
     with tempfile.TemporaryDirectory() as folder:
         write_files(Path(folder), files)
-        code, output = meanings.run_command([word.replace("FOLDER", folder) for word in words])
+        code, output = meanings.run_command([argument.replace("FOLDER", folder) for argument in arguments])
     remedy = meanings.remedy_in(output)
     if code == 0 or remedy is None:
-        raise SystemExit(f"not refused with a remedy: {words} {output}")
-    place = meanings.place_in(output)
-    return {"files": files, "command": words, "exit code": code, "place": place, "remedy": remedy}
+        raise SystemExit(f"not refused with a remedy: {arguments} {output}")
+    location = meanings.error_location(output)
+    return {"files": files, "command": arguments, "exit code": code, "place": location, "remedy": remedy}
 
 
 def refused_records() -> dict[str, Any]:
@@ -136,8 +137,8 @@
         ("replay", ["lab", "rig", "--replay", "FOLDER/script.json"], inputs.bad_scripts(script)),
     ]
     return {
-        f"{group}: {case}": refused_record(files, words)
-        for group, words, cases in groups
+        f"{group}: {case}": refused_record(files, arguments)
+        for group, arguments, cases in groups
         for case, files in cases.items()
     }
 
@@ -151,9 +152,9 @@
             data = meanings.write_voter_file(case, path)
             path.unlink()
             found["written"][case] = data.hex()
-        whole = bytes.fromhex(found["written"]["two leases"])
+        complete = bytes.fromhex(found["written"]["two leases"])
         cases = {case: bytes.fromhex(data) for case, data in found["written"].items()}
-        for case, data in (cases | inputs.bad_voter_files(whole, len(whole) - 1)).items():
+        for case, data in (cases | inputs.bad_voter_files(complete, len(complete) - 1)).items():
             path.write_bytes(data)
             found["read"][case] = {"bytes": data.hex(), "meaning": meanings.read_voter_file(path)}
     return found
@@ -161,7 +162,7 @@
 
 def result_records() -> dict[str, Any]:
     """Results of the laboratory and a kept fault script, with what each means."""
-    files = {"emulator": meanings.emulator_results(), "real processes": meanings.rig_results()}
+    files = {"emulator": meanings.emulator_results(), "real processes": meanings.process_results()}
     found = {}
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "results.jsonl")
--- a/tests/compatibility/record_http_and_wire.py
+++ b/tests/compatibility/record_http_and_wire.py
@@ -211,16 +211,18 @@
         ("late", b"", "hang"),
     ):  # fmt: skip
         for frontend in METHODS:
-            ask, until = client(request(frontend)), 3000.0 if then == "hang" else 1500.0
+            client_script = client(request(frontend))
+            until = 3000.0 if then == "hang" else 1500.0
             yield (
                 f"{name} of all servers, {frontend}",
-                case(ask, servers=[[(text, then)] * 4] * 3, until_ms=until),
+                case(client_script, servers=[[(text, then)] * 4] * 3, until_ms=until),
             )
-            bad, good = [(text, then)] * 3, [(PAGE, "keep")] * 3
+            bad = [(text, then)] * 3
+            good = [(PAGE, "keep")] * 3
             for number, servers in enumerate(([bad, good], [good, bad])):
                 yield (
                     f"{name} of server {number} only, {frontend}",
-                    case(ask, servers=servers, until_ms=until),
+                    case(client_script, servers=servers, until_ms=until),
                 )
     yield "no server listens, get", case(client(request()), servers=[], absent=3)
     yield "no server listens, fragile", case(client(request("pay")), servers=[], absent=3)
@@ -357,8 +359,14 @@
 # The simulator's wire
 
 SECOND = 1_000_000  # simulated time is in whole microseconds
-READY, DRAINING, GONE = 1, 2, 0
-CHANGES, COMPLETE, FAILED = 0, 1, 3  # scopes of a list of servers
+# Conditions of a server.
+GONE = 0
+READY = 1
+DRAINING = 2
+# Scopes of a list of servers.
+CHANGES = 0
+COMPLETE = 1
+FAILED = 3
 FRONTENDS: list[Fields] = [
     {"name": "look", "aim_us": 300_000, "deadline_us": 900_000, "effect": "retryable", "worth": 2.0},
     {"name": "file", "aim_us": 400_000, "deadline_us": 1_500_000, "effect": "dedup", "group": "all",
@@ -394,14 +402,14 @@
         self, seed: int, instances: int, servers: int, seconds: float, rate: float, *, spread: int = 3,
         discovery: str = "pushed", **bounds: Any,
     ) -> None:  # fmt: skip
-        self.seed, self.instances, self.servers, self.seconds, self.rate = (
-            seed,
-            instances,
-            servers,
-            seconds,
-            rate,
-        )
-        self.spread, self.discovery, self.bounds = spread, discovery, BOUNDS | bounds
+        self.seed = seed
+        self.instances = instances
+        self.servers = servers
+        self.seconds = seconds
+        self.rate = rate
+        self.spread = spread
+        self.discovery = discovery
+        self.bounds = BOUNDS | bounds
 
     def settings(self, ordinal: int) -> Fields:
         return {
@@ -437,7 +445,9 @@
     """A client's request at one instance."""
 
     def __init__(self, node: int, ref: str, streamed: bool) -> None:
-        self.node, self.ref, self.streamed = node, ref, streamed
+        self.node = node
+        self.ref = ref
+        self.streamed = streamed
         self.answered = False
         self.attempts: list[bool] = []  # whether each is out
 
@@ -446,14 +456,16 @@
     """Clients, app servers and messages around the real program, by a seed; keeps all that was said."""
 
     def __init__(self, scenario: Scenario) -> None:
-        self.scenario, self.random = scenario, Random(scenario.seed)
+        self.scenario = scenario
+        self.random = Random(scenario.seed)
         self.now = 0
         self.due: list[tuple[int, int, Callable[[], None]]] = []
-        self.order = self.refs = 0
-        self.news: list[Fields] = []
+        self.order = 0
+        self.refs = 0
+        self.events: list[Fields] = []
         self.requests: dict[tuple[int, str], Request] = {}
         self.alive: set[int] = set()
-        self.lives: Counter[int] = Counter()
+        self.incarnations: Counter[int] = Counter()
         self.load: Counter[str] = Counter()  # attempts out, by server
         self.up_since = {f"s{number}": 0 for number in range(scenario.servers)}
         self.condition = dict.fromkeys(self.up_since, READY)
@@ -468,8 +480,8 @@
         self.order += 1
         heapq.heappush(self.due, (max(round(when), self.now + 1), self.order, what))
 
-    def tell(self, name: str, node: int, **fields: Any) -> None:
-        self.news.append({name: {"node_id": node, **fields}})
+    def send_event(self, name: str, node: int, **fields: Any) -> None:
+        self.events.append({name: {"node_id": node, **fields}})
 
     def run(self) -> None:
         self.plan()
@@ -477,7 +489,7 @@
             self.now = self.due[0][0]
             while self.due and self.due[0][0] == self.now:
                 heapq.heappop(self.due)[2]()
-            if self.news:
+            if self.events:
                 self.exchange()
         assert self.program.stdin is not None
         self.program.stdin.close()
@@ -486,9 +498,9 @@
     def exchange(self) -> None:
         assert self.program.stdin is not None
         assert self.program.stdout is not None
-        batch = {"at_time_us": self.now, "news": self.news}
+        batch = {"at_time_us": self.now, "news": self.events}
         line = json.dumps(batch, separators=(",", ":")).encode() + b"\n"
-        self.news = []
+        self.events = []
         self.program.stdin.write(line)
         self.program.stdin.flush()
         reply = self.program.stdout.readline()
@@ -499,7 +511,8 @@
 
     def plan(self) -> None:
         """The whole run's timetable: starts, load, and troubles by their share of the run."""
-        scenario, length = self.scenario, self.scenario.seconds * SECOND
+        scenario = self.scenario
+        length = scenario.seconds * SECOND
         for node in range(scenario.instances):
             self.at(10 + node * 7000, partial(self.start, node))
         self.at(200_000, self.arrive)
@@ -527,21 +540,21 @@
 
     def start(self, node: int) -> None:
         self.alive.add(node)
-        self.lives[node] += 1
-        seed = self.scenario.seed * 100 + node * 10 + self.lives[node]
-        self.tell("Attach", node, init_seed=seed, params=self.scenario.settings(node))
-        self.tell_list(node, COMPLETE, list(self.condition))
+        self.incarnations[node] += 1
+        seed = self.scenario.seed * 100 + node * 10 + self.incarnations[node]
+        self.send_event("Attach", node, init_seed=seed, params=self.scenario.settings(node))
+        self.send_list(node, COMPLETE, list(self.condition))
 
     def restart_node(self, node: int) -> None:
         self.alive.discard(node)
-        self.tell("Teardown", node)
+        self.send_event("Teardown", node)
         self.at(self.now + 300_000, lambda: self.start(node))
 
-    def tell_list(self, node: int, scope: int, servers: list[str]) -> None:
+    def send_list(self, node: int, scope: int, servers: list[str]) -> None:
         if node not in self.alive:
             return
         if scope == FAILED:
-            self.tell("Sync", node, scope=FAILED)
+            self.send_event("Sync", node, scope=FAILED)
             return
         rows = []
         for server in servers:
@@ -549,12 +562,12 @@
             row: Fields = {"server": server, "zone": f"z{number % 3}", "cohort": number % 2}
             row |= {"condition": self.condition[server], "up_since_us": self.up_since[server]}
             rows.append(row | ({"scale": 1.5} if number % 2 else {}))
-        self.tell("Sync", node, scope=scope, rows=rows)
+        self.send_event("Sync", node, scope=scope, rows=rows)
 
     def change(self, server: str, condition: int) -> None:
         self.condition[server] = condition
         for node in range(self.scenario.instances):
-            self.at(self.now + 3000 * (node + 1), partial(self.tell_list, node, CHANGES, [server]))
+            self.at(self.now + 3000 * (node + 1), partial(self.send_list, node, CHANGES, [server]))
 
     def restart_server(self, server: str) -> None:
         self.up_since[server] = self.now
@@ -562,7 +575,7 @@
 
     def list_all(self) -> None:
         for node in sorted(self.alive):
-            self.tell_list(node, COMPLETE, [s for s in self.condition if s != "s2"])
+            self.send_list(node, COMPLETE, [s for s in self.condition if s != "s2"])
 
     def fail(self, server: str, how: str) -> None:
         self.failing[server] = how
@@ -592,14 +605,16 @@
             "cost_units": self.random.choice([1, 1, 2, 3]),
         }
         spread = min(self.scenario.spread, self.scenario.instances)
-        self.tell("Accept", node, ref=request.ref, **fields, spread=spread, first_door=customer % spread)
+        self.send_event(
+            "Accept", node, ref=request.ref, **fields, spread=spread, first_door=customer % spread
+        )
         if self.random.random() < 0.06:
             self.at(self.now + self.random.randrange(2000, 60_000), lambda: self.leave(request))
 
     def leave(self, request: Request) -> None:
         if request.node in self.alive and not request.answered:
             request.answered = True
-            self.tell("CancelledByClient", request.node, ref=request.ref)
+            self.send_event("CancelledByClient", request.node, ref=request.ref)
 
     # What the program decides
 
@@ -611,30 +626,33 @@
             case "Reject" | "EndFailed":
                 self.requests[node, fields["ref"]].answered = True
             case "UndoSend":
-                request, number = self.requests[node, fields["ref"]], fields["round_no"]
+                request = self.requests[node, fields["ref"]]
+                number = fields["round_no"]
                 late = self.random.randrange(200, 3000)
                 self.at(self.now + late, lambda: self.end(request, number, "revoked", late))
             case "Post" if self.random.random() < 0.95:
-                peer, told = fields["peer"], {"src_peer": node, "body": fields["body"]}
-                self.at(self.now + self.random.randrange(500, 4000), lambda: self.hear(peer, told))
+                peer = fields["peer"]
+                message = {"src_peer": node, "body": fields["body"]}
+                self.at(self.now + self.random.randrange(500, 4000), lambda: self.hear(peer, message))
             case "After":
-                life, nonce = self.lives[node], fields["nonce"]
-                self.at(self.now + fields["offset_us"], lambda: self.fire(node, life, nonce))
+                incarnation = self.incarnations[node]
+                nonce = fields["nonce"]
+                self.at(self.now + fields["offset_us"], lambda: self.fire(node, incarnation, nonce))
             case "KeepInformed":
                 scope = FAILED if self.random.random() < 0.4 else COMPLETE
-                self.at(self.now + 20_000, lambda: self.tell_list(node, scope, list(self.condition)))
+                self.at(self.now + 20_000, lambda: self.send_list(node, scope, list(self.condition)))
 
-    def hear(self, peer: int, told: Fields) -> None:
+    def hear(self, peer: int, message: Fields) -> None:
         if peer in self.alive:
-            self.tell("Message", peer, **told)
+            self.send_event("Message", peer, **message)
             if self.random.random() < 0.02:
-                self.tell("Message", peer, src_peer=told["src_peer"], body="ffff 1:2:zz")
+                self.send_event("Message", peer, src_peer=message["src_peer"], body="ffff 1:2:zz")
 
-    def fire(self, node: int, life: int, nonce: int) -> None:
-        if node in self.alive and self.lives[node] == life:
-            self.tell("TimeoutFired", node, nonce=nonce)
+    def fire(self, node: int, incarnation: int, nonce: int) -> None:
+        if node in self.alive and self.incarnations[node] == incarnation:
+            self.send_event("TimeoutFired", node, nonce=nonce)
 
-    def attempt(self, request: Request, server: str, most: int) -> None:
+    def attempt(self, request: Request, server: str, timeout_us: int) -> None:
         """How an attempt will end, and when."""
         number = len(request.attempts)
         request.attempts.append(True)
@@ -644,24 +662,25 @@
         result = result or self.random.choice(["app_error", "shed", "dropped", "dial_failed", "unused"])
         if self.condition[server] != READY:
             result = "shed"
-        took = self.random.uniform(8_000, 30_000) * self.slowness * (1.0 + 0.15 * self.load[server])
+        duration_us = self.random.uniform(8_000, 30_000) * self.slowness * (1.0 + 0.15 * self.load[server])
         if result not in ("delivered", "app_error", "expired"):
-            took = self.random.uniform(500, 5_000)
-        if took > most or result == "expired":
-            result, took = "expired", float(most)
+            duration_us = self.random.uniform(500, 5_000)
+        if duration_us > timeout_us or result == "expired":
+            result = "expired"
+            duration_us = float(timeout_us)
         if result == "delivered" and request.streamed:
-            self.at(self.now + took / 2.0, lambda: self.stream(request, number))
-        waited = round(took)
+            self.at(self.now + duration_us / 2.0, lambda: self.stream(request, number))
+        waited = round(duration_us)
 
         def ended() -> None:
             self.load[server] -= 1
             self.end(request, number, result, waited)
 
-        self.at(self.now + took, ended)
+        self.at(self.now + duration_us, ended)
 
     def stream(self, request: Request, number: int) -> None:
         if request.node in self.alive and request.attempts[number] and not request.answered:
-            self.tell("Headers", request.node, ref=request.ref)
+            self.send_event("Headers", request.node, ref=request.ref)
 
     def end(self, request: Request, number: int, result: str, waited: int) -> None:
         if not request.attempts[number]:
@@ -673,9 +692,9 @@
         fields: Fields = {"ref": request.ref, "round_no": number, "rc": result, "wait_time_us": waited}
         if result == "delivered" and self.random.random() < 0.15:
             fields["actual"] = self.random.choice([1, 2, 4])
-        self.tell("Completed", request.node, **fields, settled=request.answered)
+        self.send_event("Completed", request.node, **fields, settled=request.answered)
         if self.random.random() < 0.01:
-            self.tell("Total", request.node, total=1)  # the program passes it over
+            self.send_event("Total", request.node, total=1)  # the program passes it over
 
 
 def record_wire(path: Path, scenario: Scenario) -> None:
@@ -689,7 +708,7 @@
     print(path.name, path.stat().st_size, "bytes,", len(world.lines) // 2, "batches")
     print(" ", dict(wire.count(world.lines[0::2], "news")))
     print(" ", dict(wire.count(world.lines[1::2], "output")))
-    print(" ", Counter(" ".join(word for word in text.split() if word.isalpha()) for text in logged))
+    print(" ", Counter(" ".join(token for token in text.split() if token.isalpha()) for text in logged))
 
 
 def main() -> None:
--- a/tests/compatibility/record_simulations.py
+++ b/tests/compatibility/record_simulations.py
@@ -14,14 +14,14 @@
 from tests.compatibility import command_cases, command_line, simulation_meanings
 from tests.compatibility.simulation_meanings import ScriptDraw
 
-WHOLE_SEEDS = range(1, 4)  # scripts that are kept whole
+KEPT_SEEDS = range(1, 4)  # scripts that are kept whole
 DIGEST_SEEDS = range(50)  # scripts of which the digest is kept
 SIZES: tuple[tuple[int | None, float | None], ...] = (
     (1, None), (2, None), (3, 4.0), (7, 60.0), (64, 600.0), (None, 2.0),
 )  # fmt: skip
 SIZE_SEED = 11
 MUTATION = "deaf-to-drains"
-DETERMINISTIC_WHOLE_SEEDS = range(10)
+DETERMINISTIC_KEPT_SEEDS = range(10)
 DETERMINISTIC_DIGEST_SEEDS = range(400)
 
 ALL_KINDS = (
@@ -69,7 +69,7 @@
         script = drawn(ScriptDraw(scenario, SIZE_SEED, nodes, seconds))
         sizes.append({"nodes": nodes, "seconds": seconds, "script": sha256(script).hexdigest()})
     return {
-        "whole": {str(seed): drawn(ScriptDraw(scenario, seed)).decode() for seed in WHOLE_SEEDS},
+        "whole": {str(seed): drawn(ScriptDraw(scenario, seed)).decode() for seed in KEPT_SEEDS},
         "digests": digests([drawn(ScriptDraw(scenario, seed)) for seed in DIGEST_SEEDS]),
         "sizes": sizes,
         "mutation": drawn(ScriptDraw(scenario, SIZE_SEED, 3, 4.0, MUTATION)).decode(),
@@ -89,7 +89,7 @@
         "real processes": found,
         "own scenarios": OWN_SCENARIOS,
         "deterministic": {
-            "whole": {str(seed): line(seed).decode() for seed in DETERMINISTIC_WHOLE_SEEDS},
+            "whole": {str(seed): line(seed).decode() for seed in DETERMINISTIC_KEPT_SEEDS},
             "digests": digests([line(seed) for seed in DETERMINISTIC_DIGEST_SEEDS]),
         },
     }
@@ -111,11 +111,11 @@
 # --- results and kept scripts -----------------------------------------------------------------------------
 
 
-def run_lab(words: list[str], wanted_exit_code: int) -> None:
+def run_lab(arguments: list[str], wanted_exit_code: int) -> None:
     """Runs a command whose results are kept. Ends the recording where it does not go as expected."""
-    result = command_line.run(["lab", *words])
+    result = command_line.run(["lab", *arguments])
     if result.exit_code != wanted_exit_code:
-        raise SystemExit(f"{words}: {result}")
+        raise SystemExit(f"{arguments}: {result}")
 
 
 def kept_run(folder: Path, name: str) -> dict[str, Any]:
@@ -125,12 +125,14 @@
         f'{{"scenario": "{scenario}", "seed": 3, "nodes": {nodes}, "seconds": {seconds},'
         f' "plant": "{mutation}", "version": 1, "faults": {faults}}}'
     )
-    script, out, kept = folder / f"{name}.json", folder / f"{name}.jsonl", folder / name
+    script = folder / f"{name}.json"
+    out = folder / f"{name}.jsonl"
+    kept = folder / name
     script.write_text(given, encoding="utf-8")
-    words = ["rig", "--replay", str(script), "--kept", str(kept), "--out", str(out)]
-    result = command_line.run_process(["lab", *words])
+    arguments = ["rig", "--replay", str(script), "--kept", str(kept), "--out", str(out)]
+    result = command_line.run_process(["lab", *arguments])
     if result.exit_code != 1:
-        raise SystemExit(f"{words}: {result}")
+        raise SystemExit(f"{arguments}: {result}")
     kept_script = (kept / f"{scenario}-3" / "script.json").read_text(encoding="utf-8")
     return {
         "given": given,
@@ -142,12 +144,14 @@
 
 def build_result_records() -> dict[str, Any]:
     """Files that commands of this build wrote, and what they are read as."""
-    with tempfile.TemporaryDirectory() as place:
-        folder = Path(place)
+    with tempfile.TemporaryDirectory() as folder_path:
+        folder = Path(folder_path)
         runs = {name: kept_run(folder, name) for name in KEPT_RUNS}
         scenario = folder / "short.toml"
         scenario.write_text(command_cases.SHORT_SCENARIO, encoding="utf-8")
-        emulated, seeds, failed = folder / "emulated", folder / "seeds", folder / "failed"
+        emulated = folder / "emulated"
+        seeds = folder / "seeds"
+        failed = folder / "failed"
         run_lab(["run", str(scenario), "--seeds", "1-3", "--jobs", "1", "--out", str(emulated)], 0)
         run_lab(["seeds", "--seeds", "0-3", "--jobs", "1", "--out", str(seeds)], 0)
         mutated = ["--plant", MUTATION, "--out", str(failed)]
--- a/tests/compatibility/test_build_results.py
+++ b/tests/compatibility/test_build_results.py
@@ -24,9 +24,9 @@
     return [{key: value for key, value in line.items() if key not in UNPINNED_KEYS} for line in lines]
 
 
-def written_again(words: list[str], out: Path, exit_code: int) -> str:
+def written_again(arguments: list[str], out: Path, exit_code: int) -> str:
     """What a command writes to `out` now."""
-    result = command_line.run(["lab", *words, "--jobs", "1", "--out", str(out)])
+    result = command_line.run(["lab", *arguments, "--jobs", "1", "--out", str(out)])
     assert result.exit_code == exit_code, result
     return out.read_text(encoding="utf-8")
 
--- a/tests/compatibility/test_commands.py
+++ b/tests/compatibility/test_commands.py
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "error", "remaining"),
+    ("arguments", "error", "remaining"),
     [
         (["lab", "run"], "onyxpost: `lab` is deprecated\nrefused\n", "refused\n"),
         (["lab", "run"], "refused\n", "refused\n"),
@@ -45,5 +45,7 @@
     ],
     ids=["announced", "not announced", "announced twice", "announced too late", "no old spelling"],
 )
-def test_one_line_alone_may_announce_an_old_spelling(words: list[str], error: str, remaining: str) -> None:
-    assert command_line.without_deprecation(words, error) == remaining
+def test_one_line_alone_may_announce_an_old_spelling(
+    arguments: list[str], error: str, remaining: str
+) -> None:
+    assert command_line.without_deprecation(arguments, error) == remaining
--- a/tests/compatibility/test_files.py
+++ b/tests/compatibility/test_files.py
@@ -45,15 +45,15 @@
 
 
 @pytest.mark.parametrize("case", REFUSED)
-def test_file_is_refused_with_exit_code_place_and_remedy(case: str, tmp_path: Path) -> None:
+def test_file_is_refused_with_exit_code_location_and_remedy(case: str, tmp_path: Path) -> None:
     """A bad file ends the command with one line that names the place and what to do."""
     record = REFUSED[case]
     write_files(tmp_path, record["files"])
-    words = [word.replace("FOLDER", str(tmp_path)) for word in record["command"]]
-    code, output = meanings.run_command(words)
+    arguments = [argument.replace("FOLDER", str(tmp_path)) for argument in record["command"]]
+    code, output = meanings.run_command(arguments)
     assert code == record["exit code"]
     assert output.count("\n") == 1
-    assert meanings.place_in(output) == record["place"]
+    assert meanings.error_location(output) == record["place"]
     assert output.rstrip().endswith(f"({command_line.current_wording(record['remedy'])})")
 
 
@@ -81,7 +81,7 @@
 
 def test_real_processes_results_are_written_as_recorded() -> None:
     """The lines of a play with real processes keep their keys and values."""
-    assert meanings.rig_results().decode() == RESULTS["real processes"]["text"]
+    assert meanings.process_results().decode() == RESULTS["real processes"]["text"]
 
 
 def test_emulator_results_keep_their_keys() -> None:
--- a/tests/compatibility/test_http_bytes.py
+++ b/tests/compatibility/test_http_bytes.py
@@ -175,7 +175,8 @@
             await wait_until(at_ms)
             connection.writer.write(unpacked(pieces))
 
-    received, ended = bytearray(), None
+    received = bytearray()
+    ended = None
     writing = loop.create_task(write_all())
     try:
         async with asyncio.timeout_at(START_SECONDS + until_ms / 1000.0):
--- a/tests/compatibility/test_protocols.py
+++ b/tests/compatibility/test_protocols.py
@@ -43,7 +43,8 @@
 @pytest.mark.parametrize("protocol", PROTOCOLS)
 def test_recorded_bytes_are_refused(protocol: str) -> None:
     """What an earlier build refused is refused for the same class of reason, every byte string of it."""
-    decode, refused = CURRENT[protocol].decode, PROTOCOLS[protocol]["refused"]
+    decode = CURRENT[protocol].decode
+    refused = PROTOCOLS[protocol]["refused"]
     found = {
         case: values.refusal_of(partial(decode, bytes.fromhex(record["bytes"])))
         for case, record in refused.items()
@@ -87,6 +88,8 @@
 
 def test_incarnations_are_written_and_sorted_as_before() -> None:
     """Of two starts of a node the order by text and token stays."""
-    texts = [values.new_life(now, token) for now, token in ((1700.9, "b"), (1700.0, "a"), (99.0, "z"))]
+    texts = [
+        values.incarnation_text(now, token) for now, token in ((1700.9, "b"), (1700.0, "a"), (99.0, "z"))
+    ]
     assert texts == ["1700-b", "1700-a", "99-z"]
-    assert sorted(texts, key=values.lives_in_order()) == ["99-z", "1700-a", "1700-b"]
+    assert sorted(texts, key=values.parse_incarnation()) == ["99-z", "1700-a", "1700-b"]
--- a/tests/compatibility/test_simulator_wire.py
+++ b/tests/compatibility/test_simulator_wire.py
@@ -20,7 +20,7 @@
 ROOT = Path(__file__).parents[2]
 DATA = Path(__file__).parent / "data"
 TRANSCRIPTS = sorted(DATA.glob("simulator_wire_*.jsonl.xz"))
-LEAST_ACTIONS = {
+MIN_ACTIONS = {
     "SubmitTo": 1500, "Reject": 500, "EndFailed": 20, "UndoSend": 40, "Post": 100, "After": 500,
     "KeepInformed": 4,
 }  # fmt: skip
@@ -74,9 +74,9 @@
     for path in TRANSCRIPTS:
         batches, replies = read_transcript(path)
         actions += count(replies, "output")
-        news = [item for line in batches for item in json.loads(line)["news"]]
-        results |= {item["Completed"]["rc"] for item in news if "Completed" in item}
-    assert {name: number for name, number in LEAST_ACTIONS.items() if actions[name] < number} == {}
+        events = [item for line in batches for item in json.loads(line)["news"]]
+        results |= {item["Completed"]["rc"] for item in events if "Completed" in item}
+    assert {name: number for name, number in MIN_ACTIONS.items() if actions[name] < number} == {}
     assert results == RESULT_CODES
     assert actions["Bug"] == 0
 
--- a/tests/compatibility/values.py
+++ b/tests/compatibility/values.py
@@ -27,8 +27,8 @@
 from onyxpost.core.options import GatewayOptions
 from onyxpost.core.usage_reports import Placement, UsageReport
 from onyxpost.edge.messages import decode_datagram, encode_datagram
-from onyxpost.leadership import errors as duty_errors
-from onyxpost.leadership import protocol as duty_messages
+from onyxpost.leadership import errors as leadership_errors
+from onyxpost.leadership import protocol as leadership_protocol
 from onyxpost.leadership.ballots import Ballot
 from onyxpost.planner import protocol as planner_protocol
 from onyxpost.policy.peer_usage import PeerUsageAccounting
@@ -50,7 +50,7 @@
 # The first type that matches names the refusal.
 REFUSALS: dict[type[Exception], str] = {
     cluster_errors.MalformedFrameError: MALFORMED,
-    duty_errors.MalformedMessageError: MALFORMED,
+    leadership_errors.MalformedMessageError: MALFORMED,
     msgspec.DecodeError: MALFORMED,
     EOFError: "end of stream",
     cluster_errors.FrameTooLongError: "too long",
@@ -58,7 +58,7 @@
     cluster_errors.UnknownSenderError: "unknown sender",
     cluster_errors.MemberNameMismatchError: "other receiver",
     cluster_errors.StaleIncarnationError: "earlier incarnation",
-    duty_errors.AcceptorLogError: "damaged file",
+    leadership_errors.AcceptorLogError: "damaged file",
     InvalidResultsError: "unusable results",
     SimulationFileError: "unreadable file",
     InvalidScenarioError: "unusable script",
@@ -141,7 +141,7 @@
             topic="t" * cluster_protocol.MAX_TOPIC_CHARS, body=bytes(range(256))
         ),
         "payload, a duty message": cluster_protocol.Payload(
-            topic=duty_messages.TOPIC, body=duty_messages.encode(duty_lookup())
+            topic=leadership_protocol.TOPIC, body=leadership_protocol.encode(status_query())
         ),
     }
 
@@ -179,36 +179,36 @@
     }
 
 
-def lives_in_order() -> Callable[[str], tuple[int, str]]:
+def parse_incarnation() -> Callable[[str], tuple[int, str]]:
     """The function that sorts incarnations by their start."""
     return Incarnation.parse
 
 
-def new_life(now: float, token: str) -> str:
+def incarnation_text(now: float, token: str) -> str:
     """The text of an incarnation that begins at `now`."""
     return str(Incarnation(int(now), token))
 
 
 BALLOT = Ballot(number=1_700_000_000_123, node="n1", incarnation=4)
-RECORD = duty_messages.Record(
+RECORD = leadership_protocol.Record(
     ballot_number=1_700_000_000_100, sequence=9, fencing_token=1_700_000_000_050, body=b"\x00state\xff"
 )
-EMPTY_RECORD = duty_messages.Record()
+EMPTY_RECORD = leadership_protocol.Record()
 
 
-def duty_lookup() -> Any:
+def status_query() -> Any:
     """The message that asks whether a lease is free."""
-    return duty_messages.StatusQuery(role="rollout", version=2, queried_at_ms=11)
+    return leadership_protocol.StatusQuery(role="rollout", version=2, queried_at_ms=11)
 
 
-def duty_refusal(reason: Any) -> Any:
+def rejection(reason: Any) -> Any:
     """A voter's refusal for one reason."""
-    return duty_messages.Reject(
+    return leadership_protocol.Reject(
         role="rollout",
         version=2,
         ballot=BALLOT,
         round_id=3,
-        reason=duty_messages.RejectReason(reason),
+        reason=leadership_protocol.RejectReason(reason),
         highest_ballot=1_700_000_000_999,
     )
 
@@ -216,10 +216,9 @@
 REFUSAL_REASONS = ("promised", "busy", "lacks", "silent", "ahead", "version", "lease")
 
 
-def duty_values() -> dict[str, Any]:
+def leadership_messages() -> dict[str, Any]:
     """Messages between the nodes that elect holders of duties."""
-    m = duty_messages
-    seen = m.StatusReply(
+    seen = leadership_protocol.StatusReply(
         role="rollout",
         version=2,
         queried_at_ms=11,
@@ -228,7 +227,7 @@
         leader="",
         highest_ballot=0,
     )
-    accept = m.Accept(
+    accept = leadership_protocol.Accept(
         role="rollout",
         version=2,
         ballot=BALLOT,
@@ -239,7 +238,7 @@
         record_epoch_ms=8,
         record=RECORD,
     )
-    told = m.RecoveryReply(
+    recovery_reply = leadership_protocol.RecoveryReply(
         role="rollout",
         version=2,
         queried_at_ms=11,
@@ -248,28 +247,32 @@
         record_epoch_ms=8,
         settled_version=2,
     )
-    release = m.Release(role="rollout", version=2, ballot=BALLOT, was_leader=True)
+    release = leadership_protocol.Release(role="rollout", version=2, ballot=BALLOT, was_leader=True)
     return {
-        "look": duty_lookup(),
+        "look": status_query(),
         "seen, free": seen,
         "seen, held": msgspec.structs.replace(
             seen, remaining_ms=1250.5, leader="n2", highest_ballot=1_700_000_000_123
         ),
         "seen, does not vote": msgspec.structs.replace(seen, is_voting=False),
-        "prepare": m.Prepare(role="rollout", version=2, ballot=BALLOT),
-        "promise": m.Promise(role="rollout", version=2, ballot=BALLOT, record=RECORD, record_epoch_ms=8),
-        "promise, empty record": m.Promise(
+        "prepare": leadership_protocol.Prepare(role="rollout", version=2, ballot=BALLOT),
+        "promise": leadership_protocol.Promise(
+            role="rollout", version=2, ballot=BALLOT, record=RECORD, record_epoch_ms=8
+        ),
+        "promise, empty record": leadership_protocol.Promise(
             role="rollout", version=2, ballot=BALLOT, record=EMPTY_RECORD, record_epoch_ms=0
         ),
         "accept, with record": accept,
         "accept, without record": msgspec.structs.replace(accept, record=None),
-        "accepted": m.Accepted(role="rollout", version=2, ballot=BALLOT, round_id=3, sequence=9),
-        **{f"refuse, {reason}": duty_refusal(reason) for reason in REFUSAL_REASONS},
+        "accepted": leadership_protocol.Accepted(
+            role="rollout", version=2, ballot=BALLOT, round_id=3, sequence=9
+        ),
+        **{f"refuse, {reason}": rejection(reason) for reason in REFUSAL_REASONS},
         "release, held": release,
         "release, not held": msgspec.structs.replace(release, was_leader=False),
-        "learn": m.RecoveryQuery(role="rollout", version=2, queried_at_ms=11),
-        "told": told,
-        "told, does not vote": msgspec.structs.replace(told, is_voting=False, record=EMPTY_RECORD),
+        "learn": leadership_protocol.RecoveryQuery(role="rollout", version=2, queried_at_ms=11),
+        "told": recovery_reply,
+        "told, does not vote": msgspec.structs.replace(recovery_reply, is_voting=False, record=EMPTY_RECORD),
     }
 
 
@@ -328,13 +331,13 @@
     other = counts.StratumCounters(
         frontend=counts.OTHER, plan=counts.OTHER, candidate=counts.RequestCounters(requests=1), control=tally
     )
-    word = counts.MetricsSnapshot(
+    snapshot = counts.MetricsSnapshot(
         node="n1", incarnation=4, clock_ms=1500.5, version="v2", zone="a", strata=[entry, other]
     )
     return {
-        "counts": word,
-        "counts, no entry": msgspec.structs.replace(word, strata=[]),
-        "counts, one entry": msgspec.structs.replace(word, strata=[entry]),
+        "counts": snapshot,
+        "counts, no entry": msgspec.structs.replace(snapshot, strata=[]),
+        "counts, one entry": msgspec.structs.replace(snapshot, strata=[entry]),
     }
 
 
@@ -342,10 +345,10 @@
     """A snapshot too large for one frame, in the parts that are sent."""
     tally = counts.RequestCounters(requests=2**52, succeeded=2**51, latencies={k: 2**50 for k in range(64)})
     entries = [counts.StratumCounters(f"frontend-{i}", "p" * 64, tally, tally) for i in range(60)]
-    word = counts.MetricsSnapshot(
+    snapshot = counts.MetricsSnapshot(
         node="n1", incarnation=4, clock_ms=1.0, version="v2", zone="a", strata=entries
     )
-    return [msgspec.msgpack.encode(part) for part in counts.split(word)]
+    return [msgspec.msgpack.encode(part) for part in counts.split(snapshot)]
 
 
 def messages_over_the_limit() -> dict[str, Any]:
@@ -372,7 +375,7 @@
             True,
             frames.MAX_FRAME_BYTES,
         ),
-        "duties": Protocol(duty_values(), duty_messages.encode, duty_messages.decode),
+        "duties": Protocol(leadership_messages(), leadership_protocol.encode, leadership_protocol.decode),
         "forwarder to planner": Protocol(
             forwarder_messages(),
             planner_protocol.encode_frame,
@@ -455,16 +458,16 @@
 
 def gossip_senders() -> dict[str, dict[int, CustomerQuota]]:
     """Customers of a node that it has to tell its peers about, by case."""
-    gift = customer_of(0xABC, 0, 2, 3)
-    report_to(gift, 1, 50, 1)
-    gift.hard_limit.tokens = 40.0
-    keeper = customer_of(0x10, 1, 8, 45)
-    report_to(keeper, 3, 7, 2)
+    giver = customer_of(0xABC, 0, 2, 3)
+    report_to(giver, 1, 50, 1)
+    giver.hard_limit.tokens = 40.0
+    coordinator_customer = customer_of(0x10, 1, 8, 45)
+    report_to(coordinator_customer, 3, 7, 2)
     return {
         "a count": {0x1F: customer_of(0x1F, 0, 3, 5)},
-        "a count, with units given": {0xABC: gift},
+        "a count, with units given": {0xABC: giver},
         "a count to the keeper": {0x11: customer_of(0x11, 1, 8, 30)},
-        "corrections of the keeper": {0x10: keeper},
+        "corrections of the keeper": {0x10: coordinator_customer},
         "several customers": {key: customer_of(key, 0, 2, key % 7 + 1) for key in (1, 2, 0x1FFFFFFFF)},
         "more customers than one datagram holds": {
             key: customer_of(key, 0, 2, key % 7 + 1) for key in range(0xFFFF00, 0xFFFF14)
@@ -484,18 +487,18 @@
 
 def gossip_received(data: bytes, peer: int | None) -> JsonObject | None:
     """What a node makes of a datagram; None: it is from a stranger or no text."""
-    told = decode_datagram(data, peer)
-    if told is None:
+    datagram = decode_datagram(data, peer)
+    if datagram is None:
         return None
     customers: dict[int, CustomerQuota] = {}
     receiver = gossip(customers)
-    receiver.receive(0.0, told.peer, told.body, lambda customer: None)
-    return {"peer": told.peer, "customers": [customer_heard(one) for one in customers.values()]}
+    receiver.receive(0.0, datagram.peer, datagram.body, lambda customer: None)
+    return {"peer": datagram.peer, "customers": [customer_from_peers(one) for one in customers.values()]}
 
 
-def customer_heard(customer: CustomerQuota) -> JsonObject:
+def customer_from_peers(customer: CustomerQuota) -> JsonObject:
     """What is held of a customer of which only peers have told."""
-    heard = {
+    usage_by_peer = {
         str(peer): {
             "incarnation": usage.incarnation,
             "count": usage.units_used,
@@ -513,5 +516,5 @@
         "ceiling tokens": round(customer.hard_limit.tokens, 6),
         "peers": customer.peers,
         "keeper": customer.coordinator,
-        "heard": heard,
+        "heard": usage_by_peer,
     }
