--- a/tests/compatibility/meanings.py
+++ b/tests/compatibility/meanings.py
@@ -8,34 +8,40 @@
 
 import re
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any, cast
 
 import msgspec
 
-from onyxpost.core import types
 from onyxpost.errors import OperatorError
 from onyxpost.leadership.acceptor_log import AcceptorLog
 from onyxpost.leadership.acceptor_state import AcceptorState
 from onyxpost.leadership.ballots import Ballot
-from onyxpost.leadership.config import LeadershipConfig
 from onyxpost.leadership.errors import AcceptorLogError
 from onyxpost.leadership.protocol import Record
 from onyxpost.node import config as edge_node
-from onyxpost.node.node_config import NodeConfig, PlannerClientConfig
 from onyxpost.planner import config as planner_file
 from onyxpost.rollout.routing_rules import schema
 from onyxpost.simulation import report, results
 from onyxpost.simulation.discrete_event.batch import run_seed
 from onyxpost.simulation.discrete_event.scenario import encode_scenario
 from onyxpost.simulation.discrete_event.scenario_files import load_scenario, resize_scenario
+from onyxpost.simulation.invariants.records import Invariant
 from onyxpost.simulation.invariants.records import Violation as EmulatorBreach
 from onyxpost.simulation.multiprocess.checker import Violation
 from onyxpost.simulation.multiprocess.fault_script import Fault, FaultScript, decode_script, encode_script
 from onyxpost.simulation.multiprocess.run_result import RunResult
 from tests.compatibility import command_line
 
+if TYPE_CHECKING:
+    from onyxpost.core import types
+    from onyxpost.leadership.config import LeadershipConfig
+    from onyxpost.node.node_config import NodeConfig, PlannerClientConfig
+
 JsonObject = dict[str, Any]
 
+# The recorded results name this invariant, which no checker has; result files may hold any name.
+RECORDED_INVARIANT = cast("Invariant", "once")
+
 # --- a voter's file ---------------------------------------------------------------------------------------
 
 FIRST = AcceptorState("rollout", 1, Ballot(1_700_000_000_123, "n1", 4), Record(), 0, 0)
@@ -65,7 +71,7 @@
     try:
         acceptor_log = AcceptorLog(str(path))
     except AcceptorLogError as error:
-        return {"refused": {"place": place_in(str(error)), "remedy": error.remedy}}
+        return {"refused": {"place": error_location(str(error)), "remedy": error.remedy}}
     acceptor_log.close()
     leases = {name: voter_state(state) for name, state in acceptor_log.states.items()}
     return {"leases": leases, "bytes kept": path.stat().st_size}
@@ -73,7 +79,8 @@
 
 def voter_state(state: AcceptorState) -> JsonObject:
     """What a voter must not forget of one lease."""
-    ballot, record = state.promised, state.record
+    ballot = state.promised
+    record = state.record
     return {
         "lease": state.role,
         "membership version": state.acceptor_set_version,
@@ -165,7 +172,8 @@
 
 def deployment(read: Any) -> JsonObject:
     """The part of a node's file that the simulator gives too."""
-    allowed, cold = read.limits, read.slow_start
+    allowed = read.limits
+    slow_start = read.slow_start
     return {
         "node number": read.node_index,
         "nodes": read.node_count,
@@ -173,10 +181,10 @@
         "frontends": [frontend(one) for one in read.frontends],
         "plans": [plan(one) for one in read.plans],
         "cold start": {
-            "start share": cold.initial_fraction,
-            "warm ms": cold.warmup_ms,
-            "overload multiple": cold.overload_multiple,
-            "overload window ms": cold.overload_window_ms,
+            "start share": slow_start.initial_fraction,
+            "warm ms": slow_start.warmup_ms,
+            "overload multiple": slow_start.overload_multiple,
+            "overload window ms": slow_start.overload_window_ms,
         },
         "allowed": {
             "attempts": allowed.max_attempts,
@@ -260,7 +268,9 @@
     """What rules look at in a server."""
 
     def __init__(self, name: str, zone: str, cell: int) -> None:
-        self.id, self.zone, self.cell = name, zone, cell
+        self.id = name
+        self.zone = zone
+        self.cell = cell
 
 
 CUSTOMER_HASHES = [number * 0x9E3779B1 % 2**32 for number in range(24)]
@@ -290,7 +300,8 @@
 
 def rule(read: schema.Rule) -> JsonObject:
     """One routing rule."""
-    customers, servers = read.customers, read.servers
+    customers = read.customers
+    servers = read.servers
     return {
         "name": read.name,
         "frontends": read.frontends,
@@ -321,7 +332,7 @@
     scenario = msgspec.structs.replace(resize_scenario(load_scenario("calm"), 4, 4), seconds=2.0, events=[])
     data = run_seed(encode_scenario(scenario), 1, {}).data
     lines = data.splitlines(keepends=True)
-    breaches = [EmulatorBreach("once", 12.5, "n0", "r1", "s-1", "ran twice").to_record()]
+    breaches = [EmulatorBreach(RECORDED_INVARIANT, 12.5, "n0", "r1", "s-1", "ran twice").to_record()]
     broken = results.encode({"kind": "breach", **one} for one in breaches)
     return b"".join([*lines[:-1], broken, lines[-1]])
 
@@ -332,7 +343,7 @@
         lines = results.read(path)
         compared = report.compare(report.read_runs(path), report.read_runs(path)) if is_run(lines) else []
     except OperatorError as error:
-        return {"refused": {"place": place_in(str(error)), "remedy": error.remedy}}
+        return {"refused": {"place": error_location(str(error)), "remedy": error.remedy}}
     columns = {row.figure: [row.first.low, row.first.mean, row.first.high] for row in compared}
     return {"lines": lines, "scenarios": sorted({row.scenario for row in compared}), "columns": columns}
 
@@ -355,7 +366,7 @@
 SCRIPT = FaultScript("edge-cuts", 7, 3, 4.0, FAULTS, mutation="")
 
 
-def rig_results() -> bytes:
+def process_results() -> bytes:
     """Results of a play with real processes."""
     violation = Violation(invariant="once", seed=7, at_ms=812.5, node="n0", description="ran twice")
     played = {"cut": 1, "groups": 1}
@@ -398,15 +409,15 @@
 # --- refusals by the command line -------------------------------------------------------------------------
 
 
-def place_in(text: str) -> str | None:
+def error_location(text: str) -> str | None:
     """The place that a message names: a key, a line or a byte."""
     found = re.search(r"`(\$[^`]*)`|(\bline \d+)|(\bbyte \d+)", text)
     return None if found is None else next(group for group in found.groups() if group)
 
 
-def run_command(words: list[str]) -> tuple[int, str]:
+def run_command(arguments: list[str]) -> tuple[int, str]:
     """Exit code and output of the command line, without the line that announces an old spelling."""
-    result = command_line.run(words)
+    result = command_line.run(arguments)
     return result.exit_code, result.output + result.error
 
 
--- a/tests/compatibility/simulation_meanings.py
+++ b/tests/compatibility/simulation_meanings.py
@@ -5,9 +5,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import msgspec
 
@@ -20,6 +19,9 @@
 from onyxpost.simulation.multiprocess.fault_script import decode_script, encode_script
 from tests.compatibility import meanings
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
 RECORDED_ENVIRONMENTS = {"edge": "edge", "leadership": "duties"}  # by their name today
 
 
@@ -68,7 +70,7 @@
 
 def deterministic_line(seed: int) -> bytes:
     """The line of `lab seeds --out` for a seed that failed: the only one with the faults that were drawn."""
-    violation = Violation("once", 12.5, "n0", "t1", "s-1", "ran twice")
+    violation = Violation(meanings.RECORDED_INVARIANT, 12.5, "n0", "t1", "s-1", "ran twice")
     outcome = deterministic.Outcome(seed, [violation], draw_deterministic_faults(seed), 9, 8, 7, "0" * 16)
     return results.encode([outcome.to_record()])
 
--- a/tests/edge/harness.py
+++ b/tests/edge/harness.py
@@ -11,7 +11,6 @@
 from onyxpost.edge.upstream_pool import UpstreamPool, UpstreamPoolOptions
 from onyxpost.node import config
 from onyxpost.node.edge_node import EdgeNode
-from onyxpost.node.node_config import NodeConfig
 from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.runtime.structured_log import StructuredLog
 
@@ -19,6 +18,7 @@
     from collections.abc import Callable
 
     from onyxpost.config.address import Address
+    from onyxpost.node.node_config import NodeConfig
 
 SETTINGS: dict[str, Any] = {
     "ordinal": 0,
@@ -98,7 +98,7 @@
 def transport_with_stopped_clock() -> SocketTransport:
     """Returns the system's sockets under a clock that always shows 0."""
     transport = SocketTransport()
-    transport.clock = lambda: 0.0  # type: ignore[method-assign]
+    transport.clock = lambda: 0.0  # type: ignore[method-assign]  # of this instance alone
     return transport
 
 
@@ -188,7 +188,7 @@
         await asyncio.gather(self.running, return_exceptions=True)
         self.program.close()
 
-    async def ask(self, data: bytes) -> tuple[bytes, bytes]:
+    async def send_request(self, data: bytes) -> tuple[bytes, bytes]:
         """Sends a request on the client's connection; returns the head and the body of its answer."""
         self.writer.write(data)
         return await self.answer()
--- a/tests/edge/test_client_capacity.py
+++ b/tests/edge/test_client_capacity.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from functools import partial
 from unittest import mock
 
 from onyxpost.edge import client_eviction
@@ -35,7 +36,7 @@
         others = [await asyncio.open_connection(*edge.address) for _ in range(6)]
         for number, (_, writer) in enumerate(others):
             writer.write(encode_request(trace=f"other{number}"))
-        assert (await edge.ask(encode_request()))[1] == b"hello"
+        assert (await edge.send_request(encode_request()))[1] == b"hello"
         for reader, writer in others:
             await reader.readuntil(b"hello")
             writer.close()
@@ -52,16 +53,20 @@
 @in_event_loop
 async def test_a_silent_client_is_evicted_before_one_that_has_sent_a_request() -> None:
     async with StubAppServer() as server, RunningNode(server.address, limits={"sockets": 8}) as edge:
-        await edge.ask(encode_request(trace="a"))  # from the third on, one gives way
+        await edge.send_request(encode_request(trace="a"))  # from the third on, one gives way
         silent, _ = await asyncio.open_connection(*edge.address)
         await wait_until(lambda: len(edge.program.clients.connections.open) >= 2)
         with mock.patch.object(client_eviction, "GRACE_FOR_REQUEST_MS", -1.0):
             _, third = await asyncio.open_connection(*edge.address)
             assert await asyncio.wait_for(silent.read(), 5.0) == b""
-        assert (await edge.ask(encode_request(trace="b")))[1] == b"hello"
+        assert (await edge.send_request(encode_request(trace="b")))[1] == b"hello"
         third.close()
 
 
+def has_received_more_than(edge: RunningNode, request_count: int) -> bool:
+    return edge.program.state_machine.requests.received_count > request_count
+
+
 @in_event_loop
 async def test_requests_are_accepted_past_a_quarter_of_the_descriptors() -> None:
     async with (
@@ -72,9 +77,7 @@
         for number in range(9):
             writers.append((await asyncio.open_connection(*edge.address))[1])
             writers[-1].write(encode_request(trace=f"t{number}"))
-            await wait_until(
-                lambda number=number: edge.program.state_machine.requests.received_count > number
-            )
+            await wait_until(partial(has_received_more_than, edge, number))
         for writer in writers:
             writer.close()
 
--- a/tests/edge/test_client_disconnects.py
+++ b/tests/edge/test_client_disconnects.py
@@ -5,12 +5,11 @@
 import asyncio
 import socket
 from random import Random
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
 from onyxpost.edge.clients import build_clients
-from onyxpost.edge.messages import EdgeEvent
 from onyxpost.simulation import virtual_time
 from tests.edge.client_sockets import RESET, connect_client
 from tests.edge.event_loop import in_event_loop, wait_until
@@ -19,6 +18,10 @@
     StubAppServer,
     encode_request,
 )
+from tests.stream_transports import pause_reading
+
+if TYPE_CHECKING:
+    from onyxpost.edge.messages import EdgeEvent
 
 
 async def send_unanswered_request(edge: RunningNode, server: StubAppServer) -> tuple[socket.socket, int]:
@@ -46,7 +49,7 @@
         else:
             client.close()
         assert not is_waiting(number)
-        await wait_until(lambda server=server: server.closed.is_set())  # its attempt too
+        await wait_until(lambda: server.closed.is_set())  # its attempt too
         assert (is_waiting(number), edge.program.state_machine.unanswered_count) == (False, 0)
         client.close()
 
@@ -54,7 +57,7 @@
 @in_event_loop
 async def test_a_client_with_its_answer_no_longer_waits() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        await edge.ask(encode_request())
+        await edge.send_request(encode_request())
         assert [
             edge.program.clients.connections.is_waiting(number)
             for number in edge.program.clients.connections.open
@@ -81,7 +84,7 @@
             await received.wait()
             number = clients.listener.accepted_count
             seen.append(clients.connections.is_waiting(number))
-            clients.connections.open[number].writer.transport.pause_reading()  # as if the loop were late
+            pause_reading(clients.connections.open[number].writer)  # as if the loop were late
             if reset:
                 writer.transport.abort()
             else:
--- a/tests/simulation/multiprocess/late_simulation.py
+++ b/tests/simulation/multiprocess/late_simulation.py
@@ -111,5 +111,5 @@
 
 async def _delay_each_turn() -> None:
     while True:
-        time.sleep(TURN_SECONDS)  # blocks the event loop on purpose
+        time.sleep(TURN_SECONDS)  # noqa: ASYNC251 - blocks the event loop on purpose
         await asyncio.sleep(0)
--- a/tests/simulation/multiprocess/test_socket_arrival.py
+++ b/tests/simulation/multiprocess/test_socket_arrival.py
@@ -34,7 +34,7 @@
         sender, reader, writer, listener = await connect()
         sent_at = time.monotonic()
         sender.write(b"early")
-        time.sleep(WAIT_SECONDS)  # the blocked event loop is what is tested
+        time.sleep(WAIT_SECONDS)  # noqa: ASYNC251 - the blocked event loop is what is tested
         await reader.read(100)
         waited_ms = unread_ms(writer)
         elapsed_ms = (time.monotonic() - sent_at) * MS_PER_SECOND
@@ -51,7 +51,7 @@
     async def measure() -> tuple[float, float]:
         sender, reader, writer, listener = await connect()
         sender.write(b"early")
-        time.sleep(WAIT_SECONDS)  # the blocked event loop is what is tested
+        time.sleep(WAIT_SECONDS)  # noqa: ASYNC251 - the blocked event loop is what is tested
         sent_at = time.monotonic()
         sender.write(b"late")
         await reader.readexactly(len(b"earlylate"))
