--- a/tests/compatibility/inputs.py
+++ b/tests/compatibility/inputs.py
@@ -61,6 +61,11 @@
 
 def bad_configs() -> dict[str, Files]:
     """Files that `check` refuses, by case."""
+    return {**bad_node_files(), **bad_member_files(), **bad_rules()}
+
+
+def bad_node_files() -> dict[str, Files]:
+    """A node's files with a wrong value of its own."""
     return {
         "no JSON": {"config.json": '{"name": '},
         "no file": {},
@@ -73,6 +78,12 @@
         "node number too large": changed("node", lambda f: f["settings"].update(ordinal=1)),
         "no frontend": changed("node", lambda f: f["settings"].update(grades=[])),
         "unknown effect": changed("node", lambda f: f["settings"]["grades"][0].update(effect="x")),
+    }
+
+
+def bad_member_files() -> dict[str, Files]:
+    """Files with wrong members of a cluster, of an election or of planners."""
+    return {
         "fleet without this node": changed("fleet", lambda f: f["fleet"]["members"].pop("n0")),
         "fleet address twice": changed("fleet", lambda f: f["fleet"]["members"].update(n9="127.0.0.1:7100")),
         "fleet at the clients' address": changed("fleet", lambda f: f["fleet"].update(listen=f["listen"])),
@@ -90,6 +101,12 @@
         "planner out of its planners": changed("planner", lambda f: f.update(name="p9")),
         "planner with a forwarder twice": changed("planner", lambda f: f.update(forwarders=["f0", "f0"])),
         "planner with a short lease": changed("planner", lambda f: f.update(lease_ms=1)),
+    }
+
+
+def bad_rules() -> dict[str, Files]:
+    """A node's files beside wrong routing rules."""
+    return {
         "rules are no TOML": node_with_rules("version ="),
         "rules without a version": node_with_rules("rules = []"),
         "rules file is missing": changed("ruled", lambda f: f.update(rules="none.toml")),
--- /dev/null
+++ b/tests/compatibility/json_types.py
@@ -0,0 +1,7 @@
+"""Types of JSON values."""
+
+from __future__ import annotations
+
+from typing import Any
+
+JsonObject = dict[str, Any]
--- a/tests/compatibility/record.py
+++ b/tests/compatibility/record.py
@@ -13,7 +13,20 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from tests.compatibility import inputs, meanings, record_simulations, refused, values
+from tests.compatibility import (
+    cluster_messages,
+    command_refusals,
+    gossip_datagrams,
+    inputs,
+    meanings,
+    metrics_messages,
+    record_simulations,
+    refusal_kinds,
+    refused,
+    result_meanings,
+    values,
+    voter_files,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -36,7 +49,7 @@
         else:
             wrong = refused.wrong_bodies(data)
         for name, bad in wrong.items():
-            reason = values.refusal_of(partial(protocol.decode, bad))
+            reason = refusal_kinds.refusal_of(partial(protocol.decode, bad))
             if reason is not None:
                 rejected[f"{case}: {name}"] = {"bytes": bad.hex(), "refusal": reason}
             else:
@@ -47,9 +60,9 @@
 def hello_records() -> dict[str, Any]:
     """Hellos in hexadecimal digits, and how each is judged."""
     found = {}
-    for case, hello in values.fleet_hellos().items():
+    for case, hello in cluster_messages.fleet_hellos().items():
         data = values.protocols()["fleet"].encode(hello)
-        found[case] = {"bytes": data.hex(), "refusal": values.fleet_hello_admission(data)}
+        found[case] = {"bytes": data.hex(), "refusal": cluster_messages.fleet_hello_admission(data)}
     return found
 
 
@@ -57,10 +70,10 @@
     """Datagrams of each case with what a receiver makes of them, and datagrams that are not taken."""
     sent = {}
     received_datagrams = {}
-    for case in values.gossip_senders():
-        sent[case] = values.gossip_datagrams(case)
+    for case in gossip_datagrams.gossip_senders():
+        sent[case] = gossip_datagrams.gossip_datagrams(case)
         for number, (_, data) in enumerate(sent[case]):
-            received = values.gossip_received(bytes.fromhex(data), 1)
+            received = gossip_datagrams.gossip_received(bytes.fromhex(data), 1)
             received_datagrams[f"{case}, {number}"] = {"bytes": data, "peer": 1, "received": received}
     valid = bytes.fromhex(sent["a count"][0][1])
     wrong: dict[str, tuple[bytes, int | None]] = {
@@ -76,14 +89,16 @@
         "incarnation alone": (b"19c4f", 1),
     }
     for case, (bad, peer) in wrong.items():
-        received = values.gossip_received(bad, peer)
+        received = gossip_datagrams.gossip_received(bad, peer)
         received_datagrams[case] = {"bytes": bad.hex(), "peer": peer, "received": received}
     return {"sent": sent, "received": received_datagrams}
 
 
 def split_records() -> list[dict[str, Any]]:
     """The parts of a large snapshot of counts: they are too long to be kept here whole."""
-    return [{"length": len(part), "sha256": sha256(part).hexdigest()} for part in values.split_counts()]
+    return [
+        {"length": len(part), "sha256": sha256(part).hexdigest()} for part in metrics_messages.split_counts()
+    ]
 
 
 def config_records() -> dict[str, Any]:
@@ -118,18 +133,20 @@
     """Exit code, place and remedy of a command, in which FOLDER stands for where the files are."""
     with tempfile.TemporaryDirectory() as folder:
         write_files(Path(folder), files)
-        code, output = meanings.run_command([argument.replace("FOLDER", folder) for argument in arguments])
-    remedy = meanings.remedy_in(output)
+        code, output = command_refusals.run_command(
+            [argument.replace("FOLDER", folder) for argument in arguments]
+        )
+    remedy = command_refusals.remedy_in(output)
     if code == 0 or remedy is None:
         raise SystemExit(f"not refused with a remedy: {arguments} {output}")
-    location = meanings.error_location(output)
+    location = command_refusals.error_location(output)
     return {"files": files, "command": arguments, "exit code": code, "place": location, "remedy": remedy}
 
 
 def refused_records() -> dict[str, Any]:
     """What the command line refuses, by the command and the case."""
-    emulated = meanings.emulator_results().decode()
-    script = meanings.fault_script_bytes().decode()
+    emulated = result_meanings.emulator_results().decode()
+    script = result_meanings.fault_script_bytes().decode()
     compare = ["lab", "compare", "FOLDER/results.jsonl", "FOLDER/results.jsonl"]
     groups: list[tuple[str, list[str], dict[str, inputs.Files]]] = [
         ("check", ["check", "FOLDER/config.json"], inputs.bad_configs()),
@@ -148,29 +165,32 @@
     found: dict[str, Any] = {"written": {}, "read": {}}
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "voter")
-        for case in meanings.VOTER_FILES:
-            data = meanings.write_voter_file(case, path)
+        for case in voter_files.VOTER_FILES:
+            data = voter_files.write_voter_file(case, path)
             path.unlink()
             found["written"][case] = data.hex()
         complete = bytes.fromhex(found["written"]["two leases"])
         cases = {case: bytes.fromhex(data) for case, data in found["written"].items()}
         for case, data in (cases | inputs.bad_voter_files(complete, len(complete) - 1)).items():
             path.write_bytes(data)
-            found["read"][case] = {"bytes": data.hex(), "meaning": meanings.read_voter_file(path)}
+            found["read"][case] = {"bytes": data.hex(), "meaning": voter_files.read_voter_file(path)}
     return found
 
 
 def result_records() -> dict[str, Any]:
     """Results of the laboratory and a kept fault script, with what each means."""
-    files = {"emulator": meanings.emulator_results(), "real processes": meanings.process_results()}
+    files = {
+        "emulator": result_meanings.emulator_results(),
+        "real processes": result_meanings.process_results(),
+    }
     found = {}
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "results.jsonl")
         for case, data in files.items():
             path.write_bytes(data)
-            found[case] = {"text": data.decode(), "meaning": meanings.read_results(path)}
-    script = meanings.fault_script_bytes()
-    found["fault script"] = {"text": script.decode(), "meaning": meanings.read_fault_script(script)}
+            found[case] = {"text": data.decode(), "meaning": result_meanings.read_results(path)}
+    script = result_meanings.fault_script_bytes()
+    found["fault script"] = {"text": script.decode(), "meaning": result_meanings.read_fault_script(script)}
     return found
 
 
--- a/tests/compatibility/record_simulations.py
+++ b/tests/compatibility/record_simulations.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.compatibility import command_cases, command_line, simulation_meanings
+from tests.compatibility import command_cases, command_line, simulation_command_cases, simulation_meanings
 from tests.compatibility.simulation_meanings import ScriptDraw
 
 KEPT_SEEDS = range(1, 4)  # scripts that are kept whole
@@ -148,7 +148,7 @@
         folder = Path(folder_path)
         runs = {name: kept_run(folder, name) for name in KEPT_RUNS}
         scenario = folder / "short.toml"
-        scenario.write_text(command_cases.SHORT_SCENARIO, encoding="utf-8")
+        scenario.write_text(simulation_command_cases.SHORT_SCENARIO, encoding="utf-8")
         emulated = folder / "emulated"
         seeds = folder / "seeds"
         failed = folder / "failed"
@@ -159,7 +159,7 @@
         return {
             "real processes": runs,
             "emulator": {
-                "scenario": command_cases.SHORT_SCENARIO,
+                "scenario": simulation_command_cases.SHORT_SCENARIO,
                 "text": emulated.read_text(encoding="utf-8"),
                 "meaning": simulation_meanings.read_results(emulated),
             },
--- /dev/null
+++ b/tests/compatibility/refusal_kinds.py
@@ -0,0 +1,55 @@
+"""Neutral names of the errors with which messages and files are refused.
+
+A rename of an error changes this module, never a neutral name.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+import msgspec
+
+from onyxpost import cli
+from onyxpost.cluster import errors as cluster_errors
+from onyxpost.leadership import errors as leadership_errors
+from onyxpost.simulation.errors import InvalidResultsError, SimulationFileError
+from onyxpost.simulation.multiprocess.errors import InvalidScenarioError
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+COMMAND_LINE = cli.main
+MALFORMED = "malformed"
+# The first type that matches names the refusal.
+REFUSALS: dict[type[Exception], str] = {
+    cluster_errors.MalformedFrameError: MALFORMED,
+    leadership_errors.MalformedMessageError: MALFORMED,
+    msgspec.DecodeError: MALFORMED,
+    EOFError: "end of stream",
+    cluster_errors.FrameTooLongError: "too long",
+    cluster_errors.ProtocolVersionError: "other protocol version",
+    cluster_errors.UnknownSenderError: "unknown sender",
+    cluster_errors.MemberNameMismatchError: "other receiver",
+    cluster_errors.StaleIncarnationError: "earlier incarnation",
+    leadership_errors.AcceptorLogError: "damaged file",
+    InvalidResultsError: "unusable results",
+    SimulationFileError: "unreadable file",
+    InvalidScenarioError: "unusable script",
+}
+
+
+def refusal(error: Exception) -> str:
+    """The neutral name of a refusal; an error that is none is raised again."""
+    for kind, name in REFUSALS.items():
+        if isinstance(error, kind):
+            return name
+    raise error
+
+
+def refusal_of(call: Callable[[], Any]) -> str | None:
+    """The neutral name of the refusal that the call ends with, or None where it returns."""
+    try:
+        call()
+    except Exception as error:
+        return refusal(error)
+    return None
--- a/tests/compatibility/simulation_meanings.py
+++ b/tests/compatibility/simulation_meanings.py
@@ -17,7 +17,7 @@
 from onyxpost.simulation.load.results import LoadResults
 from onyxpost.simulation.multiprocess import scenario as scenarios
 from onyxpost.simulation.multiprocess.fault_script import decode_script, encode_script
-from tests.compatibility import meanings
+from tests.compatibility import result_meanings
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -70,7 +70,7 @@
 
 def deterministic_line(seed: int) -> bytes:
     """The line of `lab seeds --out` for a seed that failed: the only one with the faults that were drawn."""
-    violation = Violation(meanings.RECORDED_INVARIANT, 12.5, "n0", "t1", "s-1", "ran twice")
+    violation = Violation(result_meanings.RECORDED_INVARIANT, 12.5, "n0", "t1", "s-1", "ran twice")
     outcome = deterministic.Outcome(seed, [violation], draw_deterministic_faults(seed), 9, 8, 7, "0" * 16)
     return results.encode([outcome.to_record()])
 
@@ -88,4 +88,4 @@
 
 def read_results(path: Path) -> dict[str, Any]:
     """Results by line and as the comparison reads them."""
-    return meanings.read_results(path)
+    return result_meanings.read_results(path)
--- a/tests/compatibility/test_files.py
+++ b/tests/compatibility/test_files.py
@@ -7,7 +7,15 @@
 
 import pytest
 
-from tests.compatibility import command_line, inputs, meanings, recorded
+from tests.compatibility import (
+    command_line,
+    command_refusals,
+    inputs,
+    meanings,
+    recorded,
+    result_meanings,
+    voter_files,
+)
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -50,17 +58,17 @@
     record = REFUSED[case]
     write_files(tmp_path, record["files"])
     arguments = [argument.replace("FOLDER", str(tmp_path)) for argument in record["command"]]
-    code, output = meanings.run_command(arguments)
+    code, output = command_refusals.run_command(arguments)
     assert code == record["exit code"]
     assert output.count("\n") == 1
-    assert meanings.error_location(output) == record["place"]
+    assert command_refusals.error_location(output) == record["place"]
     assert output.rstrip().endswith(f"({command_line.current_wording(record['remedy'])})")
 
 
 @pytest.mark.parametrize("case", VOTER_FILES["written"])
 def test_voter_writes_the_recorded_file(case: str, tmp_path: Path) -> None:
     """What a voter keeps on disk has not changed by a byte."""
-    assert meanings.write_voter_file(case, tmp_path / "voter").hex() == VOTER_FILES["written"][case]
+    assert voter_files.write_voter_file(case, tmp_path / "voter").hex() == VOTER_FILES["written"][case]
 
 
 @pytest.mark.parametrize("case", VOTER_FILES["read"])
@@ -68,7 +76,7 @@
     """A voter knows the same from an earlier build's file, and refuses a damaged one."""
     path = tmp_path / "voter"
     path.write_bytes(bytes.fromhex(VOTER_FILES["read"][case]["bytes"]))
-    assert meanings.read_voter_file(path) == VOTER_FILES["read"][case]["meaning"]
+    assert voter_files.read_voter_file(path) == VOTER_FILES["read"][case]["meaning"]
 
 
 @pytest.mark.parametrize("case", ["emulator", "real processes"])
@@ -76,23 +84,23 @@
     """Results of an earlier build are read, and compared by the same columns."""
     path = tmp_path / "results.jsonl"
     path.write_text(RESULTS[case]["text"], encoding="utf-8")
-    assert meanings.read_results(path) == RESULTS[case]["meaning"]
+    assert result_meanings.read_results(path) == RESULTS[case]["meaning"]
 
 
 def test_real_processes_results_are_written_as_recorded() -> None:
     """The lines of a play with real processes keep their keys and values."""
-    assert meanings.process_results().decode() == RESULTS["real processes"]["text"]
+    assert result_meanings.process_results().decode() == RESULTS["real processes"]["text"]
 
 
 def test_emulator_results_keep_their_keys() -> None:
     """Each line of a run has the recorded keys; its figures may change with the decisions."""
     before = [json.loads(line) for line in RESULTS["emulator"]["text"].splitlines()]
-    now = [json.loads(line) for line in meanings.emulator_results().splitlines()]
+    now = [json.loads(line) for line in result_meanings.emulator_results().splitlines()]
     assert [(line["kind"], list(line)) for line in now] == [(line["kind"], list(line)) for line in before]
 
 
 def test_fault_script_is_written_and_read_as_recorded() -> None:
     """A kept fault script can be replayed by a later build."""
     text = RESULTS["fault script"]["text"]
-    assert meanings.fault_script_bytes().decode() == text
-    assert meanings.read_fault_script(text.encode()) == RESULTS["fault script"]["meaning"]
+    assert result_meanings.fault_script_bytes().decode() == text
+    assert result_meanings.read_fault_script(text.encode()) == RESULTS["fault script"]["meaning"]
--- a/tests/compatibility/test_protocols.py
+++ b/tests/compatibility/test_protocols.py
@@ -8,7 +8,14 @@
 
 import pytest
 
-from tests.compatibility import recorded, values
+from tests.compatibility import (
+    cluster_messages,
+    gossip_datagrams,
+    metrics_messages,
+    recorded,
+    refusal_kinds,
+    values,
+)
 
 PROTOCOLS: dict[str, Any] = recorded.load("protocols.json")
 HELLOS: dict[str, Any] = recorded.load("hellos.json")
@@ -21,8 +28,8 @@
     """A builder without recorded bytes, or the reverse, pins nothing."""
     built = {(name, case) for name, protocol in CURRENT.items() for case in protocol.messages}
     assert built == set(MESSAGES)
-    assert set(HELLOS) == set(values.fleet_hellos())
-    assert set(GOSSIP["sent"]) == set(values.gossip_senders())
+    assert set(HELLOS) == set(cluster_messages.fleet_hellos())
+    assert set(GOSSIP["sent"]) == set(gossip_datagrams.gossip_senders())
 
 
 @pytest.mark.parametrize(("protocol", "case"), MESSAGES)
@@ -46,7 +53,7 @@
     decode = CURRENT[protocol].decode
     refused = PROTOCOLS[protocol]["refused"]
     found = {
-        case: values.refusal_of(partial(decode, bytes.fromhex(record["bytes"])))
+        case: refusal_kinds.refusal_of(partial(decode, bytes.fromhex(record["bytes"])))
         for case, record in refused.items()
     }
     assert found == {case: record["refusal"] for case, record in refused.items()}
@@ -56,40 +63,45 @@
 def test_message_over_the_limit_is_not_sent(protocol: str) -> None:
     """A message that no frame holds is refused before it is sent."""
     message = values.messages_over_the_limit()[protocol]
-    assert values.refusal_of(lambda: CURRENT[protocol].encode(message)) == "too long"
+    assert refusal_kinds.refusal_of(lambda: CURRENT[protocol].encode(message)) == "too long"
 
 
 @pytest.mark.parametrize("case", HELLOS)
 def test_hello_is_encoded_and_judged_as_recorded(case: str) -> None:
     """Who may begin a link has not changed."""
-    data = CURRENT["fleet"].encode(values.fleet_hellos()[case])
+    data = CURRENT["fleet"].encode(cluster_messages.fleet_hellos()[case])
     assert data.hex() == HELLOS[case]["bytes"]
-    assert values.fleet_hello_admission(data) == HELLOS[case]["refusal"]
+    assert cluster_messages.fleet_hello_admission(data) == HELLOS[case]["refusal"]
 
 
 def test_large_counts_are_split_into_the_recorded_parts() -> None:
     """A snapshot too large for a frame goes in the same parts."""
-    parts = [{"length": len(part), "sha256": sha256(part).hexdigest()} for part in values.split_counts()]
+    parts = [
+        {"length": len(part), "sha256": sha256(part).hexdigest()} for part in metrics_messages.split_counts()
+    ]
     assert parts == recorded.load("split-counts.json")
 
 
 @pytest.mark.parametrize("case", GOSSIP["sent"])
 def test_gossip_sends_the_recorded_datagrams(case: str) -> None:
     """A node tells its peers the same text of the same customers."""
-    assert values.gossip_datagrams(case) == GOSSIP["sent"][case]
+    assert gossip_datagrams.gossip_datagrams(case) == GOSSIP["sent"][case]
 
 
 @pytest.mark.parametrize("case", GOSSIP["received"])
 def test_gossip_is_received_as_recorded(case: str) -> None:
     """A recorded datagram has the same effect; one that was not taken is still not taken."""
     record = GOSSIP["received"][case]
-    assert values.gossip_received(bytes.fromhex(record["bytes"]), record["peer"]) == record["received"]
+    assert (
+        gossip_datagrams.gossip_received(bytes.fromhex(record["bytes"]), record["peer"]) == record["received"]
+    )
 
 
 def test_incarnations_are_written_and_sorted_as_before() -> None:
     """Of two starts of a node the order by text and token stays."""
     texts = [
-        values.incarnation_text(now, token) for now, token in ((1700.9, "b"), (1700.0, "a"), (99.0, "z"))
+        cluster_messages.incarnation_text(now, token)
+        for now, token in ((1700.9, "b"), (1700.0, "a"), (99.0, "z"))
     ]
     assert texts == ["1700-b", "1700-a", "99-z"]
-    assert sorted(texts, key=values.parse_incarnation()) == ["99-z", "1700-a", "1700-b"]
+    assert sorted(texts, key=cluster_messages.parse_incarnation()) == ["99-z", "1700-a", "1700-b"]
