--- a/tests/compatibility/simulator_program.py
+++ b/tests/compatibility/simulator_program.py
@@ -57,6 +57,10 @@
         self._entry_count += 1
         heapq.heappush(self._due, (max(round(at_us), self.now_us + 1), self._entry_count, call))
 
+    def call_after(self, delay_us: float, call: Callable[[], None]) -> None:
+        """Enters a call for a time from now."""
+        self.call_at(self.now_us + delay_us, call)
+
     def run_next(self, end_us: float) -> bool:
         """Makes all calls of the next moment; returns whether there was one until `end_us`."""
         if not self._due or self._due[0][0] > end_us:
--- a/tests/compatibility/simulator_world.py
+++ b/tests/compatibility/simulator_world.py
@@ -7,6 +7,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
+from tests.compatibility.simulated_servers import SimulatedServers
 from tests.compatibility.simulator_program import SimulatorProgram, Timetable
 from tests.compatibility.simulator_scenarios import (
     CHANGES,
@@ -48,11 +49,7 @@
         self.requests: dict[tuple[int, str], Request] = {}
         self.alive: set[int] = set()
         self.incarnations: Counter[int] = Counter()
-        self.load: Counter[str] = Counter()  # attempts out, by server
-        self.up_since = {f"s{number}": 0 for number in range(scenario.servers)}
-        self.condition = dict.fromkeys(self.up_since, READY)
-        self.failing: dict[str, str] = {}  # servers that fail, and how
-        self.slowness = 1.0
+        self.servers = SimulatedServers(scenario.servers)
         self.program = SimulatorProgram()
 
     def send_event(self, name: str, node: int, **fields: Any) -> None:
@@ -81,22 +78,22 @@
         for node in range(scenario.instances):
             self.timetable.call_at(10 + node * 7000, partial(self.start, node))
         self.timetable.call_at(200_000, self.arrive)
-        servers = list(self.up_since)
+        servers = list(self.servers.up_since)
         for share, what in (
-            (0.10, lambda: self.fail(servers[0], "app_error")),
-            (0.18, lambda: self.fail(servers[0], "")),
-            (0.20, lambda: self.fail(servers[1], "dial_failed")),
-            (0.32, lambda: self.fail(servers[1], "")),
-            (0.34, lambda: self.fail(servers[2], "dropped")),
-            (0.42, lambda: self.fail(servers[2], "")),
+            (0.10, lambda: self.servers.fail(servers[0], "app_error")),
+            (0.18, lambda: self.servers.fail(servers[0], "")),
+            (0.20, lambda: self.servers.fail(servers[1], "dial_failed")),
+            (0.32, lambda: self.servers.fail(servers[1], "")),
+            (0.34, lambda: self.servers.fail(servers[2], "dropped")),
+            (0.42, lambda: self.servers.fail(servers[2], "")),
             (0.44, lambda: self.change(servers[3], DRAINING)),
             (0.48, lambda: self.change(servers[3], GONE)),
             (0.52, lambda: self.restart_server(servers[3])),
-            (0.55, lambda: self.slow(14.0)),
-            (0.70, lambda: self.slow(1.0)),
+            (0.55, lambda: self.servers.slow(14.0)),
+            (0.70, lambda: self.servers.slow(1.0)),
             (0.75, lambda: self.restart_node(scenario.instances - 1)),
-            (0.80, lambda: self.fail(servers[0], "expired")),
-            (0.86, lambda: self.fail(servers[0], "")),
+            (0.80, lambda: self.servers.fail(servers[0], "expired")),
+            (0.86, lambda: self.servers.fail(servers[0], "")),
             (0.90, lambda: self.list_all()),
         ):
             self.timetable.call_at(share * length, what)
@@ -108,12 +105,12 @@
         self.incarnations[node] += 1
         seed = self.scenario.seed * 100 + node * 10 + self.incarnations[node]
         self.send_event("Attach", node, init_seed=seed, params=self.scenario.settings(node))
-        self.send_list(node, COMPLETE, list(self.condition))
+        self.send_list(node, COMPLETE, list(self.servers.condition))
 
     def restart_node(self, node: int) -> None:
         self.alive.discard(node)
         self.send_event("Teardown", node)
-        self.timetable.call_at(self.timetable.now_us + 300_000, lambda: self.start(node))
+        self.timetable.call_after(300_000, lambda: self.start(node))
 
     def send_list(self, node: int, scope: int, servers: list[str]) -> None:
         if node not in self.alive:
@@ -121,41 +118,28 @@
         if scope == FAILED:
             self.send_event("Sync", node, scope=FAILED)
             return
-        rows = []
-        for server in servers:
-            number = int(server[1:])
-            row: Fields = {"server": server, "zone": f"z{number % 3}", "cohort": number % 2}
-            row |= {"condition": self.condition[server], "up_since_us": self.up_since[server]}
-            rows.append(row | ({"scale": 1.5} if number % 2 else {}))
+        rows = [self.servers.row(server) for server in servers]
         self.send_event("Sync", node, scope=scope, rows=rows)
 
     def change(self, server: str, condition: int) -> None:
-        self.condition[server] = condition
+        self.servers.condition[server] = condition
         for node in range(self.scenario.instances):
-            self.timetable.call_at(
-                self.timetable.now_us + 3000 * (node + 1), partial(self.send_list, node, CHANGES, [server])
-            )
+            self.timetable.call_after(3000 * (node + 1), partial(self.send_list, node, CHANGES, [server]))
 
     def restart_server(self, server: str) -> None:
-        self.up_since[server] = self.timetable.now_us
+        self.servers.up_since[server] = self.timetable.now_us
         self.change(server, READY)
 
     def list_all(self) -> None:
         for node in sorted(self.alive):
-            self.send_list(node, COMPLETE, [s for s in self.condition if s != "s2"])
-
-    def fail(self, server: str, how: str) -> None:
-        self.failing[server] = how
-
-    def slow(self, slowness: float) -> None:
-        self.slowness = slowness
+            self.send_list(node, COMPLETE, [s for s in self.servers.condition if s != "s2"])
 
     # Clients
 
     def arrive(self) -> None:
         surge = 3.0 if 0.55 < self.timetable.now_us / SECOND / self.scenario.seconds < 0.65 else 1.0
         pause = self.random.expovariate(self.scenario.rate * surge) * SECOND
-        self.timetable.call_at(self.timetable.now_us + pause, self.arrive)
+        self.timetable.call_after(pause, self.arrive)
         node = self.random.randrange(self.scenario.instances)
         if node not in self.alive:
             return
@@ -179,9 +163,7 @@
             "Accept", node, ref=request.ref, **fields, spread=spread, first_door=customer % spread
         )
         if self.random.random() < 0.06:
-            self.timetable.call_at(
-                self.timetable.now_us + self.random.randrange(2000, 60_000), lambda: self.leave(request)
-            )
+            self.timetable.call_after(self.random.randrange(2000, 60_000), lambda: self.leave(request))
 
     def leave(self, request: Request) -> None:
         if request.node in self.alive and not request.answered:
@@ -201,25 +183,19 @@
                 request = self.requests[node, fields["ref"]]
                 number = fields["round_no"]
                 late = self.random.randrange(200, 3000)
-                self.timetable.call_at(
-                    self.timetable.now_us + late, lambda: self.end(request, number, "revoked", late)
-                )
+                self.timetable.call_after(late, lambda: self.end(request, number, "revoked", late))
             case "Post" if self.random.random() < 0.95:
                 peer = fields["peer"]
                 message = {"src_peer": node, "body": fields["body"]}
-                self.timetable.call_at(
-                    self.timetable.now_us + self.random.randrange(500, 4000), lambda: self.hear(peer, message)
-                )
+                self.timetable.call_after(self.random.randrange(500, 4000), lambda: self.hear(peer, message))
             case "After":
                 incarnation = self.incarnations[node]
                 nonce = fields["nonce"]
-                self.timetable.call_at(
-                    self.timetable.now_us + fields["offset_us"], lambda: self.fire(node, incarnation, nonce)
-                )
+                self.timetable.call_after(fields["offset_us"], lambda: self.fire(node, incarnation, nonce))
             case "KeepInformed":
                 scope = FAILED if self.random.random() < 0.4 else COMPLETE
-                self.timetable.call_at(
-                    self.timetable.now_us + 20_000, lambda: self.send_list(node, scope, list(self.condition))
+                self.timetable.call_after(
+                    20_000, lambda: self.send_list(node, scope, list(self.servers.condition))
                 )
 
     def hear(self, peer: int, message: Fields) -> None:
@@ -236,29 +212,17 @@
         """How an attempt will end, and when."""
         number = len(request.attempts)
         request.attempts.append(True)
-        self.load[server] += 1
-        draw = self.random.random()
-        result = self.failing.get(server) or ("delivered" if draw < 0.965 else "")
-        result = result or self.random.choice(["app_error", "shed", "dropped", "dial_failed", "unused"])
-        if self.condition[server] != READY:
-            result = "shed"
-        duration_us = self.random.uniform(8_000, 30_000) * self.slowness * (1.0 + 0.15 * self.load[server])
-        if result not in ("delivered", "app_error", "expired"):
-            duration_us = self.random.uniform(500, 5_000)
-        if duration_us > timeout_us or result == "expired":
-            result = "expired"
-            duration_us = float(timeout_us)
+        self.servers.load[server] += 1
+        result, duration_us = self.servers.draw_end(self.random, server, timeout_us)
         if result == "delivered" and request.streamed:
-            self.timetable.call_at(
-                self.timetable.now_us + duration_us / 2.0, lambda: self.stream(request, number)
-            )
+            self.timetable.call_after(duration_us / 2.0, lambda: self.stream(request, number))
         waited = round(duration_us)
 
         def ended() -> None:
-            self.load[server] -= 1
+            self.servers.load[server] -= 1
             self.end(request, number, result, waited)
 
-        self.timetable.call_at(self.timetable.now_us + duration_us, ended)
+        self.timetable.call_after(duration_us, ended)
 
     def stream(self, request: Request, number: int) -> None:
         if request.node in self.alive and request.attempts[number] and not request.answered:
