--- a/tests/compatibility/gossip_datagrams.py
+++ b/tests/compatibility/gossip_datagrams.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from onyxpost.core import types
 from onyxpost.core.customer_quota import CustomerQuota
@@ -14,7 +14,9 @@
 from onyxpost.policy.quota_gossip import QuotaGossip
 from onyxpost.policy.quotas import QuotaPolicy
 
-JsonObject = dict[str, Any]
+if TYPE_CHECKING:
+    from tests.compatibility.json_types import JsonObject
+
 INCARNATION = "19c4f"
 PLAN = types.Plan(
     name="team",
--- a/tests/compatibility/refusal_kinds.py
+++ b/tests/compatibility/refusal_kinds.py
@@ -9,7 +9,6 @@
 
 import msgspec
 
-from onyxpost import cli
 from onyxpost.cluster import errors as cluster_errors
 from onyxpost.leadership import errors as leadership_errors
 from onyxpost.simulation.errors import InvalidResultsError, SimulationFileError
@@ -18,7 +17,6 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-COMMAND_LINE = cli.main
 MALFORMED = "malformed"
 # The first type that matches names the refusal.
 REFUSALS: dict[type[Exception], str] = {
--- a/tests/compatibility/values.py
+++ b/tests/compatibility/values.py
@@ -5,10 +5,9 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass
 from functools import partial
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
@@ -23,8 +22,8 @@
 from tests.compatibility.metrics_messages import counts_messages
 from tests.compatibility.planner_messages import forwarder_messages, planner_messages
 
-JSON = Any
-Decode = Callable[[bytes], Any]
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
 
 @dataclass(frozen=True)
@@ -36,7 +35,7 @@
 
     messages: dict[str, Any]
     encode: Callable[[Any], bytes]
-    decode: Decode
+    decode: Callable[[bytes], Any]
     framed: bool = False
     frame_limit: int = 0
 
