--- a/tests/simulation/multiprocess/events.py
+++ b/tests/simulation/multiprocess/events.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from onyxpost.core.types import EndpointState
 from onyxpost.simulation.multiprocess.history import (
     TIMED_OUT,
     AttemptForwarded,
@@ -22,6 +21,9 @@
 from onyxpost.simulation.multiprocess.node_log import LeadershipAcquired, LeadershipLost, RecordCommitted
 from onyxpost.simulation.process_group import ProcessChange
 
+if TYPE_CHECKING:
+    from onyxpost.core.types import EndpointState
+
 
 def request_sent(at_ms: float, trace: str = "r1", frontend: str = "pay", plan: str = "open") -> RequestSent:
     """A client's request to n0."""
--- a/tests/simulation/multiprocess/test_fenced_resource.py
+++ b/tests/simulation/multiprocess/test_fenced_resource.py
@@ -3,15 +3,18 @@
 from __future__ import annotations
 
 import asyncio
+from typing import TYPE_CHECKING
 
 import h11
 import pytest
 
 from onyxpost.runtime.http1 import encode_message, read_response
 from onyxpost.simulation.multiprocess.fenced_resource import FencedResource
-from onyxpost.simulation.multiprocess.history import FencedCallReceived
 from tests.edge.event_loop import in_event_loop
 
+if TYPE_CHECKING:
+    from onyxpost.simulation.multiprocess.history import FencedCallReceived
+
 pytestmark = pytest.mark.xdist_group("quiet")  # many processes: not beside what measures time
 
 CALLS = (("a", "5"), ("a", "4"), ("b", "4"), ("a", "5"), ("a", "-1"))
