--- a/tests/simulation/multiprocess/test_port_reservation.py
+++ b/tests/simulation/multiprocess/test_port_reservation.py
@@ -27,10 +27,10 @@
     command = [sys.executable, "-c", RESERVE_AND_WAIT]
     with subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True) as other:
         assert other.stdout is not None
-        taken = [int(port) for port in other.stdout.readline().split()]
+        other_ports = [int(port) for port in other.stdout.readline().split()]
         own = PortReservation(COUNT, Random(SEED))
         assert len(own.ports) == COUNT
-        assert set(own.ports).isdisjoint(taken)
+        assert set(own.ports).isdisjoint(other_ports)
         own.release()
         other.kill()
     again = PortReservation(COUNT, Random(SEED))
