--- a/tests/simulation/multiprocess/test_port_reservation.py
+++ b/tests/simulation/multiprocess/test_port_reservation.py
@@ -34,7 +34,7 @@
         own.release()
         other.kill()
     again = PortReservation(COUNT, Random(SEED))
-    assert again.ports == taken
+    assert again.ports == other_ports
     again.release()
 
 
