--- a/onyxpost/simulation/deterministic/cluster.py
+++ b/onyxpost/simulation/deterministic/cluster.py
@@ -15,14 +15,13 @@
 from onyxpost.simulation.deterministic.deployment import (
     MAX_REQUEST_UNITS,
     TOLERANCE_MS,
+    ZONES,
     server_address,
 )
-from onyxpost.simulation.deterministic.deployment import ZONES as ZONES
 from onyxpost.simulation.deterministic.node import LogLine, SimulatedNode
 from onyxpost.simulation.deterministic.observer import ClusterObserver
 from onyxpost.simulation.invariants import InvariantChecker
-from onyxpost.simulation.settings import SETTINGS as SETTINGS
-from onyxpost.simulation.settings import SLOW_CONNECT_SETTINGS as SLOW_CONNECT_SETTINGS
+from onyxpost.simulation.settings import SETTINGS
 from onyxpost.simulation.stubs import AppServer
 from onyxpost.simulation.virtual_time import Network
 
@@ -31,7 +30,6 @@
 
     from onyxpost.node.edge_node import EdgeNode
 
-LARGEST = MAX_REQUEST_UNITS  # the name by which multiprocess/ imports it
 MIN_UPDATE_DELAY_SECONDS = 0.01  # until an agent learns of a change
 MAX_UPDATE_DELAY_SECONDS = 0.2
 
--- a/onyxpost/simulation/deterministic/seed_run.py
+++ b/onyxpost/simulation/deterministic/seed_run.py
@@ -10,11 +10,12 @@
 
 from onyxpost.simulation import virtual_time
 from onyxpost.simulation.deterministic.client import ClientOutcome, ClientRequest
-from onyxpost.simulation.deterministic.cluster import SETTINGS, SLOW_CONNECT_SETTINGS, Cluster
+from onyxpost.simulation.deterministic.cluster import Cluster
 from onyxpost.simulation.deterministic.deployment import MAX_REQUEST_UNITS, NODE_COUNT, SERVER_COUNT
 from onyxpost.simulation.deterministic.fault_injector import FaultInjector
 from onyxpost.simulation.deterministic.fault_script import Fault, FaultKind, draw_script, script_seconds
 from onyxpost.simulation.mutations import find_mutation
+from onyxpost.simulation.settings import SETTINGS, SLOW_CONNECT_SETTINGS
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine
--- a/onyxpost/simulation/multiprocess/cli.py
+++ b/onyxpost/simulation/multiprocess/cli.py
@@ -11,6 +11,7 @@
 
 from onyxpost.simulation import results
 from onyxpost.simulation.cli_errors import report_operator_errors
+from onyxpost.simulation.cli_output import InterruptCatcher, exit_code
 
 if TYPE_CHECKING:
     from onyxpost.simulation.multiprocess.fault_script import FaultScript
@@ -18,8 +19,6 @@
     from onyxpost.simulation.multiprocess.scenario import Scenario
 
 PRINTED_VIOLATIONS = 5
-EXIT_VIOLATED = 1
-EXIT_INTERRUPTED = 130
 FILE = click.Path(dir_okay=False, path_type=Path)
 FOLDER = click.Path(file_okay=False, path_type=Path)
 
@@ -45,12 +44,9 @@
 
     batch = create_batch(BatchOptions(**options))  # type: ignore[arg-type]
     finished: list[RunResult] = []
-    was_interrupted = False
-    try:
+    with InterruptCatcher() as interrupt:
         for script in batch.scripts:
             finished.append(_run(batch.scenario, script, kept))  # noqa: PERF401 - kept if interrupted
-    except KeyboardInterrupt:
-        was_interrupted = True
     violated = sum(bool(result.violations) for result in finished)
     if out is not None and finished:
         total = {
@@ -61,10 +57,9 @@
         }
         lines = [result.to_result_line() for result in finished]
         results.write(out, results.encode([*lines, total]))
-    if was_interrupted:
+    if interrupt.was_interrupted:
         click.echo(f"interrupted: {len(finished)} of {len(batch.scripts)} seeds were finished", err=True)
-        sys.exit(EXIT_INTERRUPTED)
-    sys.exit(EXIT_VIOLATED if violated else 0)
+    sys.exit(exit_code(violated=violated > 0, was_interrupted=interrupt.was_interrupted))
 
 
 def _run(scenario: Scenario, script: FaultScript, kept: Path | None) -> RunResult:
--- a/onyxpost/simulation/multiprocess/edge_environment.py
+++ b/onyxpost/simulation/multiprocess/edge_environment.py
@@ -9,7 +9,7 @@
 
 from onyxpost.config import deployment
 from onyxpost.runtime.socket_transport import SocketTransport
-from onyxpost.simulation.deterministic.cluster import LARGEST, SETTINGS
+from onyxpost.simulation.deterministic.deployment import MAX_REQUEST_UNITS
 from onyxpost.simulation.free_ports import ANY_PORT
 from onyxpost.simulation.multiprocess.edge_invariants import EdgeInvariants, EdgeLimits
 from onyxpost.simulation.multiprocess.edge_server import CALL_DURATION_MS, EdgeServer
@@ -29,6 +29,7 @@
 from onyxpost.simulation.multiprocess.load_generator import LoadGenerator
 from onyxpost.simulation.multiprocess.node_file import node_file
 from onyxpost.simulation.multiprocess.process_invariants import no_process_failures
+from onyxpost.simulation.settings import SETTINGS
 from onyxpost.simulation.stubs import AttemptKey, DiscoveryAgent, NullObserver, ServerIdentity
 
 if TYPE_CHECKING:
@@ -81,7 +82,7 @@
 
     async def run_load(self, seconds: float) -> None:
         """Clients send requests to all nodes."""
-        await LoadGenerator(self.context, self.deployment.frontends, LARGEST).run(seconds)
+        await LoadGenerator(self.context, self.deployment.frontends, MAX_REQUEST_UNITS).run(seconds)
 
     def resolve_target(self, name: str) -> str:
         """Returns the name itself: no node has a role here."""
@@ -104,7 +105,11 @@
         """Returns the invariants of requests, drains, limits and slow start, and that no process fails."""
         settings = self.deployment
         limits = EdgeLimits(
-            settings.frontends, settings.plans, settings.slow_start, settings.drain_grace_ms, LARGEST
+            settings.frontends,
+            settings.plans,
+            settings.slow_start,
+            settings.drain_grace_ms,
+            MAX_REQUEST_UNITS,
         )
         return no_process_failures, EdgeInvariants(limits)
 
--- a/onyxpost/simulation/multiprocess/edge_server.py
+++ b/onyxpost/simulation/multiprocess/edge_server.py
@@ -7,7 +7,7 @@
 
 from onyxpost.core.types import EndpointState
 from onyxpost.core.units import MS_PER_SECOND
-from onyxpost.simulation.deterministic.cluster import ZONES
+from onyxpost.simulation.deterministic.deployment import ZONES
 from onyxpost.simulation.free_ports import ANY_PORT
 from onyxpost.simulation.stubs import AppServer
 
--- a/onyxpost/simulation/multiprocess/leadership_environment.py
+++ b/onyxpost/simulation/multiprocess/leadership_environment.py
@@ -6,7 +6,6 @@
 
 from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.runtime.socket_transport import SocketTransport
-from onyxpost.simulation.deterministic.cluster import SETTINGS
 from onyxpost.simulation.free_ports import ANY_PORT
 from onyxpost.simulation.multiprocess.endpoints import format_address
 from onyxpost.simulation.multiprocess.fault_script import ACCEPTOR_COUNT
@@ -20,6 +19,7 @@
 from onyxpost.simulation.multiprocess.node_log import LeadershipAcquired, RecordCommitted
 from onyxpost.simulation.multiprocess.process_invariants import no_process_failures
 from onyxpost.simulation.multiprocess.recovery_epochs import RecoveryEpochsJustified
+from onyxpost.simulation.settings import SETTINGS
 from onyxpost.simulation.stubs import DiscoveryAgent, NullObserver
 
 if TYPE_CHECKING:
--- a/onyxpost/simulation/rollout_analysis/stage.py
+++ b/onyxpost/simulation/rollout_analysis/stage.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
+from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.rollout.analysis.decision import Decision, Outcome, decide
 from onyxpost.rollout.analysis.evidence import Evidence
 from onyxpost.rollout.analysis.thresholds import Thresholds
@@ -17,8 +18,6 @@
 PERIOD_S = 60.0
 """Time between two calls of `Evidence.on_period_end`."""
 
-MS_PER_S = 1000.0
-
 
 @dataclass(frozen=True, slots=True)
 class StageResult:
@@ -58,7 +57,7 @@
         failures += sum(increment.candidate.aborted for increment in increments)
         if cluster.time_s % PERIOD_S < scenario.snapshot_interval_s:
             evidence.on_period_end()
-        decision = decide(evidence, activity, cluster.time_s * MS_PER_S)
+        decision = decide(evidence, activity, cluster.time_s * MS_PER_SECOND)
         if decision.outcome is Outcome.ADVANCE and not advanced_at_s:
             advanced_at_s = cluster.time_s
     return StageResult(decision, cluster.time_s, requests, failures, advanced_at_s)
--- a/tests/simulation/multiprocess/late_simulation.py
+++ b/tests/simulation/multiprocess/late_simulation.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from onyxpost.core.types import Idempotency
-from onyxpost.simulation.deterministic.cluster import LARGEST
+from onyxpost.simulation.deterministic.deployment import MAX_REQUEST_UNITS
 from onyxpost.simulation.free_ports import ANY_PORT, LOOPBACK
 from onyxpost.simulation.multiprocess.edge_environment import EdgeEnvironment
 from onyxpost.simulation.multiprocess.fault_script import FaultScript
@@ -97,7 +97,7 @@
     context.start_clock()
     disturbances = [asyncio.create_task(monitor_lag(context)), asyncio.create_task(_delay_each_turn())]
     try:
-        await LoadGenerator(context, frontends, LARGEST).run(SECONDS)
+        await LoadGenerator(context, frontends, MAX_REQUEST_UNITS).run(SECONDS)
         await asyncio.sleep(SECONDS)
     finally:
         for disturbance in disturbances:
--- a/tests/simulation/multiprocess/test_edge_invariants.py
+++ b/tests/simulation/multiprocess/test_edge_invariants.py
@@ -8,7 +8,7 @@
 
 from onyxpost.config import deployment
 from onyxpost.core.types import EndpointState
-from onyxpost.simulation.deterministic.cluster import LARGEST, SETTINGS
+from onyxpost.simulation.deterministic.deployment import MAX_REQUEST_UNITS
 from onyxpost.simulation.invariants import Invariant
 from onyxpost.simulation.multiprocess.checker import check_history
 from onyxpost.simulation.multiprocess.edge_invariants import EdgeInvariants, EdgeLimits
@@ -21,6 +21,7 @@
 from onyxpost.simulation.multiprocess.node_log import RequestOverdue, UnhandledError
 from onyxpost.simulation.multiprocess.process_invariants import PROCESS_FAILURES, no_process_failures
 from onyxpost.simulation.process_group import ProcessChange
+from onyxpost.simulation.settings import SETTINGS
 from tests.simulation.multiprocess.events import (
     answered,
     attempt_forwarded,
@@ -50,7 +51,7 @@
         DEPLOYMENT.plans,
         DEPLOYMENT.slow_start,
         DEPLOYMENT.drain_grace_ms,
-        LARGEST,
+        MAX_REQUEST_UNITS,
     )
 )
 
