--- a/onyxpost/edge/__init__.py
+++ b/onyxpost/edge/__init__.py
@@ -1,1 +1,1 @@
-"""The edge node on sockets: thin network code round the decisions. No decisions here."""
+"""Network side of an edge node: sockets, HTTP and discovery. The policy decides on quotas and routing."""
--- a/onyxpost/edge/address_choice.py
+++ b/onyxpost/edge/address_choice.py
@@ -1,4 +1,4 @@
-"""The choice between two addresses that discovery may have while none of them has answered. No I/O."""
+"""Selects the discovery address to poll while it is unknown which of two addresses is in use. No I/O."""
 
 from __future__ import annotations
 
@@ -10,33 +10,35 @@
     from onyxpost.config.address import Address
 
 REACHED_FAILURES = (PollFailure.OVERLOADED, PollFailure.MALFORMED_ANSWER)
-"""After these a discovery was reached, which may know of a change."""
+"""Failures that occur after a connection to discovery, which may then hold a change unknown to this node."""
 
 
 class AddressChoice:
-    """Says which address a watch polls next.
+    """Selects the address that a watch polls next, and decides which failed polls are reported.
 
-    Discovery may have moved while the node was down. Until one address has answered, each failure makes the
-    watch poll the other one at once; only when both have failed in turn does the failure count.
+    Discovery may have moved while the node was down. Until one address has answered, the watch polls the
+    other address at once after each failed poll, and reports a failure only after both have failed in turn.
 
     Attributes:
         address: the address to poll.
-        alternative: the second address that discovery may have; None once one of the two has answered.
+        alternative: the second address that discovery may have; None if there is none, and once one of the
+            two has answered.
     """
 
     def __init__(self, address: Address, alternative: Address | None = None) -> None:
-        """Starts with `address`."""
+        """Creates a choice that polls `address` first."""
         self.address = address
         self.alternative = alternative
         self._is_on_second = False
-        self._first_failure: PollFailure | None = None  # of the first address, if discovery was reached there
+        # The failure of the first address in this round, if discovery was reached there.
+        self._first_failure: PollFailure | None = None
 
     def on_poll_failed(self, failure: PollFailure) -> PollFailure | None:
-        """Switches to the other address, if there is one.
+        """Records a failed poll and switches to the other address, if there is one.
 
         Returns:
-            The failure that counts, or None if the other address is to be polled before any counts. If the
-            first address was reached, its failure counts rather than that of the second one.
+            The failure to report, or None if the other address has to be polled first. If both addresses
+            failed, this is the failure of the first one if discovery was reached there, else of the second.
         """
         if self.alternative is None:
             return failure
@@ -52,10 +54,10 @@
         return counted
 
     def on_poll_answered(self, address: Address) -> None:
-        """Keeps to the address that has answered."""
+        """Polls only `address`, which has answered, from now on."""
         self.address = address
         self.forget_alternative()
 
     def forget_alternative(self) -> None:
-        """Keeps to the address that is polled now."""
+        """Polls only the current address from now on."""
         self.alternative = None
--- a/onyxpost/edge/client_closing.py
+++ b/onyxpost/edge/client_closing.py
@@ -1,4 +1,4 @@
-"""Closes clients' connections whose time is over, and all of them when the node stops."""
+"""Closes client connections that have passed their deadline, and all of them when the node stops."""
 
 from __future__ import annotations
 
@@ -14,35 +14,36 @@
     from onyxpost.edge.client_http import ClientHttp
     from onyxpost.runtime.transport import Transport
 
-SHUTDOWN_LINGER_MS = 250.0  # as `LINGER_MS`, when the node itself stops
-CLOSE_POLL_SECONDS = 0.01  # between checks whether all connections have closed
+SHUTDOWN_LINGER_MS = 250.0  # replaces `LINGER_MS` while the node stops
+CLOSE_POLL_SECONDS = 0.01  # interval of the check whether all connections have closed
 
 
 class ClientCloser:
-    """Decides which connections are closed by their deadlines and by a shutdown."""
+    """Closes client connections at their deadlines and during a shutdown."""
 
     def __init__(self, transport: Transport, connections: ClientConnections, http: ClientHttp) -> None:
-        """Creates the closer of a node that serves."""
+        """Creates the closer of a node that is not shutting down."""
         self._transport = transport
         self._clock = transport.clock
         self._connections = connections
         self._http = http
-        self._reject_incomplete_at = math.inf  # ms, from when on incomplete requests are rejected
+        self._reject_incomplete_at = math.inf  # time in ms from which incomplete requests are rejected
 
     def begin_shutdown(self) -> None:
-        """Makes each further answer close its connection, and closes those that are idle."""
+        """Makes each further answer close its connection, and closes the idle connections."""
         self._http.begin_shutdown()
         self.close_idle()
 
     def on_accepting_stopped(self) -> None:
-        """Lets requests be completed for a short time; from then on `close_idle` rejects them."""
+        """Starts the grace period for incomplete requests, after which `close_idle` rejects them."""
         self._reject_incomplete_at = self._clock() + GRACE_FOR_REQUEST_MS
 
     def close_idle(self) -> None:
-        """Closes connections during a shutdown: idle ones at once, later those without a complete request.
+        """Closes idle connections and, after the grace period, those without a complete request.
 
-        What has arrived, read or not, is still answered. Connections that stayed open would bring further
-        requests, and a late one could be unanswered when the node is killed.
+        Called repeatedly during a shutdown. Requests that have arrived are still answered, even if they have
+        not been read yet. A connection left open could bring a late request, which would be unanswered when
+        the node is killed.
         """
         for connection in idle_connections(self._connections.open.values()):
             if connection.has_no_unread_input(self._transport):
@@ -58,7 +59,11 @@
                 self._connections.begin_closing(connection)
 
     def close_expired(self) -> None:
-        """Closes connections past their deadline; unread input extends it: the node may have stalled."""
+        """Closes connections past their deadline.
+
+        Connections with unread input are kept, as this node may have stalled. A connection that is already
+        closing gets one extension of its deadline for this reason.
+        """
         now = self._clock()
         for connection in [c for c in self._connections.closing.values() if now > c.deadline]:
             if connection.grace_given or connection.has_no_unread_input(self._transport):
@@ -77,7 +82,7 @@
                 self._connections.begin_closing(connection)
 
     async def close_all(self) -> None:
-        """Closes all connections, once what is still to be written has been sent."""
+        """Closes all connections after the remaining output has been sent, or at their deadlines."""
         for connection in list(self._connections.open.values()):
             self._connections.begin_closing(connection)
         deadline = self._clock() + SHUTDOWN_LINGER_MS
--- a/onyxpost/edge/client_connection.py
+++ b/onyxpost/edge/client_connection.py
@@ -1,4 +1,4 @@
-"""The state of one client's connection, and which connections are closed first."""
+"""The state of a client connection, and the order in which connections are closed to free descriptors."""
 
 from __future__ import annotations
 
@@ -16,32 +16,36 @@
     from onyxpost.edge.messages import ClientRequest
     from onyxpost.runtime.transport import CountingReader, Transport
 
-# For a new connection to send its first request, and for a request that has started to be complete.
+# Time for a new connection to send its first request, and for any request to arrive completely.
 REQUEST_TIMEOUT_MS = 2_500.0
-IDLE_TIMEOUT_MS = 5_000.0  # between requests
-GRACE_FOR_REQUEST_MS = 100.0  # a connection that sends no complete request for longer may be evicted
+IDLE_TIMEOUT_MS = 5_000.0  # maximum time between two requests
+# A connection whose expected request is not complete after this time may be evicted.
+GRACE_FOR_REQUEST_MS = 100.0
 
 
 class ClientConnection:
-    """A client's connection, with one request at a time.
+    """A client connection, which carries one request at a time.
 
-    The connection is also read while a request is in flight, to notice when the client disconnects.
+    The connection is also read while a request is in flight, to detect that the client disconnects.
 
     Attributes:
         connection_id: unique among all connections accepted by this node.
-        http: the state of the protocol.
-        bytes_read: how many bytes have been read from `reader`.
-        waiting_since: when it began to wait for a request, or got the first byte of one; ms.
-        deadline: when it is closed unless it makes progress; ms.
-        awaits_answer: a request was posted as an event and is not answered yet.
-        request_started: the next request has been received in part.
-        is_new: no request was answered yet, so the first one may be on its way.
-        is_over_capacity: accepted beyond the node's capacity, only to reject its first request.
-        has_pipelined: the client sent more before its answer; that is discarded, the connection closed.
-        grace_given: its deadline was extended once because of unread input: the node itself may have stalled.
+        http: the HTTP/1.1 state of the connection.
+        bytes_read: number of bytes read from `reader`.
+        waiting_since: time in ms at which the wait for a request began, or its first byte arrived.
+        deadline: time in ms at which the connection is closed unless it makes progress.
+        awaits_answer: whether a request was posted as an event and is not answered yet.
+        request_started: whether a part of the next request has been received.
+        is_new: whether no request was answered yet, so that the first one may be in transit.
+        is_over_capacity: whether the connection exceeds the node's capacity, so that its first request is
+            rejected.
+        has_pipelined: whether the client sent more input before its answer. The input is discarded, and the
+            connection is closed after the answer.
+        grace_given: whether the deadline was extended because of unread input. This happens once, as the
+            node itself may have stalled.
         request: the head of the current request.
-        client_request: the same, decoded; None for a health check.
-        body: of the current request, as far as it has been received.
+        client_request: the decoded head of the current request; None for a health check.
+        body: the received part of the body of the current request.
     """
 
     def __init__(
@@ -72,16 +76,16 @@
         self.body = bytearray()
 
     def is_idle(self) -> bool:
-        """Returns whether it is between two requests."""
+        """Returns whether the connection is between two requests."""
         return not self.awaits_answer and not self.request_started and not self.is_new
 
     def has_sent_no_request_since(self, time: float) -> bool:
-        """Returns whether a request has been due, but not complete, since before `time`, in ms."""
+        """Returns whether a request has been expected since before `time` (ms) and is not complete."""
         is_expected = self.is_new or self.request_started
         return not self.awaits_answer and is_expected and self.waiting_since < time
 
     def unsent_bytes(self) -> int:
-        """Returns how many bytes of answers the kernel has not taken yet."""
+        """Returns the number of bytes of answers that have not been passed to the kernel yet."""
         return self.writer.transport.get_write_buffer_size()
 
     def is_closing(self) -> bool:
@@ -89,91 +93,92 @@
         return self.writer.transport.is_closing()
 
     def has_no_unread_input(self, transport: Transport) -> bool:
-        """Returns whether no input is waiting, neither bytes nor the end of stream, in the kernel or here."""
+        """Returns whether neither bytes nor an end of stream are unread, in the kernel or in the reader."""
         all_read = self.reader.bytes_received == self.bytes_read
         return all_read and transport.unread(self.writer.transport) is Unread.NOTHING
 
     def on_request_started(self, now: float) -> None:
-        """Notes the first bytes of a request; a first request keeps the deadline of the connection."""
+        """Records the first bytes of a request; a first request keeps the deadline of the connection."""
         self.request_started = True
         self.waiting_since = now
         if not self.is_new:
             self.deadline = now + REQUEST_TIMEOUT_MS
 
     def on_request_head(self, request: h11.Request) -> None:
-        """Notes the head of a request."""
+        """Records the head of a request and discards the state of the previous one."""
         self.request = request
         self.body = bytearray()
         self.request_started = True
         self.client_request = None
 
     def on_request_decoded(self, client_request: ClientRequest) -> None:
-        """Notes the decoded head of a request that is no health check."""
+        """Records the decoded head of a request that is not a health check."""
         self.client_request = client_request
 
     def on_pipelined_input(self) -> None:
-        """Notes input behind a request that is not answered yet."""
+        """Records that the client sent more input before its request was answered."""
         self.has_pipelined = True
 
     def on_request_read(self) -> None:
-        """Notes that no more of a request is read, and whether the client has already sent more."""
+        """Records the end of reading a request, and whether the client has already sent more input."""
         self.has_pipelined = bool(self.http.trailing_data[0])
 
     def on_request_handed_on(self) -> None:
-        """Notes that the request was posted as an event; it has no deadline of the connection."""
+        """Records that the request was posted as an event, and removes the deadline until the answer."""
         self.request_started = False
         self.awaits_answer = True
         self.deadline = math.inf
 
     def on_settled(self) -> None:
-        """Notes that the request in flight needs no answer any more."""
+        """Records that the request in flight needs no answer any more."""
         self.awaits_answer = False
 
     def on_response(self, now: float) -> None:
-        """Notes a response, after which the connection is idle."""
+        """Records a response, after which the connection is idle."""
         self.request_started = False
         self.is_new = False
         self.waiting_since = now
         self.deadline = now + IDLE_TIMEOUT_MS
 
     def on_closing(self, now: float, linger_ms: float) -> None:
-        """Notes the start of closing, and discards a partly received body.
+        """Sets the deadline for closing, and discards a partly received body.
 
-        The deadline is `linger_ms` away, or `IDLE_TIMEOUT_MS` while answers are still to be sent.
+        The deadline is in `linger_ms`, or in `IDLE_TIMEOUT_MS` if answers are still to be sent.
         """
         self.deadline = now + (IDLE_TIMEOUT_MS if self.unsent_bytes() else linger_ms)
         self.body = bytearray()
 
     def extend_deadline(self, deadline: float) -> None:
-        """Sets a later deadline, in ms, because of unread input."""
+        """Sets a later deadline, in ms, and records that it was extended because of unread input."""
         self.grace_given = True
         self.deadline = deadline
 
     def limit_deadline(self, deadline: float) -> None:
-        """Sets an earlier deadline, in ms, if it is earlier."""
+        """Lowers the deadline to `deadline`, in ms, if that is earlier."""
         self.deadline = min(self.deadline, deadline)
 
     def on_next_cycle(self) -> None:
-        """Clears the request that was answered."""
+        """Clears the answered request before the next one."""
         self.request = None
         self.client_request = None
         self.body.clear()
 
 
 def idle_connections(connections: Iterable[ClientConnection]) -> list[ClientConnection]:
-    """Returns the connections between requests, those idle longest first.
+    """Returns the connections between two requests, longest idle first.
 
-    A client retries a request that was on its way when its idle connection closed, but not the first request
-    of a connection, so new connections are left out.
+    New connections are left out: a client retries a request that was in transit when its idle connection was
+    closed, but not the first request of a connection.
     """
     idle = (connection for connection in connections if connection.is_idle())
     return sorted(idle, key=lambda connection: connection.waiting_since)
 
 
 def eviction_candidates(connections: Collection[ClientConnection], time: float) -> list[ClientConnection]:
-    """Returns the connections that may be closed to make room, in order of preference.
+    """Returns the connections that may be closed to free a descriptor, in order of preference.
 
-    First come those that have sent no complete request since before `time`, then those that are idle.
+    Connections whose request has been expected since before `time` (ms) and is incomplete come first, then
+    idle connections.
     """
     slow = [connection for connection in connections if connection.has_sent_no_request_since(time)]
     slow.sort(key=lambda connection: connection.waiting_since)
--- a/onyxpost/edge/client_connections.py
+++ b/onyxpost/edge/client_connections.py
@@ -1,4 +1,4 @@
-"""The connections of all clients, from the accept to the end of closing."""
+"""The client connections of a node, from their acceptance until they are closed."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
     from onyxpost.edge.client_connection import ClientConnection
     from onyxpost.runtime.transport import Transport
 
-LINGER_MS = 1_000.0  # how long a closing connection is still read, for its client to close first
+LINGER_MS = 1_000.0  # how long a closing connection is read, so that the client can close its side first
 
 
 class ClientConnections:
-    """Holds clients' connections and takes each from open to closing to closed.
+    """Holds the client connections and moves each from open through closing to closed.
 
     Attributes:
-        open: those that may send requests, by id.
-        closing: those whose last answer has been sent, by id; each still holds its descriptor.
+        open: connections that may send requests, by id.
+        closing: connections that send no further requests, by id; each still holds its descriptor.
         post: receives the event that a client has disconnected.
     """
 
@@ -33,7 +33,7 @@
         self._transport = transport
 
     def add(self, connection: ClientConnection) -> None:
-        """Adds a connection that was just accepted."""
+        """Adds a newly accepted connection."""
         self.open[connection.connection_id] = connection
 
     def is_open(self, connection: ClientConnection) -> bool:
@@ -41,22 +41,22 @@
         return connection.connection_id in self.open and not connection.is_closing()
 
     def find_unanswered(self, connection_id: int) -> ClientConnection | None:
-        """Returns a connection whose request is not answered yet; None if it has none, or is closing."""
+        """Returns the open connection with this id if it has an unanswered request, else None."""
         connection = self.open.get(connection_id)
         return connection if connection is not None and connection.awaits_answer else None
 
     def is_waiting(self, connection_id: int) -> bool:
-        """Returns whether a client still waits for its answer: no end of stream is in its socket either."""
+        """Returns whether a client waits for its answer and has not disconnected, also by unread input."""
         connection = self.find_unanswered(connection_id)
         if connection is None or connection.is_closing():
             return False
         return self._transport.unread(connection.writer.transport) is not Unread.END
 
     def begin_closing(self, connection: ClientConnection) -> None:
-        """Sends the end of stream, then reads and discards input until the client's end or a deadline.
+        """Sends the end of stream; input is then discarded until the client closes or a deadline passes.
 
-        A connection closed with unread input is reset, and an answer just written may be lost with it. A
-        request that arrives from now on is discarded: its client sees the end of stream and sends it again.
+        Closing a connection with unread input resets it, which may lose an answer that was just written. A
+        request that arrives from now on is discarded: its client sees the end of stream and retries it.
         """
         if self.open.pop(connection.connection_id, None) is None:
             return
@@ -67,11 +67,11 @@
             self.post(ClientDisconnected(connection.connection_id))
         try:
             connection.writer.write_eof()
-        except OSError:  # reset in the meantime
+        except OSError:  # the client has reset the connection
             connection.writer.transport.abort()
 
     async def finish_closing(self, connection: ClientConnection) -> None:
-        """Closes a connection that was read to its end; it is aborted later if it takes no output."""
+        """Closes a connection that was read to its end, and waits until its output has been sent."""
         self.begin_closing(connection)
         connection.writer.close()
         try:
@@ -82,6 +82,6 @@
             self.closing.pop(connection.connection_id, None)
 
     def abort(self, connection: ClientConnection) -> None:
-        """Closes a closing connection at once and frees its descriptor."""
+        """Closes a connection in `closing` immediately and frees its descriptor."""
         self.closing.pop(connection.connection_id, None)
         connection.writer.transport.abort()
--- a/onyxpost/edge/client_eviction.py
+++ b/onyxpost/edge/client_eviction.py
@@ -1,4 +1,4 @@
-"""Frees descriptors of clients' connections for others."""
+"""Closes client connections early to free their descriptors."""
 
 from __future__ import annotations
 
@@ -13,16 +13,20 @@
 
 
 class ClientEviction:
-    """Closes a client's connection before its time, so that another connection can be opened."""
+    """Closes a client connection before its deadline, so that another connection can be opened."""
 
     def __init__(self, transport: Transport, connections: ClientConnections, http: ClientHttp) -> None:
-        """Creates the eviction of a node's connections."""
+        """Creates the eviction for the connections of a node."""
         self._transport = transport
         self._connections = connections
         self._http = http
 
     def evict_connection(self) -> bool:
-        """Closes one connection that is slow to send a request, or else idle; returns whether it did."""
+        """Closes one connection with an incomplete request, or else an idle one.
+
+        Returns:
+            Whether a connection was closed.
+        """
         latest = self._transport.clock() - GRACE_FOR_REQUEST_MS
         candidates = eviction_candidates(self._connections.open.values(), latest)
         evicted = next(
@@ -37,7 +41,11 @@
         return True
 
     def abort_oldest_closing(self) -> bool:
-        """Frees the descriptor of the connection that has been closing for longest, if there is one."""
+        """Aborts the oldest closing connection whose answers have all been sent.
+
+        Returns:
+            Whether there was one.
+        """
         closing = self._connections.closing.values()
         oldest = next((connection for connection in closing if not connection.unsent_bytes()), None)
         if oldest is not None:
--- a/onyxpost/edge/client_http.py
+++ b/onyxpost/edge/client_http.py
@@ -24,8 +24,9 @@
     from onyxpost.config.deployment import Deployment
     from onyxpost.edge.client_connection import ClientConnection
 
-MAX_UNSENT_BYTES = 131_072  # of answers; a client that leaves more unread is closed at its next request
-MAX_ERROR_TEXT_BYTES = 200  # of the body of a 4xx answer, which may quote the request
+# A client that has more bytes of answers unread than this is disconnected at its next request.
+MAX_UNSENT_BYTES = 131_072
+MAX_ERROR_TEXT_BYTES = 200  # limits the body of a 4xx answer, which may quote the request
 HEALTH_CHECK_TARGET = b"/healthz"
 HEALTH_CHECK_METHODS = (b"GET", b"HEAD")
 BAD_REQUEST = 400
@@ -36,10 +37,10 @@
 
 
 class ClientHttp:
-    """The HTTP side of all client connections.
+    """Decodes requests from all client connections and writes the responses.
 
     Attributes:
-        is_shutting_down: every response closes its connection from now on.
+        is_shutting_down: whether each response closes its connection.
     """
 
     def __init__(
@@ -50,13 +51,13 @@
         is_ready: Callable[[], bool],
         begin_closing: Callable[[ClientConnection], None],
     ) -> None:
-        """Creates the HTTP side.
+        """Creates the HTTP handler of a node that is not shutting down.
 
         Args:
-            deployment: what requests are checked against.
+            deployment: the settings that requests are checked against.
             clock: the node's clock, in ms.
             post: receives each complete request.
-            is_ready: returns whether health checks are answered 200; 503 if not.
+            is_ready: returns whether health checks are answered with 200 rather than 503.
             begin_closing: closes a connection once its last response has been sent.
         """
         self.is_shutting_down = False
@@ -71,7 +72,7 @@
         self.is_shutting_down = True
 
     def handle_bytes(self, connection: ClientConnection, data: bytes) -> None:
-        """Handles bytes that were read from an open connection."""
+        """Processes bytes read from an open connection; bytes behind an unanswered request are discarded."""
         if connection.awaits_answer:
             connection.on_pipelined_input()
             return
@@ -84,7 +85,7 @@
         self._decode(connection)
 
     def handle_end_of_stream(self, connection: ClientConnection) -> None:
-        """Handles the client's end of the stream; a request that it truncates is rejected."""
+        """Processes the end of a client's stream; a request that it truncates is rejected."""
         connection.http.receive_data(b"")
         self._decode(connection)
 
@@ -93,33 +94,33 @@
         connection.on_settled()
         try:
             self._respond(connection, *encode_answer(answer), close=connection.has_pipelined)
-        except h11.LocalProtocolError:  # the answer cannot be encoded; do not keep its client waiting
+        except h11.LocalProtocolError:  # the answer cannot be encoded, and the client must not wait for it
             self._begin_closing(connection)
             raise
 
     def reject_late(self, connection: ClientConnection) -> None:
-        """Rejects a request that was not complete in time with status 408, and closes the connection."""
+        """Answers a request that was not complete in time with status 408, and closes the connection."""
         self._reject(connection, REQUEST_TIMEOUT, "the req did not come whole in time", close=True)
 
     def reject_overloaded(self, connection: ClientConnection) -> None:
-        """Rejects the current request, complete or not, with status 503 and closes the connection."""
+        """Answers the current request, complete or not, with status 503 and closes the connection."""
         self._respond(connection, SERVICE_UNAVAILABLE, [(b"Retry-After", b"1")], b"", close=True)
 
     def _reject(self, connection: ClientConnection, status: int, reason: str, *, close: bool) -> None:
         self._respond(connection, status, [], reason.encode()[:MAX_ERROR_TEXT_BYTES], close=close)
 
     def _decode(self, connection: ClientConnection) -> None:
-        """Decodes the complete parts of what has been received; an invalid request is rejected."""
+        """Processes the received input as far as it is complete; an invalid request is rejected."""
         http = connection.http
         try:
             self._handle_http_events(connection, http)
         except h11.RemoteProtocolError as err:
             self._reject(connection, max(BAD_REQUEST, err.error_status_hint), str(err), close=True)
         except RequestRejectedError as err:
-            with contextlib.suppress(h11.RemoteProtocolError):  # skip the received part of its body
+            with contextlib.suppress(h11.RemoteProtocolError):  # skips the received part of the body
                 while http.their_state is h11.SEND_BODY and http.next_event() is not h11.NEED_DATA:
                     pass
-            # Hundreds of pipelined requests, each answered with an error, would delay all other clients.
+            # Answers to hundreds of pipelined invalid requests would delay all other clients.
             connection.on_request_read()
             closes = err.framing_unknown or connection.has_pipelined
             self._reject(connection, err.status, str(err), close=closes)
@@ -144,7 +145,7 @@
     def _handle_head(self, connection: ClientConnection, head: h11.Request) -> None:
         connection.on_request_head(head)
         if head.target != HEALTH_CHECK_TARGET or head.method not in HEALTH_CHECK_METHODS:
-            # The client's timeout began when it sent the request, so it counts from the first byte received.
+            # The client timeout counts from the first byte, as it began when the client sent the request.
             connection.on_request_decoded(
                 decode_request(connection.connection_id, connection.waiting_since, head, self._deployment)
             )
--- a/onyxpost/edge/client_listener.py
+++ b/onyxpost/edge/client_listener.py
@@ -1,4 +1,4 @@
-"""Accepts clients' connections and reads them."""
+"""Accepts client connections and reads their input."""
 
 from __future__ import annotations
 
@@ -17,21 +17,22 @@
     from onyxpost.edge.client_http import ClientHttp
     from onyxpost.runtime.transport import CountingReader, Listener, Transport
 
-READ_BUFFER_BYTES = 16384  # read from a client's stream at once, and the limit of what is buffered of it
-# Turns of the event loop that an accepted connection is given to reach its first read: the transport, its
-# protocol and the reading task take one each, the rest is margin.
+READ_BUFFER_BYTES = 16384  # limit of one read from a client, and of the input buffered for each client
+# Turns of the event loop within which an accepted connection reaches its first read. The transport, its
+# protocol and the reading task take one turn each; the other turns are a margin.
 ACCEPT_TURNS = 8
-MAX_REJECTED_CONNECTIONS = 16  # connections beyond the node's capacity that still get a rejection
-MAX_ACCEPTS_PER_TURN = 16  # per event loop turn; more could exceed the node's limit before they are counted
+MAX_REJECTED_CONNECTIONS = 16  # open connections beyond the node's capacity whose requests are rejected
+# Per turn of the event loop. More accepts could exceed the node's limit before they are counted.
+MAX_ACCEPTS_PER_TURN = 16
 
 
 class ClientListener:
-    """Listens for clients, and reads each connection until its end.
+    """Listens for clients, and reads each connection to its end.
 
     Attributes:
-        accepted_count: how many were accepted and read, which is also the id of the last one.
+        accepted_count: number of connections accepted and read; also the id of the latest one.
         has_capacity: returns whether one more client may be served.
-        server: the listening socket.
+        server: the listening socket; None until `listen` is called.
     """
 
     def __init__(
@@ -46,8 +47,8 @@
 
         Args:
             transport: the node's transport.
-            connections: where each accepted connection is added.
-            http: decodes what is read.
+            connections: the table to which accepted connections are added.
+            http: receives the input of each connection.
             has_capacity: returns whether one more client may be served.
             report_fault: logs an unexpected exception.
         """
@@ -62,16 +63,21 @@
         self._over_capacity_count = 0
 
     async def listen(self, address: Address) -> None:
-        """Starts to accept connections. Raises ListenError."""
+        """Starts to accept connections.
+
+        Raises:
+            ListenError: the address cannot be listened on.
+        """
         self.server = await self._transport.listen(
             self._serve, address, READ_BUFFER_BYTES, MAX_ACCEPTS_PER_TURN
         )
 
     async def stop_accepting(self) -> None:
-        """Stops accepting, once all connections in the queue have been accepted.
+        """Accepts all connections in the kernel's queue, then closes the listening socket.
 
-        Closing the listener resets the connections in the kernel's queue, which may be more than the event
-        loop accepts in one turn. Those accepted in the current turn are not among the open ones yet.
+        Closing the listener resets the connections in the kernel's queue, and there may be more of them than
+        the event loop accepts in one turn. Connections accepted in the current turn are not in the table of
+        open connections yet.
         """
         accepted_before = -1
         deadline = self._clock() + GRACE_FOR_REQUEST_MS
@@ -116,7 +122,7 @@
         """Reads until the end of the stream."""
         while not connection.is_closing() and (data := await connection.reader.read(READ_BUFFER_BYTES)):
             connection.bytes_read += len(data)
-            # What is read after our end of stream is discarded: it could not be answered.
+            # Input after this node's end of stream is discarded, as it cannot be answered.
             if self._connections.is_open(connection):
                 self._http.handle_bytes(connection, data)
         if self._connections.is_open(connection) and not connection.awaits_answer:
--- a/onyxpost/edge/clients.py
+++ b/onyxpost/edge/clients.py
@@ -1,4 +1,4 @@
-"""The side of a node that faces its clients: one object of each part, connected with the others."""
+"""Builds the objects that serve clients, and connects them with each other."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Clients:
-    """The parts that serve clients.
+    """The objects of a node that serve clients.
 
     Attributes:
         connections: all open and closing connections.
         http: decodes requests and writes responses.
         listener: accepts and reads connections.
-        closer: closes connections by their deadlines and by a shutdown.
+        closer: closes connections at their deadlines and during a shutdown.
         eviction: closes connections when descriptors run out.
     """
 
@@ -52,13 +52,13 @@
     has_capacity: Callable[[], bool],
     report_fault: Callable[[str, BaseException], None],
 ) -> Clients:
-    """Builds the parts that serve clients; none of them opens a socket yet.
+    """Builds the objects that serve clients; none of them opens a socket yet.
 
     Args:
-        deployment: what requests are checked against.
+        deployment: the settings that requests are checked against.
         transport: the node's transport.
-        post: receives requests and the ends of clients' connections.
-        is_ready: returns whether health checks are answered 200.
+        post: receives the events of requests and of clients that disconnect.
+        is_ready: returns whether health checks are answered with 200 rather than 503.
         has_capacity: returns whether one more client may be served.
         report_fault: logs an unexpected exception.
     """
--- a/onyxpost/edge/descriptor_budget.py
+++ b/onyxpost/edge/descriptor_budget.py
@@ -1,4 +1,4 @@
-"""Shares the file descriptors of an edge node among clients, app servers, cluster members and the rest."""
+"""Divides the file descriptors of an edge node between clients, app servers, the cluster and other uses."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
     from onyxpost.edge.upstream_pool import UpstreamPool
 
 MAX_RESERVED = 48
-"""Descriptors for files, listeners, discovery, peers, planners, connections being accepted or rejected."""
+"""Descriptors for files, listeners, discovery, peers, planners and connections being accepted or rejected."""
 
 EXHAUSTED = (errno.EMFILE, errno.ENFILE)
-LOG_INTERVAL_MS = 10_000.0  # between log lines about exhausted descriptors
+LOG_INTERVAL_MS = 10_000.0  # minimum time between two log lines about exhausted descriptors
 
 
 class DescriptorBudget:
-    """Decides whether a connection may be opened or accepted, and closes another one for it if need be."""
+    """Decides whether a connection may be opened or accepted, and closes another one if necessary."""
 
     def __init__(
         self,
@@ -31,9 +31,9 @@
         """Creates the budget of a node.
 
         Args:
-            limit: returns how many descriptors the node may have open.
-            clients: whose connections are counted and closed.
-            servers: whose connections are counted and closed.
+            limit: returns the maximum number of open descriptors.
+            clients: the client connections to count and close.
+            servers: the upstream connections to count and close.
             count_cluster: returns the number of connections to members of the cluster.
         """
         self.limit = limit
@@ -42,34 +42,34 @@
         self.count_cluster = count_cluster
 
     def reserved(self) -> int:
-        """Returns how many descriptors are kept for everything but connections."""
+        """Returns the number of descriptors kept for uses other than clients, app servers and cluster."""
         return min(MAX_RESERVED, self.limit() // 4)
 
     def in_use(self) -> int:
-        """Returns how many descriptors are open or reserved."""
+        """Returns the number of descriptors that are open or reserved."""
         connections = self.clients.connections
         client_count = len(connections.open) + len(connections.closing)
         return client_count + self.servers.connection_count + self.reserved() + self.count_cluster()
 
     def has_client_capacity(self) -> bool:
-        """Returns whether one more client may connect; may close an idle client for it.
+        """Returns whether one more client may connect; may close an idle client connection to allow it.
 
         The load balancer in front opens at most a third of the descriptors, and a client that has sent a
-        request keeps its connection. So once clients hold a quarter, each new one takes the place of one that
-        is idle or slow to send a request, if there is one. Clients may hold at most three fifths of what is
-        not reserved, and leave the rest to upstream connections: a request that cannot be forwarded is of no
-        use.
+        request keeps its connection. So once clients hold a quarter of the descriptors, each new client
+        replaces one that is idle or slow to send a request, if there is one. Clients may hold at most three
+        fifths of the descriptors that are not reserved. The others are left for upstream connections, as a
+        request without one cannot be forwarded.
         """
         limit = self.limit()
         client_count = len(self.clients.connections.open)
         if client_count >= limit // 4 and self.clients.eviction.evict_connection():
-            return self.has_server_capacity()  # the one just closed still holds its descriptor for a while
+            return self.has_server_capacity()  # the evicted connection keeps its descriptor while closing
         return client_count < (limit - self.reserved()) * 3 // 5 and self.has_server_capacity()
 
     def has_server_capacity(self) -> bool:
         """Returns whether one more descriptor may be opened.
 
-        At the limit it aborts a closing client connection, or else closes an idle upstream connection.
+        At the limit, this aborts a closing client connection or else closes an idle upstream connection.
         """
         if self.in_use() < self.limit():
             return True
@@ -80,13 +80,14 @@
     """Limits how often exhausted descriptors are logged."""
 
     def __init__(self) -> None:
-        """Creates a limit under which nothing was logged yet."""
+        """Creates a limit that permits the next log line."""
         self._logged_at_ms = -LOG_INTERVAL_MS
 
     def is_logged_already(self, now_ms: float, error: BaseException | None) -> bool:
-        """Returns whether `error` reports exhausted descriptors and was logged a short while ago.
+        """Returns whether `error` reports exhausted descriptors and such an error was logged recently.
 
-        asyncio reports each connection that it could not accept, and retries once a second.
+        asyncio reports each connection that it could not accept, and retries once a second. If this returns
+        False for exhausted descriptors, the caller is expected to log them.
         """
         if not isinstance(error, OSError) or error.errno not in EXHAUSTED:
             return False
--- a/onyxpost/edge/discovery_client.py
+++ b/onyxpost/edge/discovery_client.py
@@ -1,4 +1,4 @@
-"""Follows the endpoint list of a discovery agent or service and reports its changes."""
+"""Watches the endpoint list of a discovery agent or service and posts its changes as events."""
 
 from __future__ import annotations
 
@@ -24,21 +24,22 @@
     from onyxpost.edge.discovery_watch import WatchAnswered, WatchFailed
     from onyxpost.runtime.transport import Transport
 
-# Between log lines about outages: an agent that answers and resets in turn would cause ten lines a second.
+# Minimum time between two log lines about outages. An agent that alternates between answers and resets would
+# otherwise cause ten lines a second.
 OUTAGE_LOG_INTERVAL_MS = 1000.0
-MAX_LOGGED_CAUSE_CHARS = 200  # of an error's text, which may quote an answer
+MAX_LOGGED_CAUSE_CHARS = 200  # limits the logged text of an error, which may quote an answer
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryOptions:
-    """What a client follows.
+    """Where discovery is, and how it is polled.
 
     Attributes:
         address: the address of discovery.
         alternative_address: a second address that discovery may have, until one of the two has answered.
-        generation: the version of the endpoint list in the node's file.
-        seed: for the jitter between polls.
-        shared: the discovery service itself is polled, in place of an agent that lists are pushed to.
+        generation: the generation of the endpoints in the node's file.
+        seed: the seed of the jitter between polls.
+        shared: whether the discovery service itself is polled, rather than an agent that lists are pushed to.
     """
 
     address: Address
@@ -49,14 +50,14 @@
 
 
 class DiscoveryClient:
-    """Watches discovery's endpoint list and posts its updates, outages and staleness as events.
+    """Watches discovery's endpoint list and posts updates, outages and staleness as events.
 
     Attributes:
-        generation: discovery's version of the endpoint list that this node has.
-        is_down: a poll of `address` has failed, and none has been answered since.
-        is_stale: the endpoint list may be stale, see `onyxpost.edge.staleness`.
-        watches: each running watch by its task, oldest first. After a change of address the watch on the old
-            one goes on until the new one has answered.
+        generation: the generation of the endpoints that this node has.
+        is_down: whether a poll of `address` has failed and none has been answered since.
+        is_stale: whether the endpoint list may be stale; see `onyxpost.edge.staleness`.
+        watches: each running watch by its task, oldest first. After a change of address, the watch on the
+            old address continues until the new address has answered.
     """
 
     def __init__(
@@ -66,7 +67,7 @@
         post: Callable[[EdgeEvent], None],
         log: Callable[[LogEvent], None],
     ) -> None:
-        """Creates a client that is not started.
+        """Creates a client without starting a watch.
 
         Args:
             transport: the node's transport.
@@ -79,42 +80,44 @@
         self.is_stale = False
         self.watches: dict[asyncio.Task[None], DiscoveryWatch] = {}
         self._transport = transport
-        self._addresses = AddressChoice(options.address, options.alternative_address)  # of the newest watch
+        # The addresses of the newest watch.
+        self._addresses = AddressChoice(options.address, options.alternative_address)
         self._post = post
         self._log = log
         self._rng = Random(options.seed)
         self._shared = options.shared
         self._outage_logged = False
-        self._next_outage_log_at = 0.0  # ms
+        self._next_outage_log_at = 0.0  # earliest time of the next outage log line, ms
         self._stale_timer: asyncio.TimerHandle | None = None
-        self._first_poll_finished = asyncio.Event()  # answered, or failed other than by a timeout
+        # Set once a poll was answered, or failed other than by a timeout.
+        self._first_poll_finished = asyncio.Event()
 
     @property
     def address(self) -> Address:
-        """The address of discovery."""
+        """The address that the newest watch polls next."""
         return self._addresses.address
 
     @property
     def alternative_address(self) -> Address | None:
-        """A second address that discovery may have, until one of the two has answered."""
+        """The second address that discovery may have; None once one of the two has answered."""
         return self._addresses.alternative
 
     def start(self) -> None:
-        """Starts watching, unless it has started already."""
+        """Starts a watch, unless one is running."""
         if not self.watches:
             self.start_watch()
 
     async def wait_for_first_answer(self, timeout_ms: float) -> None:
-        """Returns once a poll was answered, or failed other than by a timeout, or after `timeout_ms`."""
+        """Waits until a poll was answered, or failed other than by a timeout, but at most `timeout_ms`."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_ms / MS_PER_SECOND):
                 await self._first_poll_finished.wait()
 
     def change_address(self, address: Address) -> None:
-        """Watches another address.
+        """Starts a watch on another address.
 
-        The old watch goes on until the new address has answered, so no change is missed in between. A watch
-        on an address that was named in between, and has not answered yet, is cancelled.
+        The oldest watch continues until the new address has answered, so that no change is missed meanwhile.
+        Watches on other addresses that have not answered yet are cancelled.
         """
         self._addresses.forget_alternative()
         if address == self.address:
@@ -127,7 +130,11 @@
             self._schedule_staleness()
 
     def start_watch(self, *, after_move: bool = False) -> None:
-        """Starts a watch; `after_move`: a reload has just named its address."""
+        """Starts a watch.
+
+        Args:
+            after_move: whether a reload has just set the address.
+        """
         tracker = StalenessTracker(self._rng, shared=self._shared)
         watch = DiscoveryWatch(self._transport, self, self._addresses, tracker, after_move=after_move)
         self.watches[asyncio.get_running_loop().create_task(watch.run())] = watch
@@ -139,40 +146,41 @@
         for task in self.watches:
             task.cancel()
 
-    # Events of the watches (WatchListener)
+    # Implementation of `WatchListener`
 
     def on_watch_failed(self, failed: WatchFailed) -> None:
-        """Reports an outage, and sets from when on the list may be stale."""
+        """Reports an outage, and updates the time at which the list may become stale."""
         if failed.failure is not PollFailure.TIMEOUT:
             self._first_poll_finished.set()
         if failed.address == self.address:
             self._report_outage(failed.cause)
         else:
-            failed.watch.tracker.ignore_missed_changes()  # only changes known at the current address count
+            failed.watch.tracker.ignore_missed_changes()  # only the current address decides on staleness
         self._schedule_staleness()
 
     def on_watch_answered(self, answered: WatchAnswered) -> None:
-        """Applies an answer, and ends the watches that are older than the one answered."""
+        """Applies an answer, and cancels the watches that are older than the one that was answered."""
         self._cancel_older_watches(answered.watch)
         update = answered.update
-        if answered.address == self.address:  # an answer of the old address does not end an outage
+        if answered.address == self.address:  # the old address cannot end an outage of the new one
             self._end_outage(update.generation)
         if answered.after_move:
             fields = {"generation": update.generation, "held": self.generation}
             self._log(LogEvent("discovery moved", fields))
         if update.generation < self.generation and (answered.after_move or not update.complete):
-            # Older than the list that this node has: the newer changes are still to come. A complete list
-            # that was not requested is accepted, as discovery has restarted.
+            # The answer is older than this node's list, so it is replaced by an update without changes, and
+            # discovery is expected to catch up. A complete list that was not requested is accepted, as it
+            # shows that discovery has restarted.
             update = EndpointUpdate(self.generation, complete=False, endpoints=[], addresses={})
         self.generation = update.generation
         was_stale = self.is_stale
-        self.is_stale = self.is_stale and self._stale_in_ms() == 0.0  # by a later watch's tracker
+        self.is_stale = self.is_stale and self._stale_in_ms() == 0.0  # a newer watch may still be stale
         self._schedule_staleness()
         self._first_poll_finished.set()
         if update.endpoints or update.complete or was_stale != self.is_stale:
             self._post(update)
             if self.is_stale:
-                self._post(EndpointUpdateFailed(stale=True))  # an update alone would end the staleness
+                self._post(EndpointUpdateFailed(stale=True))  # the update alone would clear the staleness
 
     def _cancel_older_watches(self, answered: DiscoveryWatch) -> None:
         for task, watch in list(self.watches.items()):
@@ -204,13 +212,13 @@
         self._outage_logged = False
 
     def _stale_in_ms(self) -> float | None:
-        """Returns the shortest time of any watch until the list may be stale; None if it cannot be."""
+        """Returns the time until any watch considers the list stale; None if no watch will."""
         now = self._transport.clock()
         times = [watch.tracker.stale_in_ms(now) for watch in self.watches.values()]
         return min((time_ms for time_ms in times if time_ms is not None), default=None)
 
     def _schedule_staleness(self) -> None:
-        """Sets the timer that reports the list as stale to when it may become so."""
+        """Restarts the timer that reports the list as stale, if a watch can become stale."""
         if self._stale_timer is not None:
             self._stale_timer.cancel()
             self._stale_timer = None
--- a/onyxpost/edge/discovery_poll.py
+++ b/onyxpost/edge/discovery_poll.py
@@ -1,4 +1,4 @@
-"""One poll of discovery's endpoint list: its request, its answer, and how it failed."""
+"""Sends one poll for discovery's endpoint list, decodes the answer and classifies failures."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
     from onyxpost.config.address import Address
 
 CONNECT_TIMEOUT_MS = 2000.0
-LATE_ANSWER_TIMEOUT_MS = 4000.0  # how long the oldest poll is kept open beside newer ones
-MAX_ANSWER_BYTES = 8 * 1024 * 1024  # bounds the memory for a list of endpoints
+LATE_ANSWER_TIMEOUT_MS = 4000.0  # how long the oldest poll is kept open while newer ones are sent
+MAX_ANSWER_BYTES = 8 * 1024 * 1024  # limits the memory for a list of endpoints
 STATUS_OK = 200
 
 
@@ -38,7 +38,7 @@
 
 
 class PollAnswer(NamedTuple):
-    """The answer to a poll, and its connection if that can be used again."""
+    """The answer to a poll, and its connection if it can be reused."""
 
     connection: DiscoveryConnection | None
     update: EndpointUpdate
@@ -48,8 +48,8 @@
     """A poll failed.
 
     Attributes:
-        failure: how it failed.
-        cause: the error that it failed with.
+        failure: the kind of failure.
+        cause: the original error.
     """
 
     def __init__(self, failure: PollFailure, cause: Exception) -> None:
@@ -59,7 +59,7 @@
 
 
 class OpenPoll(NamedTuple):
-    """A poll that was sent and is not answered yet. Times are of the node's clock, in ms."""
+    """A poll that is not answered yet. `started_at` is a time of the node's clock, in ms."""
 
     task: asyncio.Task[PollAnswer]
     address: Address
@@ -70,9 +70,16 @@
 async def poll_endpoints(
     transport: Transport, address: Address, connection: DiscoveryConnection | None, query: str
 ) -> PollAnswer:
-    """Sends one poll, on a new connection if none is given, and returns its answer.
+    """Sends one poll and returns its answer.
 
-    Raises PollFailedError.
+    Args:
+        transport: dials a new connection.
+        address: the address of discovery.
+        connection: an idle connection to `address`; None dials a new one.
+        query: the query string of the request.
+
+    Raises:
+        PollFailedError: the poll got no valid answer.
     """
     received_before = 0
     try:
@@ -103,9 +110,15 @@
 
 
 def limit_open_polls(polls: list[OpenPoll], max_open: int, now: float) -> None:
-    """Closes polls, given oldest first, until one more can be opened.
+    """Closes polls so that one more can be opened.
+
+    The oldest poll is kept for `LATE_ANSWER_TIMEOUT_MS`, as its answer may only be late. If too many polls
+    are open, the second oldest is closed.
 
-    The oldest is kept for `LATE_ANSWER_TIMEOUT_MS`, as its answer may only be late; the next is closed.
+    Args:
+        polls: the open polls, oldest first.
+        max_open: the maximum number of open polls.
+        now: the current time, in ms.
     """
     if polls and now - polls[0].started_at >= LATE_ANSWER_TIMEOUT_MS:
         close_polls(polls, 0, 1)
@@ -114,10 +127,10 @@
 
 
 def close_polls(polls: list[OpenPoll], first: int = 0, end: int | None = None) -> None:
-    """Cancels the polls from `first` up to `end` and removes them from the list."""
+    """Cancels the polls in `polls[first:end]` and removes them from the list."""
     for poll in polls[first:end]:
         if not poll.task.cancel() and not poll.task.cancelled() and not poll.task.exception():
-            # Answered in the same turn of the event loop as another poll: its connection is not needed.
+            # Two polls were answered in the same turn of the event loop, and one connection is enough.
             connection = poll.task.result().connection
             if connection is not None:
                 connection.abort()
@@ -142,7 +155,7 @@
 
 
 def _classify(err: Exception, *, connected: bool, answer_started: bool) -> PollFailure:
-    """Returns how a poll failed; `answer_started`: bytes of an answer had been received."""
+    """Returns the kind of failure; `answer_started` is whether any byte of an answer arrived."""
     if isinstance(err, DiscoveryOverloadedError):
         return PollFailure.OVERLOADED
     if answer_started or (connected and not isinstance(err, OSError)):
--- a/onyxpost/edge/discovery_watch.py
+++ b/onyxpost/edge/discovery_watch.py
@@ -1,4 +1,4 @@
-"""A watch on discovery's endpoint list: polls one address until it is cancelled."""
+"""A watch on discovery's endpoint list, which polls until it is cancelled."""
 
 from __future__ import annotations
 
@@ -22,13 +22,17 @@
     from onyxpost.edge.messages import EndpointUpdate
     from onyxpost.runtime.transport import Transport
 
-TIMER_RESOLUTION_SECONDS = 1e-4  # a shorter wait may end before the loop's clock has advanced
+TIMER_RESOLUTION_SECONDS = 1e-4  # shorter waits may end before the event loop's clock has advanced
 
 
 class WatchAnswered(NamedTuple):
     """A poll of a watch was answered.
 
-    `after_move`: it is the first answer after a reload has named the address.
+    Attributes:
+        watch: the watch.
+        address: the address that answered.
+        update: the decoded answer.
+        after_move: whether this is the first answer after a reload has set the address.
     """
 
     watch: DiscoveryWatch
@@ -38,7 +42,7 @@
 
 
 class WatchFailed(NamedTuple):
-    """A poll of a watch failed, with `cause`, in a way that tells of more than its own connection."""
+    """A poll of a watch failed with the error `cause`; not sent for a timeout on a reused connection."""
 
     watch: DiscoveryWatch
     address: Address
@@ -47,24 +51,24 @@
 
 
 class WatchListener(Protocol):
-    """What a watch needs of the client that started it."""
+    """Receives the answers and failures of a watch."""
 
     @property
     def generation(self) -> int:
-        """Discovery's version of the endpoint list that the node has."""
+        """The generation of the endpoints that the node has."""
 
     def on_watch_answered(self, answered: WatchAnswered) -> None:
-        """Handles an answer."""
+        """Handles an answer to a poll."""
 
     def on_watch_failed(self, failed: WatchFailed) -> None:
-        """Handles a failure, once the watch's tracker has counted it."""
+        """Handles a failure, after the tracker of the watch has recorded it."""
 
 
 class DiscoveryWatch:
-    """Polls one address and reports each answer and each failure to its listener.
+    """Polls discovery and reports answers and failures to its listener.
 
     Attributes:
-        tracker: times the polls.
+        tracker: decides when to poll, and when the list may be stale.
     """
 
     def __init__(
@@ -76,14 +80,15 @@
         *,
         after_move: bool = False,
     ) -> None:
-        """Creates a watch that does not poll yet.
+        """Creates a watch without sending a poll.
 
         Args:
             transport: the node's transport.
-            listener: receives the events.
-            addresses: the address to poll, and the other one that discovery may have.
-            tracker: times the polls.
-            after_move: a reload has named the address, so the first poll requests all endpoints.
+            listener: receives the answers and failures.
+            addresses: selects the address to poll.
+            tracker: decides when to poll, and when the list may be stale.
+            after_move: whether a reload has set the address, so that polls request all endpoints until one is
+                answered.
         """
         self.tracker = tracker
         self._transport = transport
@@ -91,7 +96,7 @@
         self._addresses = addresses
         self._after_move = after_move
         self._open_polls: list[OpenPoll] = []  # oldest first
-        self._connection: DiscoveryConnection | None = None  # of the last answer
+        self._connection: DiscoveryConnection | None = None  # the idle connection of the last answer
 
     async def run(self) -> None:
         """Polls until cancelled."""
@@ -124,7 +129,7 @@
         return poll
 
     async def _wait_for_answer(self, newest: OpenPoll, timeout_ms: float) -> None:
-        """Returns once any open poll was answered, or when the next one is due."""
+        """Waits until an open poll was answered and handled, or the next poll is due."""
         loop = asyncio.get_running_loop()
         due = loop.time() + timeout_ms / MS_PER_SECOND
         while (left := due - loop.time()) > TIMER_RESOLUTION_SECONDS:
@@ -160,7 +165,7 @@
         self._listener.on_watch_answered(WatchAnswered(self, answered.address, update, self._after_move))
         self._after_move = False
         if ignored_long_poll:
-            # An agent that answers a long poll at once, without a change, must not be polled without pause.
+            # Without a pause, an agent that answers long polls at once would be polled in a busy loop.
             await asyncio.sleep(self.tracker.retry_pause_ms() / MS_PER_SECOND)
 
     async def _handle_timeout(self) -> None:
@@ -171,13 +176,13 @@
             await asyncio.sleep(pause_ms / MS_PER_SECOND)
 
     def _handle_failure(self, poll: OpenPoll, failure: PollFailure, cause: Exception) -> float:
-        """Handles the failure of a poll; returns the time in ms until the next poll."""
+        """Handles the failure of a poll and returns the time in ms until the next poll."""
         counted_failure = self._addresses.on_poll_failed(failure)
         if counted_failure is None:
             return 0.0
         now = self._transport.clock()
         if counted_failure is PollFailure.TIMEOUT and not self.tracker.reconnecting:
-            # Only a poll on a new connection shows whether more than this one connection has failed.
+            # Possibly only the reused connection has failed; the next poll, on a new connection, shows it.
             return self.tracker.on_poll_failed(now, counted_failure)
         pause_ms = self.tracker.on_poll_failed(now, counted_failure, poll.started_at)
         self._listener.on_watch_failed(WatchFailed(self, self._addresses.address, counted_failure, cause))
--- a/onyxpost/edge/effect_sink.py
+++ b/onyxpost/edge/effect_sink.py
@@ -1,4 +1,4 @@
-"""Turns the decisions of one round into effects. No I/O and no clock."""
+"""Converts the decisions of a round into effects. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 class EffectSink:
     """Implements `onyxpost.core.sink.DecisionSink` for the state machine.
 
-    Each request gets at most one final answer, whatever is decided on it.
+    Each request gets at most one final answer, even if several are decided.
 
     Attributes:
-        effects: of the current round, in the order of the decisions.
-        deferred_events: events that the decision maker receives in the next round.
+        effects: the effects of the current round, in the order of the decisions.
+        deferred_events: the events that the decision maker receives in the next round.
     """
 
     def __init__(self, requests: PendingRequests, endpoints: EndpointTable) -> None:
@@ -43,7 +43,7 @@
 
         Args:
             requests: all pending requests.
-            endpoints: the servers that accept new attempts.
+            endpoints: the endpoints that accept new attempts.
         """
         self.effects: list[Effect] = []
         self.deferred_events: list[DecisionEvent] = []
@@ -52,7 +52,7 @@
         self._now = 0.0
 
     def begin_round(self, now: float) -> list[DecisionEvent]:
-        """Starts a round at `now`, in ms, without effects; returns the events deferred to it."""
+        """Starts a round at `now` (ms) and returns the events that were deferred to it."""
         self._now = now
         self.effects = []
         deferred_events = self.deferred_events
@@ -60,34 +60,40 @@
         return deferred_events
 
     def emit(self, effect: Effect) -> None:
-        """Adds an effect that no decision has caused, such as a log event."""
+        """Adds an effect that is not the result of a decision, such as a log event."""
         self.effects.append(effect)
 
     # Answers
 
     def answer(self, request: PendingRequest, answer: SendAnswer) -> None:
-        """Sends the final answer to a request, unless it is settled."""
+        """Sends the final answer to a request, unless the request is settled."""
         if not request.is_settled:
             self.effects.append(answer)
             self.settle(request)
 
     def settle(self, request: PendingRequest) -> None:
-        """Marks a request as needing no further answer, and withdraws its attempts that are not sent yet."""
+        """Marks a request as settled, and withdraws those of its attempts that are not sent yet."""
         self._requests.settle(request)
         self.effects += [WithdrawAttempt(attempt) for attempt in self._requests.ids_in_flight(request)]
         self._requests.release_if_finished(request)
 
     def abandon(self, request: PendingRequest) -> None:
-        """Aborts a request that the decision maker has not ended, and cancels it there in the next round."""
+        """Aborts a request that the decision maker has not ended, and tells it in the next round.
+
+        Attempts in flight are closed.
+        """
         for attempt_index in range(len(request.attempt_ids)):
             self.cancel_attempt(request.request_id, attempt_index)
         self._abort(request)
         self.deferred_events.append(RequestCancelled(request.request_id))
 
-    # Decisions on requests
+    # Decisions about requests
 
     def start_attempt(self, request_id: str, server: str, timeout_ms: float, begin_before: float) -> None:
-        """Sends an attempt to a server; one that cannot be sent any more ends as unused in the next round."""
+        """Sends an attempt to a server.
+
+        An attempt that cannot be sent any more ends with the result `UNUSED` in the next round.
+        """
         request, attempt_index = self._requests.add_attempt(request_id)
         remaining_ms = min(timeout_ms, request.deadline - self._now)
         if request.is_settled or remaining_ms <= 0.0 or server not in self._endpoints.by_server:
@@ -103,20 +109,20 @@
         )
 
     def reject(self, request_id: str, retry_after_ms: float) -> None:
-        """Answers that the request was not executed and may be sent again after `retry_after_ms`."""
+        """Answers that the request was not executed and may be retried after `retry_after_ms`."""
         request = self._requests.by_id.get(request_id)
         if request is not None:
             connection_id = request.client_request.connection_id
             self.answer(request, SendAnswer(connection_id, FinalAnswer.REJECTED, None, retry_after_ms))
 
     def abort(self, request_id: str) -> None:
-        """Answers that the request failed and may have been executed."""
+        """Answers that the request failed and was possibly executed."""
         request = self._requests.by_id.get(request_id)
         if request is not None:
             self._abort(request)
 
     def cancel_attempt(self, request_id: str, attempt_index: int) -> None:
-        """Closes the connection of an attempt that is still in flight."""
+        """Closes the connection of an attempt, if it is still in flight."""
         request = self._requests.by_id.get(request_id)
         if request is None or attempt_index >= len(request.attempt_ids):
             return
@@ -127,28 +133,28 @@
     def _abort(self, request: PendingRequest) -> None:
         self.answer(request, SendAnswer(request.client_request.connection_id, FinalAnswer.ABORTED))
 
-    # Decisions that need no state of the node
+    # Decisions that do not depend on requests or endpoints
 
     def send_peer_message(self, peer: int, body: str) -> None:
         """Sends one message to another node."""
         self.effects.append(SendPeerMessage(peer, encode_datagram(body)))
 
     def start_timer(self, delay_ms: float, token: int) -> None:
-        """Delivers `TimerFired(token)` after the delay."""
+        """Posts `TimerFired(token)` after `delay_ms`."""
         self.effects.append(StartTimer(delay_ms, token))
 
     def log(self, line: str) -> None:
-        """Logs a line of the policy, such as a change of its mode, as the event `mode`."""
+        """Logs a line from the policy, such as a change of its mode, as the log event `mode`."""
         self.effects.append(LogEvent("mode", {"line": line}))
 
     def watch_endpoints(self) -> None:
-        """Starts the watch on discovery, if it has not started yet."""
+        """Starts the watch on discovery, unless one is running."""
         self.effects.append(WatchEndpoints())
 
     def report_units_spent(self, customer: int, plan: str, units: int, lease_id: int) -> None:
-        """Reports units that a request took from a lease, or from this node's own share (lease 0)."""
+        """Reports the units that a request spent from a lease, or from this node's own share (lease 0)."""
         self.effects.append(ReportUnitsSpent(customer, plan, units, lease_id))
 
     def return_lease(self, lease_id: int, units: int) -> None:
-        """Gives a lease back with the units that are left of it."""
+        """Returns a lease with its remaining units."""
         self.effects.append(ReturnLease(lease_id, units))
--- a/onyxpost/edge/endpoint_table.py
+++ b/onyxpost/edge/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The servers that accept new attempts, as discovery has reported them. No I/O."""
+"""The endpoints that accept new attempts, as reported by discovery. No I/O."""
 
 from __future__ import annotations
 
@@ -12,18 +12,22 @@
 
 
 class EndpointTable:
-    """Endpoints by server id; only those that are ready and have an address."""
+    """The endpoints that are ready and have an address, by server id."""
 
     def __init__(self) -> None:
         """Creates an empty table."""
         self.by_server: dict[str, Endpoint] = {}
 
     def accepts_attempts(self, endpoint: Endpoint) -> bool:
-        """Returns whether the server is still at that address and accepts new attempts."""
+        """Returns whether the server still has this address and accepts new attempts."""
         return self.by_server.get(endpoint.server) == endpoint
 
     def apply(self, update: EndpointUpdate) -> list[Endpoint]:
-        """Applies an update; returns the endpoints to retire: no longer ready, gone, or moved."""
+        """Applies an update.
+
+        Returns:
+            The endpoints to retire: those that are no longer ready, are gone, or have another address.
+        """
         removed = {status.server for status in update.endpoints if status.state is not EndpointState.READY}
         if update.complete:
             removed |= set(self.by_server) - set(update.addresses)
--- a/onyxpost/edge/errors.py
+++ b/onyxpost/edge/errors.py
@@ -1,6 +1,6 @@
-"""The edge node's errors.
+"""Errors of the edge node.
 
-Those without a remedy are not shown to operators: they become a client's answer or an attempt's result.
+Errors without a remedy are not shown to operators, but become the answer to a client.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class InvalidEndpointUpdateError(InvalidInputError):
-    """Discovery answered, but not with a list of servers: the whole answer is rejected."""
+    """The answer of discovery is not a valid list of servers and is rejected as a whole."""
 
     remedy = (
         "check what discovery's agent answers to GET /v1/servers; the node keeps the endpoints that it has"
@@ -17,20 +17,20 @@
 
 
 class DiscoveryOverloadedError(InvalidInputError):
-    """Discovery answered with a status other than 200, as it does with more polls than it can answer.
+    """Discovery answered with a status other than 200, usually because it receives too many polls.
 
-    It stays overloaded if all nodes poll again at once.
+    Nodes have to wait before the next poll, as discovery stays overloaded if all nodes poll again at once.
     """
 
     remedy = "wait 20 s, the node polls again by itself; if it lasts, give discovery more capacity"
 
 
 class RequestRejectedError(Exception):
-    """A client's request is invalid, and nothing of it is forwarded.
+    """A client's request is invalid and is not forwarded.
 
     Attributes:
         status: the HTTP status of the answer.
-        framing_unknown: where the request ends is unknown, so its connection has to be closed.
+        framing_unknown: whether the end of the request is unknown, so that its connection has to be closed.
     """
 
     def __init__(self, status: int, reason: str, *, framing_unknown: bool = False) -> None:
--- a/onyxpost/edge/event_processor.py
+++ b/onyxpost/edge/event_processor.py
@@ -1,4 +1,4 @@
-"""Feeds events to the state machine in rounds, and carries out the effects that it returns."""
+"""Passes events to the state machine in rounds, and executes the effects that it returns."""
 
 from __future__ import annotations
 
@@ -16,10 +16,17 @@
 
 
 class EventProcessor:
-    """Collects events and processes them in rounds: the first event schedules one for the next loop turn.
+    """Collects events and processes them in rounds.
 
-    `effect_handlers` maps each type of effect to the function that carries it out. An exception in one of
-    them is reported, and the effects after it are still carried out.
+    The first event after a round schedules the next round for the next turn of the event loop.
+
+    Attributes:
+        state_machine: handles the events of a round.
+        clock: the clock of the node, in ms.
+        report_fault: logs an unexpected exception.
+        effect_handlers: the function that executes each type of effect. If one raises an exception, this is
+            reported, and the remaining effects are still executed.
+        inbox: the events of the next round.
     """
 
     def __init__(
@@ -41,7 +48,7 @@
         self._schedule_round()
 
     def run_round(self) -> None:
-        """Processes all queued events now."""
+        """Processes all queued events and executes the resulting effects."""
         events = self.inbox
         self.inbox = []
         self._is_round_scheduled = False
@@ -54,7 +61,7 @@
             self._schedule_round()
 
     def start_timer(self, effect: StartTimer) -> None:
-        """Posts `TimerFired` after the delay of the effect."""
+        """Schedules `TimerFired` after the delay of the effect."""
         loop = asyncio.get_running_loop()
         loop.call_later(effect.delay_ms / MS_PER_SECOND, self.post, TimerFired(effect.token))
 
--- a/onyxpost/edge/messages/__init__.py
+++ b/onyxpost/edge/messages/__init__.py
@@ -1,4 +1,4 @@
-"""Events and effects of the edge node's state machine, with their encoding on the network."""
+"""Events and effects of the edge node's state machine, and their encoding on the network."""
 
 from onyxpost.edge.messages.datagrams import MAX_DATAGRAM_BYTES, decode_datagram, encode_datagram
 from onyxpost.edge.messages.effects import (
--- a/onyxpost/edge/messages/effects.py
+++ b/onyxpost/edge/messages/effects.py
@@ -1,6 +1,6 @@
-"""Effects of the edge node's state machine, which its sockets carry out in order.
+"""Effects of the edge node's state machine, which the event processor executes in order.
 
-Times are Unix times in milliseconds, durations are milliseconds; both have fractions.
+Times are Unix times in milliseconds, durations are in milliseconds. Both may have fractions.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Endpoint(NamedTuple):
-    """A server at an address; another server may get the same address later."""
+    """A server and its address; another server may get the same address later."""
 
     server: str
     address: Address
@@ -28,10 +28,10 @@
 
     Attributes:
         attempt_id: unique in this node's process.
-        endpoint: the server.
+        endpoint: the server and its address.
         request: the client's request.
-        timeout_ms: how long to wait for the response.
-        begin_before: nothing is sent from this time on: app servers may no longer recognise a retry as a
+        timeout_ms: maximum duration of the attempt, up to the end of the response.
+        begin_before: the time by which sending has to begin. App servers may not recognise a later retry as a
             duplicate of an earlier attempt, and would execute both.
     """
 
@@ -43,25 +43,25 @@
 
 
 class CloseAttempt(NamedTuple):
-    """Ends an attempt by closing its connection."""
+    """Ends an attempt in flight by closing its connection."""
 
     attempt_id: int
 
 
 class WithdrawAttempt(NamedTuple):
-    """Prevents an attempt from being sent, if it has not been yet: its request needs no answer any more."""
+    """Prevents an attempt from being sent, unless sending has begun; its request needs no answer any more."""
 
     attempt_id: int
 
 
 class RetireEndpoint(NamedTuple):
-    """Closes a server's connections as they become idle: it drains, is gone, or has moved."""
+    """Closes the connections to an endpoint that is draining, gone or has moved, once they are idle."""
 
     endpoint: Endpoint
 
 
 class FinalAnswer(Enum):
-    """How a request is answered."""
+    """The kind of a final answer."""
 
     FORWARDED = "passed"
     REJECTED = "denied"
@@ -69,13 +69,13 @@
 
 
 class SendAnswer(NamedTuple):
-    """Sends the one final answer of a request.
+    """Sends the final answer to a request.
 
     Attributes:
         connection_id: the client's connection.
-        outcome: which answer it is.
+        outcome: the kind of answer.
         response: the app server's response, for `FORWARDED`.
-        retry_after_ms: time until a rejected request may be sent again; 0: no Retry-After header.
+        retry_after_ms: time after which a rejected request may be retried; 0 omits the Retry-After header.
     """
 
     connection_id: int
@@ -85,7 +85,7 @@
 
 
 class SendPeerMessage(NamedTuple):
-    """Sends a datagram to another edge node, by its index."""
+    """Sends a datagram to the edge node with the index `peer`."""
 
     peer: int
     datagram: bytes
@@ -99,7 +99,7 @@
 
 
 class ReportUnitsSpent(NamedTuple):
-    """A request has spent units of a lease, or of this node's own share (lease 0)."""
+    """Reports that a request has spent units of a lease, or of this node's own share (lease 0)."""
 
     customer: int
     plan: str
@@ -108,7 +108,7 @@
 
 
 class ReturnLease(NamedTuple):
-    """A lease is not used any more; `units` of it are left."""
+    """Returns a lease of which `units` are left."""
 
     lease_id: int
     units: int
--- a/onyxpost/edge/messages/endpoint_updates.py
+++ b/onyxpost/edge/messages/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Decodes discovery's lists of endpoints."""
+"""Decodes the lists of endpoints that discovery sends."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class WireEndpoint(Settings, rename="camel"):
-    """One endpoint, as discovery encodes it."""
+    """An endpoint in the encoding of discovery."""
 
     instance_id: str
     lifecycle: Literal["up", "draining", "removed"]
@@ -31,7 +31,7 @@
 
 
 class WireEndpointUpdate(Settings):
-    """A list of endpoints, as discovery encodes it."""
+    """A list of endpoints in the encoding of discovery; `reset` marks a complete list."""
 
     generation: int
     instances: list[WireEndpoint]
@@ -39,7 +39,7 @@
 
 
 def decode_endpoint_update(data: Any) -> EndpointUpdate:  # noqa: ANN401 - any decoded JSON value
-    """Decodes a list of endpoints, from JSON text or from the value of such a text.
+    """Decodes a list of endpoints from JSON text or from a decoded JSON value.
 
     Raises:
         InvalidEndpointUpdateError: the value is not a valid list of endpoints.
@@ -51,7 +51,11 @@
 
 
 def build_endpoint_update(update: WireEndpointUpdate, path: str = "$") -> EndpointUpdate:
-    """Converts a list of endpoints; `path` is where it stands in its file.
+    """Converts a list of endpoints to an update.
+
+    Args:
+        update: the list.
+        path: the path of the list in its file, for error messages.
 
     Raises:
         InvalidAddressError: an endpoint's address is invalid.
--- a/onyxpost/edge/messages/events.py
+++ b/onyxpost/edge/messages/events.py
@@ -1,6 +1,6 @@
-"""Events of the edge node's state machine, decoded from what its sockets receive.
+"""Events of the edge node's state machine, decoded from received network messages.
 
-Times are Unix times in milliseconds, durations are milliseconds; both have fractions.
+Times are Unix times in milliseconds, durations are in milliseconds. Both may have fractions.
 """
 
 from __future__ import annotations
@@ -23,20 +23,23 @@
 
 
 class ClientRequest(NamedTuple):
-    """A client's request, received completely.
+    """A complete request from a client.
 
     Attributes:
-        connection_id: the client's connection, which has one request at a time.
-        received_at: when its first byte was received.
-        trace_id: the client's id of the request.
-        method: the HTTP method; `target`, `headers` and `body` are of the same HTTP request.
-        frontend: name of the frontend that it addresses.
-        customer: the customer's key, as text.
-        plan: name of the customer's plan.
-        units: how many units of the customer's quota it costs.
-        set_size: number of nodes that serve this customer.
-        first_node: index of the first of those nodes.
-        timeout_ms: how long the client waits for its answer, from `received_at` on.
+        connection_id: the client's connection, which carries one request at a time.
+        received_at: the time at which its first byte was received.
+        trace_id: the id that the client gave to the request.
+        method: the HTTP method.
+        target: the HTTP request target.
+        headers: the HTTP headers.
+        body: the HTTP body.
+        frontend: the name of the requested frontend.
+        customer: the customer's key, as hexadecimal digits.
+        plan: the name of the customer's plan.
+        units: the number of units that the request costs of the customer's quota.
+        set_size: the number of nodes that serve this customer.
+        first_node: the index of the first of these nodes.
+        timeout_ms: the client timeout, counted from `received_at`.
     """
 
     connection_id: int
@@ -56,20 +59,20 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """A client's connection has ended."""
+    """A client's connection has ended, or is being closed without an answer."""
 
     connection_id: int
 
 
 class UpstreamResponse(NamedTuple):
-    """A response with status 200 of an app server, to be forwarded to the client."""
+    """A response of an app server with status 200, which is forwarded to the client."""
 
     headers: Headers
     body: bytes
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt has ended; posted exactly once for each attempt."""
+    """An attempt has ended; posted exactly once for each attempt that was sent to the pool."""
 
     attempt_id: int
     result: AttemptResult
@@ -81,10 +84,10 @@
     """Discovery has reported endpoints.
 
     Attributes:
-        generation: discovery's version of the list.
-        complete: these are all endpoints, else only those that changed.
+        generation: the generation of the endpoints.
+        complete: whether all endpoints are listed, rather than only those that changed.
         endpoints: the state of each endpoint.
-        addresses: by server id; an endpoint without an address has no entry.
+        addresses: the addresses by server id; endpoints without an address have no entry.
     """
 
     generation: int
@@ -94,7 +97,7 @@
 
 
 class EndpointUpdateFailed(NamedTuple):
-    """Discovery could not be polled; `stale`: changes of endpoints may have been missed."""
+    """A poll of discovery failed; `stale` is whether changes of endpoints may have been missed."""
 
     stale: bool = False
 
--- a/onyxpost/edge/messages/forwarded_headers.py
+++ b/onyxpost/edge/messages/forwarded_headers.py
@@ -1,4 +1,4 @@
-"""Encodes requests to app servers, and classifies their responses."""
+"""Encodes requests to app servers and classifies their responses."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from onyxpost.edge.messages.events import ClientRequest
 
-# Not forwarded to app servers: also headers that only clients and edge nodes use between them.
+# Besides hop-by-hop headers, app servers do not get the headers that are only for edge nodes.
 HEADERS_NOT_FORWARDED = HOP_BY_HOP_HEADERS | {
     b"content-length",
     b"expect",
@@ -29,14 +29,17 @@
 
 
 class ForwardedRequest(NamedTuple):
-    """A request as it is written to an app server."""
+    """A request in the form that is sent to an app server."""
 
     head: h11.Request
     body: bytes
 
 
 def forwarded_request(request: ClientRequest, remaining_ms: float) -> ForwardedRequest:
-    """Encodes a client's request for an app server; X-Expires-In is the time that this node waits, in us."""
+    """Encodes a client's request for an app server.
+
+    The header X-Expires-In is set to the time for which this node waits, in microseconds.
+    """
     headers = [header for header in request.headers if header[0] not in HEADERS_NOT_FORWARDED]
     headers.append((b"X-Expires-In", b"%du" % max(1, round(remaining_ms * US_PER_MS))))
     if request.body or request.method != b"GET":
@@ -46,9 +49,9 @@
 
 
 def attempt_result(response: h11.Response) -> AttemptResult:
-    """Returns the result of an attempt whose response was received completely.
+    """Returns the result of an attempt from its complete response.
 
-    Only an explicit header of the server proves that it has not executed the request.
+    Only the header X-Never-Ran proves that the server has not executed the request.
     """
     if response.status_code == STATUS_OK:
         return AttemptResult.OK
--- a/onyxpost/edge/messages/request_headers.py
+++ b/onyxpost/edge/messages/request_headers.py
@@ -1,4 +1,4 @@
-"""Decodes clients' requests from their headers, and encodes the answers to them."""
+"""Decodes the headers of client requests and encodes the answers."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     from onyxpost.config.deployment import Deployment
 
 MAX_BODY_BYTES = 64 * 1024
-MAX_INTEGER_DIGITS = 9  # bounds the numbers in headers, below 10^9
+MAX_INTEGER_DIGITS = 9  # numbers in headers are less than 10^9
 
-# Headers of a single connection, which a proxy must not forward (RFC 9110, section 7.6.1).
+# Headers for one connection only, which a proxy must not forward (RFC 9110, section 7.6.1).
 HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
@@ -31,17 +31,17 @@
         b"upgrade",
     }
 )
-# Not returned to clients: also headers that only app servers and edge nodes use between them.
+# Besides hop-by-hop headers, clients do not get the headers that app servers send only to edge nodes.
 HEADERS_NOT_RETURNED = HOP_BY_HOP_HEADERS | {b"content-length", b"x-never-ran", b"endpoint-load-metrics"}
 SINGLE_HEADERS = (b"x-trace-id", b"plan", b"cookie", b"x-expires-in", b"quota-info", b"idempotency-key")
-CUSTOMER_KEY = re.compile(rb"0{7}[01][0-9a-fA-F]{8}")  # 16 hexadecimal digits, a number below 2^33
-DURATION = re.compile(rb"([0-9]{1,12}(?:\.[0-9]{1,9})?)([mu])")  # milliseconds or microseconds
+CUSTOMER_KEY = re.compile(rb"0{7}[01][0-9a-fA-F]{8}")  # 16 hexadecimal digits of a number less than 2^33
+DURATION = re.compile(rb"([0-9]{1,12}(?:\.[0-9]{1,9})?)([mu])")  # in milliseconds (m) or microseconds (u)
 
 HeaderValues = dict[bytes, bytes]
 
 
 class EncodedAnswer(NamedTuple):
-    """An answer as HTTP."""
+    """The status, headers and body of an HTTP response to a client."""
 
     status: int
     headers: Headers
@@ -49,7 +49,7 @@
 
 
 class _RequestFields(NamedTuple):
-    """The decoded headers of a request, not checked against the deployment yet."""
+    """The decoded headers of a request, before they are checked against the deployment."""
 
     trace_id: str
     plan: str
@@ -63,10 +63,10 @@
 def decode_request(
     connection_id: int, received_at: float, request: h11.Request, deployment: Deployment
 ) -> ClientRequest:
-    """Decodes the head of a request; its body has not been received yet.
+    """Decodes the head of a request; the body of the result is empty.
 
     Raises:
-        RequestRejectedError: the request is malformed, or does not fit this deployment.
+        RequestRejectedError: the request is malformed or does not match the deployment.
     """
     headers: Headers = list(request.headers)
     values = dict(headers)
@@ -97,7 +97,7 @@
 
 
 def encode_answer(answer: SendAnswer) -> EncodedAnswer:
-    """Encodes a request's final answer."""
+    """Encodes the final answer to a request as an HTTP response."""
     if answer.outcome is FinalAnswer.FORWARDED and answer.response is not None:
         headers = [header for header in answer.response.headers if header[0] not in HEADERS_NOT_RETURNED]
         return EncodedAnswer(200, headers, answer.response.body)
@@ -117,8 +117,8 @@
 
 
 def _decode_content_length(values: HeaderValues) -> int:
-    # Two lengths may be read differently by two servers, which hides a second request in a body (request
-    # smuggling).
+    # Servers may disagree on which of two lengths applies, which can hide a second request in a body
+    # (request smuggling).
     if b"transfer-encoding" in values and b"content-length" in values:
         raise RequestRejectedError(400, "two lengths", framing_unknown=True)
     content_length = int(values.get(b"content-length", 0))
@@ -128,7 +128,7 @@
 
 
 def _find_frontend(target: bytes, deployment: Deployment) -> Frontend:
-    """Finds the frontend that the first segment of the path names."""
+    """Returns the frontend that the first segment of the path names."""
     path = target.split(b"?", 1)[0]
     first_segment = path.split(b"/", 2)[1:2]
     for frontend in deployment.frontends:
@@ -186,7 +186,7 @@
 
 
 def _decode_integer(text: bytes) -> int:
-    """Decodes digits; `int` would also accept a sign, blanks and underscores."""
+    """Decodes decimal digits; `int` alone would also accept a sign, blanks and underscores."""
     if not text.isdigit() or len(text) > MAX_INTEGER_DIGITS:
         raise ValueError(f"no number: {text[:20]!r}")
     return int(text)
--- a/onyxpost/edge/peers.py
+++ b/onyxpost/edge/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams to and from the other edge nodes. I/O only."""
+"""Sends datagrams to the other edge nodes and receives theirs."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class PeerSocket(asyncio.DatagramProtocol):
-    """Sends and receives the messages of edge nodes. Later ones make up for a lost one."""
+    """Sends and receives messages of edge nodes; a lost message is compensated by later ones."""
 
     def __init__(
         self, net: Transport, peers: list[Address], own_index: int, post: Callable[[EdgeEvent], None]
     ) -> None:
-        """Creates a socket that is not open yet.
+        """Creates the object without opening its socket.
 
         Args:
             net: opens the socket.
-            peers: addresses of all edge nodes, by index.
+            peers: the addresses of all edge nodes, by index.
             own_index: this node's index.
             post: receives the decoded messages.
         """
@@ -35,30 +35,30 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     async def listen(self, address: Address) -> None:
-        """Opens the socket."""
+        """Opens the socket on `address`."""
         await self._net.open_datagram_endpoint(self, address)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport of the open socket."""
-        # asyncio's own class for datagrams is no subclass of DatagramTransport.
+        """Stores the transport of the open socket."""
+        # asyncio's datagram transport is not a subclass of `DatagramTransport`.
         self.transport = cast("asyncio.DatagramTransport", transport)
 
     def datagram_received(self, data: bytes, source: tuple[str | Any, int]) -> None:
-        """Posts a message of another node; anything else is ignored."""
+        """Posts a valid message from another node; other datagrams are ignored."""
         message = decode_datagram(data, self._indexes.get(source))
         if message is not None:
             self._post(message)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignores that a peer is down: later messages carry the counts again."""
+        """Ignores the error of an unreachable peer, as later messages contain the counts again."""
 
     def send(self, message: SendPeerMessage) -> None:
-        """Sends a message; dropped while the socket is closed."""
+        """Sends a message; the message is dropped if the socket is closed or the peer is unknown."""
         if self.transport is not None and 0 <= message.peer < len(self._peers):
             self.transport.sendto(message.datagram, self._peers[message.peer])
 
     def close(self) -> None:
-        """Closes the socket; what a round that is already scheduled still sends is dropped."""
+        """Closes the socket; messages of a round that is already scheduled are dropped."""
         if self.transport is not None:
             self.transport.close()
             self.transport = None
--- a/onyxpost/edge/pending_requests.py
+++ b/onyxpost/edge/pending_requests.py
@@ -1,4 +1,4 @@
-"""Clients' requests that wait for their final answer or for the end of an attempt. No I/O."""
+"""Requests that wait for their final answer or for the end of an attempt. No I/O."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A client's request that is owed its one final answer, or has attempts in flight.
+    """A request that has not received its final answer, or has attempts in flight.
 
     Attributes:
         request_id: this node's id of the request.
         client_request: the request as it was received.
-        deadline: Unix time in ms at which the answer has to be sent.
-        is_settled: the final answer has been sent, or the client has disconnected.
-        attempt_ids: all attempts, by their index.
+        deadline: Unix time in ms by which the answer has to be sent.
+        is_settled: whether the final answer was sent or the client has disconnected.
+        attempt_ids: the ids of all attempts, by attempt index.
         in_flight: number of attempts that have not ended.
     """
 
@@ -34,12 +34,12 @@
     """All pending requests of a node, by id, connection, trace id and attempt.
 
     Attributes:
-        received_count: requests since the start of the node.
-        attempt_count: attempts since the start of the node, those included that were never sent.
-        by_id: kept until the end of the round in which a request is finished.
-        by_connection: requests that are owed an answer.
-        by_trace_id: requests that are owed an answer or have attempts in flight.
-        attempts_in_flight: by attempt id, the request and the attempt's index.
+        received_count: requests received since the start of the node.
+        attempt_count: attempts since the start of the node, including those that were never sent.
+        by_id: all requests, until the end of the round in which they finish.
+        by_connection: the requests that have no final answer, by connection id.
+        by_trace_id: the requests without a final answer or with attempts in flight.
+        attempts_in_flight: the request and the attempt index, by attempt id.
     """
 
     def __init__(self) -> None:
@@ -53,7 +53,7 @@
         self._finished: list[PendingRequest] = []
 
     def add(self, client_request: ClientRequest, deadline: float) -> PendingRequest:
-        """Adds a request that has just been received."""
+        """Adds a request that was received; `deadline` is a Unix time in ms."""
         self.received_count += 1
         request = PendingRequest(str(self.received_count), client_request, deadline)
         self.by_id[request.request_id] = request
@@ -62,7 +62,7 @@
         return request
 
     def add_attempt(self, request_id: str) -> tuple[PendingRequest, int]:
-        """Gives an id to a new attempt; returns its request and its index.
+        """Assigns an id to a new attempt and returns its request and its index.
 
         Raises:
             KeyError: the request is not pending.
@@ -73,41 +73,42 @@
         return request, len(request.attempt_ids) - 1
 
     def set_in_flight(self, request: PendingRequest, attempt_index: int) -> int:
-        """Marks an attempt as sent; returns its id."""
+        """Marks an attempt as in flight and returns its id."""
         attempt_id = request.attempt_ids[attempt_index]
         self.attempts_in_flight[attempt_id] = request, attempt_index
         request.in_flight += 1
         return attempt_id
 
     def finish_attempt(self, attempt_id: int) -> tuple[PendingRequest, int] | None:
-        """Ends an attempt; returns its request and its index, or None if it had ended before."""
+        """Ends an attempt and returns its request and its index; None if it is not in flight."""
         attempt = self.attempts_in_flight.pop(attempt_id, None)
         if attempt is not None:
             attempt[0].in_flight -= 1
         return attempt
 
     def settle(self, request: PendingRequest) -> None:
-        """Marks a request as answered, or as needing no answer any more."""
+        """Marks a request as answered or as abandoned by its client."""
         self.by_connection.pop(request.client_request.connection_id, None)
         request.is_settled = True
 
     def ids_in_flight(self, request: PendingRequest) -> list[int]:
-        """Returns the ids of a request's attempts in flight, in the order of their start."""
+        """Returns the ids of the attempts in flight of a request, in the order of their start."""
         if not request.in_flight:
             return []
         return [attempt_id for attempt_id in request.attempt_ids if attempt_id in self.attempts_in_flight]
 
     def release_if_finished(self, request: PendingRequest) -> None:
-        """Frees the trace id of a settled request without attempts in flight.
+        """Releases the trace id of a request, if it is settled and has no attempts in flight.
 
-        Its id stays known until `remove_finished`: the decision maker may still refer to it in this round.
+        The request stays in `by_id` until `remove_finished`, as the decision maker may refer to it in the
+        current round.
         """
         if request.is_settled and not request.in_flight:
             self._finished.append(request)
             self.by_trace_id.pop(request.client_request.trace_id, None)
 
     def remove_finished(self) -> None:
-        """Removes the requests that were finished in this round."""
+        """Removes the requests that finished in the current round."""
         for request in self._finished:
             if not request.in_flight:
                 self.by_id.pop(request.request_id, None)
--- a/onyxpost/edge/staleness.py
+++ b/onyxpost/edge/staleness.py
@@ -1,12 +1,14 @@
-"""Decides when a watch polls the endpoint list again, and from when on the node's list may be stale.
+"""Decides when a watch sends its next poll, and when the endpoint list of a node may be stale.
 
-No I/O: times come in and durations go out, both in milliseconds. The bounds are the discovery protocol's.
-A poll that is not answered in time is followed by another one on a new connection. Whether or not its polls
-were answered, a node is expected to act on a change 6 s after discovery had it and could be reached; 2 s
-after the end of its long poll, if that is later; 4 s after SIGHUP has named another agent.
+There is no I/O here. The arguments are times and the results durations, both in milliseconds. A poll that is
+not answered in time is followed by another one on a new connection.
 
-Endpoints are either pushed to an agent on this machine, which answers at once and serves no other node, or
-polled from a discovery service that all nodes share, where an abandoned poll is wasted work for the service.
+The discovery protocol sets the limits. Whether or not its polls were answered, a node has to act on a change
+within 6 s of the time at which discovery had the change and could be reached, or within 2 s of the end of its
+long poll if that is later. After SIGHUP has set the address of another agent, the limit is 4 s.
+
+An agent on this machine, to which the lists are pushed, answers at once and serves no other node. A discovery
+service is shared by all nodes, and each abandoned poll is wasted work for the service.
 """
 
 from __future__ import annotations
@@ -17,50 +19,54 @@
 if TYPE_CHECKING:
     from random import Random
 
-STALE_AFTER_MS = 6000.0  # after the start of an unanswered poll, which may have missed a change
-STALE_AFTER_LONG_POLL_MS = 2000.0  # after the end of a long poll, if that is later
-STALE_AFTER_RELOAD_MS = 4000.0  # in place of 6 s, if SIGHUP has just named the agent
-ANSWER_TIMEOUT_MS = 2000.0  # after which a shared discovery itself abandons a poll
-RETRY_PAUSE_MS = 100.0  # before the next poll; with jitter below the 200 ms that discovery is assumed to wait
-AGENT_ANSWER_MARGIN_MS = 250.0  # past the end of a long poll, which an agent answers at once
+STALE_AFTER_MS = 6000.0  # from the start of an unanswered poll, which may have missed a change
+STALE_AFTER_LONG_POLL_MS = 2000.0  # from the end of a long poll; applies if it is later
+STALE_AFTER_RELOAD_MS = 4000.0  # replaces the 6 s if SIGHUP has just set the address
+ANSWER_TIMEOUT_MS = 2000.0  # a shared discovery service itself abandons a poll after this time
+# Mean pause before a poll is retried. With jitter it stays below the 200 ms for which discovery is assumed to
+# keep a watch without a poll.
+RETRY_PAUSE_MS = 100.0
+AGENT_ANSWER_MARGIN_MS = 250.0  # time for an agent's answer after the end of a long poll
 AGENT_LONG_POLL_MS = 1000.0  # how long an agent may hold a poll open while nothing changes
-# Two answers and the pause between them fit into STALE_AFTER_MS.
+# Two answers and the pauses before them fit into STALE_AFTER_MS.
 SHARED_LONG_POLL_MS = STALE_AFTER_MS - 2.0 * ANSWER_TIMEOUT_MS - 2.0 * RETRY_PAUSE_MS
-SHARED_RECONNECT_LONG_POLL_MS = 400.0  # after a failure, as the list may become stale meanwhile
-AGENT_BACKOFF_MIN_MS = 200.0  # longest pause after an agent's first overloaded answer; doubles
+SHARED_RECONNECT_LONG_POLL_MS = 400.0  # short after a failure, as the list may become stale meanwhile
+# Upper bound of the pause after the first overloaded answer of an agent; doubles with each further one.
+AGENT_BACKOFF_MIN_MS = 200.0
 AGENT_BACKOFF_MAX_MS = 1000.0
-IMMEDIATE_LONG_POLL_MS = 1.0  # of a poll that is to be answered at once
+IMMEDIATE_LONG_POLL_MS = 1.0  # requests an immediate answer
 
-PAUSE_JITTER_MIN = 0.5  # times RETRY_PAUSE_MS
-PAUSE_JITTER_MAX = 1.25
-MAX_OPEN_AGENT_POLLS = 3  # the oldest, whose answer may only be late, and the newest two
-MAX_OPEN_SHARED_POLLS = 1
+PAUSE_JITTER_MIN = 0.5  # lowest factor on RETRY_PAUSE_MS
+PAUSE_JITTER_MAX = 1.25  # highest factor on RETRY_PAUSE_MS
+MAX_OPEN_AGENT_POLLS = 3  # the oldest, as its answer may only be late, and the two newest
+MAX_OPEN_SHARED_POLLS = 1  # each abandoned poll is wasted work for the service
 
 
 class PollFailure(Enum):
-    """How a poll failed."""
+    """The kind of failure of a poll."""
 
-    TIMEOUT = "timeout"  # no answer in time; if on a new connection too, discovery is down
-    UNREACHABLE = "unreachable"  # no connection: no discovery was reached that could know of a change
-    CONNECTION_CLOSED = "connection closed"  # before the first byte of an answer
-    MALFORMED_ANSWER = "malformed answer"  # or a truncated one: its sender may know of a change
-    OVERLOADED = "overloaded"  # a status other than 200, as with more polls than it can answer
-    LOCAL_RESOURCES = "local resources"  # this node could not open a connection; discovery may well be up
+    TIMEOUT = "timeout"  # no answer in time; on a new connection, this means an outage
+    UNREACHABLE = "unreachable"  # no connection, so that no reachable discovery has a change
+    CONNECTION_CLOSED = "connection closed"  # closed before the first byte of an answer
+    MALFORMED_ANSWER = "malformed answer"  # or a truncated one; its sender may have a change
+    OVERLOADED = "overloaded"  # a status other than 200, sent when discovery has no capacity
+    LOCAL_RESOURCES = "local resources"  # this node could not open a connection; discovery may be up
 
 
 class StalenessTracker:
-    """Times the polls of one watch and returns from when on the node's endpoint list may be stale.
+    """Schedules the polls of one watch, and determines when the endpoint list of the node may be stale.
 
     Attributes:
-        reconnecting: the current poll is the first one on its connection.
+        reconnecting: whether the next or current poll is the first one on its connection.
     """
 
     def __init__(self, rng: Random, *, shared: bool = False) -> None:
-        """Creates the tracker of a watch that has not polled yet.
+        """Creates the tracker of a watch that has not sent a poll.
 
         Args:
-            rng: for the jitter of pauses.
-            shared: the discovery service itself is polled, in place of an agent that lists are pushed to.
+            rng: source of the jitter of pauses.
+            shared: whether the discovery service itself is polled, rather than an agent that lists are pushed
+                to.
         """
         self.reconnecting = True
         self._rng = rng
@@ -68,18 +74,18 @@
         self._backoff_ms = AGENT_BACKOFF_MIN_MS
         self._polled_at = 0.0
         self._first_poll = True
-        self._timed_out = False  # whether the last poll did
+        self._timed_out = False  # whether the last poll timed out
         self._consecutive_closes = 0
         self._stale_after_ms = STALE_AFTER_MS
-        self._may_miss_changes = False  # a discovery that was reached may know of one
-        # Time from which on this node should know the changes that it missed since the last answer.
+        self._may_miss_changes = False  # whether a discovery was reached that may have a change
+        # Time by which this node has to know all changes since the last answer; None right after an answer.
         self._stale_at: float | None = None
 
     def long_poll_ms(self) -> float:
         """Returns how long discovery may hold the next poll open.
 
-        The first one is to be answered at once, with whatever is newer than the list in the node's file. So
-        is each one on a new connection to an agent.
+        The first poll requests an immediate answer, with all changes since the list in the node's file. So
+        does each poll on a new connection to an agent.
         """
         if self._first_poll or (self.reconnecting and not self._shared):
             return IMMEDIATE_LONG_POLL_MS
@@ -89,16 +95,16 @@
 
     @property
     def max_open_polls(self) -> int:
-        """How many polls may be open at a time."""
+        """The maximum number of polls that are open at the same time."""
         return MAX_OPEN_SHARED_POLLS if self._shared else MAX_OPEN_AGENT_POLLS
 
     def on_poll_started(self, now: float, long_poll_ms: float, *, after_move: bool = False) -> float:
-        """Returns the time until the next poll, if this one has no answer by then.
+        """Records the start of a poll and returns how long to wait for its answer before the next poll.
 
         Args:
             now: the current time.
             long_poll_ms: how long discovery may hold this poll open.
-            after_move: it goes to the agent that a SIGHUP has just named.
+            after_move: whether SIGHUP has just set the address that is polled.
         """
         if after_move:
             self._stale_after_ms = STALE_AFTER_RELOAD_MS
@@ -113,11 +119,11 @@
         return self.retry_pause_ms() if self._timed_out else long_poll_ms + AGENT_ANSWER_MARGIN_MS
 
     def retry_pause_ms(self) -> float:
-        """Returns a pause before the next poll, with jitter, so that nodes do not poll in step."""
+        """Returns a pause before the next poll, with jitter so that nodes do not poll simultaneously."""
         return RETRY_PAUSE_MS * self._rng.uniform(PAUSE_JITTER_MIN, PAUSE_JITTER_MAX)
 
     def on_poll_answered(self) -> None:
-        """Resets all failures: the list is as discovery holds it."""
+        """Resets all failures, as the list is now the one that discovery has."""
         self._backoff_ms = AGENT_BACKOFF_MIN_MS
         self._timed_out = False
         self.reconnecting = False
@@ -125,12 +131,12 @@
         self.ignore_missed_changes()
 
     def on_poll_failed(self, now: float, failure: PollFailure, polled_at: float | None = None) -> float:
-        """Returns the time until the next poll.
+        """Records a failed poll and returns the time until the next poll.
 
         Args:
             now: the current time.
-            failure: how the poll failed.
-            polled_at: when the failed poll started, if it was not the last one.
+            failure: the kind of failure.
+            polled_at: when the failed poll started; None for the latest poll.
         """
         self.reconnecting = True
         self._timed_out = failure is PollFailure.TIMEOUT
@@ -152,22 +158,22 @@
         return self.retry_pause_ms()
 
     def ignore_missed_changes(self) -> None:
-        """Drops the suspicion that a failed poll has missed a change."""
+        """Assumes from now on that no earlier failed poll has missed a change."""
         self._may_miss_changes = False
         self._consecutive_closes = 0
 
     def stale_in_ms(self, now: float) -> float | None:
-        """Returns the time until the list may be stale; None if no poll can have missed a change."""
-        # One closed connection may be the start of an outage. Two, if discovery was never unreachable in
-        # between, were closed by a discovery that is up and may know of a change.
+        """Returns the time until the list may be stale; None if no failed poll can have missed a change."""
+        # One closed connection may be the start of an outage. After two, without discovery being unreachable
+        # in between, discovery is up and may have a change.
         if self._stale_at is None or not (self._may_miss_changes or self._consecutive_closes > 1):
             return None
         return max(0.0, self._stale_at - now)
 
     def _on_unreachable(self, since: float) -> None:
-        """Restarts the staleness timeout at `since`, unless a discovery reached before may know of a change.
+        """Restarts the staleness timeout at `since`, unless a change may have been missed before.
 
-        A discovery that cannot be reached has no changes that this node has to know.
+        While discovery cannot be reached, a node does not have to act on its changes.
         """
         if not self._may_miss_changes:
             self._stale_at = since + self._stale_after_ms
@@ -178,8 +184,9 @@
             backoff_ms = self._backoff_ms
             self._backoff_ms = min(AGENT_BACKOFF_MAX_MS, 2.0 * self._backoff_ms)
             return self._rng.uniform(RETRY_PAUSE_MS, backoff_ms)
-        # Nodes that poll in step would go on being rejected. The answer has to arrive before the list may be
-        # stale or, if it is too late for that, within STALE_AFTER_MS of the last poll.
+        # Nodes that poll simultaneously would be rejected again, so the pause is random over the time left.
+        # The answer has to arrive before the list may be stale or, if it is too late for that, within
+        # STALE_AFTER_MS of the last poll.
         left_ms = stale_at - ANSWER_TIMEOUT_MS - now
         if left_ms <= RETRY_PAUSE_MS:
             left_ms = max(ANSWER_TIMEOUT_MS / 2.0, self._polled_at + STALE_AFTER_MS - ANSWER_TIMEOUT_MS - now)
--- a/onyxpost/edge/state_machine.py
+++ b/onyxpost/edge/state_machine.py
@@ -1,4 +1,4 @@
-"""State machine of an edge node. No I/O and no clock: events and the time come in, effects go out."""
+"""The state machine of an edge node, which maps events and the time to effects. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -41,37 +41,38 @@
 
 
 class EdgeStateMachine:
-    """Hosts the decision maker on sockets: passes events to it and carries out its decisions as effects.
+    """Passes events to the decision maker, and returns its decisions as effects.
 
-    Each request gets exactly one final answer, also where the decision maker fails.
+    Each request gets exactly one final answer, even if the decision maker raises an exception.
 
     Attributes:
+        decision_maker: decides on requests.
         requests: all pending requests.
-        endpoints: the servers that accept new attempts.
-        sink: receives the decisions, and makes effects of them.
+        endpoints: the endpoints that accept new attempts.
+        sink: receives the decisions and converts them into effects.
     """
 
     def __init__(self, deployment: Deployment, decision_maker: DecisionMaker) -> None:
-        """Creates a state machine without requests and endpoints."""
+        """Creates a state machine without requests or endpoints."""
         self.decision_maker = decision_maker
         self.requests = PendingRequests()
         self.endpoints = EndpointTable()
         self.sink = EffectSink(self.requests, self.endpoints)
-        self._answer_margin_ms = deployment.tick_ms  # an answer is sent before the client's timeout
+        self._answer_margin_ms = deployment.tick_ms  # time before the client timeout at which answers are due
         self._now = 0.0
 
     @property
     def unanswered_count(self) -> int:
-        """The number of requests that are owed an answer."""
+        """The number of requests without a final answer."""
         return len(self.requests.by_connection)
 
     @property
     def has_deferred_events(self) -> bool:
-        """Whether events wait for the next round."""
+        """Whether events were deferred to the next round."""
         return bool(self.sink.deferred_events)
 
     def step(self, now: float, events: Sequence[EdgeEvent]) -> list[Effect]:
-        """Handles all events of one round; returns the effects in the order of the decisions."""
+        """Handles the events of a round at `now` (ms) and returns the effects in order."""
         self._now = now
         decision_events = self.sink.begin_round(now)
         for event in events:
@@ -87,9 +88,13 @@
         return self.sink.effects
 
     def _decide(self, remaining: Iterator[DecisionEvent]) -> bool:
-        """Passes the remaining events to the decision maker; returns whether no further call is needed.
+        """Passes the remaining events to the decision maker.
 
-        An exception is logged, and the events after the one that raised it are left in `remaining`.
+        If the decision maker raises an exception, this is logged, and the events after the current one stay
+        in `remaining`.
+
+        Returns:
+            Whether no further call is needed.
         """
         current: DecisionEvent | None = None
 
@@ -106,12 +111,12 @@
             if isinstance(current, RequestArrived | AttemptFinished):
                 request = self.requests.by_id.get(current.request_id)
                 if request is not None and not request.in_flight:
-                    self.sink.abandon(request)  # nothing else would answer it
-            return current is None  # a failure before the first event would repeat without end
+                    self.sink.abandon(request)  # no later event would lead to an answer
+            return current is None  # an exception before the first event would recur in each call
         return True
 
     def _abort_overdue_requests(self) -> None:
-        """Aborts requests past their client's timeout: the decision maker should have ended them before."""
+        """Aborts requests past their client timeout, which the decision maker should have ended before."""
         requests = self.requests.by_connection.values()
         overdue = [request for request in requests if self._now >= request.deadline + self._answer_margin_ms]
         for request in overdue:
@@ -122,7 +127,7 @@
     # Events
 
     def _handle(self, event: EdgeEvent) -> DecisionEvent | None:
-        """Applies an event to the state; returns the event for the decision maker, if there is one."""
+        """Applies an event to the state and returns the event for the decision maker, if there is one."""
         match event:
             case ClientRequest():
                 return self.handle_client_request(event)
@@ -134,13 +139,13 @@
                 return self.handle_endpoint_update(event)
             case EndpointUpdateFailed():
                 return EndpointsStale() if event.stale else EndpointPollFailed()
-            case _:  # meant for the decision maker alone
+            case _:  # relevant only to the decision maker
                 return event
 
     def handle_client_request(self, client_request: ClientRequest) -> DecisionEvent | None:
-        """Adds a request; one with the trace id of a pending request is aborted without an attempt."""
+        """Adds a request; a request with the trace id of a pending one is aborted without an attempt."""
         if client_request.trace_id in self.requests.by_trace_id:
-            # Its attempts could be executed beside those of the first request with this trace id.
+            # Its attempts could be executed in addition to those of the pending request.
             self.sink.emit(SendAnswer(client_request.connection_id, FinalAnswer.ABORTED))
             return None
         deadline = client_request.received_at + client_request.timeout_ms - self._answer_margin_ms
@@ -157,7 +162,7 @@
         )
 
     def handle_client_disconnected(self, event: ClientDisconnected) -> DecisionEvent | None:
-        """Cancels the request of a connection that has ended, if it has one."""
+        """Cancels the unanswered request of a connection that has ended, if there is one."""
         request = self.requests.by_connection.get(event.connection_id)
         if request is None:
             return None
@@ -165,13 +170,13 @@
         return RequestCancelled(request.request_id)
 
     def handle_endpoint_update(self, update: EndpointUpdate) -> DecisionEvent:
-        """Retires the endpoints that are no longer ready or have moved."""
+        """Applies an update, and retires the endpoints that are no longer ready or have another address."""
         for endpoint in self.endpoints.apply(update):
             self.sink.emit(RetireEndpoint(endpoint))
         return EndpointsUpdated(update.complete, update.endpoints)
 
     def handle_attempt_ended(self, event: AttemptEnded) -> DecisionEvent | None:
-        """Answers a request with its first successful response; a second end of an attempt is ignored."""
+        """Answers a request with its first successful response; a repeated end of an attempt is ignored."""
         attempt = self.requests.finish_attempt(event.attempt_id)
         if attempt is None:
             return None
--- a/onyxpost/edge/upstream_connection.py
+++ b/onyxpost/edge/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an app server, which carries one attempt at a time."""
+"""A connection to an app server, which carries one attempt at a time."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
     """A connection to an app server.
 
     Attributes:
-        endpoint: the server and address that it is connected to.
-        reader: its input.
-        writer: its output.
-        idle_since: when it became idle, in ms of the node's clock.
+        endpoint: the server and its address.
+        reader: the input stream.
+        writer: the output stream.
+        idle_since: time of the node's clock, in ms, at which the connection became idle.
     """
 
     def __init__(self, endpoint: Endpoint, connection: DialedConnection) -> None:
@@ -33,37 +33,42 @@
         self._is_input_drained = connection.has_no_unread_input
         self._is_flushed = connection.is_flushed
         self._http = h11.Connection(h11.CLIENT)
-        self._request_written = False  # to the transport, at least
+        self._request_written = False  # whether the request was passed to the transport
         self._bytes_read = 0
-        self.writer.transport.set_write_buffer_limits(0)  # `drain` waits until the kernel has all
+        self.writer.transport.set_write_buffer_limits(0)  # makes `drain` wait until the kernel has all bytes
 
     def is_request_sent(self) -> bool:
         """Returns whether the kernel has taken the request's last byte.
 
-        The transport's state is used, not the return of `drain`: a task that waits there may be cancelled in
-        the very turn of the event loop in which the buffer becomes empty.
+        This checks the state of the transport rather than the return of `drain`, because a task that waits
+        for `drain` may be cancelled in the same turn of the event loop in which the buffer becomes empty.
         """
         return self._request_written and self._is_flushed()
 
     def is_unusable(self) -> bool:
-        """Returns whether the connection has ended or has received bytes that belong to no response."""
+        """Returns whether the connection has ended, or has received bytes outside of a response."""
         reader = self.reader
         ended = reader.at_eof() or reader.exception() is not None or self.writer.transport.is_closing()
         return ended or reader.bytes_received > self._bytes_read
 
     def has_no_unread_input(self) -> bool:
-        """Returns whether the server has neither closed nor sent anything that is still unread."""
+        """Returns whether there are no unread bytes and the server has not closed the connection."""
         return not self.is_unusable() and self._is_input_drained()
 
     async def exchange(
         self, request: h11.Request, body: bytes
     ) -> tuple[AttemptResult, UpstreamResponse | None]:
-        """Sends a request and returns its result, and the response if that is to be forwarded.
+        """Sends a request and waits for the response.
 
-        Raises OSError or h11.RemoteProtocolError if there is no complete, valid response.
+        Returns:
+            The result of the attempt, and the response if it has to be forwarded.
+
+        Raises:
+            OSError: the connection failed, or ended before the response was complete.
+            h11.RemoteProtocolError: the response is invalid.
         """
         self.writer.write(encode_message(self._http, request, body))
-        self._request_written = not self.writer.transport.is_closing()  # else the kernel took no byte of it
+        self._request_written = not self.writer.transport.is_closing()  # otherwise the kernel got no byte
         await self.writer.drain()
         if self.reader.bytes_received > self._bytes_read:
             raise TruncatedResponseError("it spoke before the request's last byte had left")
@@ -74,16 +79,19 @@
         return result, UpstreamResponse(list(response.headers), response_body)
 
     def prepare_reuse(self) -> bool:
-        """Prepares the connection for the next attempt; returns False if it cannot be used again."""
+        """Prepares the connection for the next attempt and returns whether it can be reused."""
         self._request_written = False
         return not self.is_unusable() and start_next_cycle(self._http) and not self._http.trailing_data[0]
 
     def on_released(self, now: float) -> None:
-        """Notes that the connection is idle since `now`, in ms."""
+        """Records that the connection is idle since `now`, in ms."""
         self.idle_since = now
 
     def abort(self) -> None:
-        """Closes at once, and discards unsent bytes: a server that does not respond would never read them."""
+        """Closes the connection at once.
+
+        Unsent bytes are discarded, as a server that does not respond would never read them.
+        """
         self.writer.transport.abort()
 
     async def _read(self) -> bytes:
--- a/onyxpost/edge/upstream_pool.py
+++ b/onyxpost/edge/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Runs attempts on pooled connections to the app servers; each attempt is written once and ends once."""
+"""Runs attempts on pooled connections to app servers; each attempt is sent at most once and ends once."""
 
 from __future__ import annotations
 
@@ -29,24 +29,26 @@
 
     from onyxpost.runtime.transport import Transport
 
-IDLE_SHARE_OF_KEEP_ALIVE = 0.75  # of the servers' keep-alive; closed here before servers do
-# An idle connection is reused no sooner than this after its last response: surplus bytes behind a response
+# Idle connections are closed after this share of the servers' keep-alive, before the servers close them.
+IDLE_SHARE_OF_KEEP_ALIVE = 0.75
+# Minimum time between a response and the reuse of its connection. Without it, surplus bytes after a response
 # would be read as the response to the next request.
 MIN_IDLE_MS = 30.0
-COMPLETE_RESPONSES = (AttemptResult.ERROR, AttemptResult.FULL)  # besides OK, whose response is returned
+# Results of attempts with a complete response that is not forwarded.
+COMPLETE_RESPONSES = (AttemptResult.ERROR, AttemptResult.FULL)
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamPoolOptions:
-    """Timeouts and callbacks that the pool gets from its node.
+    """Timeouts and callbacks of the pool.
 
     Attributes:
-        connect_timeout_ms: for a new connection; 0: none.
-        keep_alive_ms: how long the app servers keep an idle connection open.
+        connect_timeout_ms: limit for establishing a connection; 0 means no limit.
+        keep_alive_ms: time for which app servers keep an idle connection open.
         has_capacity: returns whether one more descriptor may be opened.
-        accepts_requests: returns whether an endpoint exists and is not draining.
-        may_start: returns whether an attempt may still be written, given the ms left for it.
-        report_fault: logs unexpected errors.
+        accepts_requests: returns whether an endpoint accepts new attempts.
+        may_start: returns whether an attempt may still be sent, given its remaining time in ms.
+        report_fault: logs an unexpected exception.
     """
 
     connect_timeout_ms: float
@@ -58,15 +60,16 @@
 
 
 class UpstreamPool:
-    """Idle and busy connections to all app servers, and the attempts in flight.
+    """Holds the connections to all app servers, and the attempts in flight.
 
     Attributes:
         post: receives the end of each attempt.
-        has_capacity, may_start: as in the options.
+        has_capacity: see `UpstreamPoolOptions`.
+        may_start: see `UpstreamPoolOptions`.
         clock: the transport's clock, in ms.
-        connection_count: how many connections are open, idle ones too.
-        idle_connections: by endpoint, those idle longest first.
-        tasks: the attempts in flight.
+        connection_count: number of open connections, including idle ones.
+        idle_connections: the idle connections by endpoint, longest idle first.
+        tasks: the tasks of the attempts in flight, by attempt id.
     """
 
     def __init__(
@@ -85,15 +88,15 @@
         self._withdrawn: set[int] = set()
 
     def send(self, send: SendAttempt) -> None:
-        """Starts an attempt; its end is posted as `AttemptEnded`."""
+        """Starts an attempt, whose end is posted as `AttemptEnded`."""
         loop = asyncio.get_running_loop()
         self.tasks[send.attempt_id] = loop.create_task(self._run(send, self.clock()))
 
     def cancel(self, attempt: int) -> None:
-        """Ends an attempt by closing its connection."""
+        """Ends an attempt in flight by closing its connection."""
         task = self.tasks.get(attempt)
         if task is not None and inspect.getcoroutinestate(cast(Any, task.get_coro())) == inspect.CORO_CREATED:
-            # A task that is cancelled before its first step would never post the attempt's end.
+            # A task that is cancelled before its first step never runs, and so would not post the end.
             del self.tasks[attempt]
             self._withdrawn.discard(attempt)
             self.post(AttemptEnded(attempt, AttemptResult.UNUSED, 0.0))
@@ -101,20 +104,25 @@
             task.cancel()
 
     def withdraw(self, attempt: int) -> None:
-        """Keeps an attempt from being written, if it has not been yet."""
+        """Prevents an attempt from being sent, unless sending has begun."""
         if attempt in self.tasks:
             self._withdrawn.add(attempt)
 
     def retire_endpoint(self, endpoint: Endpoint) -> None:
-        """Closes the idle connections to a server that drains, is gone or has moved; busy ones once released.
+        """Closes the idle connections to an endpoint that is draining, gone or has another address.
 
-        Another server may get its address.
+        Another server may get the address, so that the connections must not be reused. Busy connections are
+        closed once they are released.
         """
         for connection in self.idle_connections.pop(endpoint, []):
             self.close_connection(connection)
 
     async def connect(self, endpoint: Endpoint) -> UpstreamConnection:
-        """Opens a connection. Raises OSError."""
+        """Opens a connection to an endpoint.
+
+        Raises:
+            OSError: no descriptor is left, or the connection was not established in time or is unusable.
+        """
         if not self.has_capacity():
             raise OSError(errno.EMFILE, "no descriptor left")
         self.connection_count += 1
@@ -139,12 +147,12 @@
         return UpstreamConnection(endpoint, dialed)
 
     def close_connection(self, connection: UpstreamConnection) -> None:
-        """Closes a connection that is not, or no longer, among the idle ones."""
+        """Closes a connection that is not in `idle_connections`."""
         self.connection_count -= 1
         connection.abort()
 
     def close_expired(self) -> None:
-        """Closes the connections that have been idle for too long or that the server has closed."""
+        """Closes idle connections that have reached the idle timeout or were closed by the server."""
         for endpoint, connections in list(self.idle_connections.items()):
             kept = []
             for connection in connections:
@@ -157,7 +165,11 @@
                 del self.idle_connections[endpoint]
 
     def evict_oldest_idle(self) -> bool:
-        """Closes the connection that has been idle for longest; returns whether there was one."""
+        """Closes the connection that has been idle for the longest time.
+
+        Returns:
+            Whether there was an idle connection.
+        """
         candidates = (connections[0] for connections in self.idle_connections.values() if connections)
         oldest = min(candidates, key=lambda connection: connection.idle_since, default=None)
         if oldest is None:
@@ -174,7 +186,7 @@
             pass
 
     async def _run(self, send: SendAttempt, started_at: float) -> None:
-        """Runs one attempt and posts its end, whatever happens."""
+        """Runs one attempt and posts its end, also after an exception or cancellation."""
         connection: UpstreamConnection | None = None
         result = AttemptResult.NO_CONNECTION
         response: UpstreamResponse | None = None
@@ -204,11 +216,14 @@
         if not isinstance(err, OSError | EOFError | h11.RemoteProtocolError):
             self._options.report_fault("server", err)
         if connection is None and getattr(err, "errno", None) in LOCAL_RESOURCE_ERRNOS:
-            return AttemptResult.UNUSED  # a shortage of this node: the server must not be ejected for it
+            return AttemptResult.UNUSED  # the server must not be ejected for a shortage of this node
         return _result_if_sent(connection, AttemptResult.LOST)
 
     def _take_idle(self, endpoint: Endpoint) -> UpstreamConnection | None:
-        """Takes the most recently used connection past `MIN_IDLE_MS`, so that the others can expire."""
+        """Removes and returns the most recently used connection that has been idle for `MIN_IDLE_MS`.
+
+        The other connections stay idle and can expire.
+        """
         connections = self.idle_connections.get(endpoint, [])
         latest_release = self.clock() - MIN_IDLE_MS
         for index in range(len(connections) - 1, -1, -1):
@@ -223,7 +238,12 @@
         return not connection.is_unusable() and self.clock() - connection.idle_since < self._idle_timeout_ms
 
     def _release(self, connection: UpstreamConnection, *, completed: bool) -> None:
-        """Returns a connection to the pool; `completed`: the attempt's response was read to its end."""
+        """Returns a connection to the pool, or closes it.
+
+        Args:
+            connection: the connection of an attempt that has ended.
+            completed: whether the response was read to its end.
+        """
         endpoint = connection.endpoint
         if completed and connection.prepare_reuse() and self._options.accepts_requests(endpoint):
             connection.on_released(self.clock())
@@ -233,6 +253,9 @@
 
 
 def _result_if_sent(connection: UpstreamConnection | None, result: AttemptResult) -> AttemptResult:
-    """Returns `result` if the request's last byte was sent: until then no server can have executed it."""
+    """Returns `result` if the request was sent completely, else `NO_CONNECTION`.
+
+    A server cannot have executed a request whose last byte was not sent.
+    """
     is_sent = connection is not None and connection.is_request_sent()
     return result if is_sent else AttemptResult.NO_CONNECTION
