--- a/onyxpost/edge/client_listener.py
+++ b/onyxpost/edge/client_listener.py
@@ -111,7 +111,7 @@
         except OSError:
             pass
         except Exception as err:
-            self._report_fault("client", err)
+            self._report_fault("client connection", err)
         finally:
             try:
                 await self._connections.finish_closing(connection)
--- a/onyxpost/edge/errors.py
+++ b/onyxpost/edge/errors.py
@@ -9,10 +9,10 @@
 
 
 class InvalidEndpointUpdateError(InvalidInputError):
-    """The answer of discovery is not a valid list of servers and is rejected as a whole."""
+    """The answer of discovery is not a valid list of endpoints and is rejected as a whole."""
 
     remedy = (
-        "check what discovery's agent answers to GET /v1/servers; the node keeps the endpoints that it has"
+        "check the answer of the discovery agent to GET /v1/servers; the node keeps its endpoints until then"
     )
 
 
@@ -22,7 +22,7 @@
     Nodes have to wait before the next poll, as discovery stays overloaded if all nodes poll again at once.
     """
 
-    remedy = "wait 20 s, the node polls again by itself; if it lasts, give discovery more capacity"
+    remedy = "wait 20 s while the node polls again; if the error persists, increase the capacity of discovery"
 
 
 class RequestRejectedError(Exception):
--- a/onyxpost/edge/event_processor.py
+++ b/onyxpost/edge/event_processor.py
@@ -56,7 +56,7 @@
             try:
                 self.effect_handlers[type(effect)](effect)
             except Exception as error:
-                self.report_fault(f"carrying out {type(effect).__name__}", error)
+                self.report_fault(f"effect {type(effect).__name__}", error)
         if self.state_machine.has_deferred_events:
             self._schedule_round()
 
--- a/onyxpost/edge/messages/datagrams.py
+++ b/onyxpost/edge/messages/datagrams.py
@@ -15,7 +15,7 @@
     """
     data = body.encode("ascii")
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise ValueError(f"datagram of {len(data)} bytes")
+        raise ValueError(f"datagram of {len(data)} bytes exceeds {MAX_DATAGRAM_BYTES} bytes")
     return data
 
 
--- a/onyxpost/edge/messages/endpoint_updates.py
+++ b/onyxpost/edge/messages/endpoint_updates.py
@@ -45,9 +45,9 @@
         InvalidEndpointUpdateError: the value is not a valid list of endpoints.
     """
     try:
-        return build_endpoint_update(decode_as(data, WireEndpointUpdate, "list of servers"))
+        return build_endpoint_update(decode_as(data, WireEndpointUpdate, "list of endpoints"))
     except InvalidInputError as error:
-        raise InvalidEndpointUpdateError(error.message, "list of servers") from error
+        raise InvalidEndpointUpdateError(error.message, "list of endpoints") from error
 
 
 def build_endpoint_update(update: WireEndpointUpdate, path: str = "$") -> EndpointUpdate:
--- a/onyxpost/edge/upstream_connection.py
+++ b/onyxpost/edge/upstream_connection.py
@@ -71,7 +71,7 @@
         self._request_written = not self.writer.transport.is_closing()  # otherwise the kernel got no byte
         await self.writer.drain()
         if self.reader.bytes_received > self._bytes_read:
-            raise TruncatedResponseError("it spoke before the request's last byte had left")
+            raise TruncatedResponseError("server sent bytes before the request was sent completely")
         response, response_body = await read_response(self._http, self._read, MAX_BODY_BYTES)
         result = attempt_result(response)
         if result is not AttemptResult.OK:
--- a/onyxpost/edge/upstream_pool.py
+++ b/onyxpost/edge/upstream_pool.py
@@ -124,7 +124,7 @@
             OSError: no descriptor is left, or the connection was not established in time or is unusable.
         """
         if not self.has_capacity():
-            raise OSError(errno.EMFILE, "no descriptor left")
+            raise OSError(errno.EMFILE, "no file descriptor left for an upstream connection")
         self.connection_count += 1
         timeout_ms = self._options.connect_timeout_ms
         try:
@@ -133,11 +133,11 @@
             if connection.has_no_unread_input():
                 return connection
             connection.abort()
-            raise OSError("closed, or spoke, before it was asked")  # noqa: TRY301 - handled below as any error
+            raise OSError("server closed or sent bytes before a request")  # noqa: TRY301 - handled below
         except BaseException as err:
             self.connection_count -= 1
             if isinstance(err, TimeoutError):
-                raise OSError("never came up") from err
+                raise OSError("connection not established within the connect timeout") from err
             raise
 
     async def open_connection(self, endpoint: Endpoint) -> UpstreamConnection:
@@ -214,7 +214,7 @@
 
     def _handle_error(self, connection: UpstreamConnection | None, err: Exception) -> AttemptResult:
         if not isinstance(err, OSError | EOFError | h11.RemoteProtocolError):
-            self._options.report_fault("server", err)
+            self._options.report_fault("upstream attempt", err)
         if connection is None and getattr(err, "errno", None) in LOCAL_RESOURCE_ERRNOS:
             return AttemptResult.UNUSED  # the server must not be ejected for a shortage of this node
         return _result_if_sent(connection, AttemptResult.LOST)
