--- a/onyxpost/edge/address_choice.py
+++ b/onyxpost/edge/address_choice.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from onyxpost.config.address import Address
 
-REACHED_FAILURES = (PollFailure.OVERLOADED, PollFailure.MALFORMED_ANSWER)
+FAILURES_AFTER_CONNECTION = (PollFailure.OVERLOADED, PollFailure.MALFORMED_ANSWER)
 """Failures that occur after a connection to discovery, which may then hold a change unknown to this node."""
 
 
@@ -29,7 +29,7 @@
         """Creates a choice that polls `address` first."""
         self.address = address
         self.alternative = alternative
-        self._is_on_second = False
+        self._is_polling_second = False
         # The failure of the first address in this round, if discovery was reached there.
         self._first_failure: PollFailure | None = None
 
@@ -45,13 +45,13 @@
         failed_address = self.address
         self.address = self.alternative
         self.alternative = failed_address
-        self._is_on_second = not self._is_on_second
-        if self._is_on_second:
-            self._first_failure = failure if failure in REACHED_FAILURES else None
+        self._is_polling_second = not self._is_polling_second
+        if self._is_polling_second:
+            self._first_failure = failure if failure in FAILURES_AFTER_CONNECTION else None
             return None
-        counted = self._first_failure or failure
+        reported = self._first_failure or failure
         self._first_failure = None
-        return counted
+        return reported
 
     def on_poll_answered(self, address: Address) -> None:
         """Polls only `address`, which has answered, from now on."""
--- a/onyxpost/edge/client_closing.py
+++ b/onyxpost/edge/client_closing.py
@@ -6,7 +6,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from onyxpost.edge.client_connection import GRACE_FOR_REQUEST_MS, idle_connections
+from onyxpost.edge.client_connection import INCOMPLETE_REQUEST_GRACE_MS, idle_connections
 from onyxpost.edge.client_connections import LINGER_MS
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
 
     def on_accepting_stopped(self) -> None:
         """Starts the grace period for incomplete requests, after which `close_idle` rejects them."""
-        self._reject_incomplete_at = self._clock() + GRACE_FOR_REQUEST_MS
+        self._reject_incomplete_at = self._clock() + INCOMPLETE_REQUEST_GRACE_MS
 
     def close_idle(self) -> None:
         """Closes idle connections and, after the grace period, those without a complete request.
@@ -52,8 +52,8 @@
             self._close_incomplete()
 
     def _close_incomplete(self) -> None:
-        for connection in [c for c in self._connections.open.values() if not c.awaits_answer]:
-            if connection.request_started:
+        for connection in [c for c in self._connections.open.values() if not c.has_unanswered_request]:
+            if connection.has_partial_request:
                 self._http.reject_overloaded(connection)
             elif connection.has_no_unread_input(self._transport):
                 self._connections.begin_closing(connection)
@@ -66,7 +66,7 @@
         """
         now = self._clock()
         for connection in [c for c in self._connections.closing.values() if now > c.deadline]:
-            if connection.grace_given or connection.has_no_unread_input(self._transport):
+            if connection.is_deadline_extended or connection.has_no_unread_input(self._transport):
                 self._connections.abort(connection)
             else:
                 connection.extend_deadline(now + LINGER_MS)
@@ -76,8 +76,8 @@
             if now > connection.deadline and connection.has_no_unread_input(self._transport)
         ]
         for connection in expired:
-            if connection.request_started:
-                self._http.reject_late(connection)
+            if connection.has_partial_request:
+                self._http.reject_timed_out(connection)
             else:
                 self._connections.begin_closing(connection)
 
--- a/onyxpost/edge/client_connection.py
+++ b/onyxpost/edge/client_connection.py
@@ -20,7 +20,7 @@
 REQUEST_TIMEOUT_MS = 2_500.0
 IDLE_TIMEOUT_MS = 5_000.0  # maximum time between two requests
 # A connection whose expected request is not complete after this time may be evicted.
-GRACE_FOR_REQUEST_MS = 100.0
+INCOMPLETE_REQUEST_GRACE_MS = 100.0
 
 
 class ClientConnection:
@@ -34,15 +34,15 @@
         bytes_read: number of bytes read from `reader`.
         waiting_since: time in ms at which the wait for a request began, or its first byte arrived.
         deadline: time in ms at which the connection is closed unless it makes progress.
-        awaits_answer: whether a request was posted as an event and is not answered yet.
-        request_started: whether a part of the next request has been received.
+        has_unanswered_request: whether a request was posted as an event and is not answered yet.
+        has_partial_request: whether a part of the next request has been received.
         is_new: whether no request was answered yet, so that the first one may be in transit.
         is_over_capacity: whether the connection exceeds the node's capacity, so that its first request is
             rejected.
-        has_pipelined: whether the client sent more input before its answer. The input is discarded, and the
-            connection is closed after the answer.
-        grace_given: whether the deadline was extended because of unread input. This happens once, as the
-            node itself may have stalled.
+        has_pipelined_input: whether the client sent more input before its answer. The input is discarded, and
+            the connection is closed after the answer.
+        is_deadline_extended: whether the deadline was extended because of unread input. This happens once, as
+            the node itself may have stalled.
         request: the head of the current request.
         client_request: the decoded head of the current request; None for a health check.
         body: the received part of the body of the current request.
@@ -65,24 +65,24 @@
         self.bytes_read = 0
         self.waiting_since = now
         self.deadline = now + REQUEST_TIMEOUT_MS
-        self.awaits_answer = False
-        self.request_started = False
+        self.has_unanswered_request = False
+        self.has_partial_request = False
         self.is_new = True
         self.is_over_capacity = is_over_capacity
-        self.has_pipelined = False
-        self.grace_given = False
+        self.has_pipelined_input = False
+        self.is_deadline_extended = False
         self.request: h11.Request | None = None
         self.client_request: ClientRequest | None = None
         self.body = bytearray()
 
     def is_idle(self) -> bool:
         """Returns whether the connection is between two requests."""
-        return not self.awaits_answer and not self.request_started and not self.is_new
+        return not self.has_unanswered_request and not self.has_partial_request and not self.is_new
 
-    def has_sent_no_request_since(self, time: float) -> bool:
+    def has_awaited_request_since(self, time: float) -> bool:
         """Returns whether a request has been expected since before `time` (ms) and is not complete."""
-        is_expected = self.is_new or self.request_started
-        return not self.awaits_answer and is_expected and self.waiting_since < time
+        is_expected = self.is_new or self.has_partial_request
+        return not self.has_unanswered_request and is_expected and self.waiting_since < time
 
     def unsent_bytes(self) -> int:
         """Returns the number of bytes of answers that have not been passed to the kernel yet."""
@@ -99,7 +99,7 @@
 
     def on_request_started(self, now: float) -> None:
         """Records the first bytes of a request; a first request keeps the deadline of the connection."""
-        self.request_started = True
+        self.has_partial_request = True
         self.waiting_since = now
         if not self.is_new:
             self.deadline = now + REQUEST_TIMEOUT_MS
@@ -108,7 +108,7 @@
         """Records the head of a request and discards the state of the previous one."""
         self.request = request
         self.body = bytearray()
-        self.request_started = True
+        self.has_partial_request = True
         self.client_request = None
 
     def on_request_decoded(self, client_request: ClientRequest) -> None:
@@ -117,25 +117,25 @@
 
     def on_pipelined_input(self) -> None:
         """Records that the client sent more input before its request was answered."""
-        self.has_pipelined = True
+        self.has_pipelined_input = True
 
     def on_request_read(self) -> None:
         """Records the end of reading a request, and whether the client has already sent more input."""
-        self.has_pipelined = bool(self.http.trailing_data[0])
+        self.has_pipelined_input = bool(self.http.trailing_data[0])
 
-    def on_request_handed_on(self) -> None:
+    def on_request_posted(self) -> None:
         """Records that the request was posted as an event, and removes the deadline until the answer."""
-        self.request_started = False
-        self.awaits_answer = True
+        self.has_partial_request = False
+        self.has_unanswered_request = True
         self.deadline = math.inf
 
-    def on_settled(self) -> None:
+    def on_request_settled(self) -> None:
         """Records that the request in flight needs no answer any more."""
-        self.awaits_answer = False
+        self.has_unanswered_request = False
 
     def on_response(self, now: float) -> None:
         """Records a response, after which the connection is idle."""
-        self.request_started = False
+        self.has_partial_request = False
         self.is_new = False
         self.waiting_since = now
         self.deadline = now + IDLE_TIMEOUT_MS
@@ -150,7 +150,7 @@
 
     def extend_deadline(self, deadline: float) -> None:
         """Sets a later deadline, in ms, and records that it was extended because of unread input."""
-        self.grace_given = True
+        self.is_deadline_extended = True
         self.deadline = deadline
 
     def limit_deadline(self, deadline: float) -> None:
@@ -180,6 +180,6 @@
     Connections whose request has been expected since before `time` (ms) and is incomplete come first, then
     idle connections.
     """
-    slow = [connection for connection in connections if connection.has_sent_no_request_since(time)]
+    slow = [connection for connection in connections if connection.has_awaited_request_since(time)]
     slow.sort(key=lambda connection: connection.waiting_since)
     return [*slow, *idle_connections(connections)]
--- a/onyxpost/edge/client_connections.py
+++ b/onyxpost/edge/client_connections.py
@@ -43,7 +43,7 @@
     def find_unanswered(self, connection_id: int) -> ClientConnection | None:
         """Returns the open connection with this id if it has an unanswered request, else None."""
         connection = self.open.get(connection_id)
-        return connection if connection is not None and connection.awaits_answer else None
+        return connection if connection is not None and connection.has_unanswered_request else None
 
     def is_waiting(self, connection_id: int) -> bool:
         """Returns whether a client waits for its answer and has not disconnected, also by unread input."""
@@ -62,8 +62,8 @@
             return
         self.closing[connection.connection_id] = connection
         connection.on_closing(self._transport.clock(), LINGER_MS)
-        if connection.awaits_answer:
-            connection.on_settled()
+        if connection.has_unanswered_request:
+            connection.on_request_settled()
             self.post(ClientDisconnected(connection.connection_id))
         try:
             connection.writer.write_eof()
--- a/onyxpost/edge/client_eviction.py
+++ b/onyxpost/edge/client_eviction.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from onyxpost.edge.client_connection import GRACE_FOR_REQUEST_MS, eviction_candidates
+from onyxpost.edge.client_connection import INCOMPLETE_REQUEST_GRACE_MS, eviction_candidates
 
 if TYPE_CHECKING:
     from onyxpost.edge.client_connections import ClientConnections
@@ -27,14 +27,14 @@
         Returns:
             Whether a connection was closed.
         """
-        latest = self._transport.clock() - GRACE_FOR_REQUEST_MS
-        candidates = eviction_candidates(self._connections.open.values(), latest)
+        expected_before = self._transport.clock() - INCOMPLETE_REQUEST_GRACE_MS
+        candidates = eviction_candidates(self._connections.open.values(), expected_before)
         evicted = next(
             (connection for connection in candidates if connection.has_no_unread_input(self._transport)), None
         )
         if evicted is None:
             return False
-        if evicted.request_started:
+        if evicted.has_partial_request:
             self._http.reject_overloaded(evicted)
         else:
             self._connections.begin_closing(evicted)
--- a/onyxpost/edge/client_http.py
+++ b/onyxpost/edge/client_http.py
@@ -73,10 +73,10 @@
 
     def handle_bytes(self, connection: ClientConnection, data: bytes) -> None:
         """Processes bytes read from an open connection; bytes behind an unanswered request are discarded."""
-        if connection.awaits_answer:
+        if connection.has_unanswered_request:
             connection.on_pipelined_input()
             return
-        if not connection.request_started:
+        if not connection.has_partial_request:
             if connection.unsent_bytes() > MAX_UNSENT_BYTES:
                 self._begin_closing(connection)
                 return
@@ -91,14 +91,14 @@
 
     def send_answer(self, connection: ClientConnection, answer: SendAnswer) -> None:
         """Sends the final answer to the request in flight."""
-        connection.on_settled()
+        connection.on_request_settled()
         try:
-            self._respond(connection, *encode_answer(answer), close=connection.has_pipelined)
+            self._respond(connection, *encode_answer(answer), close=connection.has_pipelined_input)
         except h11.LocalProtocolError:  # the answer cannot be encoded, and the client must not wait for it
             self._begin_closing(connection)
             raise
 
-    def reject_late(self, connection: ClientConnection) -> None:
+    def reject_timed_out(self, connection: ClientConnection) -> None:
         """Answers a request that was not complete in time with status 408, and closes the connection."""
         self._reject(connection, REQUEST_TIMEOUT, "the req did not come whole in time", close=True)
 
@@ -122,11 +122,11 @@
                     pass
             # Answers to hundreds of pipelined invalid requests would delay all other clients.
             connection.on_request_read()
-            closes = err.framing_unknown or connection.has_pipelined
-            self._reject(connection, err.status, str(err), close=closes)
+            must_close = err.is_framing_unknown or connection.has_pipelined_input
+            self._reject(connection, err.status, str(err), close=must_close)
 
     def _handle_http_events(self, connection: ClientConnection, http: h11.Connection) -> None:
-        while not connection.awaits_answer and (event := http.next_event()) is not h11.NEED_DATA:
+        while not connection.has_unanswered_request and (event := http.next_event()) is not h11.NEED_DATA:
             match event:
                 case h11.Request():
                     self._handle_head(connection, event)
@@ -154,12 +154,12 @@
         connection.on_request_read()
         if connection.client_request is None:
             status = OK if self._is_ready() else SERVICE_UNAVAILABLE
-            self._respond(connection, status, [], b"", close=connection.has_pipelined)
+            self._respond(connection, status, [], b"", close=connection.has_pipelined_input)
         elif connection.is_over_capacity:
             self.reject_overloaded(connection)
         else:
             request = connection.client_request._replace(body=bytes(connection.body))
-            connection.on_request_handed_on()
+            connection.on_request_posted()
             self._post(request)
 
     def _respond(
@@ -179,10 +179,10 @@
         headers.append((b"Content-Length", b"%d" % len(body)))
         if close or self.is_shutting_down:
             headers.append((b"Connection", b"close"))
-        head_only = connection.request is not None and connection.request.method == b"HEAD"
+        is_head_only = connection.request is not None and connection.request.method == b"HEAD"
         response = h11.Response(status_code=status, headers=headers)
-        connection.writer.write(encode_message(http, response, b"" if head_only else body))
-        if connection.has_pipelined or not start_next_cycle(http):
+        connection.writer.write(encode_message(http, response, b"" if is_head_only else body))
+        if connection.has_pipelined_input or not start_next_cycle(http):
             self._begin_closing(connection)
             return
         connection.on_next_cycle()
--- a/onyxpost/edge/client_listener.py
+++ b/onyxpost/edge/client_listener.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from onyxpost.edge.client_connection import GRACE_FOR_REQUEST_MS, ClientConnection
+from onyxpost.edge.client_connection import INCOMPLETE_REQUEST_GRACE_MS, ClientConnection
 from onyxpost.runtime.http1 import limit_read_size
 from onyxpost.runtime.transport import stop_accepting
 
@@ -21,7 +21,7 @@
 # Turns of the event loop within which an accepted connection reaches its first read. The transport, its
 # protocol and the reading task take one turn each; the other turns are a margin.
 ACCEPT_TURNS = 8
-MAX_REJECTED_CONNECTIONS = 16  # open connections beyond the node's capacity whose requests are rejected
+MAX_OVER_CAPACITY_CONNECTIONS = 16  # open connections beyond the node's capacity whose requests are rejected
 # Per turn of the event loop. More accepts could exceed the node's limit before they are counted.
 MAX_ACCEPTS_PER_TURN = 16
 
@@ -80,7 +80,7 @@
         open connections yet.
         """
         accepted_before = -1
-        deadline = self._clock() + GRACE_FOR_REQUEST_MS
+        deadline = self._clock() + INCOMPLETE_REQUEST_GRACE_MS
         while accepted_before != self.accepted_count and self._clock() < deadline:
             accepted_before = self.accepted_count
             await _yield_to_accepts()
@@ -96,7 +96,7 @@
 
     async def _serve(self, reader: CountingReader, writer: asyncio.StreamWriter) -> None:
         has_capacity = self.has_capacity()
-        if not has_capacity and self._over_capacity_count >= MAX_REJECTED_CONNECTIONS:
+        if not has_capacity and self._over_capacity_count >= MAX_OVER_CAPACITY_CONNECTIONS:
             writer.transport.abort()
             return
         limit_read_size(writer, READ_BUFFER_BYTES)
@@ -125,7 +125,7 @@
             # Input after this node's end of stream is discarded, as it cannot be answered.
             if self._connections.is_open(connection):
                 self._http.handle_bytes(connection, data)
-        if self._connections.is_open(connection) and not connection.awaits_answer:
+        if self._connections.is_open(connection) and not connection.has_unanswered_request:
             self._http.handle_end_of_stream(connection)
 
 
--- a/onyxpost/edge/descriptor_budget.py
+++ b/onyxpost/edge/descriptor_budget.py
@@ -11,11 +11,11 @@
     from onyxpost.edge.clients import Clients
     from onyxpost.edge.upstream_pool import UpstreamPool
 
-MAX_RESERVED = 48
+MAX_RESERVED_DESCRIPTORS = 48
 """Descriptors for files, listeners, discovery, peers, planners and connections being accepted or rejected."""
 
-EXHAUSTED = (errno.EMFILE, errno.ENFILE)
-LOG_INTERVAL_MS = 10_000.0  # minimum time between two log lines about exhausted descriptors
+DESCRIPTOR_EXHAUSTION_ERRNOS = (errno.EMFILE, errno.ENFILE)
+EXHAUSTION_LOG_INTERVAL_MS = 10_000.0  # minimum time between two log lines about exhausted descriptors
 
 
 class DescriptorBudget:
@@ -23,33 +23,38 @@
 
     def __init__(
         self,
-        limit: Callable[[], int],
+        descriptor_limit: Callable[[], int],
         clients: Clients,
         servers: UpstreamPool,
-        count_cluster: Callable[[], int],
+        count_cluster_connections: Callable[[], int],
     ) -> None:
         """Creates the budget of a node.
 
         Args:
-            limit: returns the maximum number of open descriptors.
+            descriptor_limit: returns the maximum number of open descriptors.
             clients: the client connections to count and close.
             servers: the upstream connections to count and close.
-            count_cluster: returns the number of connections to members of the cluster.
+            count_cluster_connections: returns the number of connections to members of the cluster.
         """
-        self.limit = limit
+        self.descriptor_limit = descriptor_limit
         self.clients = clients
         self.servers = servers
-        self.count_cluster = count_cluster
+        self.count_cluster_connections = count_cluster_connections
 
-    def reserved(self) -> int:
+    def reserved_count(self) -> int:
         """Returns the number of descriptors kept for uses other than clients, app servers and cluster."""
-        return min(MAX_RESERVED, self.limit() // 4)
+        return min(MAX_RESERVED_DESCRIPTORS, self.descriptor_limit() // 4)
 
-    def in_use(self) -> int:
+    def in_use_count(self) -> int:
         """Returns the number of descriptors that are open or reserved."""
         connections = self.clients.connections
         client_count = len(connections.open) + len(connections.closing)
-        return client_count + self.servers.connection_count + self.reserved() + self.count_cluster()
+        return (
+            client_count
+            + self.servers.connection_count
+            + self.reserved_count()
+            + self.count_cluster_connections()
+        )
 
     def has_client_capacity(self) -> bool:
         """Returns whether one more client may connect; may close an idle client connection to allow it.
@@ -60,18 +65,18 @@
         fifths of the descriptors that are not reserved. The others are left for upstream connections, as a
         request without one cannot be forwarded.
         """
-        limit = self.limit()
+        limit = self.descriptor_limit()
         client_count = len(self.clients.connections.open)
         if client_count >= limit // 4 and self.clients.eviction.evict_connection():
             return self.has_server_capacity()  # the evicted connection keeps its descriptor while closing
-        return client_count < (limit - self.reserved()) * 3 // 5 and self.has_server_capacity()
+        return client_count < (limit - self.reserved_count()) * 3 // 5 and self.has_server_capacity()
 
     def has_server_capacity(self) -> bool:
         """Returns whether one more descriptor may be opened.
 
         At the limit, this aborts a closing client connection or else closes an idle upstream connection.
         """
-        if self.in_use() < self.limit():
+        if self.in_use_count() < self.descriptor_limit():
             return True
         return self.clients.eviction.abort_oldest_closing() or self.servers.evict_oldest_idle()
 
@@ -81,7 +86,7 @@
 
     def __init__(self) -> None:
         """Creates a limit that permits the next log line."""
-        self._logged_at_ms = -LOG_INTERVAL_MS
+        self._logged_at_ms = -EXHAUSTION_LOG_INTERVAL_MS
 
     def is_logged_already(self, now_ms: float, error: BaseException | None) -> bool:
         """Returns whether `error` reports exhausted descriptors and such an error was logged recently.
@@ -89,9 +94,9 @@
         asyncio reports each connection that it could not accept, and retries once a second. If this returns
         False for exhausted descriptors, the caller is expected to log them.
         """
-        if not isinstance(error, OSError) or error.errno not in EXHAUSTED:
+        if not isinstance(error, OSError) or error.errno not in DESCRIPTOR_EXHAUSTION_ERRNOS:
             return False
-        is_recent = now_ms < self._logged_at_ms + LOG_INTERVAL_MS
+        is_recent = now_ms < self._logged_at_ms + EXHAUSTION_LOG_INTERVAL_MS
         if not is_recent:
             self._logged_at_ms = now_ms
         return is_recent
--- a/onyxpost/edge/discovery_client.py
+++ b/onyxpost/edge/discovery_client.py
@@ -85,8 +85,8 @@
         self._post = post
         self._log = log
         self._rng = Random(options.seed)
-        self._shared = options.shared
-        self._outage_logged = False
+        self._is_shared = options.shared
+        self._is_outage_logged = False
         self._next_outage_log_at = 0.0  # earliest time of the next outage log line, ms
         self._stale_timer: asyncio.TimerHandle | None = None
         # Set once a poll was answered, or failed other than by a timeout.
@@ -126,17 +126,17 @@
         if self.watches:
             for task in list(self.watches)[1:]:
                 self._cancel_watch(task)
-            self.start_watch(after_move=True)
+            self.start_watch(is_after_move=True)
             self._schedule_staleness()
 
-    def start_watch(self, *, after_move: bool = False) -> None:
+    def start_watch(self, *, is_after_move: bool = False) -> None:
         """Starts a watch.
 
         Args:
-            after_move: whether a reload has just set the address.
+            is_after_move: whether a reload has just set the address.
         """
-        tracker = StalenessTracker(self._rng, shared=self._shared)
-        watch = DiscoveryWatch(self._transport, self, self._addresses, tracker, after_move=after_move)
+        tracker = StalenessTracker(self._rng, shared=self._is_shared)
+        watch = DiscoveryWatch(self._transport, self, self._addresses, tracker, is_after_move=is_after_move)
         self.watches[asyncio.get_running_loop().create_task(watch.run())] = watch
 
     def close(self) -> None:
@@ -164,10 +164,10 @@
         update = answered.update
         if answered.address == self.address:  # the old address cannot end an outage of the new one
             self._end_outage(update.generation)
-        if answered.after_move:
+        if answered.is_after_move:
             fields = {"generation": update.generation, "held": self.generation}
             self._log(LogEvent("discovery moved", fields))
-        if update.generation < self.generation and (answered.after_move or not update.complete):
+        if update.generation < self.generation and (answered.is_after_move or not update.complete):
             # The answer is older than this node's list, so it is replaced by an update without changes, and
             # discovery is expected to catch up. A complete list that was not requested is accepted, as it
             # shows that discovery has restarted.
@@ -197,8 +197,8 @@
         if not self.is_down:
             self.is_down = True
             self._post(EndpointUpdateFailed())
-        if not self._outage_logged and now >= self._next_outage_log_at:
-            self._outage_logged = True
+        if not self._is_outage_logged and now >= self._next_outage_log_at:
+            self._is_outage_logged = True
             self._next_outage_log_at = now + OUTAGE_LOG_INTERVAL_MS
             fields: dict[str, Any] = {"cause": f"{type(cause).__name__}: {cause}"[:MAX_LOGGED_CAUSE_CHARS]}
             if isinstance(cause, InvalidInputError):
@@ -206,10 +206,10 @@
             self._log(LogEvent("discovery down", fields, logging.WARNING))
 
     def _end_outage(self, generation: int) -> None:
-        if self._outage_logged:
+        if self._is_outage_logged:
             self._log(LogEvent("discovery up", {"generation": generation}))
         self.is_down = False
-        self._outage_logged = False
+        self._is_outage_logged = False
 
     def _stale_in_ms(self) -> float | None:
         """Returns the time until any watch considers the list stale; None if no watch will."""
--- a/onyxpost/edge/discovery_poll.py
+++ b/onyxpost/edge/discovery_poll.py
@@ -95,9 +95,9 @@
     ) as err:  # ValueError: invalid host name
         if connection is not None:
             connection.abort()
-        answer_started = connection is not None and connection.reader.bytes_received > received_before
+        has_answer_started = connection is not None and connection.reader.bytes_received > received_before
         raise PollFailedError(
-            _classify(err, connected=connection is not None, answer_started=answer_started), err
+            _classify(err, is_connected=connection is not None, has_answer_started=has_answer_started), err
         ) from err
     except BaseException:
         if connection is not None:
@@ -154,12 +154,12 @@
     return decode_endpoint_update(body)
 
 
-def _classify(err: Exception, *, connected: bool, answer_started: bool) -> PollFailure:
-    """Returns the kind of failure; `answer_started` is whether any byte of an answer arrived."""
+def _classify(err: Exception, *, is_connected: bool, has_answer_started: bool) -> PollFailure:
+    """Returns the kind of failure; `has_answer_started` is whether any byte of an answer arrived."""
     if isinstance(err, DiscoveryOverloadedError):
         return PollFailure.OVERLOADED
-    if answer_started or (connected and not isinstance(err, OSError)):
+    if has_answer_started or (is_connected and not isinstance(err, OSError)):
         return PollFailure.MALFORMED_ANSWER
     if getattr(err, "errno", None) in LOCAL_RESOURCE_ERRNOS:
         return PollFailure.LOCAL_RESOURCES
-    return PollFailure.CONNECTION_CLOSED if connected else PollFailure.UNREACHABLE
+    return PollFailure.CONNECTION_CLOSED if is_connected else PollFailure.UNREACHABLE
--- a/onyxpost/edge/discovery_watch.py
+++ b/onyxpost/edge/discovery_watch.py
@@ -32,13 +32,13 @@
         watch: the watch.
         address: the address that answered.
         update: the decoded answer.
-        after_move: whether this is the first answer after a reload has set the address.
+        is_after_move: whether this is the first answer after a reload has set the address.
     """
 
     watch: DiscoveryWatch
     address: Address
     update: EndpointUpdate
-    after_move: bool
+    is_after_move: bool
 
 
 class WatchFailed(NamedTuple):
@@ -78,7 +78,7 @@
         addresses: AddressChoice,
         tracker: StalenessTracker,
         *,
-        after_move: bool = False,
+        is_after_move: bool = False,
     ) -> None:
         """Creates a watch without sending a poll.
 
@@ -87,14 +87,14 @@
             listener: receives the answers and failures.
             addresses: selects the address to poll.
             tracker: decides when to poll, and when the list may be stale.
-            after_move: whether a reload has set the address, so that polls request all endpoints until one is
-                answered.
+            is_after_move: whether a reload has set the address, so that polls request all endpoints until
+                one is answered.
         """
         self.tracker = tracker
         self._transport = transport
         self._listener = listener
         self._addresses = addresses
-        self._after_move = after_move
+        self._is_after_move = is_after_move
         self._open_polls: list[OpenPoll] = []  # oldest first
         self._connection: DiscoveryConnection | None = None  # the idle connection of the last answer
 
@@ -104,7 +104,7 @@
             while True:
                 poll = self._start_poll()
                 timeout_ms = self.tracker.on_poll_started(
-                    poll.started_at, poll.long_poll_ms, after_move=self._after_move
+                    poll.started_at, poll.long_poll_ms, is_after_move=self._is_after_move
                 )
                 await self._wait_for_answer(poll, timeout_ms)
         finally:
@@ -117,7 +117,9 @@
         long_poll_ms = self.tracker.long_poll_ms()
         limit_open_polls(self._open_polls, self.tracker.max_open_polls, started_at)
         query = (
-            "" if self._after_move else f"?since={self._listener.generation}&timeout_ms={int(long_poll_ms)}"
+            ""
+            if self._is_after_move
+            else f"?since={self._listener.generation}&timeout_ms={int(long_poll_ms)}"
         )
         address = self._addresses.address
         task = asyncio.get_running_loop().create_task(
@@ -131,13 +133,13 @@
     async def _wait_for_answer(self, newest: OpenPoll, timeout_ms: float) -> None:
         """Waits until an open poll was answered and handled, or the next poll is due."""
         loop = asyncio.get_running_loop()
-        due = loop.time() + timeout_ms / MS_PER_SECOND
-        while (left := due - loop.time()) > TIMER_RESOLUTION_SECONDS:
+        next_poll_at = loop.time() + timeout_ms / MS_PER_SECOND
+        while (remaining_seconds := next_poll_at - loop.time()) > TIMER_RESOLUTION_SECONDS:
             if not self._open_polls:
-                await asyncio.sleep(left)
+                await asyncio.sleep(remaining_seconds)
                 return
             tasks = [poll.task for poll in self._open_polls]
-            await asyncio.wait(tasks, timeout=left, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(tasks, timeout=remaining_seconds, return_when=asyncio.FIRST_COMPLETED)
             finished = next((poll for poll in self._open_polls if poll.task.done()), None)
             if finished is None:
                 continue
@@ -146,7 +148,7 @@
                 self._connection, update = finished.task.result()
             except PollFailedError as err:
                 pause_ms = self._handle_failure(finished, err.failure, err.cause)
-                due = loop.time() + pause_ms / MS_PER_SECOND
+                next_poll_at = loop.time() + pause_ms / MS_PER_SECOND
                 continue
             await self._handle_answer(newest, finished, update)
             return
@@ -158,13 +160,13 @@
         self._addresses.on_poll_answered(answered.address)
         self.tracker.on_poll_answered()
         elapsed_ms = self._transport.clock() - newest.started_at
-        ignored_long_poll = (
+        is_long_poll_ignored = (
             newest.long_poll_ms > RETRY_PAUSE_MS > elapsed_ms
             and update.generation <= self._listener.generation
         )
-        self._listener.on_watch_answered(WatchAnswered(self, answered.address, update, self._after_move))
-        self._after_move = False
-        if ignored_long_poll:
+        self._listener.on_watch_answered(WatchAnswered(self, answered.address, update, self._is_after_move))
+        self._is_after_move = False
+        if is_long_poll_ignored:
             # Without a pause, an agent that answers long polls at once would be polled in a busy loop.
             await asyncio.sleep(self.tracker.retry_pause_ms() / MS_PER_SECOND)
 
@@ -177,13 +179,13 @@
 
     def _handle_failure(self, poll: OpenPoll, failure: PollFailure, cause: Exception) -> float:
         """Handles the failure of a poll and returns the time in ms until the next poll."""
-        counted_failure = self._addresses.on_poll_failed(failure)
-        if counted_failure is None:
+        reported_failure = self._addresses.on_poll_failed(failure)
+        if reported_failure is None:
             return 0.0
         now = self._transport.clock()
-        if counted_failure is PollFailure.TIMEOUT and not self.tracker.reconnecting:
+        if reported_failure is PollFailure.TIMEOUT and not self.tracker.is_reconnecting:
             # Possibly only the reused connection has failed; the next poll, on a new connection, shows it.
-            return self.tracker.on_poll_failed(now, counted_failure)
-        pause_ms = self.tracker.on_poll_failed(now, counted_failure, poll.started_at)
-        self._listener.on_watch_failed(WatchFailed(self, self._addresses.address, counted_failure, cause))
+            return self.tracker.on_poll_failed(now, reported_failure)
+        pause_ms = self.tracker.on_poll_failed(now, reported_failure, poll.started_at)
+        self._listener.on_watch_failed(WatchFailed(self, self._addresses.address, reported_failure, cause))
         return pause_ms
--- a/onyxpost/edge/errors.py
+++ b/onyxpost/edge/errors.py
@@ -30,10 +30,10 @@
 
     Attributes:
         status: the HTTP status of the answer.
-        framing_unknown: whether the end of the request is unknown, so that its connection has to be closed.
+        is_framing_unknown: whether the end of the request is unknown, so that its connection must be closed.
     """
 
-    def __init__(self, status: int, reason: str, *, framing_unknown: bool = False) -> None:
+    def __init__(self, status: int, reason: str, *, is_framing_unknown: bool = False) -> None:
         super().__init__(reason)
         self.status = status
-        self.framing_unknown = framing_unknown
+        self.is_framing_unknown = is_framing_unknown
--- a/onyxpost/edge/messages/forwarded_headers.py
+++ b/onyxpost/edge/messages/forwarded_headers.py
@@ -55,7 +55,7 @@
     """
     if response.status_code == STATUS_OK:
         return AttemptResult.OK
-    unavailable = response.status_code in (STATUS_UNAVAILABLE, STATUS_TIMEOUT)
-    if unavailable and NEVER_EXECUTED_HEADER in list(response.headers):
+    is_unavailable = response.status_code in (STATUS_UNAVAILABLE, STATUS_TIMEOUT)
+    if is_unavailable and NEVER_EXECUTED_HEADER in list(response.headers):
         return AttemptResult.FULL
     return AttemptResult.ERROR
--- a/onyxpost/edge/messages/request_headers.py
+++ b/onyxpost/edge/messages/request_headers.py
@@ -33,9 +33,17 @@
 )
 # Besides hop-by-hop headers, clients do not get the headers that app servers send only to edge nodes.
 HEADERS_NOT_RETURNED = HOP_BY_HOP_HEADERS | {b"content-length", b"x-never-ran", b"endpoint-load-metrics"}
-SINGLE_HEADERS = (b"x-trace-id", b"plan", b"cookie", b"x-expires-in", b"quota-info", b"idempotency-key")
+NON_REPEATABLE_HEADERS = (
+    b"x-trace-id",
+    b"plan",
+    b"cookie",
+    b"x-expires-in",
+    b"quota-info",
+    b"idempotency-key",
+)
 CUSTOMER_KEY = re.compile(rb"0{7}[01][0-9a-fA-F]{8}")  # 16 hexadecimal digits of a number less than 2^33
-DURATION = re.compile(rb"([0-9]{1,12}(?:\.[0-9]{1,9})?)([mu])")  # in milliseconds (m) or microseconds (u)
+# A duration in milliseconds (m) or microseconds (u).
+DURATION_PATTERN = re.compile(rb"([0-9]{1,12}(?:\.[0-9]{1,9})?)([mu])")
 
 HeaderValues = dict[bytes, bytes]
 
@@ -112,7 +120,7 @@
     if len(values) == len(headers):
         return
     names = [name for name, _ in headers]
-    if any(names.count(name) > 1 for name in SINGLE_HEADERS):
+    if any(names.count(name) > 1 for name in NON_REPEATABLE_HEADERS):
         raise RequestRejectedError(400, "a header twice")
 
 
@@ -120,7 +128,7 @@
     # Servers may disagree on which of two lengths applies, which can hide a second request in a body
     # (request smuggling).
     if b"transfer-encoding" in values and b"content-length" in values:
-        raise RequestRejectedError(400, "two lengths", framing_unknown=True)
+        raise RequestRejectedError(400, "two lengths", is_framing_unknown=True)
     content_length = int(values.get(b"content-length", 0))
     if content_length > MAX_BODY_BYTES:
         raise RequestRejectedError(413, "body over 64 KiB")
@@ -168,9 +176,9 @@
     if not fields.trace_id or not CUSTOMER_KEY.fullmatch(fields.customer_key) or not fields.timeout_ms > 0.0:
         raise RequestRejectedError(400, "malformed header")
     max_units = deployment.max_request_units or fields.units
-    units_in_range = 0 < fields.units <= max_units
-    set_size_in_range = 0 < fields.set_size <= deployment.node_count
-    if not (units_in_range and set_size_in_range and fields.first_node < deployment.node_count):
+    are_units_in_range = 0 < fields.units <= max_units
+    is_set_size_in_range = 0 < fields.set_size <= deployment.node_count
+    if not (are_units_in_range and is_set_size_in_range and fields.first_node < deployment.node_count):
         raise RequestRejectedError(400, "quota-info out of range")
     if not any(plan.name == fields.plan for plan in deployment.plans):
         raise RequestRejectedError(400, "unknown plan")
@@ -193,7 +201,7 @@
 
 
 def _decode_duration_ms(text: bytes) -> float:
-    duration = DURATION.fullmatch(text)
+    duration = DURATION_PATTERN.fullmatch(text)
     if duration is None:
         raise ValueError("x-expires-in")
     return float(duration[1]) / (1.0 if duration[2] == b"m" else US_PER_MS)
--- a/onyxpost/edge/peers.py
+++ b/onyxpost/edge/peers.py
@@ -18,25 +18,25 @@
     """Sends and receives messages of edge nodes; a lost message is compensated by later ones."""
 
     def __init__(
-        self, net: Transport, peers: list[Address], own_index: int, post: Callable[[EdgeEvent], None]
+        self, network: Transport, peers: list[Address], own_index: int, post: Callable[[EdgeEvent], None]
     ) -> None:
         """Creates the object without opening its socket.
 
         Args:
-            net: opens the socket.
+            network: opens the socket.
             peers: the addresses of all edge nodes, by index.
             own_index: this node's index.
             post: receives the decoded messages.
         """
-        self._net = net
+        self._network = network
         self._peers = peers
         self._post = post
-        self._indexes = {address: index for index, address in enumerate(peers) if index != own_index}
+        self._peer_indexes = {address: index for index, address in enumerate(peers) if index != own_index}
         self.transport: asyncio.DatagramTransport | None = None
 
     async def listen(self, address: Address) -> None:
         """Opens the socket on `address`."""
-        await self._net.open_datagram_endpoint(self, address)
+        await self._network.open_datagram_endpoint(self, address)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Stores the transport of the open socket."""
@@ -45,7 +45,7 @@
 
     def datagram_received(self, data: bytes, source: tuple[str | Any, int]) -> None:
         """Posts a valid message from another node; other datagrams are ignored."""
-        message = decode_datagram(data, self._indexes.get(source))
+        message = decode_datagram(data, self._peer_indexes.get(source))
         if message is not None:
             self._post(message)
 
--- a/onyxpost/edge/staleness.py
+++ b/onyxpost/edge/staleness.py
@@ -57,7 +57,7 @@
     """Schedules the polls of one watch, and determines when the endpoint list of the node may be stale.
 
     Attributes:
-        reconnecting: whether the next or current poll is the first one on its connection.
+        is_reconnecting: whether the next or current poll is the first one on its connection.
     """
 
     def __init__(self, rng: Random, *, shared: bool = False) -> None:
@@ -68,16 +68,16 @@
             shared: whether the discovery service itself is polled, rather than an agent that lists are pushed
                 to.
         """
-        self.reconnecting = True
+        self.is_reconnecting = True
         self._rng = rng
-        self._shared = shared
+        self._is_shared = shared
         self._backoff_ms = AGENT_BACKOFF_MIN_MS
         self._polled_at = 0.0
-        self._first_poll = True
-        self._timed_out = False  # whether the last poll timed out
+        self._is_first_poll = True
+        self._has_timed_out = False  # whether the last poll timed out
         self._consecutive_closes = 0
         self._stale_after_ms = STALE_AFTER_MS
-        self._may_miss_changes = False  # whether a discovery was reached that may have a change
+        self._may_have_missed_changes = False  # whether a discovery was reached that may have a change
         # Time by which this node has to know all changes since the last answer; None right after an answer.
         self._stale_at: float | None = None
 
@@ -87,36 +87,36 @@
         The first poll requests an immediate answer, with all changes since the list in the node's file. So
         does each poll on a new connection to an agent.
         """
-        if self._first_poll or (self.reconnecting and not self._shared):
+        if self._is_first_poll or (self.is_reconnecting and not self._is_shared):
             return IMMEDIATE_LONG_POLL_MS
-        if self._shared:
-            return SHARED_RECONNECT_LONG_POLL_MS if self.reconnecting else SHARED_LONG_POLL_MS
+        if self._is_shared:
+            return SHARED_RECONNECT_LONG_POLL_MS if self.is_reconnecting else SHARED_LONG_POLL_MS
         return AGENT_LONG_POLL_MS
 
     @property
     def max_open_polls(self) -> int:
         """The maximum number of polls that are open at the same time."""
-        return MAX_OPEN_SHARED_POLLS if self._shared else MAX_OPEN_AGENT_POLLS
+        return MAX_OPEN_SHARED_POLLS if self._is_shared else MAX_OPEN_AGENT_POLLS
 
-    def on_poll_started(self, now: float, long_poll_ms: float, *, after_move: bool = False) -> float:
+    def on_poll_started(self, now: float, long_poll_ms: float, *, is_after_move: bool = False) -> float:
         """Records the start of a poll and returns how long to wait for its answer before the next poll.
 
         Args:
             now: the current time.
             long_poll_ms: how long discovery may hold this poll open.
-            after_move: whether SIGHUP has just set the address that is polled.
+            is_after_move: whether SIGHUP has just set the address that is polled.
         """
-        if after_move:
+        if is_after_move:
             self._stale_after_ms = STALE_AFTER_RELOAD_MS
         else:
             self._stale_after_ms = max(STALE_AFTER_MS, long_poll_ms + STALE_AFTER_LONG_POLL_MS)
         self._polled_at = now
-        self._first_poll = False
+        self._is_first_poll = False
         if self._stale_at is None:
             self._stale_at = now + self._stale_after_ms
-        if self._shared:
+        if self._is_shared:
             return self._stale_after_ms - ANSWER_TIMEOUT_MS - RETRY_PAUSE_MS * PAUSE_JITTER_MAX
-        return self.retry_pause_ms() if self._timed_out else long_poll_ms + AGENT_ANSWER_MARGIN_MS
+        return self.retry_pause_ms() if self._has_timed_out else long_poll_ms + AGENT_ANSWER_MARGIN_MS
 
     def retry_pause_ms(self) -> float:
         """Returns a pause before the next poll, with jitter so that nodes do not poll simultaneously."""
@@ -125,8 +125,8 @@
     def on_poll_answered(self) -> None:
         """Resets all failures, as the list is now the one that discovery has."""
         self._backoff_ms = AGENT_BACKOFF_MIN_MS
-        self._timed_out = False
-        self.reconnecting = False
+        self._has_timed_out = False
+        self.is_reconnecting = False
         self._stale_at = None
         self.ignore_missed_changes()
 
@@ -138,11 +138,11 @@
             failure: the kind of failure.
             polled_at: when the failed poll started; None for the latest poll.
         """
-        self.reconnecting = True
-        self._timed_out = failure is PollFailure.TIMEOUT
+        self.is_reconnecting = True
+        self._has_timed_out = failure is PollFailure.TIMEOUT
         if failure is PollFailure.TIMEOUT:
             self._on_unreachable(self._polled_at)
-            return self.retry_pause_ms() if self._shared else 0.0
+            return self.retry_pause_ms() if self._is_shared else 0.0
         if failure is PollFailure.UNREACHABLE:
             self._on_unreachable(now)
             return self.retry_pause_ms()
@@ -152,21 +152,21 @@
         if failure is PollFailure.CONNECTION_CLOSED:
             self._consecutive_closes += 1
             return self.retry_pause_ms()
-        self._may_miss_changes = True
+        self._may_have_missed_changes = True
         if failure is PollFailure.OVERLOADED:
             return self._overload_backoff_ms(now, self._stale_at)
         return self.retry_pause_ms()
 
     def ignore_missed_changes(self) -> None:
         """Assumes from now on that no earlier failed poll has missed a change."""
-        self._may_miss_changes = False
+        self._may_have_missed_changes = False
         self._consecutive_closes = 0
 
     def stale_in_ms(self, now: float) -> float | None:
         """Returns the time until the list may be stale; None if no failed poll can have missed a change."""
         # One closed connection may be the start of an outage. After two, without discovery being unreachable
         # in between, discovery is up and may have a change.
-        if self._stale_at is None or not (self._may_miss_changes or self._consecutive_closes > 1):
+        if self._stale_at is None or not (self._may_have_missed_changes or self._consecutive_closes > 1):
             return None
         return max(0.0, self._stale_at - now)
 
@@ -175,12 +175,12 @@
 
         While discovery cannot be reached, a node does not have to act on its changes.
         """
-        if not self._may_miss_changes:
+        if not self._may_have_missed_changes:
             self._stale_at = since + self._stale_after_ms
             self._consecutive_closes = 0
 
     def _overload_backoff_ms(self, now: float, stale_at: float) -> float:
-        if not self._shared:
+        if not self._is_shared:
             backoff_ms = self._backoff_ms
             self._backoff_ms = min(AGENT_BACKOFF_MAX_MS, 2.0 * self._backoff_ms)
             return self._rng.uniform(RETRY_PAUSE_MS, backoff_ms)
--- a/onyxpost/edge/upstream_pool.py
+++ b/onyxpost/edge/upstream_pool.py
@@ -30,12 +30,12 @@
     from onyxpost.runtime.transport import Transport
 
 # Idle connections are closed after this share of the servers' keep-alive, before the servers close them.
-IDLE_SHARE_OF_KEEP_ALIVE = 0.75
+IDLE_TIMEOUT_FRACTION = 0.75
 # Minimum time between a response and the reuse of its connection. Without it, surplus bytes after a response
 # would be read as the response to the next request.
-MIN_IDLE_MS = 30.0
+MIN_IDLE_BEFORE_REUSE_MS = 30.0
 # Results of attempts with a complete response that is not forwarded.
-COMPLETE_RESPONSES = (AttemptResult.ERROR, AttemptResult.FULL)
+COMPLETE_RESPONSE_RESULTS = (AttemptResult.ERROR, AttemptResult.FULL)
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,29 +84,29 @@
         self.idle_connections: dict[Endpoint, list[UpstreamConnection]] = {}
         self.tasks: dict[int, asyncio.Task[None]] = {}
         self._options = options
-        self._idle_timeout_ms = IDLE_SHARE_OF_KEEP_ALIVE * options.keep_alive_ms
-        self._withdrawn: set[int] = set()
+        self._idle_timeout_ms = IDLE_TIMEOUT_FRACTION * options.keep_alive_ms
+        self._withdrawn_attempt_ids: set[int] = set()
 
-    def send(self, send: SendAttempt) -> None:
+    def send(self, attempt: SendAttempt) -> None:
         """Starts an attempt, whose end is posted as `AttemptEnded`."""
         loop = asyncio.get_running_loop()
-        self.tasks[send.attempt_id] = loop.create_task(self._run(send, self.clock()))
+        self.tasks[attempt.attempt_id] = loop.create_task(self._run(attempt, self.clock()))
 
-    def cancel(self, attempt: int) -> None:
+    def cancel(self, attempt_id: int) -> None:
         """Ends an attempt in flight by closing its connection."""
-        task = self.tasks.get(attempt)
+        task = self.tasks.get(attempt_id)
         if task is not None and inspect.getcoroutinestate(cast(Any, task.get_coro())) == inspect.CORO_CREATED:
             # A task that is cancelled before its first step never runs, and so would not post the end.
-            del self.tasks[attempt]
-            self._withdrawn.discard(attempt)
-            self.post(AttemptEnded(attempt, AttemptResult.UNUSED, 0.0))
+            del self.tasks[attempt_id]
+            self._withdrawn_attempt_ids.discard(attempt_id)
+            self.post(AttemptEnded(attempt_id, AttemptResult.UNUSED, 0.0))
         if task is not None:
             task.cancel()
 
-    def withdraw(self, attempt: int) -> None:
+    def withdraw(self, attempt_id: int) -> None:
         """Prevents an attempt from being sent, unless sending has begun."""
-        if attempt in self.tasks:
-            self._withdrawn.add(attempt)
+        if attempt_id in self.tasks:
+            self._withdrawn_attempt_ids.add(attempt_id)
 
     def retire_endpoint(self, endpoint: Endpoint) -> None:
         """Closes the idle connections to an endpoint that is draining, gone or has another address.
@@ -185,19 +185,25 @@
         while self.evict_oldest_idle():
             pass
 
-    async def _run(self, send: SendAttempt, started_at: float) -> None:
+    async def _run(self, attempt: SendAttempt, started_at: float) -> None:
         """Runs one attempt and posts its end, also after an exception or cancellation."""
         connection: UpstreamConnection | None = None
         result = AttemptResult.NO_CONNECTION
         response: UpstreamResponse | None = None
         try:
-            async with asyncio.timeout(send.timeout_ms / MS_PER_SECOND):
-                connection = self._take_idle(send.endpoint) or await self.connect(send.endpoint)
-                left_ms = send.timeout_ms - (self.clock() - started_at)
-                if send.attempt_id in self._withdrawn or not self.may_start(send, left_ms):
+            async with asyncio.timeout(attempt.timeout_ms / MS_PER_SECOND):
+                connection = self._take_idle_connection(attempt.endpoint) or await self.connect(
+                    attempt.endpoint
+                )
+                remaining_ms = attempt.timeout_ms - (self.clock() - started_at)
+                if attempt.attempt_id in self._withdrawn_attempt_ids or not self.may_start(
+                    attempt, remaining_ms
+                ):
                     result = AttemptResult.UNUSED
                     return
-                result, response = await connection.exchange(*forwarded_request(send.request, left_ms))
+                result, response = await connection.exchange(
+                    *forwarded_request(attempt.request, remaining_ms)
+                )
         except TimeoutError:
             result = _result_if_sent(connection, AttemptResult.EXPIRED)
         except asyncio.CancelledError:
@@ -205,12 +211,12 @@
         except Exception as err:
             result = self._handle_error(connection, err)
         finally:
-            self.tasks.pop(send.attempt_id, None)
-            self._withdrawn.discard(send.attempt_id)
+            self.tasks.pop(attempt.attempt_id, None)
+            self._withdrawn_attempt_ids.discard(attempt.attempt_id)
             if connection is not None:
-                is_complete = response is not None or result in COMPLETE_RESPONSES
+                is_complete = response is not None or result in COMPLETE_RESPONSE_RESULTS
                 self._release(connection, completed=is_complete)
-            self.post(AttemptEnded(send.attempt_id, result, self.clock() - started_at, response))
+            self.post(AttemptEnded(attempt.attempt_id, result, self.clock() - started_at, response))
 
     def _handle_error(self, connection: UpstreamConnection | None, err: Exception) -> AttemptResult:
         if not isinstance(err, OSError | EOFError | h11.RemoteProtocolError):
@@ -219,13 +225,14 @@
             return AttemptResult.UNUSED  # the server must not be ejected for a shortage of this node
         return _result_if_sent(connection, AttemptResult.LOST)
 
-    def _take_idle(self, endpoint: Endpoint) -> UpstreamConnection | None:
-        """Removes and returns the most recently used connection that has been idle for `MIN_IDLE_MS`.
+    def _take_idle_connection(self, endpoint: Endpoint) -> UpstreamConnection | None:
+        """Removes and returns the most recently used connection that may be reused.
 
-        The other connections stay idle and can expire.
+        A connection may be reused once it has been idle for `MIN_IDLE_BEFORE_REUSE_MS`. The other connections
+        stay idle and can expire.
         """
         connections = self.idle_connections.get(endpoint, [])
-        latest_release = self.clock() - MIN_IDLE_MS
+        latest_release = self.clock() - MIN_IDLE_BEFORE_REUSE_MS
         for index in range(len(connections) - 1, -1, -1):
             if connections[index].idle_since <= latest_release:
                 connection = connections.pop(index)
--- a/tests/edge/shutdown_steps.py
+++ b/tests/edge/shutdown_steps.py
@@ -42,4 +42,4 @@
 
 def has_begun_request(edge: RunningNode) -> bool:
     """Returns whether a client has sent a part of a request."""
-    return any(client.request_started for client in edge.program.clients.connections.open.values())
+    return any(client.has_partial_request for client in edge.program.clients.connections.open.values())
--- a/tests/edge/test_client_capacity.py
+++ b/tests/edge/test_client_capacity.py
@@ -56,7 +56,7 @@
         await edge.send_request(encode_request(trace="a"))  # from the third on, one gives way
         silent, _ = await asyncio.open_connection(*edge.address)
         await wait_until(lambda: len(edge.program.clients.connections.open) >= 2)
-        with mock.patch.object(client_eviction, "GRACE_FOR_REQUEST_MS", -1.0):
+        with mock.patch.object(client_eviction, "INCOMPLETE_REQUEST_GRACE_MS", -1.0):
             _, third = await asyncio.open_connection(*edge.address)
             assert await asyncio.wait_for(silent.read(), 5.0) == b""
         assert (await edge.send_request(encode_request(trace="b")))[1] == b"hello"
--- a/tests/edge/test_client_closing.py
+++ b/tests/edge/test_client_closing.py
@@ -24,7 +24,7 @@
 
 def close_expired(edge: RunningNode) -> None:
     for client in edge.program.clients.connections.open.values():
-        client.deadline = client.deadline if client.awaits_answer else 0.0
+        client.deadline = client.deadline if client.has_unanswered_request else 0.0
     edge.program.clients.closer.close_expired()
 
 
@@ -92,14 +92,17 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         client = await idle_client(edge)
         program = edge.program
-        in_use_before = program.descriptors.in_use()
+        in_use_before = program.descriptors.in_use_count()
         begin_shutdown(edge)
-        assert (program.descriptors.in_use(), len(program.clients.connections.open)) == (in_use_before, 0)
+        assert (program.descriptors.in_use_count(), len(program.clients.connections.open)) == (
+            in_use_before,
+            0,
+        )
         (closing,) = program.clients.connections.closing.values()
         assert closing.deadline <= program.clock() + client_connections.LINGER_MS
         closing.deadline = 0.0
         await wait_until(lambda: not program.clients.connections.closing)  # the close_expired's
-        assert (program.descriptors.in_use(), await read_to_end(client)) == (in_use_before - 1, b"")
+        assert (program.descriptors.in_use_count(), await read_to_end(client)) == (in_use_before - 1, b"")
         client.close()
 
 
@@ -122,7 +125,7 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         client = await idle_client(edge)
         begin_shutdown(edge)
-        with mock.patch.object(edge.program.descriptors, "in_use", autospec=True, return_value=1 << 30):
+        with mock.patch.object(edge.program.descriptors, "in_use_count", autospec=True, return_value=1 << 30):
             upstream_count = edge.program.servers.connection_count
             assert edge.program.descriptors.has_server_capacity()
         assert (edge.program.clients.connections.closing, edge.program.servers.connection_count) == (
--- a/tests/edge/test_client_disconnects.py
+++ b/tests/edge/test_client_disconnects.py
@@ -28,7 +28,9 @@
     client = connect_client(edge)
     client.sendall(encode_request("toll", Idempotency_Key="k", X_Expires_In="4900m"))
     await wait_until(lambda: server.got)
-    ((number, _),) = [item for item in edge.program.clients.connections.open.items() if item[1].awaits_answer]
+    ((number, _),) = [
+        item for item in edge.program.clients.connections.open.items() if item[1].has_unanswered_request
+    ]
     return client, number
 
 
--- a/tests/edge/test_client_flow_control.py
+++ b/tests/edge/test_client_flow_control.py
@@ -44,7 +44,7 @@
                 client.sendall(encode_request(trace=f"t{sent_count}"))
                 while connection.connection_id in edge.program.clients.connections.open and (
                     edge.program.state_machine.requests.received_count < sent_count
-                    or connection.awaits_answer
+                    or connection.has_unanswered_request
                 ):
                     await asyncio.sleep(0)
         assert sent_count < 400
--- a/tests/edge/test_staleness.py
+++ b/tests/edge/test_staleness.py
@@ -90,9 +90,9 @@
 
 
 def test_after_a_move_the_list_is_stale_4_s_after_the_first_timeout(tracker: StalenessTracker) -> None:
-    tracker.on_poll_started(1000.0, 1.0, after_move=True)
+    tracker.on_poll_started(1000.0, 1.0, is_after_move=True)
     tracker.on_poll_failed(1251.0, PollFailure.TIMEOUT)
-    tracker.on_poll_started(1251.0, 1.0, after_move=True)
+    tracker.on_poll_started(1251.0, 1.0, is_after_move=True)
     tracker.on_poll_failed(1260.0, PollFailure.OVERLOADED)
     assert tracker.stale_in_ms(1260.0) == 1000.0 + STALE_AFTER_RELOAD_MS - 1260.0
 
--- a/tests/edge/test_upstream_responses.py
+++ b/tests/edge/test_upstream_responses.py
@@ -28,7 +28,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        monkeypatch.setattr(upstream_pool, "MIN_IDLE_MS", 0.0)
+        monkeypatch.setattr(upstream_pool, "MIN_IDLE_BEFORE_REUSE_MS", 0.0)
         for trace in ("a", "b"):
             head, body = await edge.send_request(encode_request(trace=trace))
             assert (head.split(b"\r\n")[0][:12], body) == (b"HTTP/1.1 200", b"hello")
@@ -79,7 +79,7 @@
 async def test_bytes_right_behind_a_response_find_no_request_to_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(upstream_pool, "MIN_IDLE_MS", 1e9)
+    monkeypatch.setattr(upstream_pool, "MIN_IDLE_BEFORE_REUSE_MS", 1e9)
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         for trace in ("a", "b"):
             assert (await edge.send_request(encode_request(trace=trace)))[1] == b"hello"
@@ -118,7 +118,7 @@
 
 @in_event_loop
 async def test_a_new_server_at_an_old_address_inherits_no_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream_pool, "MIN_IDLE_MS", 0.0)
+    monkeypatch.setattr(upstream_pool, "MIN_IDLE_BEFORE_REUSE_MS", 0.0)
     ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
     pool = create_pool(ends.put_nowait)
     async with StubAppServer() as server:
