--- a/tests/edge/client_sockets.py
+++ b/tests/edge/client_sockets.py
@@ -1,4 +1,4 @@
-"""Clients of a running node on plain sockets, whose bytes the node's event loop finds only when it runs."""
+"""Blocking client sockets, whose bytes the node cannot read before the test yields to the event loop."""
 
 from __future__ import annotations
 
@@ -12,18 +12,22 @@
     encode_request,
 )
 
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
+RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER with which `close` resets the connection
 
 
 def connect_client(edge: RunningNode) -> socket.socket:
-    """Connects a client whose bytes and close the node's event loop finds only once it runs again."""
+    """Connects a blocking client socket, with a timeout of 5 s."""
     client = socket.create_connection(edge.address[:2])
     client.settimeout(5.0)
     return client
 
 
 async def read_to_end(client: socket.socket) -> bytes:
-    """Returns all that a client receives up to its end; raises ConnectionResetError if that is a reset."""
+    """Returns all bytes that a client receives until the end of stream.
+
+    Raises:
+        ConnectionResetError: the connection was reset.
+    """
     client.setblocking(False)
     text = b""
     async with asyncio.timeout(5.0):
@@ -34,13 +38,13 @@
 
 
 def begin_shutdown(edge: RunningNode) -> None:
-    """Closes idle clients, and each other one with its answer."""
+    """Starts the shutdown: idle clients are closed, and other clients with their answer."""
     edge.program.clients.closer.begin_shutdown()
 
 
 async def idle_client(edge: RunningNode) -> socket.socket:
-    """Returns the node's one client, which has had an answer."""
-    edge.writer.close()  # the one client is this one
+    """Returns the only client of the node, which is idle after an answer."""
+    edge.writer.close()  # the client connected by `RunningNode` is replaced
     client = connect_client(edge)
     client.sendall(encode_request(trace="a"))
     client.setblocking(False)
--- a/tests/edge/conftest.py
+++ b/tests/edge/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of an edge node."""
+"""Fixtures for the tests of an edge node."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @pytest.fixture
 def short_accept(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A node goes on accepting for `ACCEPT_SECONDS` after SIGTERM."""
+    """Shortens the time for which a node accepts connections after SIGTERM to `ACCEPT_SECONDS`."""
     monkeypatch.setattr(edge_node, "ACCEPT_AFTER_STOP_SECONDS", ACCEPT_SECONDS)
 
 
 @pytest.fixture
 def no_request_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Clients that are slow to send a request are not disconnected for that."""
+    """Raises the request timeout to 60 s, so that clients without a complete request stay connected."""
     monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_MS", 60_000.0)
--- a/tests/edge/discovery_agents.py
+++ b/tests/edge/discovery_agents.py
@@ -1,4 +1,4 @@
-"""Discovery agents on the virtual clock, and runs of a discovery client that watches them."""
+"""Simulated discovery agents, and runs of a discovery client that watches them; on the virtual clock."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class ServingAgent(Protocol):
-    """An agent that the client can watch."""
+    """An agent to which a discovery client can connect."""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serves one connection."""
+        """Serves a connection until it ends."""
 
 
 class Poll(NamedTuple):
@@ -40,14 +40,14 @@
 
 
 class PostedEvent(NamedTuple):
-    """What the node's state machine was told."""
+    """An event that the discovery client has posted."""
 
     at: float  # ms
     event: EdgeEvent
 
 
 class WatchRun(NamedTuple):
-    """A discovery client after its run, with what it has posted and logged."""
+    """A discovery client after its run, with the events that it has posted and logged."""
 
     discovery: DiscoveryClient
     posted: list[PostedEvent]
@@ -61,10 +61,10 @@
 
 
 class Agent:
-    """Answers with a change from `change_at` (ms) on, else at the end of the long poll.
+    """Answers polls at the end of the long poll, or with a change from `change_at` (ms) on.
 
-    From `silent_at` on it sends nothing on the connections that are open then, or with `truncated` all but
-    the last byte of an answer; new connections are answered.
+    From `silent_at` (ms) on, connections that were opened before get no answer, or with `truncated` an answer
+    without its last byte. Polls on newer connections are answered.
     """
 
     def __init__(self, silent_at: float = inf, truncated: bool = False) -> None:
@@ -125,7 +125,7 @@
 def run_watch(
     agents: Sequence[ServingAgent], scenario: Scenario, options: DiscoveryOptions = FIRST_AGENT
 ) -> WatchRun:
-    """Runs a scenario with a client that is not started yet; the agents listen at `AGENT_ADDRESSES`."""
+    """Runs a scenario with a client that it has to start; the agents listen at `AGENT_ADDRESSES`."""
 
     async def main() -> WatchRun:
         network = Network(Random(1))
--- a/tests/edge/event_loop.py
+++ b/tests/edge/event_loop.py
@@ -1,4 +1,4 @@
-"""Runs a test that is a coroutine function in an event loop of its own."""
+"""Runs tests that are coroutine functions, each in its own event loop."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def in_event_loop(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Lets pytest call a coroutine function, with asyncio's debug checks; fixtures work as usual."""
+    """Makes a coroutine function a test that pytest can call; asyncio's debug checks are on."""
 
     @functools.wraps(test)
     def run_test(*args: Any, **kwargs: Any) -> None:
@@ -23,7 +23,11 @@
 
 
 async def wait_until(condition: Callable[[], Any], timeout_seconds: float = 5.0) -> None:
-    """Polls until the condition holds. Raises TimeoutError if it does not in time."""
+    """Polls until the condition holds.
+
+    Raises:
+        TimeoutError: the condition did not hold within `timeout_seconds`.
+    """
     async with asyncio.timeout(timeout_seconds):
         while not condition():
             await asyncio.sleep(POLL_SECONDS)
--- a/tests/edge/faulty_discovery.py
+++ b/tests/edge/faulty_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery agent that has one fault for some time, and a run of a watch on it; on the virtual clock."""
+"""Runs a watch on a discovery agent that has one fault for a limited time; on the virtual clock."""
 
 from __future__ import annotations
 
@@ -24,28 +24,28 @@
     from onyxpost.simulation.virtual_time import Network
 
 NEVER_MS = 1e9
-FAULT_START_MS = 2500.0  # unless the fault is there from the start
-CHANGE_AFTER = 0.6  # of the fault's duration
+FAULT_START_MS = 2500.0  # start of faults that are not present from the beginning
+CHANGE_AFTER = 0.6  # fraction of the duration of the fault after which the endpoints change
 RUN_AFTER_FAULT_MS = 9000.0
 LATE_CONNECTION_SECONDS = 1.5
 DRAINING_ENDPOINT = b'{"instanceId":"s0","hostPort":"h:1","lifecycle":"draining"}'
 
 
 class Fault(Enum):
-    """What is wrong with an agent, or with connections to it."""
+    """A fault of an agent, or of the connections to it."""
 
-    SILENT = "silent"  # nothing is sent
-    REFUSED = "refused"  # of new connections
+    SILENT = "silent"  # the agent sends nothing
+    REFUSED = "refused"  # new connections are refused
     LATE = "late"  # new connections are established late
-    OVERLOADED = "overloaded"  # status 503
-    MALFORMED = "malformed"  # answers
-    TRUNCATED = "truncated"  # answers
-    RESET = "reset"  # connections, in place of an answer
-    LOCAL_RESOURCES = "local resources"  # this node has no descriptor left
+    OVERLOADED = "overloaded"  # polls are answered with status 503
+    MALFORMED = "malformed"  # answers are malformed
+    TRUNCATED = "truncated"  # answers are truncated
+    RESET = "reset"  # connections are reset instead of an answer
+    LOCAL_RESOURCES = "local resources"  # the node has no file descriptor left
 
 
 class Moment(Enum):
-    """When a fault begins in the course of a watch."""
+    """The state of a watch at which a fault begins."""
 
     START = "start"
     DURING_LONG_POLL = "during a long poll"
@@ -55,7 +55,7 @@
 
 
 CONNECTION_FAULTS = (Fault.REFUSED, Fault.LATE, Fault.LOCAL_RESOURCES)
-"""Faults of new connections."""
+"""Faults that affect only new connections."""
 
 REACHED_FAULTS = (
     Fault.OVERLOADED,
@@ -64,11 +64,11 @@
     Fault.RESET,
     Fault.LOCAL_RESOURCES,
 )
-"""Faults of a discovery that is up, so that it may know of a change."""
+"""Faults during which discovery is up, so that it may have a change."""
 
 
 class Poll(NamedTuple):
-    """A poll, with when it is answered without a fault; times in ms."""
+    """A poll and the time at which it is due to be answered; times in ms."""
 
     received_at: float
     since: int
@@ -76,19 +76,19 @@
 
 
 class FaultyAgent:
-    """An agent that has a change from `change_at` on, and a fault from `begins_at` to `ends_at`; in ms.
+    """An agent that has a change from `change_at` on, and a fault from `begins_at` to `ends_at` (ms).
 
-    A poll that arrives or is open while there is a fault is never answered well, also not after the fault.
+    A poll that is open at any time during the fault never gets a valid answer, not even after the fault.
 
     Attributes:
-        has_occurred: a poll or a connection has met the fault.
-        final_end_at: when the fault ended, once it has been postponed.
+        has_occurred: whether the fault has affected a poll or a connection.
+        final_end_at: the end of the fault in ms, including a postponement.
     """
 
     def __init__(
         self, fault: Fault, moment: Moment | None, begins_at: float, ends_at: float, change_at: float
     ) -> None:
-        """Creates an agent; `moment` is None once the fault is not to be moved any more."""
+        """Creates an agent; with a `moment` of None, the fault is not postponed."""
         self.fault = fault
         self.moment = moment
         self.begins_at = begins_at
@@ -96,11 +96,12 @@
         self.change_at = change_at
         self.has_occurred = False
         self.final_end_at = ends_at
-        self._closes_after_answer = False  # so that the next poll is on a new connection
+        # Whether the next answer closes its connection, so that the next poll needs a new one.
+        self._closes_after_answer = False
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answers the polls of one connection until it meets the fault."""
-        if self.fault is Fault.LATE and self.has_occurred:  # being late was all that was wrong
+        """Answers the polls of a connection until the fault affects it."""
+        if self.fault is Fault.LATE and self.has_occurred:  # the late connection has no fault
             self.begins_at = NEVER_MS
             self.ends_at = NEVER_MS
         while True:
@@ -139,7 +140,7 @@
         return Poll(received_at, since, due)
 
     def _postpone_fault(self, answered_at: float) -> None:
-        """Lets the next poll arrive during the fault."""
+        """Postpones the fault until after an answer, so that the next poll arrives during the fault."""
         delay_ms = answered_at + 0.001 - self.begins_at
         self.moment = None
         self.begins_at += delay_ms
@@ -157,7 +158,7 @@
         return answer
 
     async def _fail(self, writer: asyncio.StreamWriter, *, has_begun: bool) -> None:
-        """Does to a connection what the fault does; `has_begun`: its answer was sent in part."""
+        """Applies the fault to a connection; `has_begun` is whether a part of an answer was sent."""
         if self.fault is Fault.LATE:
             await asyncio.sleep(SILENCE_SECONDS)
         self.has_occurred = True
@@ -178,16 +179,16 @@
 
 
 class FaultRun(NamedTuple):
-    """What came of a fault; times in ms."""
+    """The observed effects of a fault; times in ms."""
 
     has_occurred: bool
-    changes_at: list[float]  # when a change was posted
-    stale_at: list[float]  # when the list was posted as stale
+    changes_at: list[float]  # times at which a change was posted
+    stale_at: list[float]  # times at which the list was posted as stale
     fault_ended_at: float
 
 
 def run_with_fault(fault: Fault, moment: Moment, duration_ms: float, *, shared: bool) -> FaultRun:
-    """Watches an agent with a fault, in whose course a change happens."""
+    """Watches an agent whose endpoints change during a fault."""
     begins_at = 0.0 if moment is Moment.START else FAULT_START_MS
     ends_at = begins_at + duration_ms
     faulty = FaultyAgent(fault, moment, begins_at, ends_at, begins_at + CHANGE_AFTER * duration_ms)
@@ -217,7 +218,7 @@
 
 
 def _inject_connection_faults(network: Network, faulty: FaultyAgent, faulty_address: Address) -> None:
-    """Lets new connections to the agent fail or be late while its fault lasts."""
+    """Makes new connections to the agent fail or be late during its fault."""
     original_dial = network.dial
 
     async def dial(host: str, address: Address, limit: int) -> Any:
@@ -232,7 +233,7 @@
                 await asyncio.sleep(LATE_CONNECTION_SECONDS)
         return await original_dial(host, address, limit)
 
-    network.dial = dial  # type: ignore[method-assign]  # of this instance alone
+    network.dial = dial  # type: ignore[method-assign]  # replaced for this instance only
 
 
 async def _sleep_until(at: float) -> None:
--- a/tests/edge/harness.py
+++ b/tests/edge/harness.py
@@ -1,4 +1,4 @@
-"""A whole edge node on loopback, and stubs of what it speaks to."""
+"""Runs a complete edge node on loopback, with stubs of app servers and discovery."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 def node_fields(*servers: Address, **changes: Any) -> dict[str, Any]:
-    """Returns the fields of a node's file with these app servers; `changes` replace whole fields."""
+    """Returns the fields of a node's file with these app servers; `changes` replaces top-level fields."""
     instances = [
         {"instanceId": f"s{index}", "hostPort": f"{host}:{port}", "lifecycle": "up", "startedAtMs": 0}
         for index, (host, port) in enumerate(servers)
@@ -74,7 +74,7 @@
 
 
 def encode_request(frontend: str = "check", trace: str = "t1", **headers: str) -> bytes:
-    """Encodes a client's request; a header given as an empty text is left out."""
+    """Encodes the head of a client's request; a header with an empty value is omitted."""
     named_headers = {
         "Host": "b",
         "X-Trace-Id": trace,
@@ -96,9 +96,9 @@
 
 
 def transport_with_stopped_clock() -> SocketTransport:
-    """Returns the system's sockets under a clock that always shows 0."""
+    """Returns a transport on real sockets whose clock is always 0."""
     transport = SocketTransport()
-    transport.clock = lambda: 0.0  # type: ignore[method-assign]  # of this instance alone
+    transport.clock = lambda: 0.0  # type: ignore[method-assign]  # replaced for this instance only
     return transport
 
 
@@ -107,7 +107,7 @@
     connect: float = 250.0,
     wanted: Callable[[Endpoint], bool] = lambda _endpoint: True,
 ) -> UpstreamPool:
-    """Returns a pool outside of a node, which posts the ends of its attempts with `post`."""
+    """Returns an upstream pool without a node; `post` receives the ends of its attempts."""
 
     def may_start(attempt: SendAttempt, remaining_ms: float) -> bool:
         return remaining_ms > 0.0 and wanted(attempt.endpoint)
@@ -125,14 +125,15 @@
 
 
 class StubAppServer:
-    """Writes one of `answers` for each request, in turn, then `UPSTREAM_ANSWER` for each.
+    """A TCP server that writes a prepared answer to each request.
 
-    An answer is its text, and whether to close the connection after it; None writes nothing.
+    Requests are answered with the elements of `answers` in order, and then with `UPSTREAM_ANSWER`. An element
+    has the bytes to write and whether to close the connection afterwards; None leaves a request unanswered.
     """
 
     def __init__(self, *answers: tuple[bytes, bool] | None) -> None:
         self.answers = list(answers)
-        self.got: list[bytes] = []  # the heads of the requests received
+        self.got: list[bytes] = []  # heads of the received requests
         self.opened = 0
         self.closed = asyncio.Event()
         self.writers: list[asyncio.StreamWriter] = []
@@ -163,12 +164,12 @@
 
 
 class RunningNode:
-    """An edge node in this process, and a client's connection to it."""
+    """An edge node in this process, with a client connection to it."""
 
     def __init__(self, *servers: Address, **changes: Any) -> None:
-        """Takes the addresses of the app servers, and the fields of the node's file that differ."""
+        """Creates a node with these app servers; `changes` replaces top-level fields of its file."""
         self.out = io.BytesIO()  # the node's log
-        self.file: dict[str, Any] | None = None  # the fields of the file that a reload reads
+        self.file: dict[str, Any] | None = None  # fields of the file that a reload reads
         node_config = config.decode(node_fields(*servers, **changes))
         event_log = StructuredLog("n0", out=io.TextIOWrapper(self.out, write_through=True))
         self.program = EdgeNode(node_config, event_log, self._reread_config)
@@ -189,12 +190,12 @@
         self.program.close()
 
     async def send_request(self, data: bytes) -> tuple[bytes, bytes]:
-        """Sends a request on the client's connection; returns the head and the body of its answer."""
+        """Sends a request on the client connection and returns the head and the body of the answer."""
         self.writer.write(data)
         return await self.answer()
 
     async def answer(self) -> tuple[bytes, bytes]:
-        """Returns the head and the body of the next answer."""
+        """Returns the head and the body of the next answer on the client connection."""
         async with asyncio.timeout(5.0):
             head = await self.reader.readuntil(b"\r\n\r\n")
             length = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
--- a/tests/edge/test_address_choice.py
+++ b/tests/edge/test_address_choice.py
@@ -1,4 +1,8 @@
-"""Which of two addresses is polled next, and which failure counts."""
+"""The choice between two discovery addresses after failed and answered polls.
+
+A wrong choice lets a node poll an address that discovery has left, or hides that discovery was reached and
+may have a change.
+"""
 
 from __future__ import annotations
 
@@ -61,7 +65,7 @@
     choice: AddressChoice, answered: tuple[str, int]
 ) -> None:
     choice.on_poll_failed(PollFailure.TIMEOUT)
-    choice.on_poll_answered(answered)  # that of the first address may only have been late
+    choice.on_poll_answered(answered)  # a late answer of the first address counts as well
     assert choice.on_poll_failed(PollFailure.UNREACHABLE) is PollFailure.UNREACHABLE
     assert (choice.address, choice.alternative) == (answered, None)
 
--- a/tests/edge/test_attempt_start.py
+++ b/tests/edge/test_attempt_start.py
@@ -1,4 +1,8 @@
-"""The last check before an attempt's first byte, and whether its last byte has left."""
+"""Attempts are checked right before their first byte, and know whether their last byte was sent.
+
+Without the check, a request is executed for a client that has disconnected, or after its deduplication
+window. With a wrong state of the last byte, a request that is not idempotent may be executed twice.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +27,7 @@
 
 
 class HeldDials:
-    """Holds a node's connections to one server back until `release` is called."""
+    """Delays new connections to one server until `release` is called."""
 
     def __init__(self, net: Any, address: Address) -> None:
         self.started = asyncio.Event()
@@ -36,7 +40,7 @@
         self._released.set()
 
     async def _dial(self, address: Address, limit: int) -> DialedConnection:
-        if address == self._address:  # not a poll of discovery
+        if address == self._address:  # connections to discovery are not delayed
             self.started.set()
             await self._released.wait()
         connection: DialedConnection = await self._original_dial(address, limit)
@@ -44,7 +48,7 @@
 
 
 async def run_until_attempt_ends(disconnect: str) -> tuple[RunningNode, StubAppServer]:
-    """A client disconnects in the turn in which its attempt's connection is established."""
+    """Runs an attempt whose client disconnects in the turn in which the attempt is connected."""
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         dials = HeldDials(edge.program.net, server.address)
         client = socket.create_connection(edge.address)
@@ -63,7 +67,7 @@
         original_may_start = edge.program.servers.may_start
 
         def may_start_after_disconnect(attempt: SendAttempt, remaining_ms: float) -> bool:
-            # The event loop has not read the client's end when the attempt's connection is established.
+            # The event loop cannot read the client's end of stream before the attempt is checked.
             if disconnect == "reset":
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             client.close()
@@ -130,7 +134,7 @@
 
 @in_event_loop
 async def test_a_timeout_in_the_turn_in_which_the_last_byte_leaves_counts_as_possibly_executed() -> None:
-    """Counted as never started, a request that is not idempotent would run twice."""
+    """If the attempt counted as never executed, a retry could execute the request twice."""
     ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
     timeouts: list[asyncio.Timeout] = []
     original_timeout = asyncio.timeout
@@ -143,8 +147,8 @@
 
     def resume_and_time_out(flow: FlowControlProtocol) -> None:
         original_resume(flow)
-        # As the loop would, had its time come in this turn.
-        timeouts[0]._on_timeout()  # type: ignore[attr-defined]  # not public
+        # Simulates that the timeout expires in this turn of the event loop.
+        timeouts[0]._on_timeout()  # type: ignore[attr-defined]  # private
 
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -156,7 +160,7 @@
             connection.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             return connection
 
-        pool.open_connection = open_with_small_buffer  # type: ignore[method-assign]  # of this instance alone
+        pool.open_connection = open_with_small_buffer  # type: ignore[method-assign]  # replaced for this instance only
         request = CLIENT_REQUEST._replace(method=b"POST", body=b"x" * MAX_BODY_BYTES)
         with mock.patch.object(asyncio, "timeout", record_timeout):
             pool.send(SendAttempt(7, Endpoint("s", listener.getsockname()), request, 60_000.0))
--- a/tests/edge/test_client_capacity.py
+++ b/tests/edge/test_client_capacity.py
@@ -1,4 +1,8 @@
-"""Which connections give way when a node has many of them, over loopback."""
+"""Order in which a node with few descriptors closes connections, over loopback.
+
+With a wrong order, idle clients take the descriptors that upstream connections need, or a client with a
+request is closed before one that sends nothing.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +24,7 @@
 async def test_idle_clients_leave_descriptors_for_upstream_connections() -> None:
     async with StubAppServer() as server, RunningNode(server.address, limits={"sockets": 40}) as edge:
         writers = []
-        for number in range(40):  # each asks once, and stays
+        for number in range(40):  # each sends one request and stays connected
             reader, writer = await asyncio.open_connection(*edge.address)
             writers.append(writer)
             writer.write(encode_request(trace=f"t{number}"))
@@ -42,7 +46,7 @@
             writer.close()
         await wait_until(lambda: len(edge.program.clients.connections.open) <= 1)
         links = edge.program.servers.connection_count
-        edge.file = node_fields(limits={"sockets": 8})  # less than is open
+        edge.file = node_fields(limits={"sockets": 8})  # less than the number of open connections
         edge.program.reload()
         _, writer = await asyncio.open_connection(*edge.address)
         await wait_until(lambda: len(edge.program.clients.connections.open) >= 2)
@@ -53,7 +57,7 @@
 @in_event_loop
 async def test_a_silent_client_is_evicted_before_one_that_has_sent_a_request() -> None:
     async with StubAppServer() as server, RunningNode(server.address, limits={"sockets": 8}) as edge:
-        await edge.send_request(encode_request(trace="a"))  # from the third on, one gives way
+        await edge.send_request(encode_request(trace="a"))  # the third client needs an eviction
         silent, _ = await asyncio.open_connection(*edge.address)
         await wait_until(lambda: len(edge.program.clients.connections.open) >= 2)
         with mock.patch.object(client_eviction, "INCOMPLETE_REQUEST_GRACE_MS", -1.0):
--- a/tests/edge/test_client_closing.py
+++ b/tests/edge/test_client_closing.py
@@ -1,4 +1,8 @@
-"""A node that closes a client's connection: what has arrived is answered, and nothing is reset."""
+"""A node that closes a client connection answers the requests that have arrived, and resets nothing.
+
+A request may arrive in the same turn of the event loop in which the node closes the connection, while its
+bytes are still unread in the kernel or in the stream reader.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +37,7 @@
 
 
 def feed_then_close(close: Close, edge: RunningNode) -> Callable[[Any, bytes], None]:
-    """`StreamReader.feed_data`, and a close before the task that reads has its turn."""
+    """Returns `StreamReader.feed_data` followed by a close, before the reading task runs."""
     feed = asyncio.StreamReader.feed_data
 
     def then_close(reader: Any, data: bytes) -> None:
@@ -52,7 +56,7 @@
 async def test_an_unread_request_keeps_its_connection_open_and_is_answered(close: Close) -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         client = await idle_client(edge)
-        client.sendall(encode_request(trace="b"))  # in the kernel: the loop has not run
+        client.sendall(encode_request(trace="b"))  # unread in the kernel, as the event loop has not run
         close(edge)
         begin_shutdown(edge)
         assert b"hello" in await read_to_end(client)
@@ -80,7 +84,7 @@
         client = await idle_client(edge)
         close(edge)
         client.sendall(encode_request(trace="b"))
-        assert await read_to_end(client) == b""  # its client sends it once more
+        assert await read_to_end(client) == b""  # the client retries after the end of stream
         client.sendall(encode_request(trace="c"))
         client.close()
         await wait_until(lambda: not edge.program.clients.connections.closing)
@@ -101,7 +105,8 @@
         (closing,) = program.clients.connections.closing.values()
         assert closing.deadline <= program.clock() + client_connections.LINGER_MS
         closing.deadline = 0.0
-        await wait_until(lambda: not program.clients.connections.closing)  # the close_expired's
+        # The node calls `close_expired` periodically, which aborts the connection.
+        await wait_until(lambda: not program.clients.connections.closing)
         assert (program.descriptors.in_use_count(), await read_to_end(client)) == (in_use_before - 1, b"")
         client.close()
 
--- a/tests/edge/test_client_disconnects.py
+++ b/tests/edge/test_client_disconnects.py
@@ -1,4 +1,7 @@
-"""A client that disconnects while its request is in flight is noticed, read or not."""
+"""The disconnect of a client with a request in flight is detected, even if it is still unread.
+
+If it is missed, the node starts attempts whose answer nobody waits for.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +46,7 @@
         assert (is_waiting(number), is_waiting(number + 9)) == (True, False)
         if "ahead" in how:
             client.sendall(encode_request(trace="ahead"))
-            assert is_waiting(number)  # it may still read its answer
+            assert is_waiting(number)  # the client can still read the answer
         if "reset" in how:
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         if how == "half":
@@ -51,7 +54,7 @@
         else:
             client.close()
         assert not is_waiting(number)
-        await wait_until(lambda: server.closed.is_set())  # its attempt too
+        await wait_until(lambda: server.closed.is_set())  # the attempt is cancelled too
         assert (is_waiting(number), edge.program.state_machine.unanswered_count) == (False, 0)
         client.close()
 
@@ -86,7 +89,7 @@
             await received.wait()
             number = clients.listener.accepted_count
             seen.append(clients.connections.is_waiting(number))
-            pause_reading(clients.connections.open[number].writer)  # as if the loop were late
+            pause_reading(clients.connections.open[number].writer)  # simulates an event loop that is late
             if reset:
                 writer.transport.abort()
             else:
--- a/tests/edge/test_client_flow_control.py
+++ b/tests/edge/test_client_flow_control.py
@@ -1,4 +1,8 @@
-"""Clients that send too much or read too little delay no other, and their memory is bounded."""
+"""Clients that send too much or read too little do not delay other clients or exhaust memory.
+
+A node without these limits buffers all answers that a client does not read, and processes all its input
+before that of other clients.
+"""
 
 from __future__ import annotations
 
@@ -59,7 +63,7 @@
     floods = (encode_request("other") * 500, encode_request() * 500, b"\0" * 90000, endless)
     async with StubAppServer(*[None] * 600) as server, RunningNode(server.address) as edge:
         server.answers.clear()
-        for turn in range(20):  # each comes again at once
+        for turn in range(20):  # each client reconnects at once
             for number, flood in enumerate(floods):
                 client = connect_client(edge)
                 client.setblocking(False)
--- a/tests/edge/test_client_requests.py
+++ b/tests/edge/test_client_requests.py
@@ -1,4 +1,7 @@
-"""Requests that are invalid, pipelined, too long or late, over loopback."""
+"""Requests that are invalid, pipelined, too long or late are answered with an error, over loopback.
+
+None of them may be forwarded, hide another request in its body, or leave its client without the error.
+"""
 
 from __future__ import annotations
 
--- a/tests/edge/test_descriptor_budget.py
+++ b/tests/edge/test_descriptor_budget.py
@@ -1,4 +1,7 @@
-"""Descriptors that run out, over loopback: the watch of discovery, attempts and /healthz still get theirs."""
+"""A node with few descriptors still watches discovery, sends attempts and answers /healthz, over loopback.
+
+Idle clients could otherwise hold all descriptors, so that the node can neither poll nor forward requests.
+"""
 
 from __future__ import annotations
 
@@ -25,19 +28,19 @@
     from onyxpost.runtime.transport import DialedConnection
 
 HEALTH_CHECK = b"GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n"
-PROCESS_DESCRIPTORS = 16  # beside sockets: the standard streams, the event loop's and the interpreter's
+PROCESS_DESCRIPTORS = 16  # descriptors of the standard streams, the event loop and the interpreter
 NODE_LIMIT = 40
 CLIENT_COUNT = 80
 
 
 class DiscoveryAgent:
-    """Never answers the polls that came before `answers` is set. Then it sends a second server."""
+    """Leaves polls unanswered until `answers` is set, and then answers new ones with a second server."""
 
     def __init__(self, second_server: tuple[str, int]) -> None:
         self.second_server = second_server
         self.answers = False
-        self.list_received = asyncio.Event()  # the node polls for what follows the list that it was sent
-        self.polled_again = asyncio.Event()  # a poll has come since this was cleared
+        self.list_received = asyncio.Event()  # set by a poll for changes after the sent list
+        self.polled_again = asyncio.Event()  # set by each poll
         self.writers: list[asyncio.StreamWriter] = []
 
     async def __aenter__(self) -> DiscoveryAgent:
@@ -75,7 +78,7 @@
 
 
 async def request_status(address: tuple[str, int], data: bytes) -> bytes:
-    """Sends a request on a connection of its own and returns the status of its answer."""
+    """Sends a request on a new connection and returns the status of the answer."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(data)
@@ -86,7 +89,7 @@
 
 @contextlib.asynccontextmanager
 async def idle_clients(address: tuple[str, int], count: int) -> AsyncIterator[list[bytes]]:
-    """Clients that have each had an answer and send nothing more; yields the statuses that they got."""
+    """Connects clients that each send one health check and then stay idle; yields the statuses."""
     statuses = []
     writers = []
     try:
@@ -104,7 +107,10 @@
 async def assert_served_with_idle_clients(
     address: tuple[str, int], agent: DiscoveryAgent, servers: list[StubAppServer], client_count: int
 ) -> None:
-    """Idle clients connect while discovery is silent; one request is in flight all the while."""
+    """Asserts that a node serves requests while idle clients use up its descriptors.
+
+    Discovery is silent until the clients are connected, and one request stays in flight throughout.
+    """
     first, second = servers
     in_flight_reader, in_flight_writer = await asyncio.open_connection(*address)
     in_flight_writer.write(encode_request(trace="held"))
@@ -115,13 +121,13 @@
         assert await request_status(address, encode_request(trace="t2")) == b"200"
         agent.polled_again.clear()
         async with asyncio.timeout(3.0):
-            await agent.polled_again.wait()  # on a new connection, beside all these clients
+            await agent.polled_again.wait()  # a poll on a new connection, despite the idle clients
             agent.answers = True
             await agent.list_received.wait()
         assert await request_status(address, encode_request(trace="t3")) == b"200"
         assert [head for head in second.got if b"t3" in head]
         assert await request_status(address, HEALTH_CHECK) == b"200"
-        async with asyncio.timeout(3.0):  # its server drains and is silent; another may have had a retry
+        async with asyncio.timeout(3.0):  # its server drains without an answer; a retry may have succeeded
             status = (await in_flight_reader.readuntil(b"\r\n")).split(b" ")[1]
         assert status in (b"200", b"429", b"502", b"503")
     in_flight_writer.close()
@@ -151,7 +157,7 @@
 
 
 async def start_process(path: Path, descriptor_limit: int) -> asyncio.subprocess.Process:
-    """Starts a node with the file at `path` in a process that may open so many descriptors."""
+    """Starts a node with the file at `path` in a process with a limit of open descriptors."""
     limits = (descriptor_limit, descriptor_limit)
     return await asyncio.create_subprocess_exec(
         sys.executable,
@@ -166,7 +172,7 @@
 
 
 async def run_process(folder: Path, descriptor_limit: int, sockets: int) -> str:
-    """Runs a node in a process that may open so many descriptors; returns what it logged."""
+    """Runs a node in a process with a limit of open descriptors and returns its output."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         address = free.getsockname()
     async with (
--- a/tests/edge/test_discovery_faults.py
+++ b/tests/edge/test_discovery_faults.py
@@ -1,4 +1,8 @@
-"""Each fault at each moment of a watch: a change arrives in time or counts as missed (virtual clock)."""
+"""Each fault of discovery at each state of a watch, on the virtual clock.
+
+A change during the fault has to arrive in time, or the list has to be reported as stale. If neither happens,
+the node sends attempts to a server that drains or is gone.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +20,8 @@
 )
 from tests.edge.faulty_discovery import REACHED_FAULTS, Fault, Moment, run_with_fault
 
-DRAIN_GRACE_MS = 250.0  # at the strictest site: a change that an agent has when it returns counts at once
+# The shortest drain grace period of all sites. It begins at once if an agent has a change when it returns.
+DRAIN_GRACE_MS = 250.0
 DURATIONS_MS = (700.0, 2500.0, 9000.0)
 CASES = [
     pytest.param(fault, moment, duration_ms, id=f"{fault.value}-{moment.value}-{duration_ms}")
@@ -42,7 +47,7 @@
     assert result.has_occurred
     assert len(result.changes_at) == 1
     backoff_ms = AGENT_BACKOFF_MAX_MS if fault is Fault.OVERLOADED else 0.0
-    # A fault that ends before the long poll does has met that poll alone, whose answer is waited for.
+    # A fault that ends before the long poll affects only this poll, and the node waits for its answer.
     poll_ends_at = 0.0
     if fault in (Fault.SILENT, Fault.LATE):
         poll_ends_at = began_at + AGENT_LONG_POLL_MS + AGENT_ANSWER_MARGIN_MS
--- a/tests/edge/test_discovery_moves.py
+++ b/tests/edge/test_discovery_moves.py
@@ -1,4 +1,8 @@
-"""How the watches follow each other when discovery moves to another address; on the virtual clock."""
+"""The watches of a client while discovery moves to another address, on the virtual clock.
+
+If the old watch ends too early, changes are missed until the new address answers. If it ends too late or not
+at all, the node goes on to poll an agent that discovery has left.
+"""
 
 from __future__ import annotations
 
@@ -46,7 +50,7 @@
         await asyncio.sleep(0.1)
         polls_after_move.append(len(old_agent.polls))
         await asyncio.sleep(9.9)
-        network.reset_connections(NODE_HOST)  # a new connection to the same address is no move
+        network.reset_connections(NODE_HOST)  # a new connection to the same address is not a move
         await asyncio.sleep(1.0)
         assert len(discovery.watches) == 1
 
--- a/tests/edge/test_discovery_over_sockets.py
+++ b/tests/edge/test_discovery_over_sockets.py
@@ -1,4 +1,8 @@
-"""An edge node and a discovery agent on real sockets."""
+"""An edge node with a discovery agent on real sockets: start, reload, and failed polls.
+
+A node that starts with the list in its file, or follows a reload too early, could forward requests to servers
+that drain or are gone.
+"""
 
 import asyncio
 import json
@@ -60,7 +64,7 @@
     ):
         edge.writer.write(encode_request(X_Expires_In="900m"))
         await wait_until(lambda: server.got and old.got)
-        signal.raise_signal(signal.SIGHUP)  # a file that cannot be used
+        signal.raise_signal(signal.SIGHUP)  # the file is invalid
         await wait_until(lambda: b"reload refused" in edge.out.getvalue())
         edge.file = node_fields(server.address, discovery="{}:{}".format(*new.address))
         signal.raise_signal(signal.SIGHUP)
@@ -68,12 +72,13 @@
         assert b"GET /v1/servers HTTP" in new.got[0]
         assert [watch.cancelled() for watch in edge.program.discovery.watches] == [False] * 2
         new.answers = [(encode_list_response(6, "up"), False), *silent]
-        assert (await edge.answer())[0].split(b" ")[1] in (b"429", b"502")  # it was pending throughout
+        # The request was pending during the reloads.
+        assert (await edge.answer())[0].split(b" ")[1] in (b"429", b"502")
         await wait_until(lambda: b"since=6" in new.got[-1])
         assert len(edge.program.discovery.watches) == 1
         old_poll_count = len(old.got)
         new_poll_count = len(new.got)
-        await wait_until(lambda: len(new.got) > new_poll_count)  # it is silent, and polled again
+        await wait_until(lambda: len(new.got) > new_poll_count)  # the silent agent is polled again
         assert (len(old.got), edge.running.done()) == (old_poll_count, False)
 
 
@@ -84,7 +89,7 @@
         edge = RunningNode(server.address, **more)
         start = asyncio.get_running_loop().create_task(edge.__aenter__())
         await wait_until(lambda: agent.got)
-        assert not edge.program.is_ready()  # and does not listen
+        assert not edge.program.is_ready()
         assert edge.program.clients.listener.server is None
         agent.writers[0].write(encode_list_response(5, "draining"))
         await asyncio.wait_for(start, 5.0)
@@ -130,7 +135,7 @@
         async with StubAppServer(failure, (complete, False), *[None] * 9) as agent:
             posted, _ = await watch(agent, 3)
         assert [event.generation for event in posted if isinstance(event, EndpointUpdate)] == [5], failure
-        assert b"since=4&timeout_ms=1 " in agent.got[1]  # requests an immediate answer
+        assert b"since=4&timeout_ms=1 " in agent.got[1]  # the next poll requests an immediate answer
         assert asyncio.get_running_loop().time() - started_at < 2.0
 
 
--- a/tests/edge/test_discovery_watch.py
+++ b/tests/edge/test_discovery_watch.py
@@ -1,4 +1,8 @@
-"""How a watch on discovery starts, paces its polls, and treats answers and failures; on the virtual clock."""
+"""Start, polls, answers and failures of a watch on discovery, on the virtual clock.
+
+A watch with wrong pauses loses changes or polls without pause; one that treats answers wrongly applies an old
+list or misses a restart of discovery.
+"""
 
 from __future__ import annotations
 
@@ -30,11 +34,11 @@
     from onyxpost.simulation.virtual_time import Network
 
 FIRST_ANSWER_TIMEOUT_MS = 250.0
-KEPT_WATCH_MS = 200.0  # how long discovery keeps a watch without a poll
+KEPT_WATCH_MS = 200.0  # time for which discovery keeps a watch without a poll
 
 
 class RestartedAgent(Agent):
-    """Has restarted at a lower generation: it sends its complete list, then holds polls open."""
+    """Sends a complete list at a lower generation, as after a restart, and then holds polls open."""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while b"since=3" not in await reader.readuntil(b"\r\n\r\n"):
@@ -43,7 +47,7 @@
 
 
 class SlowAgent(Agent):
-    """Answers each poll `delay_seconds` late, with a change."""
+    """Answers each poll with a change after `delay_seconds`."""
 
     def __init__(self, delay_seconds: float) -> None:
         super().__init__()
@@ -57,7 +61,7 @@
 
 
 class TruncatingAgent(Agent):
-    """Sends the given bytes to its first poll and closes the connection; later polls are not answered."""
+    """Answers the first poll with `sent` and closes the connection; later polls are not answered."""
 
     def __init__(self, sent: bytes) -> None:
         super().__init__()
@@ -73,7 +77,7 @@
 
 
 class ResettingAgent(Agent):
-    """Answers the first poll of each connection, and resets the connection at the second."""
+    """Answers the first poll of each connection and resets the connection at the second poll."""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -162,7 +166,7 @@
     result = run_watch([agent], scenario, replace(FIRST_AGENT, generation=5))
     assert result.discovery.generation == 5
     assert [event for event in result.events() if isinstance(event, EndpointUpdate)] == []
-    assert len(agent.polls) < 40  # it answers at once, and is not polled without pause
+    assert len(agent.polls) < 40  # an agent that answers at once is not polled without pause
 
 
 @pytest.mark.parametrize(
@@ -178,7 +182,7 @@
             await asyncio.sleep(connect_seconds)
             return await dial(host, address, limit)
 
-        network.dial = dial_late  # type: ignore[method-assign]  # of this instance alone
+        network.dial = dial_late  # type: ignore[method-assign]  # replaced for this instance only
         discovery.start()
         await asyncio.sleep(connect_seconds + answer_seconds + 0.5)
         assert discovery.generation == 2
--- a/tests/edge/test_overloaded_discovery.py
+++ b/tests/edge/test_overloaded_discovery.py
@@ -1,4 +1,8 @@
-"""A discovery service with less capacity than its nodes need, and one whose host name is invalid."""
+"""Nodes with an overloaded discovery service, or with an invalid host name of discovery.
+
+Nodes that restart together and poll simultaneously would be rejected again and again, so that some of them
+never get a watch.
+"""
 
 from __future__ import annotations
 
@@ -15,27 +19,28 @@
 from tests.edge.harness import RunningNode, StubAppServer, node_fields
 
 NODE_COUNT = 40
-CALL_SECONDS = 0.125  # of work for each call
+CALL_SECONDS = 0.125  # duration of the work for each call
 MAX_WAIT_SECONDS = 2.0  # a call that would wait longer is rejected
-START_SECONDS = 0.1  # in which no call is rejected
-KEPT_SECONDS = 0.2  # how long discovery keeps a watch without a poll
+START_SECONDS = 0.1  # time after the first call in which no call is rejected at once
+KEPT_SECONDS = 0.2  # time for which discovery keeps a watch without a poll
 READ_SIZE = 65536
 EMPTY_LIST = b'{"generation":0,"reset":false,"instances":[]}'
 
 
 class OverloadedDiscovery:
-    """Each node's agent starts a watch with one call, which is worked on even if nobody waits for it.
+    """A discovery service with agents that start their watch with one call each.
 
-    The agent answers with what it holds while the first call is in progress. A watch without polls is lost.
+    The service completes the work for a call even if it is abandoned. Polls for an immediate answer get the
+    list that the agent has. A watch without a poll for `KEPT_SECONDS` is lost.
     """
 
     def __init__(self) -> None:
-        self.idle_at = 0.0  # when the queue of calls is empty
+        self.idle_at = 0.0  # time at which the queue of calls is empty
         self.called_at: list[float] = []
         self.watching_nodes: set[int] = set()
 
     def call(self, now: float) -> tuple[int, float]:
-        """Returns the status of a call and when it is answered."""
+        """Returns the status of a call and the time of its answer."""
         self.called_at.append(now)
         wait = max(0.0, self.idle_at - now)
         if wait > MAX_WAIT_SECONDS and now - self.called_at[0] > START_SECONDS:
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peers.py
@@ -1,4 +1,7 @@
-"""Datagrams between two edge nodes on real sockets."""
+"""Datagrams between edge nodes on real sockets.
+
+Invalid datagrams and those of unknown senders must not reach the state machine.
+"""
 
 import asyncio
 import socket
@@ -20,7 +23,7 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
             probe.bind(("127.0.0.1", 0))
             free_addresses.append(probe.getsockname())
-    # The last is in nobody's list of peers.
+    # The address of the last node is not in the list of peers.
     nodes = [
         PeerSocket(transport_with_stopped_clock(), free_addresses, number, received.put_nowait)
         for number in (0, 1, 2)
--- a/tests/edge/test_readiness.py
+++ b/tests/edge/test_readiness.py
@@ -1,4 +1,8 @@
-"""A node that restarts is ready soon, whatever the state of discovery; on the virtual clock."""
+"""A node that restarts is ready soon, whatever the state of discovery; on the virtual clock.
+
+A node that waited until discovery answers, or for a long drain grace period, would serve no requests for that
+time when it restarts during an outage of discovery.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +32,7 @@
 
 
 class SlowAgent(Agent):
-    """Answers each poll after some time, with a server that drains."""
+    """Answers the first poll of each connection with a draining server after `answers_after_ms`."""
 
     def __init__(self, answers_after_ms: float) -> None:
         super().__init__(NEVER_MS)
@@ -47,7 +51,7 @@
 
 
 class RunningNode:
-    """A node that has been started on the virtual network."""
+    """An edge node that runs on the virtual network."""
 
     def __init__(self, network: Network, name: str, agent: str, settings: dict[str, Any]) -> None:
         rules = SETTINGS["rules"] | {"drain_grace_us": LONG_DRAIN_GRACE_US}
@@ -69,7 +73,7 @@
 
 
 def start_beside(agent: Agent | None, is_cut_off: bool = False) -> tuple[float, int]:
-    """Starts a node; returns after how many ms it is ready, and its generation of endpoints 5 s later."""
+    """Starts a node and returns the time in ms until it is ready, and its generation 5 s later."""
 
     async def main() -> tuple[float, int]:
         network = Network(Random(1))
--- a/tests/edge/test_reload.py
+++ b/tests/edge/test_reload.py
@@ -1,4 +1,7 @@
-"""Which changes of a reloaded file take effect at once, and which only after a restart."""
+"""Changes of a reloaded file that take effect at once, and those that need a restart.
+
+A change that needs a restart must be reported by its key and must not be applied to the running node.
+"""
 
 from __future__ import annotations
 
--- a/tests/edge/test_request_headers.py
+++ b/tests/edge/test_request_headers.py
@@ -1,4 +1,8 @@
-"""Requests and responses as HTTP headers, and datagrams of other nodes."""
+"""Decoding of request headers and datagrams, and classification of responses.
+
+An invalid header that is accepted would charge a wrong quota, and a response that is classified wrongly would
+lead to a second execution of a request.
+"""
 
 from __future__ import annotations
 
--- a/tests/edge/test_shutdown_clients.py
+++ b/tests/edge/test_shutdown_clients.py
@@ -1,4 +1,8 @@
-"""Other clients of a node that still owes one long answer after SIGTERM."""
+"""Other clients of a node that waits for one slow answer after SIGTERM.
+
+Connections that stay open could bring late requests, which would be forwarded or stay unanswered when the
+node exits.
+"""
 
 from __future__ import annotations
 
@@ -59,7 +63,7 @@
 
 
 async def send_until_refused(edge: RunningNode, name: str, answers: list[bytes]) -> None:
-    """Sends requests on one connection after another until the node does not listen any more."""
+    """Sends requests on one connection after another until the node stops listening."""
     with contextlib.suppress(OSError):
         for connection in range(10_000):
             reader, writer = await asyncio.open_connection(*edge.address)
@@ -67,7 +71,7 @@
                 writer.write(encode_request(trace=f"{name}-{connection}-{number}"))
                 answer = await reader.read(65536)
                 if not answer:
-                    break  # the request crossed the close, and is sent again
+                    break  # the node had closed the connection, and the client retries on a new one
                 answers.append(answer)
                 if b"connection: close" in answer.lower():
                     break
@@ -99,7 +103,7 @@
         await original_sleep(seconds)
         if seconds == ACCEPT_SECONDS:
             for number, client in enumerate(clients):
-                client.connect(edge.address)  # the kernel accepts it at once
+                client.connect(edge.address)  # the connection is queued in the kernel
                 client.sendall(encode_request(trace=f"late{number}"))
 
     async with StubAppServer() as server, RunningNode(server.address) as edge:
--- a/tests/edge/test_shutdown_of_node.py
+++ b/tests/edge/test_shutdown_of_node.py
@@ -1,4 +1,7 @@
-"""A node after SIGTERM, from its last accepted connection to its exit."""
+"""A node after SIGTERM, from its last accepted connection to its exit.
+
+Connections that are accepted while the listener closes must be answered, not reset.
+"""
 
 from __future__ import annotations
 
@@ -37,7 +40,7 @@
         late_writer.close()
         assert b"hello" in late
         assert b"connection: close" in late.lower()
-        head, _ = await edge.answer()  # the server never answered: given up on in time
+        head, _ = await edge.answer()  # aborted in time, as the server does not answer
         assert head.split(b" ")[1] in (b"429", b"502")
         assert await asyncio.wait_for(edge.running, 5.0) == 0
 
@@ -53,11 +56,11 @@
         if seconds != 0.6:
             await original_sleep(seconds)
             return
-        late.connect(edge.address)  # the kernel takes it at once
+        late.connect(edge.address)  # the connection is queued in the kernel
         late.sendall(encode_request(trace="late"))
         again = asyncio.get_running_loop().create_future()
         asyncio.get_running_loop().call_soon(again.set_result, None)
-        await again  # the listener's turn was the same
+        await again  # returns in the turn in which the listener accepts
         accepted_turns += 1
 
     async with StubAppServer() as server, RunningNode(server.address) as edge:
--- a/tests/edge/test_shutdown_outside_serving.py
+++ b/tests/edge/test_shutdown_outside_serving.py
@@ -1,4 +1,7 @@
-"""Signals before a node serves and after its event loop has ended."""
+"""SIGTERM and SIGHUP before a node serves and after its event loop has ended.
+
+A signal that is not handled at these times would end the process without exit code 0.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
     from pathlib import Path
 
 
-ACCEPT_SECONDS = 0.05  # of accepting after SIGTERM, in place of 0.6
+ACCEPT_SECONDS = 0.05  # time of accepting after SIGTERM, which is 0.6 s without the fixture
 SIGNALS_AFTER_THE_LOOP = """
 import asyncio, signal
 from onyxpost.runtime.socket_transport import SocketTransport
@@ -43,11 +46,11 @@
     with subprocess.Popen([sys.executable, "-m", "onyxpost", "serve"], env=environ) as process:
         write_end = None
         while write_end is None and process.poll() is None:
-            with contextlib.suppress(OSError):  # not opened for reading yet
+            with contextlib.suppress(OSError):  # the process has not opened the file for reading yet
                 write_end = os.open(path, os.O_WRONLY | os.O_NONBLOCK)
         process.terminate()
         if write_end is not None:
-            os.close(write_end)  # a signal just before the read would not interrupt it
+            os.close(write_end)  # ends a read that began right after the signal
         assert process.wait() == 0
 
 
--- a/tests/edge/test_shutdown_requests.py
+++ b/tests/edge/test_shutdown_requests.py
@@ -1,4 +1,7 @@
-"""SIGTERM at each stage of a request: what was accepted is answered, then the node exits with 0."""
+"""SIGTERM at each stage of a request: the request is answered, then the node exits with 0.
+
+A node that exits earlier leaves clients without an answer to requests that were possibly executed.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
 from tests.stream_transports import pause_reading, resume_reading
 
 LONG_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60000
-ACCEPT_SECONDS = 0.05  # of accepting after SIGTERM, in place of 0.6
+ACCEPT_SECONDS = 0.05  # time of accepting after SIGTERM, which is 0.6 s without the fixture
 
 
 @pytest.mark.usefixtures("short_accept")
@@ -110,7 +113,7 @@
 async def test_a_request_that_arrives_together_with_the_signal_is_answered() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         await edge.send_request(encode_request(trace="a"))
-        send_sigterm()  # the event loop finds the signal and the request in the same turn
+        send_sigterm()  # the event loop gets the signal and the request in the same turn
         edge.writer.write(encode_request(trace="b"))
         await assert_last_answer(edge)
         assert len(server.got) == 2
--- a/tests/edge/test_silent_discovery.py
+++ b/tests/edge/test_silent_discovery.py
@@ -1,4 +1,8 @@
-"""A discovery agent that falls silent, on the virtual clock: a change that it missed arrives in time."""
+"""A discovery agent that stops answering, on the virtual clock.
+
+A change that the node missed on a silent connection has to arrive before the limit of the discovery protocol,
+or the list has to be reported as stale.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +37,7 @@
     from onyxpost.edge.discovery_client import DiscoveryClient, DiscoveryOptions
     from onyxpost.simulation.virtual_time import Network
 
-DRAIN_GRACE_MS = 250.0  # an attempt that starts later on a draining server violates the protocol
+DRAIN_GRACE_MS = 250.0  # attempts that start later on a draining server violate the protocol
 SHARED_DISCOVERY = replace(FIRST_AGENT, shared=True)
 
 Scenario = Callable[["DiscoveryClient"], Awaitable[None]]
@@ -45,7 +49,7 @@
     scenario: Scenario | None = None,
     options: DiscoveryOptions = FIRST_AGENT,
 ) -> list[PostedEvent]:
-    """Runs a started watch on the first agent and returns what was posted until a time."""
+    """Runs a watch that starts with the first agent and returns the events posted until `until_ms`."""
 
     async def run_until(discovery: DiscoveryClient, _network: Network) -> None:
         discovery.start()
@@ -77,7 +81,7 @@
     polled_at, long_poll_ms = [poll for poll in agent.polls if poll.at <= silent_at + 2.0][-1]
     counts_at = max(silent_at + STALE_AFTER_MS, polled_at + long_poll_ms + STALE_AFTER_LONG_POLL_MS)
     assert arrived_at < counts_at
-    # There is time left for a poll that discovery itself takes 2 s to answer.
+    # There is enough time left for one more poll that is answered after 2 s.
     assert arrived_at <= counts_at - ANSWER_TIMEOUT_MS + RETRY_PAUSE_MS + 50.0
 
 
@@ -103,7 +107,7 @@
         agent.silent_at = inf if now_ms() > 8000.0 else agent.silent_at
         await serve(reader, writer)
 
-    agent.serve = serve_after_outage  # type: ignore[method-assign]  # of this instance alone
+    agent.serve = serve_after_outage  # type: ignore[method-assign]  # replaced for this instance only
     posted = watch([agent], 10_000.0)
     assert change_posted_at(posted) < 8500.0 + DRAIN_GRACE_MS
     assert stale_posted_at(posted) == []
@@ -120,7 +124,8 @@
 
     posted = watch([agent], 20_000.0, recover)
     assert stale_posted_at(posted) == [pytest.approx(STALE_AFTER_MS, abs=10.0)]
-    assert any(100.0 < poll.at < STALE_AFTER_MS for poll in agent.polls)  # with jitter, but not past it
+    # Retries have jitter but start before the list is stale.
+    assert any(100.0 < poll.at < STALE_AFTER_MS for poll in agent.polls)
     assert change_posted_at(posted) < inf
 
 
@@ -140,7 +145,7 @@
     (stale_at,) = stale_posted_at(posted)
     assert stale_at == pytest.approx(1000.0 + STALE_AFTER_RELOAD_MS, abs=20.0)
     updates = [at for at, event in posted if isinstance(event, EndpointUpdate) and at > stale_at]
-    assert updates[0] > 20_000.0  # no answer of the old agent makes the list fresh again
+    assert updates[0] > 20_000.0  # answers of the old agent do not end the staleness
 
 
 def test_after_a_move_an_answer_of_the_old_agent_leaves_the_list_stale() -> None:
@@ -191,7 +196,8 @@
     posted = watch([agent], 60_000.0, options=SHARED_DISCOVERY)
     assert stale_posted_at(posted) == [pytest.approx(STALE_AFTER_MS, abs=10.0)]
     pauses = [later.at - earlier.at for earlier, later in pairwise(agent.polls)]
-    # Whenever discovery has capacity again, a poll and its answer fit into the next 6 s.
+    # Once discovery has capacity again, a poll is answered within the next 6 s.
     assert max(pauses) + ANSWER_TIMEOUT_MS <= STALE_AFTER_MS + 10.0
-    assert max(pauses) - min(pauses) > ANSWER_TIMEOUT_MS  # jitter: nodes in step would stay rejected
+    # The jitter spreads the polls of nodes that would otherwise be rejected together again.
+    assert max(pauses) - min(pauses) > ANSWER_TIMEOUT_MS
     assert len(agent.polls) < 50
--- a/tests/edge/test_staleness.py
+++ b/tests/edge/test_staleness.py
@@ -1,4 +1,8 @@
-"""From when on the list of endpoints counts as stale, and when the next poll starts."""
+"""The time from which the endpoint list counts as stale, and the time of the next poll.
+
+If the list counts as stale too late, the node sends attempts to servers that are gone. If it counts as stale
+without reason, the node stops using servers that are ready.
+"""
 
 from __future__ import annotations
 
@@ -132,8 +136,8 @@
 ) -> None:
     tracker.on_poll_started(0.0, 1.0)
     pauses = [tracker.on_poll_failed(1.0, PollFailure.MALFORMED_ANSWER) for _ in range(40)]
-    assert max(pauses) <= 1.25 * RETRY_PAUSE_MS  # within the 200 ms that keep a watch
-    assert max(pauses) - min(pauses) > 0.5 * RETRY_PAUSE_MS  # many nodes do not poll in step
+    assert max(pauses) <= 1.25 * RETRY_PAUSE_MS  # discovery keeps a watch for 200 ms without a poll
+    assert max(pauses) - min(pauses) > 0.5 * RETRY_PAUSE_MS  # jitter against simultaneous polls
     for _ in range(4):
         tracker.on_poll_failed(1.0, PollFailure.OVERLOADED)
     backoffs = [tracker.on_poll_failed(1.0, PollFailure.OVERLOADED) for _ in range(40)]
--- a/tests/edge/test_state_machine.py
+++ b/tests/edge/test_state_machine.py
@@ -1,4 +1,8 @@
-"""The state machine without sockets: each request gets exactly one answer, each attempt ends once."""
+"""The state machine without sockets: each request gets exactly one answer, and each attempt ends once.
+
+Events that arrive in the same round, or an exception of the decision maker, could otherwise lead to two
+answers or to none.
+"""
 
 from __future__ import annotations
 
@@ -42,7 +46,7 @@
 
 
 class ScriptedDecisionMaker:
-    """Records the events, and reacts to each type of event as the test has set."""
+    """Records all events, and calls the reaction that the test has set for their type."""
 
     def __init__(self) -> None:
         self.events: list[Event] = []
@@ -59,7 +63,7 @@
 
 
 class Node:
-    """A state machine that knows one server, to which every request is sent at first."""
+    """A state machine with one server, which gets the first attempt of each request."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -78,7 +82,7 @@
         return CLIENT_REQUEST._replace(connection_id=connection_id, received_at=self.now, trace_id=trace_id)
 
     def send_request(self) -> SendAttempt:
-        """Receives a request; returns the attempt that is sent for it."""
+        """Passes a request to the state machine and returns the resulting attempt."""
         (attempt,) = self.step(self.request())
         assert isinstance(attempt, SendAttempt)
         return attempt
@@ -102,7 +106,7 @@
 
 @pytest.mark.parametrize("ended_first", [True, False])
 def test_a_client_that_disconnects_as_its_attempt_ends_is_no_fault(node: Node, ended_first: bool) -> None:
-    """Told of the end first, the decision maker retries: it must be told that the retry ended, too."""
+    """If the attempt ends first, the decision maker retries, and must get the end of the retry as well."""
     attempt = node.send_request()
 
     def retry_unless_settled(sink: Any, request_id: str, *rest: Any) -> None:
@@ -175,7 +179,7 @@
     moved = Endpoint("s0", ("127.0.0.1", 8))
     assert node.step(update(6, lifecycle="removed")) == [RetireEndpoint(moved)]
     assert node.machine.endpoints.by_server == {}
-    assert node.step(node.request()) == []  # an attempt to it is unused
+    assert node.step(node.request()) == []  # the attempt ends as unused
     node.step()
     last = node.decisions.events[-1]
     assert isinstance(last, AttemptFinished)
--- a/tests/edge/test_upstream_attempts.py
+++ b/tests/edge/test_upstream_attempts.py
@@ -1,4 +1,7 @@
-"""Attempts that end before their request is written, over loopback."""
+"""Attempts that are cancelled or fail, mostly before their request is sent, over loopback.
+
+Each of them has to end exactly once, and as never executed if no byte was sent.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
         edge.writer.write(encode_request("toll", Idempotency_Key="k", X_Expires_In="4900m"))
         await wait_until(lambda: server.got)
         edge.writer.close()
-        async with asyncio.timeout(3.0):  # well before its time-out
+        async with asyncio.timeout(3.0):  # less than the 4.9 s of the request
             await server.closed.wait()
             await wait_until(lambda: not edge.program.state_machine.requests.by_id)
 
@@ -44,7 +47,7 @@
     servers = create_pool(ends.put_nowait)
     async with StubAppServer() as server:
         servers.send(SendAttempt(7, Endpoint("s", server.address), CLIENT_REQUEST, 900.0))
-        await asyncio.sleep(0)  # it connects
+        await asyncio.sleep(0)  # the attempt starts to connect
         servers.withdraw(7)
         assert await asyncio.wait_for(ends.get(), 5.0) == AttemptEnded(7, AttemptResult.UNUSED, 0.0)
         assert server.got == []
@@ -57,7 +60,7 @@
     servers = create_pool(ends.put_nowait, wanted=lambda endpoint: endpoint not in drains)
     async with StubAppServer() as server:
         servers.send(SendAttempt(7, Endpoint("s", server.address), CLIENT_REQUEST, 900.0))
-        await asyncio.sleep(0)  # it connects
+        await asyncio.sleep(0)  # the attempt starts to connect
         drains.add(Endpoint("s", server.address))
         assert await asyncio.wait_for(ends.get(), 5.0) == AttemptEnded(7, AttemptResult.UNUSED, 0.0)
         assert (server.got, servers.connection_count) == ([], 0)
@@ -67,7 +70,7 @@
 async def test_a_server_that_cannot_be_connected_never_executed_the_request() -> None:
     ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
     servers = create_pool(ends.put_nowait, connect=20.0)
-    with socket.socket() as silent:  # its one place in the queue is taken: a further one never comes up
+    with socket.socket() as silent:  # the queue has one place, so a second connection is not established
         silent.bind(("127.0.0.1", 0))
         silent.listen(0)
         with socket.create_connection(silent.getsockname()):
--- a/tests/edge/test_upstream_responses.py
+++ b/tests/edge/test_upstream_responses.py
@@ -1,4 +1,7 @@
-"""Responses of app servers over loopback, and the connections that they come on."""
+"""Responses of app servers and the reuse of their connections, over loopback.
+
+Surplus or late bytes on a reused connection would be forwarded as the response to another request.
+"""
 
 from __future__ import annotations
 
