--- a/tests/edge/client_sockets.py
+++ b/tests/edge/client_sockets.py
@@ -12,7 +12,7 @@
     encode_request,
 )
 
-RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER with which `close` resets the connection
+LINGER_RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER with which `close` resets the connection
 
 
 def connect_client(edge: RunningNode) -> socket.socket:
@@ -42,7 +42,7 @@
     edge.program.clients.closer.begin_shutdown()
 
 
-async def idle_client(edge: RunningNode) -> socket.socket:
+async def connect_idle_client(edge: RunningNode) -> socket.socket:
     """Returns the only client of the node, which is idle after an answer."""
     edge.writer.close()  # the client connected by `RunningNode` is replaced
     client = connect_client(edge)
--- a/tests/edge/conftest.py
+++ b/tests/edge/conftest.py
@@ -10,12 +10,12 @@
 
 
 @pytest.fixture
-def short_accept(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_accept_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """Shortens the time for which a node accepts connections after SIGTERM to `ACCEPT_SECONDS`."""
     monkeypatch.setattr(edge_node, "ACCEPT_AFTER_STOP_SECONDS", ACCEPT_SECONDS)
 
 
 @pytest.fixture
-def no_request_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+def long_request_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     """Raises the request timeout to 60 s, so that clients without a complete request stay connected."""
     monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_MS", 60_000.0)
--- a/tests/edge/discovery_agents.py
+++ b/tests/edge/discovery_agents.py
@@ -16,7 +16,7 @@
     from onyxpost.runtime.log_event import LogEvent
 
 NODE_HOST = "n"
-READ_SIZE = 65536
+READ_SIZE_BYTES = 65536
 MAX_ACCEPTS_PER_TURN = 16
 SILENCE_SECONDS = 3600.0  # longer than any test
 AGENT_ADDRESSES = [(f"a{index}", 1) for index in range(4)]
@@ -73,7 +73,7 @@
         self.change_at = inf
         self.status = 200
         self.polls: list[Poll] = []
-        self.fell_silent = False
+        self.has_fallen_silent = False
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         opened_at = now_ms()
@@ -89,7 +89,7 @@
             await self.wait_for_change(head, long_poll_ms)
             answer = self.answer()
             if now_ms() >= self.silent_at >= opened_at:
-                self.fell_silent = True
+                self.has_fallen_silent = True
                 writer.write(answer[: -1 if self.truncated else 0])
                 await asyncio.sleep(SILENCE_SECONDS)
             writer.write(answer)
@@ -133,7 +133,7 @@
         log: list[LogEvent] = []
         for index, agent in enumerate(agents):
             host = network.host(f"agent{index}")
-            await host.listen(agent.serve, AGENT_ADDRESSES[index], READ_SIZE, MAX_ACCEPTS_PER_TURN)
+            await host.listen(agent.serve, AGENT_ADDRESSES[index], READ_SIZE_BYTES, MAX_ACCEPTS_PER_TURN)
         discovery = DiscoveryClient(
             network.host(NODE_HOST),
             options,
--- a/tests/edge/faulty_discovery.py
+++ b/tests/edge/faulty_discovery.py
@@ -44,7 +44,7 @@
     LOCAL_RESOURCES = "local resources"  # the node has no file descriptor left
 
 
-class Moment(Enum):
+class FaultTiming(Enum):
     """The state of a watch at which a fault begins."""
 
     START = "start"
@@ -86,11 +86,11 @@
     """
 
     def __init__(
-        self, fault: Fault, moment: Moment | None, begins_at: float, ends_at: float, change_at: float
+        self, fault: Fault, timing: FaultTiming | None, begins_at: float, ends_at: float, change_at: float
     ) -> None:
-        """Creates an agent; with a `moment` of None, the fault is not postponed."""
+        """Creates an agent; with a `timing` of None, the fault is not postponed."""
         self.fault = fault
-        self.moment = moment
+        self.timing = timing
         self.begins_at = begins_at
         self.ends_at = ends_at
         self.change_at = change_at
@@ -110,9 +110,9 @@
             except (OSError, EOFError):
                 return
             poll = self._decode(head)
-            if self.moment is Moment.BETWEEN_POLLS and poll.received_at < self.begins_at <= poll.due:
+            if self.timing is FaultTiming.BETWEEN_POLLS and poll.received_at < self.begins_at <= poll.due:
                 self._postpone_fault(poll.due)
-            if poll.received_at < self.begins_at <= poll.due and self.moment is Moment.DURING_ANSWER:
+            if poll.received_at < self.begins_at <= poll.due and self.timing is FaultTiming.DURING_ANSWER:
                 await _sleep_until(self.begins_at)
                 writer.write(self._answer(poll)[:-1])
                 await self._fail(writer, has_begun=True)
@@ -142,7 +142,7 @@
     def _postpone_fault(self, answered_at: float) -> None:
         """Postpones the fault until after an answer, so that the next poll arrives during the fault."""
         delay_ms = answered_at + 0.001 - self.begins_at
-        self.moment = None
+        self.timing = None
         self.begins_at += delay_ms
         self.ends_at += delay_ms
         self.change_at += delay_ms
@@ -187,23 +187,23 @@
     fault_ended_at: float
 
 
-def run_with_fault(fault: Fault, moment: Moment, duration_ms: float, *, shared: bool) -> FaultRun:
+def run_with_fault(fault: Fault, timing: FaultTiming, duration_ms: float, *, shared: bool) -> FaultRun:
     """Watches an agent whose endpoints change during a fault."""
-    begins_at = 0.0 if moment is Moment.START else FAULT_START_MS
+    begins_at = 0.0 if timing is FaultTiming.START else FAULT_START_MS
     ends_at = begins_at + duration_ms
-    faulty = FaultyAgent(fault, moment, begins_at, ends_at, begins_at + CHANGE_AFTER * duration_ms)
+    faulty = FaultyAgent(fault, timing, begins_at, ends_at, begins_at + CHANGE_AFTER * duration_ms)
     agents = [faulty]
-    if moment is Moment.AFTER_MOVE:
+    if timing is FaultTiming.AFTER_MOVE:
         agents.insert(0, FaultyAgent(fault, None, NEVER_MS, NEVER_MS, NEVER_MS))
     faulty_index = len(agents) - 1
 
     async def scenario(discovery: DiscoveryClient, network: Network) -> None:
         loop = asyncio.get_running_loop()
         _inject_connection_faults(network, faulty, AGENT_ADDRESSES[faulty_index])
-        if fault in CONNECTION_FAULTS and moment is not Moment.BETWEEN_POLLS:
+        if fault in CONNECTION_FAULTS and timing is not FaultTiming.BETWEEN_POLLS:
             loop.call_at(begins_at / 1000.0, network.reset_connections, f"agent{faulty_index}")
         discovery.start()
-        if moment is Moment.AFTER_MOVE:
+        if timing is FaultTiming.AFTER_MOVE:
             await asyncio.sleep(begins_at / 1000.0)
             discovery.change_address(AGENT_ADDRESSES[1])
         await _sleep_until(ends_at + RUN_AFTER_FAULT_MS)
--- a/tests/edge/harness.py
+++ b/tests/edge/harness.py
@@ -102,22 +102,22 @@
     return transport
 
 
-def upstream_pool(
+def new_upstream_pool(
     post: Callable[[EdgeEvent], None],
-    connect: float = 250.0,
-    wanted: Callable[[Endpoint], bool] = lambda _endpoint: True,
+    connect_timeout_ms: float = 250.0,
+    accepts_attempts: Callable[[Endpoint], bool] = lambda _endpoint: True,
 ) -> UpstreamPool:
     """Returns an upstream pool without a node; `post` receives the ends of its attempts."""
 
     def may_start(attempt: SendAttempt, remaining_ms: float) -> bool:
-        return remaining_ms > 0.0 and wanted(attempt.endpoint)
+        return remaining_ms > 0.0 and accepts_attempts(attempt.endpoint)
 
     transport = transport_with_stopped_clock()
     options = UpstreamPoolOptions(
-        connect_timeout_ms=connect,
+        connect_timeout_ms=connect_timeout_ms,
         keep_alive_ms=15000.0,
         has_capacity=lambda: True,
-        accepts_requests=wanted,
+        accepts_requests=accepts_attempts,
         may_start=may_start,
         report_fault=print,
     )
--- a/tests/edge/test_attempt_start.py
+++ b/tests/edge/test_attempt_start.py
@@ -18,7 +18,7 @@
 from onyxpost.edge.messages import MAX_BODY_BYTES, AttemptEnded, EdgeEvent, Endpoint, SendAttempt
 from onyxpost.runtime.transport import DialedConnection, FlowControlProtocol
 from tests.edge.event_loop import in_event_loop, wait_until
-from tests.edge.harness import CLIENT_REQUEST, RunningNode, StubAppServer, encode_request, upstream_pool
+from tests.edge.harness import CLIENT_REQUEST, RunningNode, StubAppServer, encode_request, new_upstream_pool
 from tests.policy.gateway_host import Host
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
     from onyxpost.edge.upstream_connection import UpstreamConnection
 
 
-class HeldDials:
+class DelayedDials:
     """Delays new connections to one server until `release` is called."""
 
     def __init__(self, net: Any, address: Address) -> None:
@@ -50,7 +50,7 @@
 async def run_until_attempt_ends(disconnect: str) -> tuple[RunningNode, StubAppServer]:
     """Runs an attempt whose client disconnects in the turn in which the attempt is connected."""
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        dials = HeldDials(edge.program.net, server.address)
+        dials = DelayedDials(edge.program.net, server.address)
         client = socket.create_connection(edge.address)
         client.sendall(encode_request())
         await asyncio.wait_for(dials.started.wait(), 5.0)
@@ -121,8 +121,8 @@
 async def test_no_attempt_starts_when_connecting_used_up_its_time() -> None:
     ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
     async with StubAppServer() as server:
-        pool = upstream_pool(ends.put_nowait)
-        dials = HeldDials(pool.transport, server.address)
+        pool = new_upstream_pool(ends.put_nowait)
+        dials = DelayedDials(pool.transport, server.address)
         pool.send(SendAttempt(7, Endpoint("s", server.address), CLIENT_REQUEST, 900.0))
         await dials.started.wait()
         pool.clock = lambda: 900.0
@@ -152,7 +152,7 @@
 
     with socket.create_server(("127.0.0.1", 0)) as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        pool = upstream_pool(ends.put_nowait)
+        pool = new_upstream_pool(ends.put_nowait)
         original_open = pool.open_connection
 
         async def open_with_small_buffer(endpoint: Endpoint) -> UpstreamConnection:
--- a/tests/edge/test_client_capacity.py
+++ b/tests/edge/test_client_capacity.py
@@ -45,12 +45,12 @@
             await reader.readuntil(b"hello")
             writer.close()
         await wait_until(lambda: len(edge.program.clients.connections.open) <= 1)
-        links = edge.program.servers.connection_count
+        connection_count = edge.program.servers.connection_count
         edge.file = node_fields(limits={"sockets": 8})  # less than the number of open connections
         edge.program.reload()
         _, writer = await asyncio.open_connection(*edge.address)
         await wait_until(lambda: len(edge.program.clients.connections.open) >= 2)
-        assert edge.program.servers.connection_count < links
+        assert edge.program.servers.connection_count < connection_count
         writer.close()
 
 
--- a/tests/edge/test_client_closing.py
+++ b/tests/edge/test_client_closing.py
@@ -15,7 +15,7 @@
 
 from onyxpost.edge import client_connections
 from onyxpost.runtime.http1 import encode_message
-from tests.edge.client_sockets import begin_shutdown, connect_client, idle_client, read_to_end
+from tests.edge.client_sockets import begin_shutdown, connect_client, connect_idle_client, read_to_end
 from tests.edge.event_loop import in_event_loop, wait_until
 from tests.edge.harness import (
     RunningNode,
@@ -36,16 +36,16 @@
     edge.program.clients.eviction.evict_connection()
 
 
-def feed_then_close(close: Close, edge: RunningNode) -> Callable[[Any, bytes], None]:
+def close_after_feed(close: Close, edge: RunningNode) -> Callable[[Any, bytes], None]:
     """Returns `StreamReader.feed_data` followed by a close, before the reading task runs."""
     feed = asyncio.StreamReader.feed_data
 
-    def then_close(reader: Any, data: bytes) -> None:
+    def feed_and_close(reader: Any, data: bytes) -> None:
         feed(reader, data)
         if b"/check/" in data:
             close(edge)
 
-    return then_close
+    return feed_and_close
 
 
 CLOSES: tuple[Close, ...] = (begin_shutdown, close_expired, evict)
@@ -55,7 +55,7 @@
 @in_event_loop
 async def test_an_unread_request_keeps_its_connection_open_and_is_answered(close: Close) -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        client = await idle_client(edge)
+        client = await connect_idle_client(edge)
         client.sendall(encode_request(trace="b"))  # unread in the kernel, as the event loop has not run
         close(edge)
         begin_shutdown(edge)
@@ -68,8 +68,8 @@
 @in_event_loop
 async def test_a_buffered_request_keeps_its_connection_open_and_is_answered(close: Close) -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        client = await idle_client(edge)
-        with mock.patch.object(asyncio.StreamReader, "feed_data", feed_then_close(close, edge)):
+        client = await connect_idle_client(edge)
+        with mock.patch.object(asyncio.StreamReader, "feed_data", close_after_feed(close, edge)):
             client.sendall(encode_request(trace="b"))
             await wait_until(lambda: len(server.got) == 2)
         begin_shutdown(edge)
@@ -81,7 +81,7 @@
 @in_event_loop
 async def test_a_request_after_the_close_is_not_forwarded_and_causes_no_reset(close: Close) -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        client = await idle_client(edge)
+        client = await connect_idle_client(edge)
         close(edge)
         client.sendall(encode_request(trace="b"))
         assert await read_to_end(client) == b""  # the client retries after the end of stream
@@ -94,7 +94,7 @@
 @in_event_loop
 async def test_a_client_that_never_closes_is_aborted_and_counts_until_then() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        client = await idle_client(edge)
+        client = await connect_idle_client(edge)
         program = edge.program
         in_use_before = program.descriptors.in_use_count()
         begin_shutdown(edge)
@@ -114,7 +114,7 @@
 @in_event_loop
 async def test_a_closing_connection_with_unread_bytes_gets_one_extension() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        client = await idle_client(edge)
+        client = await connect_idle_client(edge)
         begin_shutdown(edge)
         (closing,) = edge.program.clients.connections.closing.values()
         for is_kept in (True, False):
@@ -128,7 +128,7 @@
 @in_event_loop
 async def test_a_closing_connection_is_aborted_when_descriptors_run_out() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        client = await idle_client(edge)
+        client = await connect_idle_client(edge)
         begin_shutdown(edge)
         with mock.patch.object(edge.program.descriptors, "in_use_count", autospec=True, return_value=1 << 30):
             upstream_count = edge.program.servers.connection_count
@@ -145,11 +145,11 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         client = connect_client(edge)
 
-        def crossed(*args: Any) -> bytes:
+        def encode_after_next_request(*args: Any) -> bytes:
             client.sendall(encode_request(trace="b"))
             return encode_message(*args)
 
-        with mock.patch("onyxpost.edge.client_http.encode_message", crossed):
+        with mock.patch("onyxpost.edge.client_http.encode_message", encode_after_next_request):
             client.sendall(encode_request(trace="a", Connection="close"))
             assert (await read_to_end(client)).endswith(b"hello")
         client.close()
--- a/tests/edge/test_client_disconnects.py
+++ b/tests/edge/test_client_disconnects.py
@@ -14,7 +14,7 @@
 
 from onyxpost.edge.clients import build_clients
 from onyxpost.simulation import virtual_time
-from tests.edge.client_sockets import RESET, connect_client
+from tests.edge.client_sockets import LINGER_RESET, connect_client
 from tests.edge.event_loop import in_event_loop, wait_until
 from tests.edge.harness import (
     RunningNode,
@@ -31,31 +31,31 @@
     client = connect_client(edge)
     client.sendall(encode_request("toll", Idempotency_Key="k", X_Expires_In="4900m"))
     await wait_until(lambda: server.got)
-    ((number, _),) = [
+    ((connection_id, _),) = [
         item for item in edge.program.clients.connections.open.items() if item[1].has_unanswered_request
     ]
-    return client, number
+    return client, connection_id
 
 
-@pytest.mark.parametrize("how", ["close", "reset", "half", "bytes ahead", "bytes ahead of a reset"])
+@pytest.mark.parametrize("disconnect", ["close", "reset", "half", "bytes ahead", "bytes ahead of a reset"])
 @in_event_loop
-async def test_a_disconnect_is_seen_before_the_loop_has_read_it(how: str) -> None:
+async def test_a_disconnect_is_seen_before_the_loop_has_read_it(disconnect: str) -> None:
     async with StubAppServer(None) as server, RunningNode(server.address) as edge:
-        client, number = await send_unanswered_request(edge, server)
+        client, connection_id = await send_unanswered_request(edge, server)
         is_waiting = edge.program.clients.connections.is_waiting
-        assert (is_waiting(number), is_waiting(number + 9)) == (True, False)
-        if "ahead" in how:
+        assert (is_waiting(connection_id), is_waiting(connection_id + 9)) == (True, False)
+        if "ahead" in disconnect:
             client.sendall(encode_request(trace="ahead"))
-            assert is_waiting(number)  # the client can still read the answer
-        if "reset" in how:
-            client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-        if how == "half":
+            assert is_waiting(connection_id)  # the client can still read the answer
+        if "reset" in disconnect:
+            client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+        if disconnect == "half":
             client.shutdown(socket.SHUT_WR)
         else:
             client.close()
-        assert not is_waiting(number)
+        assert not is_waiting(connection_id)
         await wait_until(lambda: server.closed.is_set())  # the attempt is cancelled too
-        assert (is_waiting(number), edge.program.state_machine.unanswered_count) == (False, 0)
+        assert (is_waiting(connection_id), edge.program.state_machine.unanswered_count) == (False, 0)
         client.close()
 
 
@@ -64,8 +64,8 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         await edge.send_request(encode_request())
         assert [
-            edge.program.clients.connections.is_waiting(number)
-            for number in edge.program.clients.connections.open
+            edge.program.clients.connections.is_waiting(connection_id)
+            for connection_id in edge.program.clients.connections.open
         ] == [False]
 
 
@@ -81,22 +81,23 @@
 
         clients = build_clients(deployment, host, post, lambda: True, lambda: True, print)
         await clients.listener.listen(("edge", 80))
-        seen = []
+        waiting_results = []
         for reset in (False, True):
             received.clear()
             _, writer, *_ = await net.host("client").dial(("edge", 80), 1000)
             writer.write(encode_request())
             await received.wait()
-            number = clients.listener.accepted_count
-            seen.append(clients.connections.is_waiting(number))
-            pause_reading(clients.connections.open[number].writer)  # simulates an event loop that is late
+            connection_id = clients.listener.accepted_count
+            waiting_results.append(clients.connections.is_waiting(connection_id))
+            # Simulates an event loop that is late.
+            pause_reading(clients.connections.open[connection_id].writer)
             if reset:
                 writer.transport.abort()
             else:
                 writer.close()
             await asyncio.sleep(0.1)
-            seen.append(clients.connections.is_waiting(number))
+            waiting_results.append(clients.connections.is_waiting(connection_id))
         clients.listener.close()
-        return seen
+        return waiting_results
 
     assert virtual_time.run(main()) == [True, False, True, False]
--- a/tests/edge/test_client_flow_control.py
+++ b/tests/edge/test_client_flow_control.py
@@ -10,7 +10,7 @@
 import socket
 
 from onyxpost.edge import client_http
-from tests.edge.client_sockets import RESET, connect_client
+from tests.edge.client_sockets import LINGER_RESET, connect_client
 from tests.edge.event_loop import in_event_loop, wait_until
 from tests.edge.harness import (
     RunningNode,
@@ -69,7 +69,7 @@
                 client.setblocking(False)
                 client.send(flood)
                 if number % 2:
-                    client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                    client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
                 client.close()
             assert (await edge.send_request(encode_request(trace=f"good{turn}")))[1] == b"hello"
         await wait_until(
--- a/tests/edge/test_discovery_faults.py
+++ b/tests/edge/test_discovery_faults.py
@@ -18,31 +18,31 @@
     STALE_AFTER_MS,
     STALE_AFTER_RELOAD_MS,
 )
-from tests.edge.faulty_discovery import REACHED_FAULTS, Fault, Moment, run_with_fault
+from tests.edge.faulty_discovery import REACHED_FAULTS, Fault, FaultTiming, run_with_fault
 
 # The shortest drain grace period of all sites. It begins at once if an agent has a change when it returns.
 DRAIN_GRACE_MS = 250.0
 DURATIONS_MS = (700.0, 2500.0, 9000.0)
 CASES = [
-    pytest.param(fault, moment, duration_ms, id=f"{fault.value}-{moment.value}-{duration_ms}")
-    for fault, moment, duration_ms in itertools.product(Fault, Moment, DURATIONS_MS)
+    pytest.param(fault, timing, duration_ms, id=f"{fault.value}-{timing.value}-{duration_ms}")
+    for fault, timing, duration_ms in itertools.product(Fault, FaultTiming, DURATIONS_MS)
 ]
 
 
-def stale_after_ms(moment: Moment) -> float:
-    return STALE_AFTER_RELOAD_MS if moment is Moment.AFTER_MOVE else STALE_AFTER_MS
+def stale_after_ms(timing: FaultTiming) -> float:
+    return STALE_AFTER_RELOAD_MS if timing is FaultTiming.AFTER_MOVE else STALE_AFTER_MS
 
 
-def hides_a_change(fault: Fault, moment: Moment, duration_ms: float) -> bool:
+def is_change_hidden(fault: Fault, timing: FaultTiming, duration_ms: float) -> bool:
     """Returns whether the list counts as stale before the fault ends."""
-    return fault in REACHED_FAULTS and duration_ms > stale_after_ms(moment)
+    return fault in REACHED_FAULTS and duration_ms > stale_after_ms(timing)
 
 
-@pytest.mark.parametrize(("fault", "moment", "duration_ms"), CASES)
+@pytest.mark.parametrize(("fault", "timing", "duration_ms"), CASES)
 def test_a_pushed_change_arrives_within_the_drain_grace_and_an_outage_hides_none(
-    fault: Fault, moment: Moment, duration_ms: float
+    fault: Fault, timing: FaultTiming, duration_ms: float
 ) -> None:
-    result = run_with_fault(fault, moment, duration_ms, shared=False)
+    result = run_with_fault(fault, timing, duration_ms, shared=False)
     began_at = result.fault_ended_at - duration_ms
     assert result.has_occurred
     assert len(result.changes_at) == 1
@@ -52,21 +52,21 @@
     if fault in (Fault.SILENT, Fault.LATE):
         poll_ends_at = began_at + AGENT_LONG_POLL_MS + AGENT_ANSWER_MARGIN_MS
     assert result.changes_at[0] < max(result.fault_ended_at, poll_ends_at) + DRAIN_GRACE_MS + backoff_ms
-    is_hidden = hides_a_change(fault, moment, duration_ms)
+    is_hidden = is_change_hidden(fault, timing, duration_ms)
     assert len(result.stale_at) == is_hidden
     if is_hidden:
-        assert result.stale_at[0] <= began_at + stale_after_ms(moment) + 10.0
+        assert result.stale_at[0] <= began_at + stale_after_ms(timing) + 10.0
 
 
-@pytest.mark.parametrize(("fault", "moment", "duration_ms"), CASES)
+@pytest.mark.parametrize(("fault", "timing", "duration_ms"), CASES)
 def test_a_polled_change_arrives_within_6_s_or_counts_as_missed(
-    fault: Fault, moment: Moment, duration_ms: float
+    fault: Fault, timing: FaultTiming, duration_ms: float
 ) -> None:
-    result = run_with_fault(fault, moment, duration_ms, shared=True)
+    result = run_with_fault(fault, timing, duration_ms, shared=True)
     assert result.has_occurred
-    limit_ms = stale_after_ms(moment)
+    limit_ms = stale_after_ms(timing)
     assert result.changes_at[0] < result.fault_ended_at + limit_ms - ANSWER_TIMEOUT_MS
-    if hides_a_change(fault, moment, duration_ms):
+    if is_change_hidden(fault, timing, duration_ms):
         assert result.stale_at[0] <= result.fault_ended_at - duration_ms + limit_ms + 10.0
     else:
         assert not result.stale_at
--- a/tests/edge/test_discovery_watch.py
+++ b/tests/edge/test_discovery_watch.py
@@ -34,7 +34,7 @@
     from onyxpost.simulation.virtual_time import Network
 
 FIRST_ANSWER_TIMEOUT_MS = 250.0
-KEPT_WATCH_MS = 200.0  # time for which discovery keeps a watch without a poll
+WATCH_EXPIRY_MS = 200.0  # time for which discovery keeps a watch without a poll
 
 
 class RestartedAgent(Agent):
@@ -152,7 +152,7 @@
     agent = Agent()
     run_watch([agent], scenario)
     for reset_at in reset_at_ms:
-        assert [poll.at for poll in agent.polls if reset_at < poll.at < reset_at + KEPT_WATCH_MS]
+        assert [poll.at for poll in agent.polls if reset_at < poll.at < reset_at + WATCH_EXPIRY_MS]
 
 
 @pytest.mark.parametrize("change_at", [inf, 500.0], ids=["no change", "change of an older generation"])
--- a/tests/edge/test_overloaded_discovery.py
+++ b/tests/edge/test_overloaded_discovery.py
@@ -22,8 +22,8 @@
 CALL_SECONDS = 0.125  # duration of the work for each call
 MAX_WAIT_SECONDS = 2.0  # a call that would wait longer is rejected
 START_SECONDS = 0.1  # time after the first call in which no call is rejected at once
-KEPT_SECONDS = 0.2  # time for which discovery keeps a watch without a poll
-READ_SIZE = 65536
+WATCH_EXPIRY_SECONDS = 0.2  # time for which discovery keeps a watch without a poll
+READ_SIZE_BYTES = 65536
 EMPTY_LIST = b'{"generation":0,"reset":false,"instances":[]}'
 
 
@@ -31,7 +31,7 @@
     """A discovery service with agents that start their watch with one call each.
 
     The service completes the work for a call even if it is abandoned. Polls for an immediate answer get the
-    list that the agent has. A watch without a poll for `KEPT_SECONDS` is lost.
+    list that the agent has. A watch without a poll for `WATCH_EXPIRY_SECONDS` is lost.
     """
 
     def __init__(self) -> None:
@@ -60,7 +60,7 @@
                 head = await reader.readuntil(b"\r\n\r\n")
             except (OSError, EOFError):
                 return
-            if not call_status or loop.time() > last_poll_at + KEPT_SECONDS:
+            if not call_status or loop.time() > last_poll_at + WATCH_EXPIRY_SECONDS:
                 call_status, answered_at = self.call(loop.time())
             immediate = b"timeout_ms=1 " in head
             if not immediate:
@@ -81,7 +81,9 @@
         service = OverloadedDiscovery()
         for node in range(NODE_COUNT):
             address = (f"a{node}", 1)
-            await network.host(f"agent{node}").listen(partial(service.serve, node), address, READ_SIZE, 16)
+            await network.host(f"agent{node}").listen(
+                partial(service.serve, node), address, READ_SIZE_BYTES, 16
+            )
             options = DiscoveryOptions(address, seed=node, shared=True)
             DiscoveryClient(network.host(f"n{node}"), options, lambda _: None, lambda _: None).start()
         await asyncio.sleep(20.0)
--- a/tests/edge/test_readiness.py
+++ b/tests/edge/test_readiness.py
@@ -26,8 +26,8 @@
 NEVER_MS = float("inf")
 READY_WITHIN_MS = INITIAL_ENDPOINTS_TIMEOUT_MS + 100.0
 POLL_SECONDS = 0.001
-READ_SIZE = 65536
-ACCEPTS = 16
+READ_SIZE_BYTES = 65536
+MAX_ACCEPTS_PER_TURN = 16
 GENERATION = 9
 
 
@@ -78,7 +78,9 @@
     async def main() -> tuple[float, int]:
         network = Network(Random(1))
         if agent is not None:
-            await network.host("agent").listen(agent.serve, ("agent", 1), READ_SIZE, ACCEPTS)
+            await network.host("agent").listen(
+                agent.serve, ("agent", 1), READ_SIZE_BYTES, MAX_ACCEPTS_PER_TURN
+            )
         if is_cut_off:
             network.cut_off.add("agent")
         started = RunningNode(network, "n0", "agent:1", settings={})
@@ -121,7 +123,9 @@
         starting = []
         for index in range(NODE_COUNT):
             serve = partial(service.serve, index)
-            await network.host(f"agent{index}").listen(serve, (f"a{index}", 1), READ_SIZE, ACCEPTS)
+            await network.host(f"agent{index}").listen(
+                serve, (f"a{index}", 1), READ_SIZE_BYTES, MAX_ACCEPTS_PER_TURN
+            )
             starting.append(RunningNode(network, f"n{index}", f"a{index}:1", {"discovery": "on_request"}))
         ready_at_ms = []
         while starting:
--- a/tests/edge/test_shutdown_clients.py
+++ b/tests/edge/test_shutdown_clients.py
@@ -31,7 +31,7 @@
     assert len(server.got) == 1
 
 
-@pytest.mark.usefixtures("short_accept", "no_request_timeout")
+@pytest.mark.usefixtures("short_accept_time", "long_request_timeout")
 @in_event_loop
 async def test_a_connection_without_a_request_by_then_is_closed() -> None:
     async with StubAppServer(None) as server, RunningNode(server.address) as edge:
@@ -45,7 +45,7 @@
         await assert_only_the_long_request_was_forwarded(edge, server)
 
 
-@pytest.mark.usefixtures("short_accept", "no_request_timeout")
+@pytest.mark.usefixtures("short_accept_time", "long_request_timeout")
 @in_event_loop
 async def test_a_request_that_is_incomplete_by_then_is_rejected() -> None:
     async with StubAppServer(None) as server, RunningNode(server.address) as edge:
@@ -78,7 +78,7 @@
             writer.close()
 
 
-@pytest.mark.usefixtures("short_accept", "no_request_timeout")
+@pytest.mark.usefixtures("short_accept_time", "long_request_timeout")
 @in_event_loop
 async def test_clients_that_go_on_sending_are_answered_or_see_the_connection_close() -> None:
     answers: list[bytes] = []
@@ -93,7 +93,7 @@
         assert len(answers) == edge.program.state_machine.requests.received_count
 
 
-@pytest.mark.usefixtures("short_accept", "no_request_timeout")
+@pytest.mark.usefixtures("short_accept_time", "long_request_timeout")
 @in_event_loop
 async def test_more_connections_in_the_queue_than_one_turn_accepts_are_all_answered() -> None:
     original_sleep = asyncio.sleep
@@ -118,7 +118,7 @@
             client.close()
 
 
-@pytest.mark.usefixtures("short_accept", "no_request_timeout")
+@pytest.mark.usefixtures("short_accept_time", "long_request_timeout")
 @in_event_loop
 async def test_a_client_that_never_closes_delays_the_exit_only_shortly() -> None:
     with pytest.MonkeyPatch.context() as patch:
--- a/tests/edge/test_shutdown_of_node.py
+++ b/tests/edge/test_shutdown_of_node.py
@@ -36,10 +36,10 @@
         idle_writer.close()
         late_reader, late_writer = await asyncio.open_connection(*edge.address)
         late_writer.write(encode_request(trace="late"))
-        late = await asyncio.wait_for(late_reader.read(), 5.0)
+        late_answer = await asyncio.wait_for(late_reader.read(), 5.0)
         late_writer.close()
-        assert b"hello" in late
-        assert b"connection: close" in late.lower()
+        assert b"hello" in late_answer
+        assert b"connection: close" in late_answer.lower()
         head, _ = await edge.answer()  # aborted in time, as the server does not answer
         assert head.split(b" ")[1] in (b"429", b"502")
         assert await asyncio.wait_for(edge.running, 5.0) == 0
@@ -49,27 +49,27 @@
 async def test_a_client_accepted_in_the_turn_in_which_the_listener_closes_is_answered() -> None:
     accepted_turns = 0
     original_sleep = asyncio.sleep
-    late = socket.socket()
+    late_client = socket.socket()
 
-    async def until_accepted(seconds: float) -> None:
+    async def sleep_until_accepted(seconds: float) -> None:
         nonlocal accepted_turns
         if seconds != 0.6:
             await original_sleep(seconds)
             return
-        late.connect(edge.address)  # the connection is queued in the kernel
-        late.sendall(encode_request(trace="late"))
-        again = asyncio.get_running_loop().create_future()
-        asyncio.get_running_loop().call_soon(again.set_result, None)
-        await again  # returns in the turn in which the listener accepts
+        late_client.connect(edge.address)  # the connection is queued in the kernel
+        late_client.sendall(encode_request(trace="late"))
+        next_turn = asyncio.get_running_loop().create_future()
+        asyncio.get_running_loop().call_soon(next_turn.set_result, None)
+        await next_turn  # returns in the turn in which the listener accepts
         accepted_turns += 1
 
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        with mock.patch("onyxpost.node.edge_node.asyncio.sleep", until_accepted):
+        with mock.patch("onyxpost.node.edge_node.asyncio.sleep", sleep_until_accepted):
             signal.raise_signal(signal.SIGTERM)
             assert await asyncio.wait_for(edge.running, 5.0) == 0
         assert (accepted_turns, len(server.got)) == (1, 1)
-        assert b"hello" in late.recv(65536)
-        late.close()
+        assert b"hello" in late_client.recv(65536)
+        late_client.close()
 
 
 @in_event_loop
--- a/tests/edge/test_shutdown_outside_serving.py
+++ b/tests/edge/test_shutdown_outside_serving.py
@@ -58,7 +58,7 @@
     assert subprocess.run([sys.executable, "-c", SIGNALS_AFTER_THE_LOOP], check=False).returncode == 0
 
 
-@pytest.mark.usefixtures("short_accept")
+@pytest.mark.usefixtures("short_accept_time")
 @in_event_loop
 async def test_a_node_that_is_starting_accepts_nothing_and_exits_at_once() -> None:
     is_waiting = asyncio.Event()
--- a/tests/edge/test_shutdown_requests.py
+++ b/tests/edge/test_shutdown_requests.py
@@ -30,7 +30,7 @@
 ACCEPT_SECONDS = 0.05  # time of accepting after SIGTERM, which is 0.6 s without the fixture
 
 
-@pytest.mark.usefixtures("short_accept")
+@pytest.mark.usefixtures("short_accept_time")
 @pytest.mark.parametrize("missing_bytes", [30, 3], ids=["head", "body"])
 @in_event_loop
 async def test_a_request_that_is_half_read_is_answered(missing_bytes: int) -> None:
@@ -42,7 +42,7 @@
         await assert_last_answer(edge)
 
 
-@pytest.mark.usefixtures("short_accept")
+@pytest.mark.usefixtures("short_accept_time")
 @in_event_loop
 async def test_a_request_that_is_not_forwarded_yet_is_answered() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
@@ -55,7 +55,7 @@
         await assert_last_answer(edge)
 
 
-@pytest.mark.usefixtures("short_accept")
+@pytest.mark.usefixtures("short_accept_time")
 @in_event_loop
 async def test_an_attempt_that_is_still_connecting_is_answered() -> None:
     is_opening = asyncio.Event()
@@ -77,7 +77,7 @@
             await assert_last_answer(edge)
 
 
-@pytest.mark.usefixtures("short_accept")
+@pytest.mark.usefixtures("short_accept_time")
 @pytest.mark.parametrize("received_bytes", [0, 40, len(UPSTREAM_ANSWER) - 2])
 @in_event_loop
 async def test_an_attempt_whose_answer_is_half_received_is_answered(received_bytes: int) -> None:
@@ -90,7 +90,7 @@
         await assert_last_answer(edge)
 
 
-@pytest.mark.usefixtures("short_accept")
+@pytest.mark.usefixtures("short_accept_time")
 @in_event_loop
 async def test_an_answer_that_is_half_sent_to_its_client_is_completed() -> None:
     async with StubAppServer((LONG_ANSWER, False)) as server, RunningNode(server.address) as edge:
@@ -108,7 +108,7 @@
         assert await exit_code(edge) == 0
 
 
-@pytest.mark.usefixtures("short_accept")
+@pytest.mark.usefixtures("short_accept_time")
 @in_event_loop
 async def test_a_request_that_arrives_together_with_the_signal_is_answered() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
@@ -119,7 +119,7 @@
         assert len(server.got) == 2
 
 
-@pytest.mark.usefixtures("short_accept")
+@pytest.mark.usefixtures("short_accept_time")
 @in_event_loop
 async def test_a_second_sigterm_and_sighups_around_it_change_nothing() -> None:
     async with StubAppServer(None) as server, RunningNode(server.address) as edge:
--- a/tests/edge/test_silent_discovery.py
+++ b/tests/edge/test_silent_discovery.py
@@ -77,7 +77,7 @@
     agent = Agent(silent_at, truncated)
     agent.change_at = silent_at + 0.5
     arrived_at = change_posted_at(watch([agent], silent_at + 9000.0))
-    assert agent.fell_silent
+    assert agent.has_fallen_silent
     polled_at, long_poll_ms = [poll for poll in agent.polls if poll.at <= silent_at + 2.0][-1]
     counts_at = max(silent_at + STALE_AFTER_MS, polled_at + long_poll_ms + STALE_AFTER_LONG_POLL_MS)
     assert arrived_at < counts_at
--- a/tests/edge/test_staleness.py
+++ b/tests/edge/test_staleness.py
@@ -122,10 +122,10 @@
     pauses = []
     for _ in range(4):
         pauses.append(tracker.on_poll_failed(now, PollFailure.OVERLOADED))
-        left_ms = tracker.stale_in_ms(now)
-        assert left_ms is not None
-        if left_ms > ANSWER_TIMEOUT_MS + RETRY_PAUSE_MS:
-            assert pauses[-1] + ANSWER_TIMEOUT_MS <= left_ms
+        remaining_ms = tracker.stale_in_ms(now)
+        assert remaining_ms is not None
+        if remaining_ms > ANSWER_TIMEOUT_MS + RETRY_PAUSE_MS:
+            assert pauses[-1] + ANSWER_TIMEOUT_MS <= remaining_ms
         now += pauses[-1]
         tracker.on_poll_started(now, 1.0)
     assert max(pauses) <= (STALE_AFTER_MS - ANSWER_TIMEOUT_MS if shared else AGENT_BACKOFF_MAX_MS)
--- a/tests/edge/test_state_machine.py
+++ b/tests/edge/test_state_machine.py
@@ -88,14 +88,14 @@
         return attempt
 
 
-def kinds(effects: list[Effect]) -> list[str]:
+def effect_names(effects: list[Effect]) -> list[str]:
     return [
         effect.outcome.value if isinstance(effect, SendAnswer) else type(effect).__name__
         for effect in effects
     ]
 
 
-def update(generation: int, **changed: str) -> EndpointUpdate:
+def decode_update(generation: int, **changed: str) -> EndpointUpdate:
     return decode_endpoint_update({"generation": generation, "instances": [ENDPOINT_FIELDS | changed]})
 
 
@@ -104,8 +104,10 @@
     return Node()
 
 
-@pytest.mark.parametrize("ended_first", [True, False])
-def test_a_client_that_disconnects_as_its_attempt_ends_is_no_fault(node: Node, ended_first: bool) -> None:
+@pytest.mark.parametrize("has_attempt_ended_first", [True, False])
+def test_a_client_that_disconnects_as_its_attempt_ends_is_no_fault(
+    node: Node, has_attempt_ended_first: bool
+) -> None:
     """If the attempt ends first, the decision maker retries, and must get the end of the retry as well."""
     attempt = node.send_request()
 
@@ -119,12 +121,12 @@
         AttemptEnded(attempt.attempt_id, AttemptResult.LOST, 5.0),
         ClientDisconnected(1),
     ]
-    effects = kinds(node.step(*(events if ended_first else reversed(events))))
+    effects = effect_names(node.step(*(events if has_attempt_ended_first else reversed(events))))
     assert "LogEvent" not in effects
     assert "SendAttempt" not in effects
     node.step()
     settled = [end.settled for end in node.decisions.attempt_ends()]
-    assert settled == ([False, True] if ended_first else [True])
+    assert settled == ([False, True] if has_attempt_ended_first else [True])
     assert node.machine.requests.by_id == {}
     assert not node.machine.has_deferred_events
 
@@ -134,7 +136,7 @@
     for _ in range(2):
         node.machine.sink.start_attempt("1", "s0", 500.0, inf)
     effects = node.step(AttemptEnded(first, AttemptResult.OK, 5.0, RESPONSE))
-    assert kinds(effects) == ["passed", "WithdrawAttempt", "WithdrawAttempt"]
+    assert effect_names(effects) == ["passed", "WithdrawAttempt", "WithdrawAttempt"]
     assert node.step(AttemptEnded(first + 1, AttemptResult.OK, 9.0, RESPONSE)) == []
     node.step(AttemptEnded(first + 2, AttemptResult.LOST, 9.0))
     ends = [(end.result, end.settled) for end in node.decisions.attempt_ends()]
@@ -175,9 +177,9 @@
 
 
 def test_a_server_that_has_moved_or_is_removed_is_retired(node: Node) -> None:
-    assert node.step(update(5, hostPort="127.0.0.1:8")) == [RetireEndpoint(ENDPOINT)]
+    assert node.step(decode_update(5, hostPort="127.0.0.1:8")) == [RetireEndpoint(ENDPOINT)]
     moved = Endpoint("s0", ("127.0.0.1", 8))
-    assert node.step(update(6, lifecycle="removed")) == [RetireEndpoint(moved)]
+    assert node.step(decode_update(6, lifecycle="removed")) == [RetireEndpoint(moved)]
     assert node.machine.endpoints.by_server == {}
     assert node.step(node.request()) == []  # the attempt ends as unused
     node.step()
@@ -187,9 +189,9 @@
 
 
 def test_a_draining_server_accepts_no_attempts_until_it_is_back(node: Node) -> None:
-    assert node.step(update(5, lifecycle="draining")) == [RetireEndpoint(ENDPOINT)]
+    assert node.step(decode_update(5, lifecycle="draining")) == [RetireEndpoint(ENDPOINT)]
     assert not node.machine.endpoints.accepts_attempts(ENDPOINT)
-    node.step(update(6))
+    node.step(decode_update(6))
     assert node.machine.endpoints.accepts_attempts(ENDPOINT)
 
 
@@ -207,16 +209,16 @@
 
     node.decisions.reactions[RequestArrived] = fail_for_the_first
     effects = node.step(node.request(), node.request(connection_id=2, trace_id="u"))
-    assert kinds(effects) == ["LogEvent", "aborted", "denied"]
+    assert effect_names(effects) == ["LogEvent", "aborted", "denied"]
     assert isinstance(effects[0], LogEvent)
     assert "ZeroDivisionError: here" in effects[0].fields["cause"]
 
 
 def test_a_decision_maker_that_always_fails_does_not_stop_the_node(node: Node) -> None:
     with mock.patch.object(node.decisions, "handle", side_effect=ZeroDivisionError):
-        assert kinds(node.step(node.request())) == ["LogEvent"]
+        assert effect_names(node.step(node.request())) == ["LogEvent"]
         node.now += 900.0
-        assert kinds(node.step(TimerFired(0))) == ["LogEvent", "LogEvent", "aborted"]
+        assert effect_names(node.step(TimerFired(0))) == ["LogEvent", "LogEvent", "aborted"]
 
 
 def test_an_undecided_request_is_aborted_at_its_deadline(node: Node) -> None:
@@ -225,6 +227,6 @@
     node.now += 850.0
     assert node.step(TimerFired(0)) == []
     node.now += 50.0
-    assert kinds(node.step(TimerFired(0))) == ["LogEvent", "aborted"]
+    assert effect_names(node.step(TimerFired(0))) == ["LogEvent", "aborted"]
     node.step()
     assert node.decisions.events[-1] == RequestCancelled("1")
--- a/tests/edge/test_upstream_attempts.py
+++ b/tests/edge/test_upstream_attempts.py
@@ -17,7 +17,7 @@
     StubAppServer,
     encode_request,
 )
-from tests.edge.harness import upstream_pool as create_pool
+from tests.edge.harness import new_upstream_pool as create_pool
 
 
 @in_event_loop
@@ -57,7 +57,7 @@
 async def test_a_server_that_drains_while_an_attempt_connects_receives_no_byte_of_it() -> None:
     ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
     drains: set[Endpoint] = set()
-    servers = create_pool(ends.put_nowait, wanted=lambda endpoint: endpoint not in drains)
+    servers = create_pool(ends.put_nowait, accepts_attempts=lambda endpoint: endpoint not in drains)
     async with StubAppServer() as server:
         servers.send(SendAttempt(7, Endpoint("s", server.address), CLIENT_REQUEST, 900.0))
         await asyncio.sleep(0)  # the attempt starts to connect
@@ -69,7 +69,7 @@
 @in_event_loop
 async def test_a_server_that_cannot_be_connected_never_executed_the_request() -> None:
     ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
-    servers = create_pool(ends.put_nowait, connect=20.0)
+    servers = create_pool(ends.put_nowait, connect_timeout_ms=20.0)
     with socket.socket() as silent:  # the queue has one place, so a second connection is not established
         silent.bind(("127.0.0.1", 0))
         silent.listen(0)
--- a/tests/edge/test_upstream_responses.py
+++ b/tests/edge/test_upstream_responses.py
@@ -20,7 +20,7 @@
     StubAppServer,
     encode_request,
 )
-from tests.edge.harness import upstream_pool as create_pool
+from tests.edge.harness import new_upstream_pool as create_pool
 
 if TYPE_CHECKING:
     import pytest
@@ -73,8 +73,8 @@
 async def test_late_bytes_on_an_idle_connection_do_not_answer_the_next_request() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         await edge.send_request(encode_request(trace="a"))
-        ((link,),) = edge.program.servers.idle_connections.values()
-        link.reader.feed_data(UPSTREAM_ANSWER.replace(b"hello", b"other"))
+        ((connection,),) = edge.program.servers.idle_connections.values()
+        connection.reader.feed_data(UPSTREAM_ANSWER.replace(b"hello", b"other"))
         assert (await edge.send_request(encode_request(trace="b")))[1] == b"hello"
 
 
@@ -93,12 +93,12 @@
 async def test_bytes_that_the_loop_has_not_read_are_seen_before_a_request_is_written() -> None:
     pool = create_pool(print)
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        link = await pool.connect(Endpoint("s", listener.getsockname()))
-        with listener.accept()[0] as far:
-            assert link.has_no_unread_input()
-            far.send(UPSTREAM_ANSWER)
-            assert (link.is_unusable(), link.has_no_unread_input()) == (False, False)
-        pool.close_connection(link)
+        connection = await pool.connect(Endpoint("s", listener.getsockname()))
+        with listener.accept()[0] as server_side:
+            assert connection.has_no_unread_input()
+            server_side.send(UPSTREAM_ANSWER)
+            assert (connection.is_unusable(), connection.has_no_unread_input()) == (False, False)
+        pool.close_connection(connection)
 
 
 @in_event_loop
@@ -138,7 +138,7 @@
 async def test_a_connection_that_the_server_closed_is_not_reused() -> None:
     async with StubAppServer((UPSTREAM_ANSWER, True)) as server, RunningNode(server.address) as edge:
         await edge.send_request(encode_request(trace="a"))
-        ((link,),) = edge.program.servers.idle_connections.values()
-        await wait_until(lambda: link.reader.at_eof())
+        ((connection,),) = edge.program.servers.idle_connections.values()
+        await wait_until(lambda: connection.reader.at_eof())
         assert (await edge.send_request(encode_request(trace="b")))[1] == b"hello"
         assert (server.opened, len(server.got)) == (2, 2)
