--- a/onyxpost/edge/client_connections.py
+++ b/onyxpost/edge/client_connections.py
@@ -46,7 +46,7 @@
         return connection if connection is not None and connection.has_unanswered_request else None
 
     def is_waiting(self, connection_id: int) -> bool:
-        """Returns whether a client waits for its answer and has not disconnected, also by unread input."""
+        """Returns whether a client still waits for its answer, and no end of stream from it is unread."""
         connection = self.find_unanswered(connection_id)
         if connection is None or connection.is_closing():
             return False
@@ -71,7 +71,10 @@
             connection.writer.transport.abort()
 
     async def finish_closing(self, connection: ClientConnection) -> None:
-        """Closes a connection that was read to its end, and waits until its output has been sent."""
+        """Closes a connection that was read to its end, and waits until its output has been sent.
+
+        If the client does not read the output, the connection is aborted at its deadline.
+        """
         self.begin_closing(connection)
         connection.writer.close()
         try:
--- a/onyxpost/edge/client_listener.py
+++ b/onyxpost/edge/client_listener.py
@@ -21,7 +21,7 @@
 # Turns of the event loop within which an accepted connection reaches its first read. The transport, its
 # protocol and the reading task take one turn each; the other turns are a margin.
 ACCEPT_TURNS = 8
-MAX_OVER_CAPACITY_CONNECTIONS = 16  # open connections beyond the node's capacity whose requests are rejected
+MAX_OVER_CAPACITY_CONNECTIONS = 16  # open connections beyond the node's capacity; further ones are aborted
 # Per turn of the event loop. More accepts could exceed the node's limit before they are counted.
 MAX_ACCEPTS_PER_TURN = 16
 
--- a/onyxpost/edge/discovery_poll.py
+++ b/onyxpost/edge/discovery_poll.py
@@ -92,7 +92,7 @@
         ValueError,
         h11.ProtocolError,
         InvalidInputError,
-    ) as err:  # ValueError: invalid host name
+    ) as err:  # a ValueError is caused by an invalid host name
         if connection is not None:
             connection.abort()
         has_answer_started = connection is not None and connection.reader.bytes_received > received_before
--- a/onyxpost/edge/discovery_watch.py
+++ b/onyxpost/edge/discovery_watch.py
@@ -42,7 +42,7 @@
 
 
 class WatchFailed(NamedTuple):
-    """A poll of a watch failed with the error `cause`; not sent for a timeout on a reused connection."""
+    """A poll of a watch failed with the error `cause`; not reported for timeouts on reused connections."""
 
     watch: DiscoveryWatch
     address: Address
--- a/onyxpost/edge/effect_sink.py
+++ b/onyxpost/edge/effect_sink.py
@@ -78,9 +78,9 @@
         self._requests.release_if_finished(request)
 
     def abandon(self, request: PendingRequest) -> None:
-        """Aborts a request that the decision maker has not ended, and tells it in the next round.
+        """Aborts a request that the decision maker has not ended.
 
-        Attempts in flight are closed.
+        Its attempts in flight are closed, and the decision maker gets `RequestCancelled` in the next round.
         """
         for attempt_index in range(len(request.attempt_ids)):
             self.cancel_attempt(request.request_id, attempt_index)
--- a/onyxpost/edge/errors.py
+++ b/onyxpost/edge/errors.py
@@ -12,7 +12,7 @@
     """The answer of discovery is not a valid list of endpoints and is rejected as a whole."""
 
     remedy = (
-        "check the answer of the discovery agent to GET /v1/servers; the node keeps its endpoints until then"
+        "check the answer of the discovery agent to GET /v1/servers; the node keeps its current endpoints"
     )
 
 
--- a/onyxpost/edge/staleness.py
+++ b/onyxpost/edge/staleness.py
@@ -30,7 +30,7 @@
 AGENT_LONG_POLL_MS = 1000.0  # how long an agent may hold a poll open while nothing changes
 # Two answers and the pauses before them fit into STALE_AFTER_MS.
 SHARED_LONG_POLL_MS = STALE_AFTER_MS - 2.0 * ANSWER_TIMEOUT_MS - 2.0 * RETRY_PAUSE_MS
-SHARED_RECONNECT_LONG_POLL_MS = 400.0  # short after a failure, as the list may become stale meanwhile
+SHARED_RECONNECT_LONG_POLL_MS = 400.0  # used after a failure, as the list may become stale meanwhile
 # Upper bound of the pause after the first overloaded answer of an agent; doubles with each further one.
 AGENT_BACKOFF_MIN_MS = 200.0
 AGENT_BACKOFF_MAX_MS = 1000.0
@@ -46,9 +46,9 @@
     """The kind of failure of a poll."""
 
     TIMEOUT = "timeout"  # no answer in time; on a new connection, this means an outage
-    UNREACHABLE = "unreachable"  # no connection, so that no reachable discovery has a change
+    UNREACHABLE = "unreachable"  # no connection, so this failure cannot have hidden a change
     CONNECTION_CLOSED = "connection closed"  # closed before the first byte of an answer
-    MALFORMED_ANSWER = "malformed answer"  # or a truncated one; its sender may have a change
+    MALFORMED_ANSWER = "malformed answer"  # malformed or truncated; the sender may have a change
     OVERLOADED = "overloaded"  # a status other than 200, sent when discovery has no capacity
     LOCAL_RESOURCES = "local resources"  # this node could not open a connection; discovery may be up
 
--- a/onyxpost/edge/upstream_connection.py
+++ b/onyxpost/edge/upstream_connection.py
@@ -33,7 +33,7 @@
         self._is_input_drained = connection.has_no_unread_input
         self._is_flushed = connection.is_flushed
         self._http = h11.Connection(h11.CLIENT)
-        self._request_written = False  # whether the request was passed to the transport
+        self._is_request_written = False  # whether the request was passed to the transport
         self._bytes_read = 0
         self.writer.transport.set_write_buffer_limits(0)  # makes `drain` wait until the kernel has all bytes
 
@@ -43,7 +43,7 @@
         This checks the state of the transport rather than the return of `drain`, because a task that waits
         for `drain` may be cancelled in the same turn of the event loop in which the buffer becomes empty.
         """
-        return self._request_written and self._is_flushed()
+        return self._is_request_written and self._is_flushed()
 
     def is_unusable(self) -> bool:
         """Returns whether the connection has ended, or has received bytes outside of a response."""
@@ -68,7 +68,7 @@
             h11.RemoteProtocolError: the response is invalid.
         """
         self.writer.write(encode_message(self._http, request, body))
-        self._request_written = not self.writer.transport.is_closing()  # otherwise the kernel got no byte
+        self._is_request_written = not self.writer.transport.is_closing()  # otherwise the kernel got no byte
         await self.writer.drain()
         if self.reader.bytes_received > self._bytes_read:
             raise TruncatedResponseError("server sent bytes before the request was sent completely")
@@ -80,7 +80,7 @@
 
     def prepare_reuse(self) -> bool:
         """Prepares the connection for the next attempt and returns whether it can be reused."""
-        self._request_written = False
+        self._is_request_written = False
         return not self.is_unusable() and start_next_cycle(self._http) and not self._http.trailing_data[0]
 
     def on_released(self, now: float) -> None:
