--- a/onyxpost/edge/discovery_watch.py
+++ b/onyxpost/edge/discovery_watch.py
@@ -1,4 +1,4 @@
-"""A watch on discovery's endpoint list: polls one address until it is cancelled."""
+"""A watch on discovery's endpoint list, which polls until it is cancelled."""
 
 from __future__ import annotations
 
@@ -22,23 +22,27 @@
     from onyxpost.edge.messages import EndpointUpdate
     from onyxpost.runtime.transport import Transport
 
-TIMER_RESOLUTION_SECONDS = 1e-4  # a shorter wait may end before the loop's clock has advanced
+TIMER_RESOLUTION_SECONDS = 1e-4  # shorter waits may end before the event loop's clock has advanced
 
 
 class WatchAnswered(NamedTuple):
     """A poll of a watch was answered.
 
-    `after_move`: it is the first answer after a reload has named the address.
+    Attributes:
+        watch: the watch.
+        address: the address that answered.
+        update: the decoded answer.
+        is_after_move: whether this is the first answer after a reload has set the address.
     """
 
     watch: DiscoveryWatch
     address: Address
     update: EndpointUpdate
-    after_move: bool
+    is_after_move: bool
 
 
 class WatchFailed(NamedTuple):
-    """A poll of a watch failed, with `cause`, in a way that tells of more than its own connection."""
+    """A poll of a watch failed with the error `cause`; not reported for timeouts on reused connections."""
 
     watch: DiscoveryWatch
     address: Address
@@ -47,24 +51,24 @@
 
 
 class WatchListener(Protocol):
-    """What a watch needs of the client that started it."""
+    """Receives the answers and failures of a watch."""
 
     @property
     def generation(self) -> int:
-        """Discovery's version of the endpoint list that the node has."""
+        """The generation of the endpoints that the node has."""
 
     def on_watch_answered(self, answered: WatchAnswered) -> None:
-        """Handles an answer."""
+        """Handles an answer to a poll."""
 
     def on_watch_failed(self, failed: WatchFailed) -> None:
-        """Handles a failure, once the watch's tracker has counted it."""
+        """Handles a failure, after the tracker of the watch has recorded it."""
 
 
 class DiscoveryWatch:
-    """Polls one address and reports each answer and each failure to its listener.
+    """Polls discovery and reports answers and failures to its listener.
 
     Attributes:
-        tracker: times the polls.
+        tracker: decides when to poll, and when the list may be stale.
     """
 
     def __init__(
@@ -74,24 +78,25 @@
         addresses: AddressChoice,
         tracker: StalenessTracker,
         *,
-        after_move: bool = False,
+        is_after_move: bool = False,
     ) -> None:
-        """Creates a watch that does not poll yet.
+        """Creates a watch without sending a poll.
 
         Args:
             transport: the node's transport.
-            listener: receives the events.
-            addresses: the address to poll, and the other one that discovery may have.
-            tracker: times the polls.
-            after_move: a reload has named the address, so the first poll requests all endpoints.
+            listener: receives the answers and failures.
+            addresses: selects the address to poll.
+            tracker: decides when to poll, and when the list may be stale.
+            is_after_move: whether a reload has set the address, so that polls request all endpoints until
+                one is answered.
         """
         self.tracker = tracker
         self._transport = transport
         self._listener = listener
         self._addresses = addresses
-        self._after_move = after_move
+        self._is_after_move = is_after_move
         self._open_polls: list[OpenPoll] = []  # oldest first
-        self._connection: DiscoveryConnection | None = None  # of the last answer
+        self._connection: DiscoveryConnection | None = None  # the idle connection of the last answer
 
     async def run(self) -> None:
         """Polls until cancelled."""
@@ -99,7 +104,7 @@
             while True:
                 poll = self._start_poll()
                 timeout_ms = self.tracker.on_poll_started(
-                    poll.started_at, poll.long_poll_ms, after_move=self._after_move
+                    poll.started_at, poll.long_poll_ms, is_after_move=self._is_after_move
                 )
                 await self._wait_for_answer(poll, timeout_ms)
         finally:
@@ -112,7 +117,9 @@
         long_poll_ms = self.tracker.long_poll_ms()
         limit_open_polls(self._open_polls, self.tracker.max_open_polls, started_at)
         query = (
-            "" if self._after_move else f"?since={self._listener.generation}&timeout_ms={int(long_poll_ms)}"
+            ""
+            if self._is_after_move
+            else f"?since={self._listener.generation}&timeout_ms={int(long_poll_ms)}"
         )
         address = self._addresses.address
         task = asyncio.get_running_loop().create_task(
@@ -124,15 +131,15 @@
         return poll
 
     async def _wait_for_answer(self, newest: OpenPoll, timeout_ms: float) -> None:
-        """Returns once any open poll was answered, or when the next one is due."""
+        """Waits until an open poll was answered and handled, or the next poll is due."""
         loop = asyncio.get_running_loop()
-        due = loop.time() + timeout_ms / MS_PER_SECOND
-        while (left := due - loop.time()) > TIMER_RESOLUTION_SECONDS:
+        next_poll_at = loop.time() + timeout_ms / MS_PER_SECOND
+        while (remaining_seconds := next_poll_at - loop.time()) > TIMER_RESOLUTION_SECONDS:
             if not self._open_polls:
-                await asyncio.sleep(left)
+                await asyncio.sleep(remaining_seconds)
                 return
             tasks = [poll.task for poll in self._open_polls]
-            await asyncio.wait(tasks, timeout=left, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(tasks, timeout=remaining_seconds, return_when=asyncio.FIRST_COMPLETED)
             finished = next((poll for poll in self._open_polls if poll.task.done()), None)
             if finished is None:
                 continue
@@ -141,7 +148,7 @@
                 self._connection, update = finished.task.result()
             except PollFailedError as err:
                 pause_ms = self._handle_failure(finished, err.failure, err.cause)
-                due = loop.time() + pause_ms / MS_PER_SECOND
+                next_poll_at = loop.time() + pause_ms / MS_PER_SECOND
                 continue
             await self._handle_answer(newest, finished, update)
             return
@@ -153,32 +160,32 @@
         self._addresses.on_poll_answered(answered.address)
         self.tracker.on_poll_answered()
         elapsed_ms = self._transport.clock() - newest.started_at
-        ignored_long_poll = (
+        is_long_poll_ignored = (
             newest.long_poll_ms > RETRY_PAUSE_MS > elapsed_ms
             and update.generation <= self._listener.generation
         )
-        self._listener.on_watch_answered(WatchAnswered(self, answered.address, update, self._after_move))
-        self._after_move = False
-        if ignored_long_poll:
-            # An agent that answers a long poll at once, without a change, must not be polled without pause.
+        self._listener.on_watch_answered(WatchAnswered(self, answered.address, update, self._is_after_move))
+        self._is_after_move = False
+        if is_long_poll_ignored:
+            # Without a pause, an agent that answers long polls at once would be polled in a busy loop.
             await asyncio.sleep(self.tracker.retry_pause_ms() / MS_PER_SECOND)
 
     async def _handle_timeout(self) -> None:
-        timeout = TimeoutError("no answer")
+        timeout = TimeoutError("discovery did not answer in time")
         pause_ms = self._handle_failure(self._open_polls[-1], PollFailure.TIMEOUT, timeout)
         if self.tracker.max_open_polls == 1:
             close_polls(self._open_polls)
             await asyncio.sleep(pause_ms / MS_PER_SECOND)
 
     def _handle_failure(self, poll: OpenPoll, failure: PollFailure, cause: Exception) -> float:
-        """Handles the failure of a poll; returns the time in ms until the next poll."""
-        counted_failure = self._addresses.on_poll_failed(failure)
-        if counted_failure is None:
+        """Handles the failure of a poll and returns the time in ms until the next poll."""
+        reported_failure = self._addresses.on_poll_failed(failure)
+        if reported_failure is None:
             return 0.0
         now = self._transport.clock()
-        if counted_failure is PollFailure.TIMEOUT and not self.tracker.reconnecting:
-            # Only a poll on a new connection shows whether more than this one connection has failed.
-            return self.tracker.on_poll_failed(now, counted_failure)
-        pause_ms = self.tracker.on_poll_failed(now, counted_failure, poll.started_at)
-        self._listener.on_watch_failed(WatchFailed(self, self._addresses.address, counted_failure, cause))
+        if reported_failure is PollFailure.TIMEOUT and not self.tracker.is_reconnecting:
+            # Possibly only the reused connection has failed; the next poll, on a new connection, shows it.
+            return self.tracker.on_poll_failed(now, reported_failure)
+        pause_ms = self.tracker.on_poll_failed(now, reported_failure, poll.started_at)
+        self._listener.on_watch_failed(WatchFailed(self, self._addresses.address, reported_failure, cause))
         return pause_ms
--- a/onyxpost/edge/messages/request_headers.py
+++ b/onyxpost/edge/messages/request_headers.py
@@ -1,4 +1,4 @@
-"""Decodes clients' requests from their headers, and encodes the answers to them."""
+"""Decodes the headers of client requests and encodes the answers."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     from onyxpost.config.deployment import Deployment
 
 MAX_BODY_BYTES = 64 * 1024
-MAX_INTEGER_DIGITS = 9  # bounds the numbers in headers, below 10^9
+MAX_INTEGER_DIGITS = 9  # numbers in headers are less than 10^9
 
-# Headers of a single connection, which a proxy must not forward (RFC 9110, section 7.6.1).
+# Headers for one connection only, which a proxy must not forward (RFC 9110, section 7.6.1).
 HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
@@ -31,17 +31,25 @@
         b"upgrade",
     }
 )
-# Not returned to clients: also headers that only app servers and edge nodes use between them.
+# Besides hop-by-hop headers, clients do not get the headers that app servers send only to edge nodes.
 HEADERS_NOT_RETURNED = HOP_BY_HOP_HEADERS | {b"content-length", b"x-never-ran", b"endpoint-load-metrics"}
-SINGLE_HEADERS = (b"x-trace-id", b"plan", b"cookie", b"x-expires-in", b"quota-info", b"idempotency-key")
-CUSTOMER_KEY = re.compile(rb"0{7}[01][0-9a-fA-F]{8}")  # 16 hexadecimal digits, a number below 2^33
-DURATION = re.compile(rb"([0-9]{1,12}(?:\.[0-9]{1,9})?)([mu])")  # milliseconds or microseconds
+NON_REPEATABLE_HEADERS = (
+    b"x-trace-id",
+    b"plan",
+    b"cookie",
+    b"x-expires-in",
+    b"quota-info",
+    b"idempotency-key",
+)
+CUSTOMER_KEY = re.compile(rb"0{7}[01][0-9a-fA-F]{8}")  # 16 hexadecimal digits of a number less than 2^33
+# A duration in milliseconds (m) or microseconds (u).
+DURATION_PATTERN = re.compile(rb"([0-9]{1,12}(?:\.[0-9]{1,9})?)([mu])")
 
 HeaderValues = dict[bytes, bytes]
 
 
 class EncodedAnswer(NamedTuple):
-    """An answer as HTTP."""
+    """The status, headers and body of an HTTP response to a client."""
 
     status: int
     headers: Headers
@@ -49,7 +57,7 @@
 
 
 class _RequestFields(NamedTuple):
-    """The decoded headers of a request, not checked against the deployment yet."""
+    """The decoded headers of a request, before they are checked against the deployment."""
 
     trace_id: str
     plan: str
@@ -63,10 +71,10 @@
 def decode_request(
     connection_id: int, received_at: float, request: h11.Request, deployment: Deployment
 ) -> ClientRequest:
-    """Decodes the head of a request; its body has not been received yet.
+    """Decodes the head of a request; the body of the result is empty.
 
     Raises:
-        RequestRejectedError: the request is malformed, or does not fit this deployment.
+        RequestRejectedError: the request is malformed or does not match the deployment.
     """
     headers: Headers = list(request.headers)
     values = dict(headers)
@@ -97,7 +105,7 @@
 
 
 def encode_answer(answer: SendAnswer) -> EncodedAnswer:
-    """Encodes a request's final answer."""
+    """Encodes the final answer to a request as an HTTP response."""
     if answer.outcome is FinalAnswer.FORWARDED and answer.response is not None:
         headers = [header for header in answer.response.headers if header[0] not in HEADERS_NOT_RETURNED]
         return EncodedAnswer(200, headers, answer.response.body)
@@ -112,15 +120,15 @@
     if len(values) == len(headers):
         return
     names = [name for name, _ in headers]
-    if any(names.count(name) > 1 for name in SINGLE_HEADERS):
+    if any(names.count(name) > 1 for name in NON_REPEATABLE_HEADERS):
         raise RequestRejectedError(400, "a header twice")
 
 
 def _decode_content_length(values: HeaderValues) -> int:
-    # Two lengths may be read differently by two servers, which hides a second request in a body (request
-    # smuggling).
+    # Servers may disagree on which of two lengths applies, which can hide a second request in a body
+    # (request smuggling).
     if b"transfer-encoding" in values and b"content-length" in values:
-        raise RequestRejectedError(400, "two lengths", framing_unknown=True)
+        raise RequestRejectedError(400, "two lengths", is_framing_unknown=True)
     content_length = int(values.get(b"content-length", 0))
     if content_length > MAX_BODY_BYTES:
         raise RequestRejectedError(413, "body over 64 KiB")
@@ -128,7 +136,7 @@
 
 
 def _find_frontend(target: bytes, deployment: Deployment) -> Frontend:
-    """Finds the frontend that the first segment of the path names."""
+    """Returns the frontend that the first segment of the path names."""
     path = target.split(b"?", 1)[0]
     first_segment = path.split(b"/", 2)[1:2]
     for frontend in deployment.frontends:
@@ -168,9 +176,9 @@
     if not fields.trace_id or not CUSTOMER_KEY.fullmatch(fields.customer_key) or not fields.timeout_ms > 0.0:
         raise RequestRejectedError(400, "malformed header")
     max_units = deployment.max_request_units or fields.units
-    units_in_range = 0 < fields.units <= max_units
-    set_size_in_range = 0 < fields.set_size <= deployment.node_count
-    if not (units_in_range and set_size_in_range and fields.first_node < deployment.node_count):
+    are_units_in_range = 0 < fields.units <= max_units
+    is_set_size_in_range = 0 < fields.set_size <= deployment.node_count
+    if not (are_units_in_range and is_set_size_in_range and fields.first_node < deployment.node_count):
         raise RequestRejectedError(400, "quota-info out of range")
     if not any(plan.name == fields.plan for plan in deployment.plans):
         raise RequestRejectedError(400, "unknown plan")
@@ -186,14 +194,14 @@
 
 
 def _decode_integer(text: bytes) -> int:
-    """Decodes digits; `int` would also accept a sign, blanks and underscores."""
+    """Decodes decimal digits; `int` alone would also accept a sign, blanks and underscores."""
     if not text.isdigit() or len(text) > MAX_INTEGER_DIGITS:
         raise ValueError(f"no number: {text[:20]!r}")
     return int(text)
 
 
 def _decode_duration_ms(text: bytes) -> float:
-    duration = DURATION.fullmatch(text)
+    duration = DURATION_PATTERN.fullmatch(text)
     if duration is None:
         raise ValueError("x-expires-in")
     return float(duration[1]) / (1.0 if duration[2] == b"m" else US_PER_MS)
--- a/onyxpost/edge/upstream_pool.py
+++ b/onyxpost/edge/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Runs attempts on pooled connections to the app servers; each attempt is written once and ends once."""
+"""Runs attempts on pooled connections to app servers; each attempt is sent at most once and ends once."""
 
 from __future__ import annotations
 
@@ -29,24 +29,26 @@
 
     from onyxpost.runtime.transport import Transport
 
-IDLE_SHARE_OF_KEEP_ALIVE = 0.75  # of the servers' keep-alive; closed here before servers do
-# An idle connection is reused no sooner than this after its last response: surplus bytes behind a response
+# Idle connections are closed after this share of the servers' keep-alive, before the servers close them.
+IDLE_TIMEOUT_FRACTION = 0.75
+# Minimum time between a response and the reuse of its connection. Without it, surplus bytes after a response
 # would be read as the response to the next request.
-MIN_IDLE_MS = 30.0
-COMPLETE_RESPONSES = (AttemptResult.ERROR, AttemptResult.FULL)  # besides OK, whose response is returned
+MIN_IDLE_BEFORE_REUSE_MS = 30.0
+# Results of attempts with a complete response that is not forwarded.
+COMPLETE_RESPONSE_RESULTS = (AttemptResult.ERROR, AttemptResult.FULL)
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamPoolOptions:
-    """Timeouts and callbacks that the pool gets from its node.
+    """Timeouts and callbacks of the pool.
 
     Attributes:
-        connect_timeout_ms: for a new connection; 0: none.
-        keep_alive_ms: how long the app servers keep an idle connection open.
+        connect_timeout_ms: limit for establishing a connection; 0 means no limit.
+        keep_alive_ms: time for which app servers keep an idle connection open.
         has_capacity: returns whether one more descriptor may be opened.
-        accepts_requests: returns whether an endpoint exists and is not draining.
-        may_start: returns whether an attempt may still be written, given the ms left for it.
-        report_fault: logs unexpected errors.
+        accepts_requests: returns whether an endpoint accepts new attempts.
+        may_start: returns whether an attempt may still be sent, given its remaining time in ms.
+        report_fault: logs an unexpected exception.
     """
 
     connect_timeout_ms: float
@@ -58,15 +60,16 @@
 
 
 class UpstreamPool:
-    """Idle and busy connections to all app servers, and the attempts in flight.
+    """Holds the connections to all app servers, and the attempts in flight.
 
     Attributes:
         post: receives the end of each attempt.
-        has_capacity, may_start: as in the options.
+        has_capacity: see `UpstreamPoolOptions`.
+        may_start: see `UpstreamPoolOptions`.
         clock: the transport's clock, in ms.
-        connection_count: how many connections are open, idle ones too.
-        idle_connections: by endpoint, those idle longest first.
-        tasks: the attempts in flight.
+        connection_count: number of open connections, including idle ones.
+        idle_connections: the idle connections by endpoint, longest idle first.
+        tasks: the tasks of the attempts in flight, by attempt id.
     """
 
     def __init__(
@@ -81,42 +84,47 @@
         self.idle_connections: dict[Endpoint, list[UpstreamConnection]] = {}
         self.tasks: dict[int, asyncio.Task[None]] = {}
         self._options = options
-        self._idle_timeout_ms = IDLE_SHARE_OF_KEEP_ALIVE * options.keep_alive_ms
-        self._withdrawn: set[int] = set()
+        self._idle_timeout_ms = IDLE_TIMEOUT_FRACTION * options.keep_alive_ms
+        self._withdrawn_attempt_ids: set[int] = set()
 
-    def send(self, send: SendAttempt) -> None:
-        """Starts an attempt; its end is posted as `AttemptEnded`."""
+    def send(self, attempt: SendAttempt) -> None:
+        """Starts an attempt, whose end is posted as `AttemptEnded`."""
         loop = asyncio.get_running_loop()
-        self.tasks[send.attempt_id] = loop.create_task(self._run(send, self.clock()))
+        self.tasks[attempt.attempt_id] = loop.create_task(self._run(attempt, self.clock()))
 
-    def cancel(self, attempt: int) -> None:
-        """Ends an attempt by closing its connection."""
-        task = self.tasks.get(attempt)
+    def cancel(self, attempt_id: int) -> None:
+        """Ends an attempt in flight by closing its connection."""
+        task = self.tasks.get(attempt_id)
         if task is not None and inspect.getcoroutinestate(cast(Any, task.get_coro())) == inspect.CORO_CREATED:
-            # A task that is cancelled before its first step would never post the attempt's end.
-            del self.tasks[attempt]
-            self._withdrawn.discard(attempt)
-            self.post(AttemptEnded(attempt, AttemptResult.UNUSED, 0.0))
+            # A task that is cancelled before its first step never runs, and so would not post the end.
+            del self.tasks[attempt_id]
+            self._withdrawn_attempt_ids.discard(attempt_id)
+            self.post(AttemptEnded(attempt_id, AttemptResult.UNUSED, 0.0))
         if task is not None:
             task.cancel()
 
-    def withdraw(self, attempt: int) -> None:
-        """Keeps an attempt from being written, if it has not been yet."""
-        if attempt in self.tasks:
-            self._withdrawn.add(attempt)
+    def withdraw(self, attempt_id: int) -> None:
+        """Prevents an attempt from being sent, unless sending has begun."""
+        if attempt_id in self.tasks:
+            self._withdrawn_attempt_ids.add(attempt_id)
 
     def retire_endpoint(self, endpoint: Endpoint) -> None:
-        """Closes the idle connections to a server that drains, is gone or has moved; busy ones once released.
+        """Closes the idle connections to an endpoint that is draining, gone or has another address.
 
-        Another server may get its address.
+        Another server may get the address, so that the connections must not be reused. Busy connections are
+        closed once they are released.
         """
         for connection in self.idle_connections.pop(endpoint, []):
             self.close_connection(connection)
 
     async def connect(self, endpoint: Endpoint) -> UpstreamConnection:
-        """Opens a connection. Raises OSError."""
+        """Opens a connection to an endpoint.
+
+        Raises:
+            OSError: no descriptor is left, or the connection was not established in time or is unusable.
+        """
         if not self.has_capacity():
-            raise OSError(errno.EMFILE, "no descriptor left")
+            raise OSError(errno.EMFILE, "no file descriptor left for an upstream connection")
         self.connection_count += 1
         timeout_ms = self._options.connect_timeout_ms
         try:
@@ -125,11 +133,11 @@
             if connection.has_no_unread_input():
                 return connection
             connection.abort()
-            raise OSError("closed, or spoke, before it was asked")  # noqa: TRY301 - handled below as any error
+            raise OSError("server closed or sent bytes before a request")  # noqa: TRY301 - handled below
         except BaseException as err:
             self.connection_count -= 1
             if isinstance(err, TimeoutError):
-                raise OSError("never came up") from err
+                raise OSError("connection not established within the connect timeout") from err
             raise
 
     async def open_connection(self, endpoint: Endpoint) -> UpstreamConnection:
@@ -139,12 +147,12 @@
         return UpstreamConnection(endpoint, dialed)
 
     def close_connection(self, connection: UpstreamConnection) -> None:
-        """Closes a connection that is not, or no longer, among the idle ones."""
+        """Closes a connection that is not in `idle_connections`."""
         self.connection_count -= 1
         connection.abort()
 
     def close_expired(self) -> None:
-        """Closes the connections that have been idle for too long or that the server has closed."""
+        """Closes idle connections that have reached the idle timeout or were closed by the server."""
         for endpoint, connections in list(self.idle_connections.items()):
             kept = []
             for connection in connections:
@@ -157,7 +165,11 @@
                 del self.idle_connections[endpoint]
 
     def evict_oldest_idle(self) -> bool:
-        """Closes the connection that has been idle for longest; returns whether there was one."""
+        """Closes the connection that has been idle for the longest time.
+
+        Returns:
+            Whether there was an idle connection.
+        """
         candidates = (connections[0] for connections in self.idle_connections.values() if connections)
         oldest = min(candidates, key=lambda connection: connection.idle_since, default=None)
         if oldest is None:
@@ -173,19 +185,25 @@
         while self.evict_oldest_idle():
             pass
 
-    async def _run(self, send: SendAttempt, started_at: float) -> None:
-        """Runs one attempt and posts its end, whatever happens."""
+    async def _run(self, attempt: SendAttempt, started_at: float) -> None:
+        """Runs one attempt and posts its end, also after an exception or cancellation."""
         connection: UpstreamConnection | None = None
         result = AttemptResult.NO_CONNECTION
         response: UpstreamResponse | None = None
         try:
-            async with asyncio.timeout(send.timeout_ms / MS_PER_SECOND):
-                connection = self._take_idle(send.endpoint) or await self.connect(send.endpoint)
-                left_ms = send.timeout_ms - (self.clock() - started_at)
-                if send.attempt_id in self._withdrawn or not self.may_start(send, left_ms):
+            async with asyncio.timeout(attempt.timeout_ms / MS_PER_SECOND):
+                connection = self._take_idle_connection(attempt.endpoint) or await self.connect(
+                    attempt.endpoint
+                )
+                remaining_ms = attempt.timeout_ms - (self.clock() - started_at)
+                if attempt.attempt_id in self._withdrawn_attempt_ids or not self.may_start(
+                    attempt, remaining_ms
+                ):
                     result = AttemptResult.UNUSED
                     return
-                result, response = await connection.exchange(*forwarded_request(send.request, left_ms))
+                result, response = await connection.exchange(
+                    *forwarded_request(attempt.request, remaining_ms)
+                )
         except TimeoutError:
             result = _result_if_sent(connection, AttemptResult.EXPIRED)
         except asyncio.CancelledError:
@@ -193,24 +211,28 @@
         except Exception as err:
             result = self._handle_error(connection, err)
         finally:
-            self.tasks.pop(send.attempt_id, None)
-            self._withdrawn.discard(send.attempt_id)
+            self.tasks.pop(attempt.attempt_id, None)
+            self._withdrawn_attempt_ids.discard(attempt.attempt_id)
             if connection is not None:
-                is_complete = response is not None or result in COMPLETE_RESPONSES
+                is_complete = response is not None or result in COMPLETE_RESPONSE_RESULTS
                 self._release(connection, completed=is_complete)
-            self.post(AttemptEnded(send.attempt_id, result, self.clock() - started_at, response))
+            self.post(AttemptEnded(attempt.attempt_id, result, self.clock() - started_at, response))
 
     def _handle_error(self, connection: UpstreamConnection | None, err: Exception) -> AttemptResult:
         if not isinstance(err, OSError | EOFError | h11.RemoteProtocolError):
-            self._options.report_fault("server", err)
+            self._options.report_fault("upstream attempt", err)
         if connection is None and getattr(err, "errno", None) in LOCAL_RESOURCE_ERRNOS:
-            return AttemptResult.UNUSED  # a shortage of this node: the server must not be ejected for it
+            return AttemptResult.UNUSED  # the server must not be ejected for a shortage of this node
         return _result_if_sent(connection, AttemptResult.LOST)
 
-    def _take_idle(self, endpoint: Endpoint) -> UpstreamConnection | None:
-        """Takes the most recently used connection past `MIN_IDLE_MS`, so that the others can expire."""
+    def _take_idle_connection(self, endpoint: Endpoint) -> UpstreamConnection | None:
+        """Removes and returns the most recently used connection that may be reused.
+
+        A connection may be reused once it has been idle for `MIN_IDLE_BEFORE_REUSE_MS`. The other connections
+        stay idle and can expire.
+        """
         connections = self.idle_connections.get(endpoint, [])
-        latest_release = self.clock() - MIN_IDLE_MS
+        latest_release = self.clock() - MIN_IDLE_BEFORE_REUSE_MS
         for index in range(len(connections) - 1, -1, -1):
             if connections[index].idle_since <= latest_release:
                 connection = connections.pop(index)
@@ -223,7 +245,12 @@
         return not connection.is_unusable() and self.clock() - connection.idle_since < self._idle_timeout_ms
 
     def _release(self, connection: UpstreamConnection, *, completed: bool) -> None:
-        """Returns a connection to the pool; `completed`: the attempt's response was read to its end."""
+        """Returns a connection to the pool, or closes it.
+
+        Args:
+            connection: the connection of an attempt that has ended.
+            completed: whether the response was read to its end.
+        """
         endpoint = connection.endpoint
         if completed and connection.prepare_reuse() and self._options.accepts_requests(endpoint):
             connection.on_released(self.clock())
@@ -233,6 +260,9 @@
 
 
 def _result_if_sent(connection: UpstreamConnection | None, result: AttemptResult) -> AttemptResult:
-    """Returns `result` if the request's last byte was sent: until then no server can have executed it."""
+    """Returns `result` if the request was sent completely, else `NO_CONNECTION`.
+
+    A server cannot have executed a request whose last byte was not sent.
+    """
     is_sent = connection is not None and connection.is_request_sent()
     return result if is_sent else AttemptResult.NO_CONNECTION
--- a/tests/edge/test_client_capacity.py
+++ b/tests/edge/test_client_capacity.py
@@ -1,4 +1,8 @@
-"""Which connections give way when a node has many of them, over loopback."""
+"""Order in which a node with few descriptors closes connections, over loopback.
+
+With a wrong order, idle clients take the descriptors that upstream connections need, or a client with a
+request is closed before one that sends nothing.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +24,7 @@
 async def test_idle_clients_leave_descriptors_for_upstream_connections() -> None:
     async with StubAppServer() as server, RunningNode(server.address, limits={"sockets": 40}) as edge:
         writers = []
-        for number in range(40):  # each asks once, and stays
+        for number in range(40):  # each sends one request and stays connected
             reader, writer = await asyncio.open_connection(*edge.address)
             writers.append(writer)
             writer.write(encode_request(trace=f"t{number}"))
@@ -41,22 +45,22 @@
             await reader.readuntil(b"hello")
             writer.close()
         await wait_until(lambda: len(edge.program.clients.connections.open) <= 1)
-        links = edge.program.servers.connection_count
-        edge.file = node_fields(limits={"sockets": 8})  # less than is open
+        connection_count = edge.program.servers.connection_count
+        edge.file = node_fields(limits={"sockets": 8})  # less than the number of open connections
         edge.program.reload()
         _, writer = await asyncio.open_connection(*edge.address)
         await wait_until(lambda: len(edge.program.clients.connections.open) >= 2)
-        assert edge.program.servers.connection_count < links
+        assert edge.program.servers.connection_count < connection_count
         writer.close()
 
 
 @in_event_loop
 async def test_a_silent_client_is_evicted_before_one_that_has_sent_a_request() -> None:
     async with StubAppServer() as server, RunningNode(server.address, limits={"sockets": 8}) as edge:
-        await edge.send_request(encode_request(trace="a"))  # from the third on, one gives way
+        await edge.send_request(encode_request(trace="a"))  # the third client needs an eviction
         silent, _ = await asyncio.open_connection(*edge.address)
         await wait_until(lambda: len(edge.program.clients.connections.open) >= 2)
-        with mock.patch.object(client_eviction, "GRACE_FOR_REQUEST_MS", -1.0):
+        with mock.patch.object(client_eviction, "INCOMPLETE_REQUEST_GRACE_MS", -1.0):
             _, third = await asyncio.open_connection(*edge.address)
             assert await asyncio.wait_for(silent.read(), 5.0) == b""
         assert (await edge.send_request(encode_request(trace="b")))[1] == b"hello"
--- a/tests/edge/test_client_closing.py
+++ b/tests/edge/test_client_closing.py
@@ -1,4 +1,8 @@
-"""A node that closes a client's connection: what has arrived is answered, and nothing is reset."""
+"""A node that closes a client connection answers the requests that have arrived, and resets nothing.
+
+A request may arrive in the same turn of the event loop in which the node closes the connection, while its
+bytes are still unread in the kernel or in the stream reader.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,7 @@
 
 from onyxpost.edge import client_connections
 from onyxpost.runtime.http1 import encode_message
-from tests.edge.client_sockets import begin_shutdown, connect_client, idle_client, read_to_end
+from tests.edge.client_sockets import begin_shutdown, connect_client, connect_idle_client, read_to_end
 from tests.edge.event_loop import in_event_loop, wait_until
 from tests.edge.harness import (
     RunningNode,
@@ -24,7 +28,7 @@
 
 def close_expired(edge: RunningNode) -> None:
     for client in edge.program.clients.connections.open.values():
-        client.deadline = client.deadline if client.awaits_answer else 0.0
+        client.deadline = client.deadline if client.has_unanswered_request else 0.0
     edge.program.clients.closer.close_expired()
 
 
@@ -32,16 +36,16 @@
     edge.program.clients.eviction.evict_connection()
 
 
-def feed_then_close(close: Close, edge: RunningNode) -> Callable[[Any, bytes], None]:
-    """`StreamReader.feed_data`, and a close before the task that reads has its turn."""
+def close_after_feed(close: Close, edge: RunningNode) -> Callable[[Any, bytes], None]:
+    """Returns `StreamReader.feed_data` followed by a close, before the reading task runs."""
     feed = asyncio.StreamReader.feed_data
 
-    def then_close(reader: Any, data: bytes) -> None:
+    def feed_and_close(reader: Any, data: bytes) -> None:
         feed(reader, data)
         if b"/check/" in data:
             close(edge)
 
-    return then_close
+    return feed_and_close
 
 
 CLOSES: tuple[Close, ...] = (begin_shutdown, close_expired, evict)
@@ -51,8 +55,8 @@
 @in_event_loop
 async def test_an_unread_request_keeps_its_connection_open_and_is_answered(close: Close) -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        client = await idle_client(edge)
-        client.sendall(encode_request(trace="b"))  # in the kernel: the loop has not run
+        client = await connect_idle_client(edge)
+        client.sendall(encode_request(trace="b"))  # unread in the kernel, as the event loop has not run
         close(edge)
         begin_shutdown(edge)
         assert b"hello" in await read_to_end(client)
@@ -64,8 +68,8 @@
 @in_event_loop
 async def test_a_buffered_request_keeps_its_connection_open_and_is_answered(close: Close) -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        client = await idle_client(edge)
-        with mock.patch.object(asyncio.StreamReader, "feed_data", feed_then_close(close, edge)):
+        client = await connect_idle_client(edge)
+        with mock.patch.object(asyncio.StreamReader, "feed_data", close_after_feed(close, edge)):
             client.sendall(encode_request(trace="b"))
             await wait_until(lambda: len(server.got) == 2)
         begin_shutdown(edge)
@@ -77,10 +81,10 @@
 @in_event_loop
 async def test_a_request_after_the_close_is_not_forwarded_and_causes_no_reset(close: Close) -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        client = await idle_client(edge)
+        client = await connect_idle_client(edge)
         close(edge)
         client.sendall(encode_request(trace="b"))
-        assert await read_to_end(client) == b""  # its client sends it once more
+        assert await read_to_end(client) == b""  # the client retries after the end of stream
         client.sendall(encode_request(trace="c"))
         client.close()
         await wait_until(lambda: not edge.program.clients.connections.closing)
@@ -90,23 +94,27 @@
 @in_event_loop
 async def test_a_client_that_never_closes_is_aborted_and_counts_until_then() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        client = await idle_client(edge)
+        client = await connect_idle_client(edge)
         program = edge.program
-        in_use_before = program.descriptors.in_use()
+        in_use_before = program.descriptors.in_use_count()
         begin_shutdown(edge)
-        assert (program.descriptors.in_use(), len(program.clients.connections.open)) == (in_use_before, 0)
+        assert (program.descriptors.in_use_count(), len(program.clients.connections.open)) == (
+            in_use_before,
+            0,
+        )
         (closing,) = program.clients.connections.closing.values()
         assert closing.deadline <= program.clock() + client_connections.LINGER_MS
         closing.deadline = 0.0
-        await wait_until(lambda: not program.clients.connections.closing)  # the close_expired's
-        assert (program.descriptors.in_use(), await read_to_end(client)) == (in_use_before - 1, b"")
+        # The node calls `close_expired` periodically, which aborts the connection.
+        await wait_until(lambda: not program.clients.connections.closing)
+        assert (program.descriptors.in_use_count(), await read_to_end(client)) == (in_use_before - 1, b"")
         client.close()
 
 
 @in_event_loop
 async def test_a_closing_connection_with_unread_bytes_gets_one_extension() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        client = await idle_client(edge)
+        client = await connect_idle_client(edge)
         begin_shutdown(edge)
         (closing,) = edge.program.clients.connections.closing.values()
         for is_kept in (True, False):
@@ -120,9 +128,9 @@
 @in_event_loop
 async def test_a_closing_connection_is_aborted_when_descriptors_run_out() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        client = await idle_client(edge)
+        client = await connect_idle_client(edge)
         begin_shutdown(edge)
-        with mock.patch.object(edge.program.descriptors, "in_use", autospec=True, return_value=1 << 30):
+        with mock.patch.object(edge.program.descriptors, "in_use_count", autospec=True, return_value=1 << 30):
             upstream_count = edge.program.servers.connection_count
             assert edge.program.descriptors.has_server_capacity()
         assert (edge.program.clients.connections.closing, edge.program.servers.connection_count) == (
@@ -137,11 +145,11 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         client = connect_client(edge)
 
-        def crossed(*args: Any) -> bytes:
+        def encode_after_next_request(*args: Any) -> bytes:
             client.sendall(encode_request(trace="b"))
             return encode_message(*args)
 
-        with mock.patch("onyxpost.edge.client_http.encode_message", crossed):
+        with mock.patch("onyxpost.edge.client_http.encode_message", encode_after_next_request):
             client.sendall(encode_request(trace="a", Connection="close"))
             assert (await read_to_end(client)).endswith(b"hello")
         client.close()
--- a/tests/edge/test_client_flow_control.py
+++ b/tests/edge/test_client_flow_control.py
@@ -1,4 +1,8 @@
-"""Clients that send too much or read too little delay no other, and their memory is bounded."""
+"""Clients that send too much or read too little do not delay other clients or exhaust memory.
+
+A node without these limits buffers all answers that a client does not read, and processes all its input
+before that of other clients.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +10,7 @@
 import socket
 
 from onyxpost.edge import client_http
-from tests.edge.client_sockets import RESET, connect_client
+from tests.edge.client_sockets import LINGER_RESET, connect_client
 from tests.edge.event_loop import in_event_loop, wait_until
 from tests.edge.harness import (
     RunningNode,
@@ -44,7 +48,7 @@
                 client.sendall(encode_request(trace=f"t{sent_count}"))
                 while connection.connection_id in edge.program.clients.connections.open and (
                     edge.program.state_machine.requests.received_count < sent_count
-                    or connection.awaits_answer
+                    or connection.has_unanswered_request
                 ):
                     await asyncio.sleep(0)
         assert sent_count < 400
@@ -59,13 +63,13 @@
     floods = (encode_request("other") * 500, encode_request() * 500, b"\0" * 90000, endless)
     async with StubAppServer(*[None] * 600) as server, RunningNode(server.address) as edge:
         server.answers.clear()
-        for turn in range(20):  # each comes again at once
+        for turn in range(20):  # each client reconnects at once
             for number, flood in enumerate(floods):
                 client = connect_client(edge)
                 client.setblocking(False)
                 client.send(flood)
                 if number % 2:
-                    client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                    client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
                 client.close()
             assert (await edge.send_request(encode_request(trace=f"good{turn}")))[1] == b"hello"
         await wait_until(
--- a/tests/edge/test_readiness.py
+++ b/tests/edge/test_readiness.py
@@ -1,4 +1,8 @@
-"""A node that restarts is ready soon, whatever the state of discovery; on the virtual clock."""
+"""A node that restarts is ready soon, whatever the state of discovery; on the virtual clock.
+
+A node that waited until discovery answers, or for a long drain grace period, would serve no requests for that
+time when it restarts during an outage of discovery.
+"""
 
 from __future__ import annotations
 
@@ -22,13 +26,13 @@
 NEVER_MS = float("inf")
 READY_WITHIN_MS = INITIAL_ENDPOINTS_TIMEOUT_MS + 100.0
 POLL_SECONDS = 0.001
-READ_SIZE = 65536
-ACCEPTS = 16
+READ_SIZE_BYTES = 65536
+MAX_ACCEPTS_PER_TURN = 16
 GENERATION = 9
 
 
 class SlowAgent(Agent):
-    """Answers each poll after some time, with a server that drains."""
+    """Answers the first poll of each connection with a draining server after `answers_after_ms`."""
 
     def __init__(self, answers_after_ms: float) -> None:
         super().__init__(NEVER_MS)
@@ -47,7 +51,7 @@
 
 
 class RunningNode:
-    """A node that has been started on the virtual network."""
+    """An edge node that runs on the virtual network."""
 
     def __init__(self, network: Network, name: str, agent: str, settings: dict[str, Any]) -> None:
         rules = SETTINGS["rules"] | {"drain_grace_us": LONG_DRAIN_GRACE_US}
@@ -69,12 +73,14 @@
 
 
 def start_beside(agent: Agent | None, is_cut_off: bool = False) -> tuple[float, int]:
-    """Starts a node; returns after how many ms it is ready, and its generation of endpoints 5 s later."""
+    """Starts a node and returns the time in ms until it is ready, and its generation 5 s later."""
 
     async def main() -> tuple[float, int]:
         network = Network(Random(1))
         if agent is not None:
-            await network.host("agent").listen(agent.serve, ("agent", 1), READ_SIZE, ACCEPTS)
+            await network.host("agent").listen(
+                agent.serve, ("agent", 1), READ_SIZE_BYTES, MAX_ACCEPTS_PER_TURN
+            )
         if is_cut_off:
             network.cut_off.add("agent")
         started = RunningNode(network, "n0", "agent:1", settings={})
@@ -117,7 +123,9 @@
         starting = []
         for index in range(NODE_COUNT):
             serve = partial(service.serve, index)
-            await network.host(f"agent{index}").listen(serve, (f"a{index}", 1), READ_SIZE, ACCEPTS)
+            await network.host(f"agent{index}").listen(
+                serve, (f"a{index}", 1), READ_SIZE_BYTES, MAX_ACCEPTS_PER_TURN
+            )
             starting.append(RunningNode(network, f"n{index}", f"a{index}:1", {"discovery": "on_request"}))
         ready_at_ms = []
         while starting:
--- a/tests/edge/test_shutdown_clients.py
+++ b/tests/edge/test_shutdown_clients.py
@@ -1,4 +1,8 @@
-"""Other clients of a node that still owes one long answer after SIGTERM."""
+"""Other clients of a node that waits for one slow answer after SIGTERM.
+
+Connections that stay open could bring late requests, which would be forwarded or stay unanswered when the
+node exits.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +31,7 @@
     assert len(server.got) == 1
 
 
-@pytest.mark.usefixtures("short_accept", "no_request_timeout")
+@pytest.mark.usefixtures("short_accept_time", "long_request_timeout")
 @in_event_loop
 async def test_a_connection_without_a_request_by_then_is_closed() -> None:
     async with StubAppServer(None) as server, RunningNode(server.address) as edge:
@@ -41,7 +45,7 @@
         await assert_only_the_long_request_was_forwarded(edge, server)
 
 
-@pytest.mark.usefixtures("short_accept", "no_request_timeout")
+@pytest.mark.usefixtures("short_accept_time", "long_request_timeout")
 @in_event_loop
 async def test_a_request_that_is_incomplete_by_then_is_rejected() -> None:
     async with StubAppServer(None) as server, RunningNode(server.address) as edge:
@@ -59,7 +63,7 @@
 
 
 async def send_until_refused(edge: RunningNode, name: str, answers: list[bytes]) -> None:
-    """Sends requests on one connection after another until the node does not listen any more."""
+    """Sends requests on one connection after another until the node stops listening."""
     with contextlib.suppress(OSError):
         for connection in range(10_000):
             reader, writer = await asyncio.open_connection(*edge.address)
@@ -67,14 +71,14 @@
                 writer.write(encode_request(trace=f"{name}-{connection}-{number}"))
                 answer = await reader.read(65536)
                 if not answer:
-                    break  # the request crossed the close, and is sent again
+                    break  # the node had closed the connection, and the client retries on a new one
                 answers.append(answer)
                 if b"connection: close" in answer.lower():
                     break
             writer.close()
 
 
-@pytest.mark.usefixtures("short_accept", "no_request_timeout")
+@pytest.mark.usefixtures("short_accept_time", "long_request_timeout")
 @in_event_loop
 async def test_clients_that_go_on_sending_are_answered_or_see_the_connection_close() -> None:
     answers: list[bytes] = []
@@ -89,7 +93,7 @@
         assert len(answers) == edge.program.state_machine.requests.received_count
 
 
-@pytest.mark.usefixtures("short_accept", "no_request_timeout")
+@pytest.mark.usefixtures("short_accept_time", "long_request_timeout")
 @in_event_loop
 async def test_more_connections_in_the_queue_than_one_turn_accepts_are_all_answered() -> None:
     original_sleep = asyncio.sleep
@@ -99,7 +103,7 @@
         await original_sleep(seconds)
         if seconds == ACCEPT_SECONDS:
             for number, client in enumerate(clients):
-                client.connect(edge.address)  # the kernel accepts it at once
+                client.connect(edge.address)  # the connection is queued in the kernel
                 client.sendall(encode_request(trace=f"late{number}"))
 
     async with StubAppServer() as server, RunningNode(server.address) as edge:
@@ -114,7 +118,7 @@
             client.close()
 
 
-@pytest.mark.usefixtures("short_accept", "no_request_timeout")
+@pytest.mark.usefixtures("short_accept_time", "long_request_timeout")
 @in_event_loop
 async def test_a_client_that_never_closes_delays_the_exit_only_shortly() -> None:
     with pytest.MonkeyPatch.context() as patch:
--- a/tests/edge/test_staleness.py
+++ b/tests/edge/test_staleness.py
@@ -1,4 +1,8 @@
-"""From when on the list of endpoints counts as stale, and when the next poll starts."""
+"""The time from which the endpoint list counts as stale, and the time of the next poll.
+
+If the list counts as stale too late, the node sends attempts to servers that are gone. If it counts as stale
+without reason, the node stops using servers that are ready.
+"""
 
 from __future__ import annotations
 
@@ -90,9 +94,9 @@
 
 
 def test_after_a_move_the_list_is_stale_4_s_after_the_first_timeout(tracker: StalenessTracker) -> None:
-    tracker.on_poll_started(1000.0, 1.0, after_move=True)
+    tracker.on_poll_started(1000.0, 1.0, is_after_move=True)
     tracker.on_poll_failed(1251.0, PollFailure.TIMEOUT)
-    tracker.on_poll_started(1251.0, 1.0, after_move=True)
+    tracker.on_poll_started(1251.0, 1.0, is_after_move=True)
     tracker.on_poll_failed(1260.0, PollFailure.OVERLOADED)
     assert tracker.stale_in_ms(1260.0) == 1000.0 + STALE_AFTER_RELOAD_MS - 1260.0
 
@@ -118,10 +122,10 @@
     pauses = []
     for _ in range(4):
         pauses.append(tracker.on_poll_failed(now, PollFailure.OVERLOADED))
-        left_ms = tracker.stale_in_ms(now)
-        assert left_ms is not None
-        if left_ms > ANSWER_TIMEOUT_MS + RETRY_PAUSE_MS:
-            assert pauses[-1] + ANSWER_TIMEOUT_MS <= left_ms
+        remaining_ms = tracker.stale_in_ms(now)
+        assert remaining_ms is not None
+        if remaining_ms > ANSWER_TIMEOUT_MS + RETRY_PAUSE_MS:
+            assert pauses[-1] + ANSWER_TIMEOUT_MS <= remaining_ms
         now += pauses[-1]
         tracker.on_poll_started(now, 1.0)
     assert max(pauses) <= (STALE_AFTER_MS - ANSWER_TIMEOUT_MS if shared else AGENT_BACKOFF_MAX_MS)
@@ -132,8 +136,8 @@
 ) -> None:
     tracker.on_poll_started(0.0, 1.0)
     pauses = [tracker.on_poll_failed(1.0, PollFailure.MALFORMED_ANSWER) for _ in range(40)]
-    assert max(pauses) <= 1.25 * RETRY_PAUSE_MS  # within the 200 ms that keep a watch
-    assert max(pauses) - min(pauses) > 0.5 * RETRY_PAUSE_MS  # many nodes do not poll in step
+    assert max(pauses) <= 1.25 * RETRY_PAUSE_MS  # discovery keeps a watch for 200 ms without a poll
+    assert max(pauses) - min(pauses) > 0.5 * RETRY_PAUSE_MS  # jitter against simultaneous polls
     for _ in range(4):
         tracker.on_poll_failed(1.0, PollFailure.OVERLOADED)
     backoffs = [tracker.on_poll_failed(1.0, PollFailure.OVERLOADED) for _ in range(40)]
--- a/tests/edge/test_upstream_responses.py
+++ b/tests/edge/test_upstream_responses.py
@@ -1,4 +1,7 @@
-"""Responses of app servers over loopback, and the connections that they come on."""
+"""Responses of app servers and the reuse of their connections, over loopback.
+
+Surplus or late bytes on a reused connection would be forwarded as the response to another request.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
     StubAppServer,
     encode_request,
 )
-from tests.edge.harness import upstream_pool as create_pool
+from tests.edge.harness import new_upstream_pool as create_pool
 
 if TYPE_CHECKING:
     import pytest
@@ -28,7 +31,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        monkeypatch.setattr(upstream_pool, "MIN_IDLE_MS", 0.0)
+        monkeypatch.setattr(upstream_pool, "MIN_IDLE_BEFORE_REUSE_MS", 0.0)
         for trace in ("a", "b"):
             head, body = await edge.send_request(encode_request(trace=trace))
             assert (head.split(b"\r\n")[0][:12], body) == (b"HTTP/1.1 200", b"hello")
@@ -70,8 +73,8 @@
 async def test_late_bytes_on_an_idle_connection_do_not_answer_the_next_request() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         await edge.send_request(encode_request(trace="a"))
-        ((link,),) = edge.program.servers.idle_connections.values()
-        link.reader.feed_data(UPSTREAM_ANSWER.replace(b"hello", b"other"))
+        ((connection,),) = edge.program.servers.idle_connections.values()
+        connection.reader.feed_data(UPSTREAM_ANSWER.replace(b"hello", b"other"))
         assert (await edge.send_request(encode_request(trace="b")))[1] == b"hello"
 
 
@@ -79,7 +82,7 @@
 async def test_bytes_right_behind_a_response_find_no_request_to_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(upstream_pool, "MIN_IDLE_MS", 1e9)
+    monkeypatch.setattr(upstream_pool, "MIN_IDLE_BEFORE_REUSE_MS", 1e9)
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         for trace in ("a", "b"):
             assert (await edge.send_request(encode_request(trace=trace)))[1] == b"hello"
@@ -90,12 +93,12 @@
 async def test_bytes_that_the_loop_has_not_read_are_seen_before_a_request_is_written() -> None:
     pool = create_pool(print)
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        link = await pool.connect(Endpoint("s", listener.getsockname()))
-        with listener.accept()[0] as far:
-            assert link.has_no_unread_input()
-            far.send(UPSTREAM_ANSWER)
-            assert (link.is_unusable(), link.has_no_unread_input()) == (False, False)
-        pool.close_connection(link)
+        connection = await pool.connect(Endpoint("s", listener.getsockname()))
+        with listener.accept()[0] as server_side:
+            assert connection.has_no_unread_input()
+            server_side.send(UPSTREAM_ANSWER)
+            assert (connection.is_unusable(), connection.has_no_unread_input()) == (False, False)
+        pool.close_connection(connection)
 
 
 @in_event_loop
@@ -118,7 +121,7 @@
 
 @in_event_loop
 async def test_a_new_server_at_an_old_address_inherits_no_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream_pool, "MIN_IDLE_MS", 0.0)
+    monkeypatch.setattr(upstream_pool, "MIN_IDLE_BEFORE_REUSE_MS", 0.0)
     ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
     pool = create_pool(ends.put_nowait)
     async with StubAppServer() as server:
@@ -135,7 +138,7 @@
 async def test_a_connection_that_the_server_closed_is_not_reused() -> None:
     async with StubAppServer((UPSTREAM_ANSWER, True)) as server, RunningNode(server.address) as edge:
         await edge.send_request(encode_request(trace="a"))
-        ((link,),) = edge.program.servers.idle_connections.values()
-        await wait_until(lambda: link.reader.at_eof())
+        ((connection,),) = edge.program.servers.idle_connections.values()
+        await wait_until(lambda: connection.reader.at_eof())
         assert (await edge.send_request(encode_request(trace="b")))[1] == b"hello"
         assert (server.opened, len(server.got)) == (2, 2)
