--- a/onyxpost/process.py
+++ b/onyxpost/process.py
@@ -18,17 +18,17 @@
 class ExitCode(IntEnum):
     """Exit codes of a node or planner."""
 
-    STOPPED = 0  # it was told to stop
-    UNAVAILABLE = 1  # an address or another resource of the system cannot be had
+    STOPPED = 0  # stopped by a signal
+    UNAVAILABLE = 1  # an address cannot be bound, or the system refused another resource
     INVALID_FILE = 2
 
 
 class ProcessConfig(Protocol):
-    """What the file of any process says."""
+    """The values that the config files of nodes and planners have in common."""
 
     @property
     def name(self) -> str:
-        """The name of the node or planner, in each of its log lines."""
+        """The name of the node or planner, written in each of its log lines."""
 
     @property
     def log_level(self) -> str:
@@ -41,10 +41,10 @@
 def run_process(
     read_config: Callable[[], ConfigT], run: Callable[[ConfigT, StructuredLog], Coroutine[Any, Any, int]]
 ) -> int:
-    """Runs a process until it is told to stop and returns its exit code, see `ExitCode`.
+    """Runs a process until a signal stops it and returns its exit code, see `ExitCode`.
 
     Args:
-        read_config: reads the file. Raises InvalidInputError.
+        read_config: reads the config file. Raises InvalidInputError.
         run: runs the process with its config and log, and returns its exit code.
     """
     _handle_early_signals()
@@ -56,7 +56,7 @@
     lines.capture_library_logs()
     try:
         return asyncio.run(run(config, lines))
-    except InvalidInputError as err:  # of a file that the process keeps itself
+    except InvalidInputError as err:  # a file that the process itself writes is damaged
         return _report(err, ExitCode.INVALID_FILE)
     except ListenError as err:
         return _report(err, ExitCode.UNAVAILABLE)
@@ -65,9 +65,10 @@
 
 
 def _handle_early_signals() -> None:
-    """Handles signals until the event loop has its own handlers.
+    """Handles signals until the event loop has installed its own handlers.
 
-    SIGHUP is blocked until then: the file that was read may be outdated by that time.
+    SIGTERM ends the process. SIGHUP is blocked, not ignored: the file may change after it was read, so a
+    reload that is requested in the meantime has to take place once the event loop runs.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(ExitCode.STOPPED))
--- a/onyxpost/runtime/__init__.py
+++ b/onyxpost/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Plumbing that all programs share: network and clock, HTTP/1.1 framing, the log."""
+"""Runtime support for all programs: network transport, clock, signals, HTTP/1.1 framing, structured log."""
--- a/onyxpost/runtime/http1.py
+++ b/onyxpost/runtime/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 helpers that all connections share: encode a message, read one response, start the next cycle."""
+"""HTTP/1.1 helpers for all connections: encode a message, read a response, prepare for the next exchange."""
 
 from __future__ import annotations
 
@@ -12,20 +12,23 @@
 if TYPE_CHECKING:
     import asyncio
 
-READ_CHUNK_BYTES = 65536  # the most that one read of a stream returns
+READ_CHUNK_BYTES = 65536  # upper bound of one read from a stream
 FRAMING_HEADERS = (b"content-length", b"transfer-encoding")
-MAX_INFORMATIONAL_RESPONSES = 8  # 1xx responses accepted before the final one
+MAX_INFORMATIONAL_RESPONSES = 8  # 1xx responses accepted before the final response
 
 ReadChunk = Callable[[], Awaitable[bytes]]
 
 
 def limit_read_size(writer: asyncio.StreamWriter, max_bytes: int) -> None:
-    """Limits one read from the socket: asyncio reads 256 KiB at a time, whatever the stream's limit."""
+    """Limits the size of one read from the socket.
+
+    By default asyncio reads up to 256 KiB at a time, regardless of the buffer limit of the stream.
+    """
     writer.transport.max_size = max_bytes  # type: ignore[attr-defined]
 
 
 def encode_message(http: h11.Connection, head: h11.Request | h11.Response, body: bytes = b"") -> bytes:
-    """Returns the bytes of a complete message."""
+    """Returns the bytes of a complete request or response."""
     data = http.send(head) or b""
     if body:
         data += http.send(h11.Data(data=body)) or b""
@@ -37,9 +40,11 @@
 ) -> tuple[h11.Response, bytes]:
     """Reads one complete response and returns its head and body.
 
-    Raises TruncatedResponseError if the connection ends before the head, if it ends a response without
-    framing headers, or if too many 1xx come; h11.RemoteProtocolError if the response is malformed or
-    truncated, or if its body exceeds `max_body_bytes`.
+    Raises:
+        TruncatedResponseError: the connection ended before the head or within a response without framing
+            headers, or more than `MAX_INFORMATIONAL_RESPONSES` 1xx responses arrived.
+        h11.RemoteProtocolError: the response is malformed or truncated, or its body exceeds
+            `max_body_bytes`.
     """
     response: h11.Response | None = None
     body = bytearray()
@@ -70,9 +75,9 @@
 
 
 def start_next_cycle(http: h11.Connection) -> bool:
-    """Prepares the connection for the next exchange; returns False if it cannot be used again.
+    """Prepares the connection for the next exchange; returns False if the connection cannot be reused.
 
-    It can if both sides have finished this exchange and neither asked to close.
+    A connection can be reused if both sides have finished this exchange and neither asked to close.
     """
     if http.our_state is not h11.DONE or http.their_state is not h11.DONE:
         return False
@@ -87,5 +92,5 @@
 
 
 def _is_framed(response: h11.Response | None) -> bool:
-    """Returns whether the headers give the end of the body; without them a truncated body looks complete."""
+    """Returns whether the response has framing headers; without them a truncated body looks complete."""
     return response is not None and any(name in FRAMING_HEADERS for name, _ in response.headers)
--- a/onyxpost/runtime/log_event.py
+++ b/onyxpost/runtime/log_event.py
@@ -1,4 +1,4 @@
-"""One event of the log, as the parts of a program hand it over; `structured_log` writes it."""
+"""Log events, as the components of a program emit them; `structured_log` writes them."""
 
 from __future__ import annotations
 
@@ -6,11 +6,17 @@
 import traceback
 from typing import Any, NamedTuple
 
-MAX_CAUSE_CHARS = 4000  # of a traceback, whose end names the exception
+MAX_CAUSE_CHARS = 4000  # the last characters of a traceback are logged, because its end names the exception
 
 
 class LogEvent(NamedTuple):
-    """Writes an event to the log."""
+    """A request to write an event to the log.
+
+    Attributes:
+        event: the event's name.
+        fields: the event's other keys and their values.
+        level: a level of the `logging` module.
+    """
 
     event: str
     fields: dict[str, Any]
@@ -18,6 +24,11 @@
 
 
 def fault_event(operation: str, error: BaseException | None) -> LogEvent:
-    """Returns the log event of an unexpected exception in an operation, with its traceback."""
+    """Returns the log event of an unexpected exception, with its traceback.
+
+    Args:
+        operation: what the program was doing.
+        error: the exception, or None if asyncio reported a problem without one.
+    """
     cause = "".join(traceback.format_exception(error)) if error is not None else ""
     return LogEvent("fault", {"where": operation, "cause": cause[-MAX_CAUSE_CHARS:]}, logging.ERROR)
--- a/onyxpost/runtime/socket_transport.py
+++ b/onyxpost/runtime/socket_transport.py
@@ -1,4 +1,4 @@
-"""The transport of a real process: the system's clock, TCP and UDP sockets, and signals."""
+"""The transport of a real process: the operating system's clock, TCP and UDP sockets, and signals."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
     from onyxpost.config.address import Address
     from onyxpost.runtime.transport import ConnectionHandler
 
-# Descriptors that are not sockets of the node: standard streams, the event loop's and the interpreter's.
+# File descriptors that are not available for sockets: standard streams, event loop and interpreter use them.
 RESERVED_DESCRIPTORS = 16
-LISTEN_BACKLOG = 1024  # connections that the kernel holds until they are accepted
+LISTEN_BACKLOG = 1024  # connections that the kernel queues until the process accepts them
 
 
 class SocketTransport:
-    """Implements `Transport` on the system's sockets."""
+    """Implements `Transport` with the operating system's clock, sockets and signals."""
 
     def __init__(self) -> None:
         self._unix_offset_ms = time.time() * MS_PER_SECOND - time.monotonic() * MS_PER_SECOND
 
     def clock(self) -> float:
-        """Returns the Unix time in ms: read once at the start, then advanced by the monotonic clock."""
+        """Returns the Unix time in ms: the time at the start, advanced by the monotonic clock."""
         return self._unix_offset_ms + self.monotonic()
 
     def monotonic(self) -> float:
-        """Returns ms of the monotonic clock that all processes of this machine share."""
+        """Returns the time in ms of the monotonic clock that all processes on this machine share."""
         return time.monotonic() * MS_PER_SECOND
 
     async def listen(
@@ -56,14 +56,15 @@
             return asyncio.StreamReaderProtocol(reader, serve, loop=loop)  # type: ignore[arg-type]
 
         server = await loop.create_server(create_protocol, sock=listener, backlog=accepts)
-        # asyncio uses one number for the kernel's backlog and the accepts of one turn: here they differ.
+        # asyncio uses `backlog` both for the kernel's queue and for the number of connections accepted per
+        # turn of the event loop. This call sets the kernel's queue to its own value.
         listener.listen(LISTEN_BACKLOG)
         return server
 
     async def dial(self, address: Address, limit: int) -> DialedConnection:
         """Opens a TCP connection.
 
-        The socket is created here because asyncio gives no access to input that it has not read yet.
+        The socket is created here, not by asyncio, because `has_no_unread_input` peeks at its receive buffer.
         """
         loop = asyncio.get_running_loop()
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
@@ -86,10 +87,10 @@
         )
 
     def unread(self, transport: asyncio.BaseTransport) -> Unread:
-        """Checks the receive buffer of an accepted connection; one that is being closed reports its end."""
+        """Checks the receive buffer of an accepted connection; returns END if the connection is closing."""
         if transport.is_closing():
             return Unread.END
-        # asyncio's view of the socket cannot read, so the descriptor is borrowed for a moment.
+        # The socket object that asyncio exposes has no `recv`, so a temporary one shares its descriptor.
         socket_view = transport.get_extra_info("socket")
         sock = socket.socket(
             socket_view.family, socket_view.type, socket_view.proto, fileno=socket_view.fileno()
@@ -112,48 +113,52 @@
         loop = asyncio.get_running_loop()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(signal_number, stop)
-        # Not a handler of the loop: that would be removed with the loop, and a SIGHUP after that would kill a
-        # process that is about to exit.
+        # Not installed through the event loop, which removes its handlers when it closes: a later SIGHUP
+        # would then kill a process that is about to exit.
         signal.signal(signal.SIGHUP, lambda *_: loop.call_soon_threadsafe(reload))
-        # The launcher blocks SIGHUP; one sent before this handler was installed is delivered now.
+        # SIGHUP is blocked at process start; one sent before this handler was installed is delivered now.
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
     def descriptor_limit(self) -> int:
-        """Returns how many sockets this process may have open, whatever its configuration says."""
+        """Returns how many sockets the system's limit on file descriptors lets this process open."""
         return max(1, resource.getrlimit(resource.RLIMIT_NOFILE)[0] - RESERVED_DESCRIPTORS)
 
     def ignore_signals(self) -> None:
-        """Ignores signals while the process ends: the loop removes its own handlers before the exit."""
+        """Ignores SIGHUP and SIGTERM while the process ends.
+
+        The event loop removes its own handlers before the process exits, so a later signal would kill it.
+        """
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
         asyncio.get_running_loop().remove_signal_handler(signal.SIGTERM)
         signal.signal(signal.SIGTERM, lambda *_: None)
 
     def freeze_startup_objects(self) -> None:
-        """Excludes all objects that exist now from garbage collection: they live as long as the process."""
+        """Excludes all objects that exist now from garbage collection; they live as long as the process."""
         gc.collect()
         gc.freeze()
 
 
 def _listen_error(address: Address, err: OSError) -> ListenError:
-    """Returns the error with the system's text: asyncio replaces the text but keeps the number."""
+    """Returns the error with the system's text for its number, because asyncio replaces the text."""
     system_text = os.strerror(err.errno) if err.errno and err.errno > 0 else ""
     return ListenError(system_text or str(err), "{}:{}".format(*address))
 
 
 def _with_tcp_protocol(sock: socket.socket) -> socket.socket:
-    """Returns the socket with its protocol given as TCP.
+    """Returns the listening socket with its protocol set to TCP explicitly.
 
-    asyncio sets TCP_NODELAY only on sockets whose protocol is given; accepted sockets inherit it from here.
+    asyncio sets TCP_NODELAY only on sockets whose protocol is IPPROTO_TCP; accepted sockets inherit the
+    protocol from the listening socket.
     """
     return socket.socket(sock.family, sock.type, socket.IPPROTO_TCP, fileno=sock.detach())
 
 
 def _peek(sock: socket.socket) -> Unread:
-    """Returns what waits in the socket's receive buffer, without reading it."""
+    """Returns what the socket's receive buffer holds, without consuming it."""
     try:
         if not sock.recv(1, socket.MSG_PEEK):
             return Unread.END
-        # Waiting bytes hide an end of stream behind them from recv, but not from poll.
+        # While bytes are unread, recv does not show an end of stream that follows them, but poll does.
         poll = select.poll()
         poll.register(sock, select.POLLRDHUP)
         return Unread.END if poll.poll(0) else Unread.BYTES
--- a/onyxpost/runtime/structured_log.py
+++ b/onyxpost/runtime/structured_log.py
@@ -1,4 +1,4 @@
-"""The log of a process: one JSON line for each event, on standard output by default."""
+"""The structured log of a process: one JSON line per event, on standard output by default."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class _Entry(NamedTuple):
-    """The time (Unix ms) and fields of a record of this program; records of libraries have none."""
+    """The time (Unix ms) and fields of a log record of this program; records of libraries have no entry."""
 
     at: float
     fields: dict[str, Any]
@@ -41,25 +41,35 @@
 
 class _BestEffortHandler(logging.StreamHandler[Any]):
     def handleError(self, record: logging.LogRecord) -> None:  # noqa: N802 - named by logging.Handler
-        """Ignores a closed output and a field that cannot be encoded: neither may stop the process."""
+        """Ignores errors such as a closed output or a field that cannot be encoded.
+
+        A log line that cannot be written must not stop the process.
+        """
 
 
 class StructuredLog:
-    """Writes events as JSON lines with a time, the node's name and a level."""
+    """Writes events as JSON lines with a time, the name of the node or planner, and a level."""
 
     def __init__(self, node: str, level: str = "info", out: TextIO | None = None) -> None:
-        """Writes to `out`, standard output by default, from `level` on."""
+        """Creates a log.
+
+        Args:
+            node: the name of the node or planner.
+            level: the lowest level that is written.
+            out: the output, standard output by default.
+        """
         self._handler = _BestEffortHandler(out or sys.stdout)
         self._handler.setFormatter(_JsonFormatter(node))
-        self._logger = logging.Logger(node, level.upper())  # not shared: tests run several nodes in a process
+        # Not `logging.getLogger`, which shares loggers by name: tests run several nodes in one process.
+        self._logger = logging.Logger(node, level.upper())
         self._logger.addHandler(self._handler)
 
     def write(self, at: float, event: str, fields: dict[str, Any], level: int = logging.INFO) -> None:
-        """Writes an event that took place at `at` (Unix time in milliseconds)."""
+        """Writes an event that occurred at `at` (Unix time in ms)."""
         self._logger.log(level, event, extra={"entry": _Entry(at, fields)})
 
     def capture_library_logs(self) -> None:
-        """Writes the warnings of asyncio and other libraries in the same form."""
+        """Writes log records of asyncio and other libraries as JSON lines too, from level WARNING on."""
         root = logging.getLogger()
         root.handlers[:] = [self._handler]
         root.setLevel(max(self._logger.level, logging.WARNING))
--- a/onyxpost/runtime/transport.py
+++ b/onyxpost/runtime/transport.py
@@ -1,7 +1,7 @@
 """The boundary between a node and its environment: clock, connections, datagrams and signals.
 
-`socket_transport.SocketTransport` implements `Transport` on the system's sockets; the simulation has another
-implementation, a network in memory.
+`socket_transport.SocketTransport` implements `Transport` with the system's sockets; the simulation has an
+implementation with a network in memory.
 """
 
 from __future__ import annotations
@@ -15,12 +15,16 @@
 if TYPE_CHECKING:
     from onyxpost.config.address import Address
 
-# Errors of a connection attempt that show a shortage on this machine and say nothing about the other end.
+# Error numbers of a connection attempt that show a resource shortage on this machine, not a fault of the
+# peer.
 LOCAL_RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
 class CountingReader(asyncio.StreamReader):
-    """A stream reader that counts all bytes received; more than its owner has read are unread input."""
+    """A stream reader that counts all bytes received.
+
+    Input is unread if `bytes_received` exceeds the number of bytes that the owner has read.
+    """
 
     bytes_received = 0
 
@@ -34,96 +38,114 @@
 
 
 class FlowControlProtocol(asyncio.StreamReaderProtocol):
-    """A stream protocol that shows whether writing is paused.
+    """A stream protocol that records whether writing is paused.
 
-    With a write buffer limit of zero, writing is paused exactly while bytes wait to be handed to the kernel.
+    With a write buffer limit of zero, writing is paused exactly while bytes wait to be passed to the kernel.
     """
 
     is_write_paused = False
 
     def pause_writing(self) -> None:
-        """Notes that written bytes are waiting."""
+        """Records that the write buffer exceeds its limit."""
         self.is_write_paused = True
         super().pause_writing()
 
     def resume_writing(self) -> None:
-        """Notes that the write buffer is empty again."""
+        """Records that the write buffer has been drained."""
         self.is_write_paused = False
         super().resume_writing()
 
 
 class DialedConnection(NamedTuple):
-    """A connection that this node opened."""
+    """A connection that this process opened.
+
+    Attributes:
+        reader: the received bytes.
+        writer: the bytes to send.
+        has_no_unread_input: returns whether the event loop has read everything that arrived, so that neither
+            bytes nor an end of stream are pending in the kernel.
+        is_flushed: returns whether the kernel has accepted the last byte written, even if the connection has
+            ended since.
+    """
 
     reader: CountingReader
     writer: asyncio.StreamWriter
-    # Returns whether the event loop has read all that arrived: no bytes and no end of stream are waiting.
     has_no_unread_input: Callable[[], bool]
-    # Returns whether the kernel has taken the last byte written, even if the connection has ended since.
     is_flushed: Callable[[], bool]
 
 
 class Unread(Enum):
-    """What has arrived from the other end but has not been read by the event loop yet."""
+    """The input that has arrived from the peer and that the event loop has not read yet."""
 
     NOTHING = "nothing"
     BYTES = "bytes"
-    END = "end"  # the other end closed or reset the connection; bytes may precede the end
+    END = "end"  # the peer closed or reset the connection; unread bytes may precede the end
 
 
 class Listener(Protocol):
-    """A listening socket, as `asyncio.Server`."""
+    """The part of `asyncio.Server` that a node uses."""
 
     @property
     def sockets(self) -> tuple[Any, ...]:
-        """The listening sockets."""
+        """The listening sockets; none after `close`."""
 
     def close(self) -> None:
         """Stops listening; accepted connections stay open."""
 
 
 class Transport(Protocol):
-    """The clock, connections, datagrams and signals that a node runs on."""
+    """The clock, connections, datagrams and signals that a node or planner uses."""
 
     def clock(self) -> float:
         """Returns the Unix time in ms; it never decreases."""
 
     def monotonic(self) -> float:
-        """Returns a monotonic time in ms that all processes of this machine share."""
+        """Returns a monotonic time in ms that all processes on this machine share."""
 
     async def listen(self, serve: ConnectionHandler, address: Address, limit: int, accepts: int) -> Listener:
         """Listens at `address` and runs `serve` for each accepted connection.
 
-        `limit` is the stream's buffer limit in bytes; `accepts` bounds the connections accepted in one
-        turn of the event loop. Raises ListenError if the address cannot be bound.
+        Args:
+            serve: handles one connection.
+            address: the address to listen at.
+            limit: the buffer limit of each stream in bytes.
+            accepts: the maximum number of connections accepted in one turn of the event loop.
+
+        Raises:
+            ListenError: the address cannot be bound.
         """
 
     async def dial(self, address: Address, limit: int) -> DialedConnection:
         """Opens a connection; `limit` is the stream's buffer limit in bytes. Raises OSError."""
 
     def unread(self, transport: asyncio.BaseTransport) -> Unread:
-        """Returns what an accepted connection has received that the event loop has not read yet."""
+        """Returns which input of an accepted connection the event loop has not read yet."""
 
     async def open_datagram_endpoint(self, protocol: asyncio.DatagramProtocol, address: Address) -> None:
-        """Receives datagrams at `address`. Raises ListenError if the address cannot be bound."""
+        """Passes datagrams received at `address` to `protocol`.
+
+        Raises:
+            ListenError: the address cannot be bound.
+        """
 
     def install_signal_handlers(self, stop: Callable[[], None], reload: Callable[[], None]) -> None:
         """Calls `stop` on SIGTERM or SIGINT and `reload` on SIGHUP."""
 
     def ignore_signals(self) -> None:
-        """Ignores further signals while the process ends."""
+        """Ignores SIGHUP and SIGTERM while the process ends."""
 
     def freeze_startup_objects(self) -> None:
         """Excludes all objects that exist now from garbage collection."""
 
     def descriptor_limit(self) -> int:
-        """Returns how many sockets this process may have open."""
+        """Returns how many sockets the system lets this process open."""
 
 
 def stop_accepting(listener: Listener) -> None:
-    """Stops accepting, but keeps the listener open.
+    """Stops accepting connections, but keeps the listener open.
 
-    Connections that were just accepted still get their transport: asyncio creates none on a closed server.
+    asyncio creates no transport for a connection of a closed server, so closing the listener would lose the
+    connections that were just accepted.
     """
     for sock in listener.sockets:
         asyncio.get_running_loop().remove_reader(sock.fileno())
