--- a/onyxpost/cli.py
+++ b/onyxpost/cli.py
@@ -26,7 +26,7 @@
         try:
             from onyxpost.simulation.cli import simulate
         except ModuleNotFoundError as err:
-            ctx.fail(f"{SIMULATE} needs {err.name}: pip install -r requirements-lab.txt")
+            ctx.fail(f"{SIMULATE} requires the module {err.name}: pip install -r requirements-lab.txt")
         return simulate
 
     def resolve_command(
--- a/onyxpost/errors.py
+++ b/onyxpost/errors.py
@@ -62,19 +62,19 @@
 class FileOpenError(InvalidInputError):
     """The operating system cannot open the file."""
 
-    remedy = "see that the path is right and that this user may read it"
+    remedy = "check that the path is right and that this user can read the file"
 
 
 class ParseError(InvalidInputError):
     """The file is malformed or truncated JSON."""
 
-    remedy = "mend the file's JSON there; `python -m json.tool FILE` shows the line"
+    remedy = "correct the file's JSON; `python -m json.tool FILE` shows the line of the error"
 
 
 class InvalidValueError(InvalidInputError):
     """A key is missing, has the wrong type or is out of range; the message ends with its path."""
 
-    remedy = "give the key at that place a value of the type and range that it names"
+    remedy = "set the named key to a value of the expected type and range"
 
 
 class InvalidAddressError(InvalidInputError, ValueError):
@@ -86,22 +86,22 @@
 class ConflictingValuesError(InvalidInputError):
     """Two values are valid on their own, but conflict; the message ends with the path of one of them."""
 
-    remedy = "bring the key at that place into line with the rest of the file"
+    remedy = "change the named key, or the value in the same file that conflicts with it"
 
 
 class StaleVersionError(InvalidInputError):
     """A reloaded file has an earlier version than the one in force."""
 
-    remedy = "write a version above the one in force, or bring the newer file here; then SIGHUP again"
+    remedy = "raise the file's version above the one in force, or install the newer file; then send SIGHUP"
 
 
 class ListenError(OperatorError):
     """An address that this process has to listen at cannot be bound."""
 
-    remedy = "stop the process that uses it, or name another address of this machine in the file"
+    remedy = "stop the process that uses the address, or set another address of this machine in the file"
 
 
 class OperatingSystemError(OperatorError):
     """The operating system refused a resource that a process needs."""
 
-    remedy = "check this process's limits of descriptors (`ulimit -n`) and of memory"
+    remedy = "check this process's limits on file descriptors (`ulimit -n`) and memory"
--- a/onyxpost/node/config.py
+++ b/onyxpost/node/config.py
@@ -125,7 +125,7 @@
         return int(text, 16)
     except ValueError:
         raise InvalidValueError(
-            at_key(f"no hexadecimal number: {text[:MAX_QUOTED_LENGTH]!r}", "seed")
+            at_key(f"expected a hexadecimal number, got {text[:MAX_QUOTED_LENGTH]!r}", "seed")
         ) from None
 
 
@@ -144,7 +144,7 @@
     cluster = build_cluster_config(file.cluster, file.name)
     if file.cluster.listen in (file.listen, file.peer_listen):
         raise ConflictingValuesError(
-            at_key(f"{file.cluster.listen} is taken by clients or peers", "fleet.listen")
+            at_key(f"{file.cluster.listen} is also the address in listen or peer_listen", "fleet.listen")
         )
     return cluster
 
@@ -153,7 +153,7 @@
     if file.leadership is None:
         return None
     if cluster is None:
-        raise ConflictingValuesError(at_key("duties without a fleet", "fleet"))
+        raise ConflictingValuesError(at_key("the section duties requires the missing section fleet", "fleet"))
     from onyxpost.leadership.config import read_section  # imported only by nodes that take part in elections
 
     return read_section(file.leadership, tuple(sorted(cluster.membership.members)))
--- a/onyxpost/node/planner_extension.py
+++ b/onyxpost/node/planner_extension.py
@@ -49,7 +49,10 @@
         new_version = new.planners.membership_version
         if new_version < current_version:
             raise StaleVersionError(
-                at_key(f"version {new_version} is older than {current_version}", "planners.version")
+                at_key(
+                    f"version {new_version} is older than version {current_version}, which is in force",
+                    "planners.version",
+                )
             )
 
     def apply_reload(self, new: NodeConfig) -> list[str]:
--- a/onyxpost/runtime/http1.py
+++ b/onyxpost/runtime/http1.py
@@ -54,7 +54,7 @@
         if event is h11.NEED_DATA:
             data = await read()
             if not data and not _is_framed(response):
-                raise TruncatedResponseError("connection ended")
+                raise TruncatedResponseError("connection ended before the response was complete")
             http.receive_data(data)
         elif isinstance(event, h11.Response):
             response = event
@@ -62,7 +62,7 @@
         elif isinstance(event, h11.Data):
             body += event.data
             if len(body) > max_body_bytes:
-                raise h11.RemoteProtocolError(f"body over {max_body_bytes} bytes")
+                raise h11.RemoteProtocolError(f"response body exceeds {max_body_bytes} bytes")
         elif isinstance(event, h11.EndOfMessage) and response is not None:
             return response, bytes(body)
         elif (
@@ -71,7 +71,7 @@
         ):
             informational_responses += 1
         else:
-            raise TruncatedResponseError("connection ended, or nothing but 1xx")
+            raise TruncatedResponseError("connection ended or too many 1xx arrived before the final response")
 
 
 def start_next_cycle(http: h11.Connection) -> bool:
@@ -88,7 +88,9 @@
 def _check_length(response: h11.Response, max_body_bytes: int) -> None:
     lengths = [value for name, value in response.headers if name in FRAMING_HEADERS]
     if len(lengths) > 1 or (lengths and lengths[0].isdigit() and int(lengths[0]) > max_body_bytes):
-        raise h11.RemoteProtocolError(f"two lengths, or over {max_body_bytes} bytes")
+        raise h11.RemoteProtocolError(
+            f"response has several framing headers, or its body exceeds {max_body_bytes} bytes"
+        )
 
 
 def _is_framed(response: h11.Response | None) -> bool:
--- a/onyxpost/simulator_host/decode.py
+++ b/onyxpost/simulator_host/decode.py
@@ -56,7 +56,7 @@
     try:
         return deployment.decode_deployment(fields["params"]).build_gateway(now, fields["init_seed"])
     except KeyError as err:
-        raise WireError(f"KeyError: {err}", START) from err
+        raise WireError(f"missing field {err}", START) from err
 
 
 def decode_event(name: str, fields: JsonObject) -> Event | None:
@@ -72,7 +72,7 @@
     try:
         return DECODERS[name](fields)
     except (KeyError, TypeError, ValueError) as err:
-        raise WireError(f"{type(err).__name__}: {err}", name) from err
+        raise WireError(f"missing or invalid field ({type(err).__name__}: {err})", name) from err
 
 
 def _decode_endpoint(row: JsonObject) -> EndpointStatus:
--- a/onyxpost/simulator_host/errors.py
+++ b/onyxpost/simulator_host/errors.py
@@ -8,4 +8,4 @@
 class WireError(OperatorError):
     """A line that does not follow the simulator's protocol."""
 
-    remedy = "see that simulator and host are of the same version of the wire, and that no line was cut"
+    remedy = "check that simulator and host use the same protocol version and that no line was truncated"
--- a/onyxpost/simulator_host/host.py
+++ b/onyxpost/simulator_host/host.py
@@ -42,7 +42,7 @@
                 ((name, fields),) = event.items()
                 events_by_node.setdefault(fields["node_id"], []).append((name, fields))
         except (KeyError, TypeError, ValueError, AttributeError) as err:
-            raise WireError(f"{type(err).__name__}: {err}") from err
+            raise WireError(f"not a time and a list of events ({type(err).__name__}: {err})") from err
         output: list[Action] = []
         for node, events in events_by_node.items():
             self._run_node(node, now, events, ActionWriter(node, output))
--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -103,6 +103,31 @@
     ),
     # Descriptions of violations in result files.
     (" ms after it was told", " ms after its node was notified of the drain"),
+    # Remedies of errors in files and of addresses.
+    (
+        "see that the path is right and that this user may read it",
+        "check that the path is right and that this user can read the file",
+    ),
+    (
+        "mend the file's JSON there; `python -m json.tool FILE` shows the line",
+        "correct the file's JSON; `python -m json.tool FILE` shows the line of the error",
+    ),
+    (
+        "give the key at that place a value of the type and range that it names",
+        "set the named key to a value of the expected type and range",
+    ),
+    (
+        "bring the key at that place into line with the rest of the file",
+        "change the named key, or the value in the same file that conflicts with it",
+    ),
+    (
+        "stop the process that uses it, or name another address of this machine in the file",
+        "stop the process that uses the address, or set another address of this machine in the file",
+    ),
+    (
+        "check this process's limits of descriptors (`ulimit -n`) and of memory",
+        "check this process's limits on file descriptors (`ulimit -n`) and memory",
+    ),
 )
 
 USAGE_ERROR = re.compile(r"^Error: .*", re.MULTILINE | re.DOTALL)
--- a/tests/leadership/test_config.py
+++ b/tests/leadership/test_config.py
@@ -45,7 +45,7 @@
 
 
 def test_the_section_needs_a_cluster() -> None:
-    with pytest.raises(InvalidInputError, match="duties without a fleet"):
+    with pytest.raises(InvalidInputError, match="the section duties requires the missing section fleet"):
         config.decode(node_fields(duties=SECTION))
 
 
