--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,7 @@
-"""One hypothesis profile for all: the same examples each time, no clock, nothing kept between runs."""
+"""The hypothesis profile of all tests.
+
+It is deterministic: the same examples in each run, no time limits, and no examples stored between runs.
+"""
 
 from hypothesis import HealthCheck, settings
 
--- a/tests/process/conftest.py
+++ b/tests/process/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of processes."""
+"""Fixtures for the tests of process start, files and reported errors."""
 
 from __future__ import annotations
 
@@ -12,5 +12,5 @@
 
 @pytest.fixture
 def config_file(tmp_path: Path) -> Path:
-    """Returns the path of a file that a test writes, or leaves missing."""
+    """Returns the path of a config file that the test may create."""
     return tmp_path / "file.json"
--- a/tests/process/operator_errors.py
+++ b/tests/process/operator_errors.py
@@ -1,4 +1,4 @@
-"""Checks of errors as an operator sees them."""
+"""Checks of errors in the form that an operator sees: a line of output, or a line of the log."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 def assert_one_line(output: str, location: str, message: str, kind: type[OperatorError]) -> None:
-    """The output is one line that names the place and the cause and ends with the remedy."""
+    """Asserts that the output is one line that contains location and message and ends with the remedy."""
     assert re.search(rf"\Aonyxpost: {re.escape(location)}.*{re.escape(message)}.*\n\Z", output)
     assert output.endswith(f" ({kind.remedy})\n")
 
 
 def rejected_reloads(out: io.BytesIO) -> list[dict[str, Any]]:
-    """Returns the lines of a log that say that a reload was rejected."""
+    """Returns the log lines about rejected reloads."""
     lines = [json.loads(line) for line in out.getvalue().splitlines()]
     return [line for line in lines if line["event"] == "reload refused"]
--- a/tests/process/test_command_line.py
+++ b/tests/process/test_command_line.py
@@ -1,4 +1,7 @@
-"""The command line, and what a serving node must not import."""
+"""The command line's output, and the imports of serving processes.
+
+A serving process must not import packages that it does not use, because their memory adds up over all nodes.
+"""
 
 import os
 import subprocess
@@ -40,7 +43,7 @@
 
 
 def imported_modules(package: str, names: tuple[str, ...]) -> list[str]:
-    """Which of the modules `names`, or of what is below them, a process of `package` has imported."""
+    """Returns which of the modules `names`, or of their submodules, a process of `package` has imported."""
     probe = [sys.executable, "-c", PROBE.format(package, names)]
     return subprocess.run(probe, capture_output=True, text=True, check=True).stdout.split()
 
--- a/tests/process/test_early_signals.py
+++ b/tests/process/test_early_signals.py
@@ -1,4 +1,7 @@
-"""Signals that arrive before the event loop of a node or planner has handlers for them."""
+"""Signals that arrive before the event loop of a node or planner has installed handlers for them.
+
+By default, SIGTERM or SIGHUP during the start kills the process with an exit code that names the signal.
+"""
 
 import contextlib
 import json
@@ -29,9 +32,9 @@
 
 
 def open_for_writing(pipe: Path, process: subprocess.Popen[bytes]) -> int:
-    """Opens the pipe once the process reads from it."""
+    """Opens the pipe for writing, once the process has opened it for reading."""
     while process.poll() is None:
-        with contextlib.suppress(OSError):  # not opened by the reader yet
+        with contextlib.suppress(OSError):  # ENXIO until the process has opened the pipe
             return os.open(pipe, os.O_WRONLY | os.O_NONBLOCK)
     raise AssertionError("the process ended before it read its file")
 
@@ -43,7 +46,7 @@
 def test_a_signal_while_modules_are_imported(
     arguments: list[str], number: signal.Signals, exit_code: int
 ) -> None:
-    """SIGTERM ends the process; SIGHUP is ignored, and the file that is not there then ends it."""
+    """SIGTERM ends the process with exit code 0; SIGHUP does not, and the missing file ends it then."""
     result = subprocess.run(
         [sys.executable, "-c", RAISE_SIGNAL_ON_IMPORT, str(int(number)), *arguments],
         env={**os.environ, "EDGE_CONFIG": "/nowhere"},
@@ -54,7 +57,11 @@
 
 
 def test_sighup_before_the_event_loop_waits_for_it_and_the_file_is_read_again(tmp_path: Path) -> None:
-    """As where a rollout restarts nodes and moves discovery: the file read first may be outdated."""
+    """A rollout may restart nodes and move discovery at once, so the file that was read may be outdated.
+
+    The pipe delays the start until the file is replaced and SIGHUP is sent. If SIGHUP were lost, the node
+    would continue with the old address of discovery.
+    """
     pipe = tmp_path / "node.json"
     newer = tmp_path / "newer.json"
     os.mkfifo(pipe)
--- a/tests/process/test_node_file.py
+++ b/tests/process/test_node_file.py
@@ -1,4 +1,4 @@
-"""Validation of a node's file: an error names the path of the key."""
+"""Validation of a node's file: an error contains the path of the invalid key."""
 
 from typing import Any
 
--- a/tests/process/test_operator_errors.py
+++ b/tests/process/test_operator_errors.py
@@ -1,4 +1,4 @@
-"""Each error has a module, a remedy of its own and a row on the page for operators."""
+"""Each error type is in an `errors` module, and has its own remedy and a row on the page for operators."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 def error_types(base: type[OperatorError] = OperatorError) -> list[type[OperatorError]]:
-    """All types of errors of the program below `base`."""
+    """Returns all subclasses of `base` that the program defines."""
     below = [kind for kind in base.__subclasses__() if kind.__module__.startswith("onyxpost.")]
     return list(dict.fromkeys(below + [kind for child in below for kind in error_types(child)]))
 
 
 def documentation_faults(kind: type[OperatorError], page: str) -> list[str]:
-    """What an error type lacks: a remedy of its own, or one row with that remedy on the page."""
+    """Returns what an error type lacks: its own remedy, or exactly one row with that remedy on the page."""
     rows = [line for line in page.splitlines() if line.startswith(f"| `{kind.__name__}` |")]
     faults = [] if vars(kind).get("remedy") else ["no remedy of its own"]
     is_listed = len(rows) == 1 and f"| {kind.remedy} |" in rows[0]
@@ -37,7 +37,7 @@
 
 @pytest.fixture
 def forget_error_types() -> Iterator[None]:
-    """An error type that a test defines is not found by `error_types` in another test."""
+    """Collects the error type that a test defined, so that `error_types` does not find it in other tests."""
     yield
     gc.collect()
 
@@ -54,7 +54,7 @@
     assert len({kind.remedy for kind in leaves}) == len(leaves)
     kinds: list[type[OperatorError]] = [OperatorError, *all_types]
     bases = "|".join(kind.__name__ for kind in kinds if kind not in leaves)
-    for path in Path("onyxpost").rglob("*.py"):  # a base class has no remedy and is never raised
+    for path in Path("onyxpost").rglob("*.py"):  # base classes have no remedy and must not be raised
         assert re.search(rf"\b({bases})\(.*[\"']", path.read_text()) is None, path
 
 
--- a/tests/process/test_rejected_reloads.py
+++ b/tests/process/test_rejected_reloads.py
@@ -1,4 +1,8 @@
-"""A file that cannot be used at SIGHUP is logged with its remedy and changes nothing."""
+"""Reloads of files that are invalid or older than the one in force.
+
+The process must log the error with its remedy, apply no part of the file, and continue with the configuration
+in force.
+"""
 
 from __future__ import annotations
 
--- a/tests/process/test_reported_errors.py
+++ b/tests/process/test_reported_errors.py
@@ -1,4 +1,4 @@
-"""Errors on the command line: one line with what, where and the remedy, and the exit code."""
+"""Errors on the command line: one line with location, cause and remedy, and the exit code."""
 
 from __future__ import annotations
 
--- a/tests/process/test_structured_log.py
+++ b/tests/process/test_structured_log.py
@@ -1,4 +1,4 @@
-"""The structured log: each event is one JSON line with a level."""
+"""The structured log: each event is one JSON line, and a failing output does not stop the process."""
 
 import io
 import json
--- a/tests/simulator_host/test_rejected_settings.py
+++ b/tests/simulator_host/test_rejected_settings.py
@@ -1,4 +1,4 @@
-"""Settings that the simulator's host cannot use."""
+"""Settings of a node that the simulator's host rejects with a WireError."""
 
 import pytest
 
--- a/tests/stream_transports.py
+++ b/tests/stream_transports.py
@@ -1,4 +1,4 @@
-"""Access to the transport of a stream, on sockets and on the virtual network."""
+"""Pauses and resumes reading on a stream's transport, both with sockets and with the virtual network."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 def pause_reading(writer: asyncio.StreamWriter) -> None:
-    """Leaves what the peer sends unread, as if this end were held up."""
+    """Stops reading from the peer, as a stalled process would."""
     _duplex_transport(writer).pause_reading()
 
 
 def resume_reading(writer: asyncio.StreamWriter) -> None:
-    """Reads again what the peer sends."""
+    """Resumes reading from the peer."""
     _duplex_transport(writer).resume_reading()
 
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Imports between the packages go one way: no circle of modules, no two packages that import each other."""
+"""Imports between packages go one way: no cycles of modules, and no two packages that import each other."""
 
 import ast
 from collections import defaultdict
@@ -6,7 +6,7 @@
 
 ROOT = Path("onyxpost")
 
-# Packages that may not import any of the others named beside them: what is shared lies below what uses it.
+# For each package the packages that it must not import. Shared packages are below the packages that use them.
 LOWER_PACKAGES = {
     "runtime": {"cluster", "edge", "forwarder", "leadership", "node", "planner", "policy", "simulation"},
     "core": {"cluster", "config", "edge", "forwarder", "leadership", "node", "planner", "policy", "runtime"},
@@ -18,7 +18,7 @@
 
 
 def modules() -> dict[str, Path]:
-    """All modules below the root by their dotted name, packages by the name of the folder."""
+    """Returns the paths of all modules by dotted name; a package's `__init__` has the name of the package."""
     found = {}
     for path in sorted(ROOT.rglob("*.py")):
         parts = path.with_suffix("").parts
@@ -27,7 +27,7 @@
 
 
 def imports() -> dict[str, set[str]]:
-    """What each module imports of the others, imports for types and those inside functions included."""
+    """Returns the modules that each module imports, including imports for types and inside functions."""
     known = modules()
     found: dict[str, set[str]] = {}
     for name, path in known.items():
