--- a/tests/process/operator_errors.py
+++ b/tests/process/operator_errors.py
@@ -12,16 +12,18 @@
 
     from onyxpost.errors import OperatorError
 
-PLANNER: dict[str, Any] = json.loads(Path("deploy/example-planner.json").read_text())
+PLANNER_FIELDS: dict[str, Any] = json.loads(Path("deploy/example-planner.json").read_text())
 
 
-def assert_one_line(output: str, location: str, message: str, kind: type[OperatorError]) -> None:
+def assert_reported_in_one_line(
+    output: str, location: str, message: str, error_type: type[OperatorError]
+) -> None:
     """Asserts that the output is one line that contains location and message and ends with the remedy."""
     assert re.search(rf"\Aonyxpost: {re.escape(location)}.*{re.escape(message)}.*\n\Z", output)
-    assert output.endswith(f" ({kind.remedy})\n")
+    assert output.endswith(f" ({error_type.remedy})\n")
 
 
-def rejected_reloads(out: io.BytesIO) -> list[dict[str, Any]]:
+def rejected_reload_lines(out: io.BytesIO) -> list[dict[str, Any]]:
     """Returns the log lines about rejected reloads."""
     lines = [json.loads(line) for line in out.getvalue().splitlines()]
     return [line for line in lines if line["event"] == "reload refused"]
--- a/tests/process/test_command_line.py
+++ b/tests/process/test_command_line.py
@@ -33,7 +33,7 @@
     "onyxpost.edge.state_machine",
     "onyxpost.edge.discovery_client",
 )
-PROBE = """
+IMPORT_PROBE = """
 import sys, onyxpost.{0}.serve
 if "{0}" == "node":
     from onyxpost.node import config, edge_node
@@ -44,8 +44,8 @@
 
 def imported_modules(package: str, names: tuple[str, ...]) -> list[str]:
     """Returns which of the modules `names`, or of their submodules, a process of `package` has imported."""
-    probe = [sys.executable, "-c", PROBE.format(package, names)]
-    return subprocess.run(probe, capture_output=True, text=True, check=True).stdout.split()
+    command = [sys.executable, "-c", IMPORT_PROBE.format(package, names)]
+    return subprocess.run(command, capture_output=True, text=True, check=True).stdout.split()
 
 
 def test_a_serving_node_imports_no_optional_package() -> None:
--- a/tests/process/test_early_signals.py
+++ b/tests/process/test_early_signals.py
@@ -16,7 +16,7 @@
 from tests.edge.harness import node_fields
 
 # Runs `python -m onyxpost` and raises a signal while `onyxpost.process` is imported.
-RAISE_SIGNAL_ON_IMPORT = """
+RUN_WITH_SIGNAL_ON_IMPORT = """
 import runpy, signal, sys
 
 class RaiseSignal:
@@ -48,7 +48,7 @@
 ) -> None:
     """SIGTERM ends the process with exit code 0; SIGHUP does not, and the missing file ends it then."""
     result = subprocess.run(
-        [sys.executable, "-c", RAISE_SIGNAL_ON_IMPORT, str(int(number)), *arguments],
+        [sys.executable, "-c", RUN_WITH_SIGNAL_ON_IMPORT, str(int(number)), *arguments],
         env={**os.environ, "EDGE_CONFIG": "/nowhere"},
         stderr=subprocess.DEVNULL,
         check=False,
@@ -63,20 +63,20 @@
     would continue with the old address of discovery.
     """
     pipe = tmp_path / "node.json"
-    newer = tmp_path / "newer.json"
+    newer_file = tmp_path / "newer.json"
     os.mkfifo(pipe)
-    newer.write_text(json.dumps(node_fields(discovery="127.0.0.1:2")))
+    newer_file.write_text(json.dumps(node_fields(discovery="127.0.0.1:2")))
     with subprocess.Popen(
         [sys.executable, "-m", "onyxpost", "serve"],
         env={**os.environ, "EDGE_CONFIG": str(pipe)},
         stdout=subprocess.PIPE,
     ) as process:
         assert process.stdout is not None
-        descriptor = open_for_writing(pipe, process)
-        newer.replace(pipe)
+        write_descriptor = open_for_writing(pipe, process)
+        newer_file.replace(pipe)
         process.send_signal(signal.SIGHUP)
-        os.write(descriptor, json.dumps(node_fields()).encode())
-        os.close(descriptor)
+        os.write(write_descriptor, json.dumps(node_fields()).encode())
+        os.close(write_descriptor)
         lines = []
         for line in process.stdout:
             lines.append(json.loads(line))
--- a/tests/process/test_operator_errors.py
+++ b/tests/process/test_operator_errors.py
@@ -23,8 +23,8 @@
 
 def error_types(base: type[OperatorError] = OperatorError) -> list[type[OperatorError]]:
     """Returns all subclasses of `base` that the program defines."""
-    below = [kind for kind in base.__subclasses__() if kind.__module__.startswith("onyxpost.")]
-    return list(dict.fromkeys(below + [kind for child in below for kind in error_types(child)]))
+    subclasses = [kind for kind in base.__subclasses__() if kind.__module__.startswith("onyxpost.")]
+    return list(dict.fromkeys(subclasses + [kind for child in subclasses for kind in error_types(child)]))
 
 
 def documentation_faults(kind: type[OperatorError], page: str) -> list[str]:
@@ -52,10 +52,10 @@
     faults = {kind.__name__: documentation_faults(kind, ON_CALL_PAGE) for kind in leaves}
     assert {name: found for name, found in faults.items() if found} == {}
     assert len({kind.remedy for kind in leaves}) == len(leaves)
-    kinds: list[type[OperatorError]] = [OperatorError, *all_types]
-    bases = "|".join(kind.__name__ for kind in kinds if kind not in leaves)
+    types_with_root: list[type[OperatorError]] = [OperatorError, *all_types]
+    base_names = "|".join(kind.__name__ for kind in types_with_root if kind not in leaves)
     for path in Path("onyxpost").rglob("*.py"):  # base classes have no remedy and must not be raised
-        assert re.search(rf"\b({bases})\(.*[\"']", path.read_text()) is None, path
+        assert re.search(rf"\b({base_names})\(.*[\"']", path.read_text()) is None, path
 
 
 @pytest.mark.usefixtures("forget_error_types")
--- a/tests/process/test_rejected_reloads.py
+++ b/tests/process/test_rejected_reloads.py
@@ -19,38 +19,38 @@
 from onyxpost.planner.planner import Planner
 from onyxpost.runtime.structured_log import StructuredLog
 from tests.edge.harness import RunningNode, node_fields
-from tests.process.operator_errors import PLANNER, rejected_reloads
+from tests.process.operator_errors import PLANNER_FIELDS, rejected_reload_lines
 
 if TYPE_CHECKING:
     from onyxpost.errors import OperatorError
 
 
 @pytest.mark.parametrize(
-    ("changed", "kind", "path"),
+    ("changed", "error_type", "path"),
     [
         ({"listen": 7}, errors.InvalidValueError, "$.listen"),
         (
-            {"planners": {"version": 2, "members": PLANNER["planners"]["members"]}},
+            {"planners": {"version": 2, "members": PLANNER_FIELDS["planners"]["members"]}},
             errors.StaleVersionError,
             "$.planners.version",
         ),
     ],
 )
 def test_a_node_rejects_an_unusable_or_older_file_at_sighup_and_goes_on_as_before(
-    changed: dict[str, Any], kind: type[OperatorError], path: str
+    changed: dict[str, Any], error_type: type[OperatorError], path: str
 ) -> None:
     async def run() -> None:
-        members = PLANNER["planners"]["members"]
+        members = PLANNER_FIELDS["planners"]["members"]
         async with RunningNode(planners={"version": 3, "members": members}) as edge:
             before = edge.program.config
             edge.file = node_fields(discovery="127.0.0.1:2", limits={"sockets": 99}, **changed)
             signal.raise_signal(signal.SIGHUP)
             async with asyncio.timeout(5.0):
-                while not rejected_reloads(edge.out):
+                while not rejected_reload_lines(edge.out):
                     await asyncio.sleep(0.001)
-            (line,) = rejected_reloads(edge.out)
+            (line,) = rejected_reload_lines(edge.out)
             assert path in line["cause"]
-            assert (line["level"], line["remedy"]) == ("warning", kind.remedy)
+            assert (line["level"], line["remedy"]) == ("warning", error_type.remedy)
             assert edge.program.config is before
             assert edge.program.discovery.address == before.discovery
 
@@ -58,21 +58,21 @@
 
 
 @pytest.mark.parametrize(
-    ("changed", "kind"),
+    ("changed", "error_type"),
     [
-        (PLANNER, errors.StaleVersionError),
+        (PLANNER_FIELDS, errors.StaleVersionError),
         ({"lease_ms": 700.0}, RestartRequiredError),
         ({"forwarders": 1}, errors.InvalidValueError),
     ],
 )
 def test_a_planner_rejects_what_it_cannot_reload_and_goes_on_as_before(
-    changed: dict[str, Any], kind: type[OperatorError]
+    changed: dict[str, Any], error_type: type[OperatorError]
 ) -> None:
-    fields = PLANNER | {"planners": PLANNER["planners"] | {"version": 2}}
+    fields = PLANNER_FIELDS | {"planners": PLANNER_FIELDS["planners"] | {"version": 2}}
     node = config.decode_config(fields)
     out = io.BytesIO()
     lines = StructuredLog("p0", out=io.TextIOWrapper(out, write_through=True))
     planner = Planner(node, lines, lambda: config.decode_config(fields | changed))
     planner.reload()
-    assert rejected_reloads(out)[-1]["remedy"] == kind.remedy
+    assert rejected_reload_lines(out)[-1]["remedy"] == error_type.remedy
     assert planner.config is node
--- a/tests/process/test_reported_errors.py
+++ b/tests/process/test_reported_errors.py
@@ -25,18 +25,18 @@
     SimulationStalledError,
 )
 from tests.edge.harness import SETTINGS, node_fields
-from tests.process.operator_errors import PLANNER, assert_one_line
+from tests.process.operator_errors import PLANNER_FIELDS, assert_reported_in_one_line
 
 if TYPE_CHECKING:
     from pathlib import Path
 
     from onyxpost.errors import OperatorError
 
-TOO_MANY_OPEN_FILES = 24
+TOO_MANY_OPEN_FILES_ERRNO = 24
 
 
 @pytest.mark.parametrize(
-    ("content", "kind", "path"),
+    ("content", "error_type", "path"),
     [
         (None, errors.FileOpenError, "No such file"),
         ('{"name": ', errors.ParseError, "truncated"),
@@ -49,7 +49,7 @@
 )
 def test_an_unusable_node_file_is_reported_by_serve_and_check(
     content: str | dict[str, Any] | None,
-    kind: type[OperatorError],
+    error_type: type[OperatorError],
     path: str,
     config_file: Path,
     monkeypatch: pytest.MonkeyPatch,
@@ -60,7 +60,7 @@
     monkeypatch.setenv("EDGE_CONFIG", str(config_file))
     assert serve() == 2
     reported = capsys.readouterr().err
-    assert_one_line(reported, str(config_file), path, kind)
+    assert_reported_in_one_line(reported, str(config_file), path, error_type)
     checked = CliRunner().invoke(main, ["check", str(config_file)])
     assert (checked.exit_code, checked.output) == (2, reported)
 
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changed", "kind", "path"),
+    ("changed", "error_type", "path"),
     [
         ({"lease_ms": "long"}, errors.InvalidValueError, "`$.lease_ms`"),
         ({"listen": "p:x"}, errors.InvalidAddressError, "`$.listen`"),
@@ -82,16 +82,16 @@
     ],
 )
 def test_an_unusable_planner_file_is_reported(
-    changed: dict[str, Any], kind: type[OperatorError], path: str, config_file: Path
+    changed: dict[str, Any], error_type: type[OperatorError], path: str, config_file: Path
 ) -> None:
-    config_file.write_text(json.dumps(PLANNER | changed))
+    config_file.write_text(json.dumps(PLANNER_FIELDS | changed))
     result = CliRunner().invoke(main, ["plan", str(config_file)])
     assert result.exit_code == 2
-    assert_one_line(result.output, str(config_file), path, kind)
+    assert_reported_in_one_line(result.output, str(config_file), path, error_type)
 
 
 @pytest.mark.parametrize(
-    ("arguments", "kind"),
+    ("arguments", "error_type"),
     [
         (["discrete-event", "nowhere"], SimulationFileError),
         (["discrete-event", "FILE"], InvalidFaultScriptError),
@@ -103,39 +103,39 @@
     ],
 )
 def test_unusable_arguments_of_the_simulation_are_reported(
-    arguments: list[str], kind: type[OperatorError], config_file: Path
+    arguments: list[str], error_type: type[OperatorError], config_file: Path
 ) -> None:
     config_file.write_text("seconds = 'many'")
     arguments = [str(config_file) if argument == "FILE" else argument for argument in arguments]
     result = CliRunner().invoke(main, ["simulate", *arguments])
     assert result.exit_code == 2, result.output
-    assert_one_line(result.output, "", "", kind)
+    assert_reported_in_one_line(result.output, "", "", error_type)
 
 
 def test_a_stuck_simulation_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
-    def get_stuck(*_: object, **__: object) -> None:
+    def raise_stalled(*_: object, **__: object) -> None:
         raise SimulationStalledError("nothing is due any more")
 
-    monkeypatch.setattr("onyxpost.simulation.deterministic.run_seeds", get_stuck)
+    monkeypatch.setattr("onyxpost.simulation.deterministic.run_seeds", raise_stalled)
     result = CliRunner().invoke(main, ["simulate", "deterministic", "--seeds", "1"])
     assert result.exit_code == 1
-    assert_one_line(result.output, "", "nothing is due", SimulationStalledError)
+    assert_reported_in_one_line(result.output, "", "nothing is due", SimulationStalledError)
 
 
 @pytest.mark.parametrize("case", ["node", "peers", "planner"])
 def test_an_address_in_use_is_reported_with_exit_code_1(case: str, config_file: Path) -> None:
-    kind = socket.SOCK_DGRAM if case == "peers" else socket.SOCK_STREAM
-    with socket.socket(type=kind) as bound:
+    socket_type = socket.SOCK_DGRAM if case == "peers" else socket.SOCK_STREAM
+    with socket.socket(type=socket_type) as bound:
         bound.bind(("127.0.0.1", 0))
-        if kind is socket.SOCK_STREAM:
+        if socket_type is socket.SOCK_STREAM:
             bound.listen()
         address = "{}:{}".format(*bound.getsockname())
-        processes: dict[str, tuple[dict[str, Any], list[str]]] = {
+        fields_and_arguments: dict[str, tuple[dict[str, Any], list[str]]] = {
             "node": (node_fields(listen=address), ["serve"]),
             "peers": (node_fields(peer_listen=address), ["serve"]),
-            "planner": (PLANNER | {"listen": address}, ["plan", str(config_file)]),
+            "planner": (PLANNER_FIELDS | {"listen": address}, ["plan", str(config_file)]),
         }
-        fields, arguments = processes[case]
+        fields, arguments = fields_and_arguments[case]
         config_file.write_text(json.dumps(fields))
         result = subprocess.run(
             [sys.executable, "-m", "onyxpost", *arguments],
@@ -146,22 +146,24 @@
             check=False,
         )
     assert result.returncode == 1, result.stderr
-    assert_one_line(result.stderr, address, "Address already in use", errors.ListenError)
+    assert_reported_in_one_line(result.stderr, address, "Address already in use", errors.ListenError)
 
 
 def test_any_other_refusal_of_the_system_is_reported(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     async def run(*_: object) -> int:
-        raise OSError(TOO_MANY_OPEN_FILES, "Too many open files")
+        raise OSError(TOO_MANY_OPEN_FILES_ERRNO, "Too many open files")
 
-    class NoLog:
+    class IgnoredLog:
         def __init__(self, *_: object) -> None:
             pass
 
         def capture_library_logs(self) -> None:
             pass
 
-    monkeypatch.setattr(process, "StructuredLog", NoLog)
-    assert process.run_process(lambda: config.decode_config(PLANNER), run) == 1
-    assert_one_line(capsys.readouterr().err, "p0", "Too many open files", errors.OperatingSystemError)
+    monkeypatch.setattr(process, "StructuredLog", IgnoredLog)
+    assert process.run_process(lambda: config.decode_config(PLANNER_FIELDS), run) == 1
+    assert_reported_in_one_line(
+        capsys.readouterr().err, "p0", "Too many open files", errors.OperatingSystemError
+    )
