--- a/onyxpost/__init__.py
+++ b/onyxpost/__init__.py
@@ -1,3 +1,3 @@
-"""onyxpost: a gateway that holds customers to their quotas before a shared back end."""
+"""onyxpost: a gateway that enforces customer quotas in front of a shared back end."""
 
 __version__ = "0.2.0"
--- a/onyxpost/__main__.py
+++ b/onyxpost/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m onyxpost`."""
+"""Entry point of `python -m onyxpost`."""
 
 import signal
 import sys
@@ -7,9 +7,13 @@
 
 
 def main() -> None:
-    """Runs the command line; `serve` alone without its library, which would cost a node memory."""
+    """Runs the command line.
+
+    `serve` runs without importing the command-line library, which would increase the memory use of a node.
+    """
     if sys.argv[1:2] and sys.argv[1] in LONG_RUNNING_COMMANDS:
-        # Before the rest is imported, which takes long. SIGHUP waits for the handler of the event loop.
+        # Signals are handled before the other modules are imported, which takes long. A SIGHUP stays pending
+        # until the event loop has its handler.
         signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
         signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
     if sys.argv[1:] == ["serve"]:
--- a/onyxpost/cli.py
+++ b/onyxpost/cli.py
@@ -1,4 +1,4 @@
-"""The command line. `__main__` starts `serve` without it."""
+"""The command line. `__main__` runs `serve` without importing this module."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class LazySimulateGroup(click.Group):
-    """A group whose command `simulate` is imported only when it is used: it needs libraries of its own."""
+    """A command group that imports `simulate` only when it is run, because it needs additional libraries."""
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Returns the command; fails with the way to install what `simulate` lacks."""
+        """Returns the command; if `simulate` lacks a module, a usage error says how to install it."""
         if cmd_name != SIMULATE:
             return super().get_command(ctx, cmd_name)
         try:
@@ -32,7 +32,7 @@
     def resolve_command(
         self, ctx: click.Context, args: list[str]
     ) -> tuple[str | None, click.Command | None, list[str]]:
-        """Finds the command; the simulation's old spellings are announced and replaced."""
+        """Finds the command; warns about deprecated spellings of simulation commands and replaces them."""
         if args[0] in (SIMULATE, OLD_SIMULATE):
             from onyxpost.simulation.deprecation import parse_simulation_command
 
@@ -42,11 +42,11 @@
         return super().resolve_command(ctx, args)
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Returns the names of all commands."""
+        """Returns the names of all commands, including `simulate`."""
         return [*super().list_commands(ctx), SIMULATE]
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:  # noqa: ARG002 - as in the base class
-        """Writes the summary of each command without importing `simulate`."""
+        """Writes the list of commands and their summaries, without importing `simulate`."""
         rows = [
             (name, command.get_short_help_str(MAX_HELP_CHARS))
             for name, command in sorted(self.commands.items())
@@ -106,7 +106,11 @@
 
 
 def _planner_summary(file: str | None) -> str | None:
-    """Describes a planner's file; None for the file of a node. Raises InvalidInputError."""
+    """Returns a summary of a planner's file, or None if the file is not a planner's.
+
+    Raises:
+        InvalidInputError: the file is invalid.
+    """
     from onyxpost.config.decoding import decode_as
     from onyxpost.planner import config
 
@@ -120,7 +124,11 @@
 
 
 def _node_summary(file: str | None) -> str:
-    """Describes a node's file. Raises InvalidInputError."""
+    """Returns a summary of a node's file, by default the one that `EDGE_CONFIG` names.
+
+    Raises:
+        InvalidInputError: the file is invalid.
+    """
     from onyxpost.node import config
 
     node = config.read({"EDGE_CONFIG": file} if file else os.environ)
@@ -130,7 +138,10 @@
 
 
 def _read_or_empty(file: str) -> bytes:
-    """Returns an empty object for a file that cannot be opened: reading it as a node's reports the cause."""
+    """Returns the file's content, or an empty JSON object if the file cannot be opened.
+
+    The caller then reads the file as a node's, which reports why it cannot be opened.
+    """
     try:
         return Path(file).read_bytes()
     except OSError:
--- a/onyxpost/node/__init__.py
+++ b/onyxpost/node/__init__.py
@@ -1,1 +1,1 @@
-"""One edge node put together: its file, its parts, its phases and reloads."""
+"""The edge node as a program: its config file, components, phases and reloads."""
--- a/onyxpost/node/cluster_extension.py
+++ b/onyxpost/node/cluster_extension.py
@@ -1,4 +1,4 @@
-"""Connections to the members of a cluster, with leader elections, as an optional part of an edge node."""
+"""Extension of an edge node: connections to the members of a cluster, and leader elections."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
     from onyxpost.runtime.transport import Transport
 
 MessageHandler = Callable[[str, bytes], None]
-"""Called with a message's sender and body; must not block."""
+"""Called with the sender and body of a message; must not block."""
 
 LEADERSHIP_TOPIC = "duties"
-"""The topic of election messages; part of the protocol between nodes."""
+"""Topic of election messages. The name is part of the protocol between nodes."""
 
 
 class ClusterExtension(Extension):
@@ -44,48 +44,56 @@
         self.leadership: LeadershipService | None = None
 
     def subscribe(self, topic: str, handler: MessageHandler) -> None:
-        """Calls `handler` with each message of the topic from now on."""
+        """Calls `handler` for each message of the topic that is received from now on."""
         self.handlers[topic] = handler
         self.connections.topics.add(topic)
 
     def add_leadership(self, leadership: LeadershipService) -> None:
-        """Lets this node take part in elections."""
+        """Makes this node take part in elections; must be called before `start`."""
         self.leadership = leadership
         self.subscribe(LEADERSHIP_TOPIC, leadership.handle_message)
 
     def descriptor_count(self) -> int:
-        """Returns the number of connections to members."""
+        """Returns the number of connections to other members."""
         return self.connections.descriptor_count()
 
     async def start(self) -> None:
-        """Accepts and dials members, then takes part in elections."""
+        """Accepts connections of members, dials the others, and takes part in elections.
+
+        Raises:
+            ListenError: the cluster address cannot be bound.
+        """
         await self.connections.listen(self.config.listen)
         self.connections.start()
         if self.leadership is not None:
             self.leadership.start()
 
     def resign(self) -> None:
-        """Gives up every role that this node leads."""
+        """Gives up the leadership of every role that this node leads."""
         if self.leadership is not None:
             self.leadership.resign_all()
 
     async def stop(self) -> None:
-        """Ends all connections once their peers have read what was sent, or after a short timeout."""
+        """Ends all connections once the peers have read all messages, or after a short timeout."""
         await self.connections.leave()
 
     def close(self) -> None:
-        """Aborts elections and connections."""
+        """Stops elections and closes all connections at once."""
         if self.leadership is not None:
             self.leadership.close()
         self.connections.close()
 
     def validate_reload(self, new: NodeConfig) -> None:
-        """Raises MembershipChangeError if the acceptors must not change in this way, or not yet."""
+        """Checks the new set of acceptors.
+
+        Raises:
+            MembershipChangeError: the acceptors must not change in this way, or not yet.
+        """
         if self.leadership is not None and new.leadership is not None:
             self.leadership.validate_reload(new.leadership)
 
     def apply_reload(self, new: NodeConfig) -> list[str]:
-        """Follows a later membership and a later set of acceptors."""
+        """Applies a later membership and a later set of acceptors."""
         if new.cluster is not None:
             self.connections.update_membership(new.cluster.membership)
         if self.leadership is None or new.leadership is None:
--- a/onyxpost/node/components.py
+++ b/onyxpost/node/components.py
@@ -1,4 +1,4 @@
-"""Builds the components of an edge node and connects them with each other."""
+"""Builds the components of an edge node and connects them to each other."""
 
 from __future__ import annotations
 
@@ -37,16 +37,21 @@
     """The calls that components make to their node."""
 
     def is_ready(self) -> bool:
-        """Returns whether the node serves."""
+        """Returns whether the node is in its serving phase."""
 
     def may_start_attempt(self, effect: SendAttempt, remaining_ms: float) -> bool:
-        """Returns whether an attempt may still be written to its connection."""
+        """Returns whether an attempt may still be written to its connection.
+
+        Args:
+            effect: the attempt.
+            remaining_ms: the time until the attempt expires.
+        """
 
     def descriptor_limit(self) -> int:
         """Returns how many file descriptors the node may have open."""
 
     def log(self, event: LogEvent) -> None:
-        """Writes to the node's log."""
+        """Writes an event to the node's log."""
 
     def report_fault(self, operation: str, error: BaseException | None) -> None:
         """Logs an unexpected exception in an operation."""
@@ -54,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Components:
-    """The parts of one node."""
+    """The components of one node."""
 
     state_machine: EdgeStateMachine
     events: EventProcessor
@@ -67,7 +72,7 @@
 
 
 def build_components(config: NodeConfig, net: Transport, node: NodeCallbacks) -> Components:
-    """Builds all parts of a node; none of them opens a socket yet."""
+    """Builds all components of a node without opening a socket."""
     deployment = config.deployment
     state_machine = EdgeStateMachine(deployment, deployment.build_gateway(net.clock(), config.seed))
     events = EventProcessor(state_machine, net.clock, node.report_fault)
@@ -77,7 +82,7 @@
         net,
         events.post,
         node.is_ready,
-        lambda: descriptors.has_client_capacity(),  # built below, as it counts these connections
+        lambda: descriptors.has_client_capacity(),  # `descriptors` is defined below, since it needs `clients`
         node.report_fault,
     )
     options = UpstreamPoolOptions(
@@ -119,7 +124,7 @@
 
 
 def _connect_effects(components: Components, node: NodeCallbacks) -> None:
-    """Sets which component carries out each type of effect."""
+    """Registers for each type of effect the component that carries it out."""
     clients = components.clients
     servers = components.servers
     discovery = components.discovery
@@ -143,4 +148,4 @@
 
 
 def _ignore(effect: Effect) -> None:
-    """Discards an effect that only an extension carries out: this node has none for it."""
+    """Discards an effect whose extension this node does not have."""
--- a/onyxpost/node/config.py
+++ b/onyxpost/node/config.py
@@ -1,4 +1,4 @@
-"""Reads a node's file and builds the node's configuration from it."""
+"""Reads the config file of a node and builds the node's configuration from it."""
 
 from __future__ import annotations
 
@@ -29,20 +29,20 @@
 
 CONFIG_PATH_VARIABLE = "EDGE_CONFIG"
 OVERRIDES = {"EDGE_NAME": "name", "EDGE_LISTEN": "listen", "EDGE_DISCOVERY": "discovery"}
-"""Environment variables that replace a key of the file."""
+"""Environment variables that override keys of the file, and those keys."""
 
-MAX_QUOTED_LENGTH = 80  # characters of an invalid value that an error quotes
+MAX_QUOTED_LENGTH = 80  # an error quotes at most this many characters of an invalid value
 
 
 def read(environ: Mapping[str, str], *, is_reload: bool = False) -> NodeConfig:
-    """Reads the file that `EDGE_CONFIG` names; other environment variables replace some of its keys.
+    """Reads the file that `EDGE_CONFIG` names; other environment variables override some of its keys.
 
     Args:
         environ: the environment variables of the process.
-        is_reload: the file is newer than the variables, so its keys win.
+        is_reload: the file is newer than the environment, so keys of the file take precedence.
 
     Raises:
-        InvalidInputError: no file is named, or it cannot be read or used.
+        InvalidInputError: `EDGE_CONFIG` is not set, or the file cannot be read or is invalid.
     """
     path = environ.get(CONFIG_PATH_VARIABLE)
     if not path:
@@ -53,21 +53,22 @@
         if environ.get(variable) and not (is_reload and key in fields):
             fields[key] = environ[variable]
     if discovery_in_file is not None and discovery_in_file != fields.get("discovery"):
-        # Discovery may have moved while this node was down, and only one of the two addresses answers.
+        # Discovery may have moved while this node was down. Only one of the two addresses answers then, so
+        # both are kept.
         fields["discovery_too"] = discovery_in_file
     return decode(fields, path, is_reload=is_reload)
 
 
 def decode(fields: JsonObject, source: str = "node", *, is_reload: bool = False) -> NodeConfig:
-    """Decodes the fields of a node's file, and reads the rules file that it names beside it.
+    """Decodes the fields of a node's file, and reads the rules file that it names.
 
     Args:
         fields: the file's JSON object.
-        source: the file's path, for errors and as the base of the rules file's path.
-        is_reload: leaves the rules file unread, so that invalid rules reject nothing else in the file.
+        source: the file's path, for errors; the path of the rules file is relative to its folder.
+        is_reload: skips the rules file, so that invalid rules do not reject the rest of the configuration.
 
     Raises:
-        InvalidInputError: a value cannot be used.
+        InvalidInputError: the file or the rules file is invalid.
     """
     file = decode_as(fields, NodeFile, source)
     try:
@@ -76,14 +77,14 @@
         raise error.with_location(source) from error
     if file.rules is None:
         return config
-    # Not by pathlib, which would shorten the path that errors quote.
+    # os.path, because pathlib normalizes the path, and errors have to quote it as the operator wrote it.
     path = os.path.join(os.path.dirname(source), file.rules)  # noqa: PTH118, PTH120
     config = replace(config, routing_rules_path=path)
     return config if is_reload else _with_routing_rules(config)
 
 
 def _with_routing_rules(config: NodeConfig) -> NodeConfig:
-    # Imported only by nodes whose file names rules.
+    # Imported here because only nodes whose file names a rules file need it.
     from onyxpost.rollout.routing_rules.context import RoutingContext
     from onyxpost.rollout.routing_rules.file import read_rules
 
@@ -139,7 +140,7 @@
 def _build_cluster(file: NodeFile) -> ClusterConfig | None:
     if file.cluster is None:
         return None
-    from onyxpost.cluster.membership import build_cluster_config  # imported only by members of a cluster
+    from onyxpost.cluster.membership import build_cluster_config  # only members of a cluster need it
 
     cluster = build_cluster_config(file.cluster, file.name)
     if file.cluster.listen in (file.listen, file.peer_listen):
@@ -154,7 +155,7 @@
         return None
     if cluster is None:
         raise ConflictingValuesError(at_key("the section duties requires the missing section fleet", "fleet"))
-    from onyxpost.leadership.config import read_section  # imported only by nodes that take part in elections
+    from onyxpost.leadership.config import read_section  # only nodes that take part in elections need it
 
     return read_section(file.leadership, tuple(sorted(cluster.membership.members)))
 
--- a/onyxpost/node/config_file.py
+++ b/onyxpost/node/config_file.py
@@ -1,4 +1,4 @@
-"""A node's file as operators write it: its keys, their types and ranges."""
+"""The schema of a node's config file: its keys, their types and ranges."""
 
 from __future__ import annotations
 
@@ -21,9 +21,10 @@
 
 
 class NodeFile(Settings):
-    """A node's file as it is written. Other keys are ignored.
+    """The keys of a node's config file. Unknown keys are ignored.
 
-    `seed` is a hexadecimal number. `discovery_too` is set by `read`, not by operators.
+    `seed` is a hexadecimal number. `discovery_too` is set by `config.read`, not by operators. `duties` is
+    decoded by `onyxpost.leadership.config`.
     """
 
     name: str
--- a/onyxpost/node/edge_node.py
+++ b/onyxpost/node/edge_node.py
@@ -1,4 +1,4 @@
-"""One edge node from its start to its exit: its phases, its reloads and its log."""
+"""The life cycle of an edge node: phases from start to exit, reloads, and the node's log."""
 
 from __future__ import annotations
 
@@ -24,29 +24,30 @@
     from onyxpost.runtime.structured_log import StructuredLog
     from onyxpost.runtime.transport import Transport
 
-SWEEP_INTERVAL_SECONDS = 0.25  # between searches for connections that exceed a timeout
+SWEEP_INTERVAL_SECONDS = 0.25  # interval between checks for connections that exceed a timeout
 INITIAL_ENDPOINTS_TIMEOUT_MS = 500.0
-"""The longest time that a start waits for discovery's endpoints; less if the drain grace is shorter.
+"""How long a starting node waits for endpoints from discovery, at most; the drain grace period if shorter.
 
-An agent answers its first poll at once, so one that is silent for longer is down. A server that it reports as
-draining may still receive requests within the drain grace, so the wait need not be longer than that.
+A discovery agent answers the first poll at once, so an agent that does not answer within this time is down.
+App servers that the answer would report as draining still accept requests during the drain grace period, so a
+wait beyond that period has no use.
 """
-ACCEPT_AFTER_STOP_SECONDS = 0.6  # new clients may still arrive for 0.4 s after SIGTERM
-DRAIN_POLL_SECONDS = 0.01  # between checks whether all clients have their answers
+ACCEPT_AFTER_STOP_SECONDS = 0.6  # new connections may arrive for 0.4 s after SIGTERM
+DRAIN_POLL_SECONDS = 0.01  # interval between checks whether all requests have been answered
 
 
 class Phase(Enum):
-    """The phases of a node's process, in their order."""
+    """The phases of a node, in order; the values are written to the log."""
 
     STARTING = "starting"
     SERVING = "serving"
-    LEAVING = "leaving"  # after a signal to stop: answers all requests, and still accepts for a short time
-    CLOSING = "closing"  # accepts nothing any more and answers what it has accepted
+    LEAVING = "leaving"  # after a stop signal: answers requests, and accepts connections for a short time
+    CLOSING = "closing"  # accepts no more connections, and answers the requests of those that are open
     STOPPED = "stopped"
 
 
 class EdgeNode:
-    """One edge node, with the configuration in force and the components that serve it."""
+    """An edge node: the configuration in force, and the components that use it."""
 
     def __init__(
         self,
@@ -59,9 +60,9 @@
 
         Args:
             config: the configuration to start with.
-            event_log: where the node logs.
+            event_log: the node's log.
             read_config: reads the configuration again for a reload. Raises InvalidInputError.
-            net: the network; the system's by default.
+            net: the transport; the operating system's sockets by default.
         """
         self.config = config
         self.event_log = event_log
@@ -85,7 +86,7 @@
     # Phases
 
     async def run(self) -> int:
-        """Serves until a signal asks the node to stop; returns the exit code of the process.
+        """Serves until a signal stops the node; returns the exit code of the process.
 
         Raises:
             ListenError: the node cannot listen at one of its addresses.
@@ -102,10 +103,10 @@
         return 0
 
     async def _prepare(self, stop: asyncio.Event) -> None:
-        """Prepares to serve.
+        """Prepares the node to serve.
 
-        Installs the signal handlers, opens the peer socket, applies the endpoints and rules of the files, and
-        waits a short time for discovery's endpoints.
+        Installs the signal handlers, opens the peer socket, applies the endpoints and rules that the files
+        contain, and waits a short time for endpoints from discovery.
         """
         asyncio.get_running_loop().set_exception_handler(self._handle_loop_error)
         self.net.install_signal_handlers(stop.set, self.reload)
@@ -118,7 +119,7 @@
         self.events.run_round()
         if not self.config.deployment.polls_endpoints:
             self.discovery.start()
-        # From its start on the node has to follow the agent's endpoints; those in the file may be outdated.
+        # The endpoints in the file may be outdated, and a node that serves has to use those of discovery.
         timeout_ms = min(INITIAL_ENDPOINTS_TIMEOUT_MS, self.config.deployment.drain_grace_ms)
         await wait_unless_stopped(stop, self.discovery.wait_for_first_answer(timeout_ms))
 
@@ -131,7 +132,7 @@
         self._enter(Phase.SERVING)
 
     async def _drain(self) -> None:
-        """Answers all clients, then stops the extensions."""
+        """Waits until all requests are answered, then stops the extensions."""
         self._enter(Phase.LEAVING)
         for extension in self.extensions:
             extension.resign()
@@ -157,7 +158,7 @@
             extension.close()
 
     def is_ready(self) -> bool:
-        """Returns whether the node serves."""
+        """Returns whether the node is in its serving phase."""
         return self.phase is Phase.SERVING
 
     def _enter(self, phase: Phase) -> None:
@@ -167,10 +168,10 @@
     # Reload
 
     def reload(self) -> None:
-        """Reads the configuration again, and applies all of it that needs no restart.
+        """Reads the configuration again and applies all changes that do not require a restart.
 
-        It is read and checked whole before any of it takes effect; an invalid one is logged and changes
-        nothing.
+        The whole configuration is read and checked before any change takes effect. An invalid configuration
+        is logged and changes nothing.
         """
         try:
             new = self.read_config()
@@ -192,7 +193,7 @@
     def _reload_routing_rules(self, new: NodeConfig) -> None:
         if new.routing_rules_path is None:
             return
-        from onyxpost.node.rules_reload import reload_rules  # imported only by nodes that have rules
+        from onyxpost.node.rules_reload import reload_rules  # only nodes with routing rules need it
 
         rules = reload_rules(new, self.config, self.routing_rules, self.log)
         if rules is not None:
@@ -202,11 +203,11 @@
     # Callbacks of the components
 
     def may_start_attempt(self, effect: SendAttempt, remaining_ms: float) -> bool:
-        """Returns whether an attempt may still be written; checked just before its first byte.
+        """Returns whether an attempt may still be sent; checked just before its first byte is written.
 
-        While the attempt waited for its connection, the client may have disconnected, the server may have
-        begun to drain, or the deduplication window may have ended. With no more than one tick left, the
-        attempt would reach the server after its request was answered.
+        While the attempt waited for a connection, the client may have disconnected, the app server may have
+        begun to drain, or the deduplication window may have ended. With no more than one tick remaining, the
+        attempt would reach the app server after its request was answered.
         """
         if not self.clients.connections.is_waiting(effect.request.connection_id):
             self.events.post(ClientDisconnected(effect.request.connection_id))
@@ -215,11 +216,11 @@
         return is_in_time and self.state_machine.endpoints.accepts_attempts(effect.endpoint)
 
     def descriptor_limit(self) -> int:
-        """Returns how many file descriptors the node may have open, by its file and by the system."""
+        """Returns the lower of the limits on file descriptors that the node's file and the system set."""
         return min(self.config.max_descriptors, self.system_descriptor_limit)
 
     def sweep(self) -> None:
-        """Closes connections that exceed a timeout, now and in regular intervals."""
+        """Closes connections that exceed a timeout, and schedules the next such check."""
         self.servers.close_expired()
         self.clients.closer.close_expired()
         asyncio.get_running_loop().call_later(SWEEP_INTERVAL_SECONDS, self.sweep)
@@ -227,7 +228,7 @@
     # Log
 
     def log(self, event: LogEvent) -> None:
-        """Writes to the node's log."""
+        """Writes an event to the node's log."""
         self.event_log.write(self.clock(), event.event, event.fields, event.level)
 
     def report_fault(self, operation: str, error: BaseException | None) -> None:
--- a/onyxpost/node/extension.py
+++ b/onyxpost/node/extension.py
@@ -1,4 +1,4 @@
-"""The interface of the optional parts of an edge node."""
+"""The interface of extensions, the optional components of an edge node."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class Extension:
-    """One optional part of a node, driven through these calls.
+    """An optional component of a node, which calls these methods in the course of its life cycle.
 
-    Each does nothing by default, except `apply_reload`, which each extension has to implement.
+    By default each method does nothing, except `apply_reload`, which every extension has to implement.
     """
 
     def effect_handlers(self) -> dict[type, Callable[[Any], None]]:
-        """Returns the functions that carry out effects of the state machine, by type of effect."""
+        """Returns the functions that carry out effects of the state machine, by effect type."""
         return {}
 
     def descriptor_count(self) -> int:
@@ -25,22 +25,30 @@
         return 0
 
     async def start(self) -> None:
-        """Starts to work, just before clients are accepted. Raises ListenError if an address is taken."""
+        """Starts the extension, just before the node accepts clients.
+
+        Raises:
+            ListenError: an address cannot be bound.
+        """
 
     def resign(self) -> None:
-        """Gives up all leadership, as the node is shutting down; called before clients are drained."""
+        """Gives up the leadership of all roles; called at shutdown before requests are drained."""
 
     async def stop(self) -> None:
-        """Ends in an orderly way, once all clients have their answers."""
+        """Shuts the extension down gracefully; called after all requests have been answered."""
 
     def close(self) -> None:
-        """Ends everything at once."""
+        """Releases all resources at once, without waiting for peers."""
 
     def validate_reload(self, new: NodeConfig) -> None:
-        """Checks a reloaded configuration and changes nothing. Raises InvalidInputError to reject it."""
+        """Checks a reloaded configuration without applying it.
+
+        Raises:
+            InvalidInputError: the configuration must not be applied.
+        """
 
     def apply_reload(self, new: NodeConfig) -> list[str]:
-        """Applies a valid configuration; returns the file keys whose changes take a restart."""
+        """Applies a valid configuration; returns the file keys whose changes require a restart."""
         raise NotImplementedError
 
 
--- a/onyxpost/node/extensions.py
+++ b/onyxpost/node/extensions.py
@@ -1,6 +1,6 @@
-"""Builds the optional parts of an edge node: planners, cluster connections and leadership elections.
+"""Builds the extensions of an edge node: planner client, cluster connections and leadership elections.
 
-Their packages are imported only by nodes whose files name them.
+A node imports only the packages of the extensions that its file configures.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     post: Callable[[EdgeEvent], None],
     log: Callable[[LogEvent], None],
 ) -> list[Extension]:
-    """Builds the optional parts that `config` names, in the order in which they start."""
+    """Builds the extensions that `config` contains, in the order in which they start."""
     extensions: list[Extension] = []
     if config.planners is not None:
         extensions.append(_build_planner_extension(config.name, config.planners, net, post, log))
--- a/onyxpost/node/node_config.py
+++ b/onyxpost/node/node_config.py
@@ -1,4 +1,4 @@
-"""The configuration of one edge node, as its parts use it: its name, addresses, limits and deployment."""
+"""The configuration of an edge node, as its components use it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 class PlannerClientConfig:
     """The planners that grant leases to this node.
 
-    `safe_share` is the part of each quota that the node may admit without a lease.
+    Attributes:
+        membership_version: the version of the set of planners.
+        members: the planners' addresses by name.
+        safe_share: the fraction of each quota that the node may admit without a lease.
     """
 
     membership_version: int
@@ -28,12 +31,12 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
-    """The configuration of one edge node; None for each optional part that its file does not name."""
+    """The configuration of an edge node; optional values that its file does not contain are None."""
 
     name: str
     listen: Address
     discovery: Address
-    alternate_discovery: Address | None  # the one in the file, if EDGE_DISCOVERY gives another
+    alternate_discovery: Address | None  # the address in the file, if EDGE_DISCOVERY overrides it
     seed: int
     max_descriptors: int
     peer_listen: Address | None
--- a/onyxpost/node/planner_extension.py
+++ b/onyxpost/node/planner_extension.py
@@ -1,4 +1,4 @@
-"""Leases from planners, as an optional part of an edge node."""
+"""Extension of an edge node: leases from planners."""
 
 from __future__ import annotations
 
@@ -16,33 +16,37 @@
 
 
 class PlannerExtension(Extension):
-    """Leases from planners. Its few connections are covered by the reserve of `DescriptorBudget`."""
+    """Leases from planners. The descriptors that `DescriptorBudget` reserves cover its few connections."""
 
     def __init__(self, client: PlannerClient) -> None:
-        """Creates the part of a node with this client, which is not started yet."""
+        """Creates the extension with a client that has not been started."""
         self.client = client
 
     def effect_handlers(self) -> dict[type, Callable[[Any], None]]:
-        """Returns the client's functions that report spent units and return leases."""
+        """Returns the client's methods that report spent units and return leases."""
         return {
             ReportUnitsSpent: self.client.report_units_spent,
             ReturnLease: self.client.return_lease,
         }
 
     async def start(self) -> None:
-        """Starts to connect to the planners."""
+        """Starts connecting to the planners."""
         self.client.start()
 
     async def stop(self) -> None:
-        """Returns all leases."""
+        """Returns all leases to the planners."""
         await self.client.stop()
 
     def close(self) -> None:
-        """Ends all connections at once."""
+        """Closes all connections to planners at once."""
         self.client.close()
 
     def validate_reload(self, new: NodeConfig) -> None:
-        """Raises StaleVersionError if the membership is older than the one in force."""
+        """Checks the version of the planners' membership.
+
+        Raises:
+            StaleVersionError: the membership is older than the one in force.
+        """
         if new.planners is None:
             return
         current_version = self.client.membership_version
@@ -56,7 +60,7 @@
             )
 
     def apply_reload(self, new: NodeConfig) -> list[str]:
-        """Follows a later membership."""
+        """Applies a later membership of the planners."""
         if new.planners is not None:
             self.client.update_membership(new.planners.members, new.planners.membership_version)
         return []
--- a/onyxpost/node/reload.py
+++ b/onyxpost/node/reload.py
@@ -1,4 +1,4 @@
-"""Compares the configuration that a node runs with and the one in its reloaded file."""
+"""Compares the configuration of a running node with that of its reloaded file."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
     from onyxpost.node.node_config import NodeConfig
 
 RESTART_FIELDS = ("name", "listen", "peer_listen", "peers", "deployment", "zone")
-"""Fields of `NodeConfig` whose changes are logged as taking effect after a restart."""
+"""Fields of `NodeConfig` whose changes require a restart; the log lists them by these names."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigChange:
-    """What a reload changes.
+    """The result of a reload.
 
     Attributes:
-        config: the configuration that the node runs with from now on.
-        restart_keys: what has new values that take effect at the next restart, by the names used in the log.
+        config: the configuration that the node uses from now on.
+        restart_keys: the names, as logged, of the changed values that take effect at the next restart.
     """
 
     config: NodeConfig
@@ -26,14 +26,15 @@
 
 
 def compare_configs(running: NodeConfig, new: NodeConfig, *, has_routing_rules: bool) -> ConfigChange:
-    """Returns what of `new` takes effect at once, and what only after a restart.
+    """Returns which changes in `new` take effect at once, and which require a restart.
 
-    Planners, cluster members, acceptors and routing rules are versioned: their owners compare those.
+    Planners, cluster members, acceptors and routing rules are versioned; the components that use them compare
+    their versions.
 
     Args:
-        running: the configuration that the node runs with.
+        running: the configuration in force.
         new: the configuration in the file.
-        has_routing_rules: routing rules are in force; removing them from the file takes a restart.
+        has_routing_rules: routing rules are in force; removing them from the file requires a restart.
     """
     restart_keys = [field for field in RESTART_FIELDS if getattr(new, field) != getattr(running, field)]
     if _cluster_address(new) != _cluster_address(running):
--- a/onyxpost/node/rules_reload.py
+++ b/onyxpost/node/rules_reload.py
@@ -1,4 +1,4 @@
-"""Reads the routing rules of a running node again. Imported only by nodes whose file names rules."""
+"""Reloads the routing rules of a running node. Imported only by nodes whose file names a rules file."""
 
 from __future__ import annotations
 
@@ -20,12 +20,14 @@
 def reload_rules(
     new: NodeConfig, running: NodeConfig, in_force: CompiledRules | None, log: Callable[[LogEvent], None]
 ) -> CompiledRules | None:
-    """Returns the rules that take effect now, or None; logs them, or the reason why the file is rejected.
+    """Reads the rules file again and returns the rules to apply.
+
+    Returns None if the rules in force stay, because the file is unchanged or is rejected.
 
     Args:
-        new: the node's file as it was just read; it names the rules file.
-        running: the configuration that the node runs with, whose deployment and zone stay in force.
-        in_force: the current rules.
+        new: the reloaded configuration, which contains the path of the rules file.
+        running: the configuration in force; its deployment and zone do not change in a reload.
+        in_force: the rules in force.
         log: receives the events `routing rules applied` and `routing rules rejected`.
     """
     endpoints = [*new.known_endpoints.endpoints, *running.known_endpoints.endpoints]
--- a/onyxpost/node/serve.py
+++ b/onyxpost/node/serve.py
@@ -1,4 +1,4 @@
-"""Runs one edge node as a process, configured by its environment."""
+"""Runs an edge node as a process, configured by environment variables."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def serve() -> int:
-    """Runs the node whose file `EDGE_CONFIG` names, until a signal stops it; returns the exit code."""
+    """Runs the node whose file `EDGE_CONFIG` names until a signal stops it; returns the exit code."""
     return process.run_process(partial(config.read, os.environ), _run_node)
 
 
--- a/onyxpost/node/shutdown.py
+++ b/onyxpost/node/shutdown.py
@@ -1,4 +1,4 @@
-"""Waiting that ends early when the node is asked to stop."""
+"""Awaits work that a stop signal interrupts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 async def wait_unless_stopped(stop: asyncio.Event, work: Coroutine[Any, Any, None]) -> None:
-    """Awaits `work`, but cancels it as soon as `stop` is set. Raises what `work` raises."""
+    """Awaits `work`, or cancels it as soon as `stop` is set. Exceptions of `work` propagate."""
     tasks = asyncio.ensure_future(work), asyncio.ensure_future(stop.wait())
     await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     for task in tasks:
--- a/onyxpost/simulator_host/__init__.py
+++ b/onyxpost/simulator_host/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's protocol: decodes events, hosts one gateway per node, encodes actions. No decisions."""
+"""The simulator's host protocol: decodes events, hosts a gateway per node, encodes actions. No decisions."""
--- a/onyxpost/simulator_host/__main__.py
+++ b/onyxpost/simulator_host/__main__.py
@@ -1,6 +1,7 @@
-"""The simulator's host, `python -m onyxpost.simulator_host`.
+"""The host process of the simulator, `python -m onyxpost.simulator_host`.
 
-Reads one batch of events per line from standard input and writes one reply per line.
+Reads one JSON message per line from standard input, a time with a batch of events, and writes one JSON reply
+per line to standard output.
 """
 
 import sys
@@ -12,7 +13,7 @@
 
 
 def main() -> int:
-    """Answers lines until standard input ends, or one is malformed; returns the exit code."""
+    """Replies to each line until standard input ends or a line is malformed; returns the exit code."""
     host = Host()
     out = sys.stdout.buffer
     for line in sys.stdin.buffer:
--- a/onyxpost/simulator_host/decode.py
+++ b/onyxpost/simulator_host/decode.py
@@ -1,4 +1,4 @@
-"""Decodes the simulator's events: names, units and defaults, nothing else."""
+"""Decodes the simulator's events: translates names and units, and fills in defaults."""
 
 from __future__ import annotations
 
@@ -30,8 +30,9 @@
 STOP = "Teardown"
 UNUSED_EVENTS = ("Total", "CheckResult")  # replies to queries that the gateway never sends
 
-CHANGED_ENDPOINTS = 0  # scope of an update that names only what changed
-POLL_FAILED = 3  # scope of the reply to a poll that failed; all others: a complete update
+# Values of `scope` in an update of endpoints; all other values mark an update with all endpoints.
+CHANGED_ENDPOINTS = 0  # the update contains only endpoints that changed
+POLL_FAILED = 3  # a poll of discovery failed
 
 RESULTS = {
     "delivered": AttemptResult.OK,
@@ -47,11 +48,11 @@
 
 
 def build_gateway(now: float, fields: JsonObject) -> Gateway:
-    """Builds the gateway of a node that starts.
+    """Builds the gateway of a starting node from the fields of its start event.
 
     Raises:
         WireError: a field is missing.
-        InvalidInputError: a value of the settings cannot be used.
+        InvalidInputError: a value of the settings is invalid.
     """
     try:
         return deployment.decode_deployment(fields["params"]).build_gateway(now, fields["init_seed"])
@@ -60,7 +61,7 @@
 
 
 def decode_event(name: str, fields: JsonObject) -> Event | None:
-    """Decodes an event; returns None for one that the gateway has no use for.
+    """Decodes an event; returns None if the gateway does not use events of this name.
 
     Raises:
         WireError: the event is unknown or malformed.
--- a/onyxpost/simulator_host/errors.py
+++ b/onyxpost/simulator_host/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the simulator's host."""
+"""The errors of the simulator's host protocol."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 
 class WireError(OperatorError):
-    """A line that does not follow the simulator's protocol."""
+    """A line does not conform to the simulator's host protocol."""
 
     remedy = "check that simulator and host use the same protocol version and that no line was truncated"
--- a/onyxpost/simulator_host/host.py
+++ b/onyxpost/simulator_host/host.py
@@ -1,4 +1,4 @@
-"""Hosts one gateway for each node of the simulator and forwards every batch of events to them."""
+"""Hosts one gateway per simulated node and passes each batch of events to the gateways."""
 
 from __future__ import annotations
 
@@ -16,21 +16,24 @@
     from onyxpost.core.events import Event
     from onyxpost.policy.gateway import Gateway
 
-NamedEvent = tuple[str, "JsonObject"]  # the event's name on the wire, and its fields
+NamedEvent = tuple[str, "JsonObject"]  # the event's name in the protocol, and its fields
 
 
 class Host:
-    """The gateways of all nodes that have started.
+    """Runs the gateways of all simulated nodes.
 
     Attributes:
-        gateways: by the node's id.
+        gateways: the gateways of the nodes that have started, by node id.
     """
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
 
     def batch(self, message: JsonObject) -> dict[str, list[Action]]:
-        """Handles one message, a time and the events of any nodes, and returns the reply.
+        """Handles one message and returns the reply.
+
+        Args:
+            message: a time, and events of one or more nodes.
 
         Raises:
             WireError: the message is malformed.
@@ -55,12 +58,12 @@
             raise
         except InvalidInputError as err:
             raise WireError(err.message, err.location) from err
-        except Exception as err:  # the simulator continues, and reports the fault
+        except Exception as err:  # reported to the simulator, which continues
             where = traceback.extract_tb(err.__traceback__)[-1]
             actions.report_fault(f"{type(err).__name__}: {err} ({where.name}, line {where.lineno})")
 
     def _handle(self, node: int, now: float, events: list[NamedEvent], actions: ActionWriter) -> None:
-        """Splits the events at each start and stop, so that an incarnation gets only its own."""
+        """Splits the events at each start and stop, so that each incarnation gets only its own events."""
         batch: list[Event] = []
         gateway = self.gateways.get(node)
         for name, fields in events:
--- a/onyxpost/simulator_host/units.py
+++ b/onyxpost/simulator_host/units.py
@@ -1,4 +1,4 @@
-"""Times of the simulator's protocol, which are microseconds, and of the decision code, in milliseconds."""
+"""Converts times between the simulator's protocol (microseconds) and the decision code (milliseconds)."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def to_millis(microseconds: float) -> float:
-    """Returns milliseconds, with fractions."""
+    """Converts to milliseconds without rounding."""
     return microseconds / US_PER_MS
 
 
 def to_micros(milliseconds: float) -> int:
-    """Returns whole microseconds."""
+    """Converts to microseconds, rounded to an integer."""
     return round(milliseconds * US_PER_MS)
