--- a/onyxpost/cli.py
+++ b/onyxpost/cli.py
@@ -12,7 +12,7 @@
 
 SIMULATE = "simulate"
 OLD_SIMULATE = "lab"
-SIMULATE_SUMMARY = "Simulations, seeded faults, load and reports (needs libraries of its own)."
+SIMULATE_SUMMARY = "Run simulations, fault injection, load and reports (needs additional libraries)."
 MAX_HELP_CHARS = 80
 
 
@@ -59,15 +59,15 @@
 @click.group(cls=LazySimulateGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="onyxpost", message="%(prog)s %(version)s")
 def main() -> None:
-    """Holds customers to their quotas before a shared back end."""
+    """Enforces customer quotas in front of a shared back end."""
 
 
 @main.command()
 def serve() -> None:
-    """Run one edge node, as EDGE_CONFIG and the other EDGE_ variables say.
+    """Run one edge node, configured by EDGE_CONFIG and the other EDGE_ variables.
 
     Exit 0: stopped by a signal, all requests answered. Exit 1: an address cannot be bound. Exit 2: the file
-    cannot be used.
+    is invalid.
     """
     from onyxpost.node.serve import serve as run_node
 
@@ -77,9 +77,10 @@
 @main.command()
 @click.argument("file")
 def plan(file: str) -> None:
-    """Run one planner by its JSON FILE: it grants forwarders leases of their customers' quotas.
+    """Run one planner, which grants leases of quotas, configured by the JSON FILE.
 
-    SIGHUP reads the file again: plans, forwarders and a later version of the planners take effect at once.
+    A planner leases parts of the customers' quotas to forwarders. On SIGHUP it reads the file again: plans,
+    forwarders and a later version of the planners' membership take effect at once.
     """
     from onyxpost.planner.serve import serve as run_planner
 
@@ -89,7 +90,10 @@
 @main.command()
 @click.argument("file", required=False)
 def check(file: str | None) -> None:
-    """Check the FILE of a node or planner, or what EDGE_CONFIG names (exit 2 if it cannot be used)."""
+    """Check the FILE of a node or planner, by default the one that EDGE_CONFIG names.
+
+    Exit 2: the file is invalid.
+    """
     from onyxpost.errors import InvalidInputError
 
     try:
