--- a/onyxpost/cli.py
+++ b/onyxpost/cli.py
@@ -118,7 +118,7 @@
     from onyxpost.config.decoding import decode_as
     from onyxpost.planner import config
 
-    if not file or not config.is_planner_file(decode_as(_read_or_empty(file), dict, file)):
+    if not file or not config.is_planner_file(decode_as(_read_or_empty_object(file), dict, file)):
         return None
     planner = config.read_config(file)
     return (
@@ -141,7 +141,7 @@
     return f"{node.name}: {server_count} servers, {len(node.deployment.frontends)} frontends{rules}"
 
 
-def _read_or_empty(file: str) -> bytes:
+def _read_or_empty_object(file: str) -> bytes:
     """Returns the file's content, or an empty JSON object if the file cannot be opened.
 
     The caller then reads the file as a node's, which reports why it cannot be opened.
--- a/onyxpost/node/components.py
+++ b/onyxpost/node/components.py
@@ -106,7 +106,7 @@
     components = Components(
         state_machine, events, descriptors, clients, servers, discovery, peers, extensions
     )
-    _connect_effects(components, node)
+    _register_effect_handlers(components, node)
     return components
 
 
@@ -123,7 +123,7 @@
     return DiscoveryClient(net, options, events.post, node.log)
 
 
-def _connect_effects(components: Components, node: NodeCallbacks) -> None:
+def _register_effect_handlers(components: Components, node: NodeCallbacks) -> None:
     """Registers for each type of effect the component that carries it out."""
     clients = components.clients
     servers = components.servers
@@ -137,8 +137,8 @@
             RetireEndpoint: lambda effect: servers.retire_endpoint(effect.endpoint),
             SendAnswer: clients.send_answer,
             SendPeerMessage: components.peers.send,
-            ReportUnitsSpent: _ignore,
-            ReturnLease: _ignore,
+            ReportUnitsSpent: _ignore_effect,
+            ReturnLease: _ignore_effect,
             WatchEndpoints: lambda _effect: discovery.start(),
             LogEvent: node.log,
         }
@@ -147,5 +147,5 @@
         handlers.update(extension.effect_handlers())
 
 
-def _ignore(effect: Effect) -> None:
+def _ignore_effect(effect: Effect) -> None:
     """Discards an effect whose extension this node does not have."""
--- a/onyxpost/node/config.py
+++ b/onyxpost/node/config.py
@@ -28,10 +28,10 @@
     from onyxpost.leadership.config import LeadershipConfig
 
 CONFIG_PATH_VARIABLE = "EDGE_CONFIG"
-OVERRIDES = {"EDGE_NAME": "name", "EDGE_LISTEN": "listen", "EDGE_DISCOVERY": "discovery"}
+ENVIRONMENT_OVERRIDES = {"EDGE_NAME": "name", "EDGE_LISTEN": "listen", "EDGE_DISCOVERY": "discovery"}
 """Environment variables that override keys of the file, and those keys."""
 
-MAX_QUOTED_LENGTH = 80  # an error quotes at most this many characters of an invalid value
+MAX_QUOTED_CHARS = 80  # an error quotes at most this many characters of an invalid value
 
 
 def read(environ: Mapping[str, str], *, is_reload: bool = False) -> NodeConfig:
@@ -49,7 +49,7 @@
         raise NoConfigFileError("EDGE_CONFIG is not set")
     fields = read_json_file(path)
     discovery_in_file = fields.get("discovery")
-    for variable, key in OVERRIDES.items():
+    for variable, key in ENVIRONMENT_OVERRIDES.items():
         if environ.get(variable) and not (is_reload and key in fields):
             fields[key] = environ[variable]
     if discovery_in_file is not None and discovery_in_file != fields.get("discovery"):
@@ -126,7 +126,7 @@
         return int(text, 16)
     except ValueError:
         raise InvalidValueError(
-            at_key(f"expected a hexadecimal number, got {text[:MAX_QUOTED_LENGTH]!r}", "seed")
+            at_key(f"expected a hexadecimal number, got {text[:MAX_QUOTED_CHARS]!r}", "seed")
         ) from None
 
 
--- a/onyxpost/node/edge_node.py
+++ b/onyxpost/node/edge_node.py
@@ -92,17 +92,17 @@
             ListenError: the node cannot listen at one of its addresses.
         """
         stop = asyncio.Event()
-        await self._prepare(stop)
+        await self._prepare_to_serve(stop)
         if not stop.is_set():
             await self._start_serving()
             await stop.wait()
             await self._drain()
         self.net.ignore_signals()
         self.close()
-        self._enter(Phase.STOPPED)
+        self._enter_phase(Phase.STOPPED)
         return 0
 
-    async def _prepare(self, stop: asyncio.Event) -> None:
+    async def _prepare_to_serve(self, stop: asyncio.Event) -> None:
         """Prepares the node to serve.
 
         Installs the signal handlers, opens the peer socket, applies the endpoints and rules that the files
@@ -129,16 +129,16 @@
         await self.clients.listener.listen(self.config.listen)
         self.sweep()
         self.net.freeze_startup_objects()
-        self._enter(Phase.SERVING)
+        self._enter_phase(Phase.SERVING)
 
     async def _drain(self) -> None:
         """Waits until all requests are answered, then stops the extensions."""
-        self._enter(Phase.LEAVING)
+        self._enter_phase(Phase.LEAVING)
         for extension in self.extensions:
             extension.resign()
         self.clients.closer.begin_shutdown()
         await asyncio.sleep(ACCEPT_AFTER_STOP_SECONDS)
-        self._enter(Phase.CLOSING)
+        self._enter_phase(Phase.CLOSING)
         await self.clients.listener.stop_accepting()
         self.clients.closer.on_accepting_stopped()
         while self.state_machine.unanswered_count or self.clients.connections.open:
@@ -161,7 +161,7 @@
         """Returns whether the node is in its serving phase."""
         return self.phase is Phase.SERVING
 
-    def _enter(self, phase: Phase) -> None:
+    def _enter_phase(self, phase: Phase) -> None:
         self.phase = phase
         self.log(LogEvent("phase", {"phase": phase.value, "owed": self.state_machine.unanswered_count}))
 
--- a/onyxpost/node/extension.py
+++ b/onyxpost/node/extension.py
@@ -55,6 +55,6 @@
 ExtensionT = TypeVar("ExtensionT", bound=Extension)
 
 
-def find_extension(extensions: Iterable[Extension], kind: type[ExtensionT]) -> ExtensionT | None:
+def find_extension(extensions: Iterable[Extension], extension_type: type[ExtensionT]) -> ExtensionT | None:
     """Returns the extension of the given type, or None if the node has none."""
-    return next((extension for extension in extensions if isinstance(extension, kind)), None)
+    return next((extension for extension in extensions if isinstance(extension, extension_type)), None)
--- a/onyxpost/node/rules_reload.py
+++ b/onyxpost/node/rules_reload.py
@@ -33,14 +33,14 @@
     endpoints = [*new.known_endpoints.endpoints, *running.known_endpoints.endpoints]
     zones = (endpoint.zone for endpoint in endpoints)
     context = RoutingContext.of_deployment(running.deployment, zones, running.zone)
-    version_in_force = None if in_force is None else in_force.version
+    current_version = None if in_force is None else in_force.version
     try:
         rules = read_newer_rules(str(new.routing_rules_path), context, in_force)
     except InvalidInputError as error:
-        fields = {"kind": type(error).__name__, "version in force": version_in_force, **error.fields()}
+        fields = {"kind": type(error).__name__, "version in force": current_version, **error.fields()}
         log(LogEvent("routing rules rejected", fields, logging.WARNING))
         return None
     if rules is not None:
-        fields = {**rules.log_fields(), "previous version": version_in_force}
+        fields = {**rules.log_fields(), "previous version": current_version}
         log(LogEvent("routing rules applied", fields))
     return rules
--- a/onyxpost/process.py
+++ b/onyxpost/process.py
@@ -51,17 +51,17 @@
     try:
         config = read_config()
     except InvalidInputError as err:
-        return _report(err, ExitCode.INVALID_FILE)
-    lines = StructuredLog(config.name, config.log_level)
-    lines.capture_library_logs()
+        return _print_error(err, ExitCode.INVALID_FILE)
+    log = StructuredLog(config.name, config.log_level)
+    log.capture_library_logs()
     try:
-        return asyncio.run(run(config, lines))
+        return asyncio.run(run(config, log))
     except InvalidInputError as err:  # a file that the process itself writes is damaged
-        return _report(err, ExitCode.INVALID_FILE)
+        return _print_error(err, ExitCode.INVALID_FILE)
     except ListenError as err:
-        return _report(err, ExitCode.UNAVAILABLE)
+        return _print_error(err, ExitCode.UNAVAILABLE)
     except OSError as err:
-        return _report(OperatingSystemError(str(err), config.name), ExitCode.UNAVAILABLE)
+        return _print_error(OperatingSystemError(str(err), config.name), ExitCode.UNAVAILABLE)
 
 
 def _handle_early_signals() -> None:
@@ -74,6 +74,6 @@
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(ExitCode.STOPPED))
 
 
-def _report(err: OperatorError, exit_code: ExitCode) -> int:
+def _print_error(err: OperatorError, exit_code: ExitCode) -> int:
     print(f"onyxpost: {err.to_line()}", file=sys.stderr)
     return exit_code
--- a/onyxpost/runtime/http1.py
+++ b/onyxpost/runtime/http1.py
@@ -58,7 +58,7 @@
             http.receive_data(data)
         elif isinstance(event, h11.Response):
             response = event
-            _check_length(response, max_body_bytes)
+            _check_framing_headers(response, max_body_bytes)
         elif isinstance(event, h11.Data):
             body += event.data
             if len(body) > max_body_bytes:
@@ -85,9 +85,9 @@
     return True
 
 
-def _check_length(response: h11.Response, max_body_bytes: int) -> None:
-    lengths = [value for name, value in response.headers if name in FRAMING_HEADERS]
-    if len(lengths) > 1 or (lengths and lengths[0].isdigit() and int(lengths[0]) > max_body_bytes):
+def _check_framing_headers(response: h11.Response, max_body_bytes: int) -> None:
+    values = [value for name, value in response.headers if name in FRAMING_HEADERS]
+    if len(values) > 1 or (values and values[0].isdigit() and int(values[0]) > max_body_bytes):
         raise h11.RemoteProtocolError(
             f"response has several framing headers, or its body exceeds {max_body_bytes} bytes"
         )
--- a/onyxpost/runtime/log_event.py
+++ b/onyxpost/runtime/log_event.py
@@ -6,7 +6,7 @@
 import traceback
 from typing import Any, NamedTuple
 
-MAX_CAUSE_CHARS = 4000  # the last characters of a traceback are logged, because its end names the exception
+MAX_TRACEBACK_CHARS = 4000  # the end of a longer traceback is logged, because it names the exception
 
 
 class LogEvent(NamedTuple):
@@ -31,4 +31,4 @@
         error: the exception, or None if asyncio reported a problem without one.
     """
     cause = "".join(traceback.format_exception(error)) if error is not None else ""
-    return LogEvent("fault", {"where": operation, "cause": cause[-MAX_CAUSE_CHARS:]}, logging.ERROR)
+    return LogEvent("fault", {"where": operation, "cause": cause[-MAX_TRACEBACK_CHARS:]}, logging.ERROR)
--- a/onyxpost/runtime/socket_transport.py
+++ b/onyxpost/runtime/socket_transport.py
@@ -46,7 +46,7 @@
     ) -> asyncio.Server:
         """Listens at `address`; see `Transport.listen`."""
         try:
-            listener = _with_tcp_protocol(socket.create_server(address, backlog=LISTEN_BACKLOG))
+            listener = _with_explicit_tcp_protocol(socket.create_server(address, backlog=LISTEN_BACKLOG))
         except OSError as err:
             raise _listen_error(address, err) from err
         loop = asyncio.get_running_loop()
@@ -82,7 +82,7 @@
         return DialedConnection(
             reader,
             writer,
-            lambda: _peek(sock) is Unread.NOTHING,
+            lambda: _peek_input(sock) is Unread.NOTHING,
             lambda: not protocol.is_write_paused,
         )
 
@@ -96,7 +96,7 @@
             socket_view.family, socket_view.type, socket_view.proto, fileno=socket_view.fileno()
         )
         try:
-            return _peek(sock)
+            return _peek_input(sock)
         finally:
             sock.detach()
 
@@ -144,7 +144,7 @@
     return ListenError(system_text or str(err), "{}:{}".format(*address))
 
 
-def _with_tcp_protocol(sock: socket.socket) -> socket.socket:
+def _with_explicit_tcp_protocol(sock: socket.socket) -> socket.socket:
     """Returns the listening socket with its protocol set to TCP explicitly.
 
     asyncio sets TCP_NODELAY only on sockets whose protocol is IPPROTO_TCP; accepted sockets inherit the
@@ -153,7 +153,7 @@
     return socket.socket(sock.family, sock.type, socket.IPPROTO_TCP, fileno=sock.detach())
 
 
-def _peek(sock: socket.socket) -> Unread:
+def _peek_input(sock: socket.socket) -> Unread:
     """Returns what the socket's receive buffer holds, without consuming it."""
     try:
         if not sock.recv(1, socket.MSG_PEEK):
--- a/onyxpost/runtime/structured_log.py
+++ b/onyxpost/runtime/structured_log.py
@@ -9,13 +9,13 @@
 import msgspec
 
 from onyxpost.core.units import MS_PER_SECOND
-from onyxpost.runtime.log_event import MAX_CAUSE_CHARS
+from onyxpost.runtime.log_event import MAX_TRACEBACK_CHARS
 
 
-class _Entry(NamedTuple):
+class _EventEntry(NamedTuple):
     """The time (Unix ms) and fields of a log record of this program; records of libraries have no entry."""
 
-    at: float
+    unix_ms: float
     fields: dict[str, Any]
 
 
@@ -26,16 +26,20 @@
         self._encoder = msgspec.json.Encoder(enc_hook=str)
 
     def format(self, record: logging.LogRecord) -> str:
-        entry: _Entry | None = getattr(record, "entry", None)
-        at = record.created * MS_PER_SECOND if entry is None else entry.at
-        line: dict[str, Any] = {"at": round(at, 1), "node": self._node, "level": record.levelname.lower()}
+        entry: _EventEntry | None = getattr(record, "entry", None)
+        unix_ms = record.created * MS_PER_SECOND if entry is None else entry.unix_ms
+        line: dict[str, Any] = {
+            "at": round(unix_ms, 1),
+            "node": self._node,
+            "level": record.levelname.lower(),
+        }
         if entry is not None:
             line["event"] = record.msg
             line |= entry.fields
         else:
             line["event"] = record.getMessage()
             if record.exc_info:
-                line["cause"] = self.formatException(record.exc_info)[-MAX_CAUSE_CHARS:]
+                line["cause"] = self.formatException(record.exc_info)[-MAX_TRACEBACK_CHARS:]
         return self._encoder.encode(line).decode()
 
 
@@ -66,7 +70,7 @@
 
     def write(self, at: float, event: str, fields: dict[str, Any], level: int = logging.INFO) -> None:
         """Writes an event that occurred at `at` (Unix time in ms)."""
-        self._logger.log(level, event, extra={"entry": _Entry(at, fields)})
+        self._logger.log(level, event, extra={"entry": _EventEntry(at, fields)})
 
     def capture_library_logs(self) -> None:
         """Writes log records of asyncio and other libraries as JSON lines too, from level WARNING on."""
--- a/onyxpost/simulator_host/__main__.py
+++ b/onyxpost/simulator_host/__main__.py
@@ -20,8 +20,8 @@
         try:
             reply = host.batch(msgspec.json.decode(line))
         except (msgspec.DecodeError, WireError) as err:
-            wrong = err if isinstance(err, WireError) else WireError(str(err))
-            print(f"onyxpost.simulator_host: malformed line: {wrong.to_line()}", file=sys.stderr)
+            error = err if isinstance(err, WireError) else WireError(str(err))
+            print(f"onyxpost.simulator_host: malformed line: {error.to_line()}", file=sys.stderr)
             return 2
         out.write(msgspec.json.encode(reply) + b"\n")
         out.flush()
--- a/onyxpost/simulator_host/decode.py
+++ b/onyxpost/simulator_host/decode.py
@@ -26,15 +26,15 @@
     from onyxpost.config.decoding import JsonObject
     from onyxpost.policy.gateway import Gateway
 
-START = "Attach"
-STOP = "Teardown"
+START_EVENT = "Attach"
+STOP_EVENT = "Teardown"
 UNUSED_EVENTS = ("Total", "CheckResult")  # replies to queries that the gateway never sends
 
 # Values of `scope` in an update of endpoints; all other values mark an update with all endpoints.
-CHANGED_ENDPOINTS = 0  # the update contains only endpoints that changed
-POLL_FAILED = 3  # a poll of discovery failed
+CHANGED_ENDPOINTS_SCOPE = 0  # the update contains only endpoints that changed
+POLL_FAILED_SCOPE = 3  # a poll of discovery failed
 
-RESULTS = {
+ATTEMPT_RESULTS = {
     "delivered": AttemptResult.OK,
     "app_error": AttemptResult.ERROR,
     "shed": AttemptResult.FULL,
@@ -44,7 +44,7 @@
     "revoked": AttemptResult.CANCELLED,
     "unused": AttemptResult.UNUSED,
 }
-STATES = {1: EndpointState.READY, 2: EndpointState.DRAINING, 0: EndpointState.GONE}
+ENDPOINT_STATES = {1: EndpointState.READY, 2: EndpointState.DRAINING, 0: EndpointState.GONE}
 
 
 def build_gateway(now: float, fields: JsonObject) -> Gateway:
@@ -57,7 +57,7 @@
     try:
         return deployment.decode_deployment(fields["params"]).build_gateway(now, fields["init_seed"])
     except KeyError as err:
-        raise WireError(f"missing field {err}", START) from err
+        raise WireError(f"missing field {err}", START_EVENT) from err
 
 
 def decode_event(name: str, fields: JsonObject) -> Event | None:
@@ -68,10 +68,10 @@
     """
     if name in UNUSED_EVENTS:
         return None
-    if name not in DECODERS:
+    if name not in EVENT_DECODERS:
         raise WireError(f"unknown event {name}")
     try:
-        return DECODERS[name](fields)
+        return EVENT_DECODERS[name](fields)
     except (KeyError, TypeError, ValueError) as err:
         raise WireError(f"missing or invalid field ({type(err).__name__}: {err})", name) from err
 
@@ -81,25 +81,25 @@
         server=row["server"],
         zone=row.get("zone", ""),
         cell=row.get("cohort", 0),
-        state=STATES[row.get("condition", 0)],
+        state=ENDPOINT_STATES[row.get("condition", 0)],
         weight=row.get("scale", 1.0),
         started_at=to_millis(row.get("up_since_us", 0)),
     )
 
 
 def _decode_endpoints(fields: JsonObject) -> Event:
-    scope = fields.get("scope", CHANGED_ENDPOINTS)
-    if scope == POLL_FAILED:
+    scope = fields.get("scope", CHANGED_ENDPOINTS_SCOPE)
+    if scope == POLL_FAILED_SCOPE:
         return EndpointPollFailed()
     endpoints = [_decode_endpoint(row) for row in fields.get("rows", [])]
-    return EndpointsUpdated(scope != CHANGED_ENDPOINTS, endpoints)
+    return EndpointsUpdated(scope != CHANGED_ENDPOINTS_SCOPE, endpoints)
 
 
 def _decode_attempt_finished(fields: JsonObject) -> Event:
     return AttemptFinished(
         request_id=fields["ref"],
         attempt_index=fields.get("round_no", 0),
-        result=RESULTS[fields["rc"]],
+        result=ATTEMPT_RESULTS[fields["rc"]],
         latency_ms=to_millis(fields.get("wait_time_us", 0)),
         settled=fields.get("settled", False),
         actual_units=fields.get("actual", 0),
@@ -119,7 +119,7 @@
     )
 
 
-DECODERS: dict[str, Callable[[JsonObject], Event]] = {
+EVENT_DECODERS: dict[str, Callable[[JsonObject], Event]] = {
     "Accept": _decode_request,
     "Completed": _decode_attempt_finished,
     "CancelledByClient": lambda fields: RequestCancelled(fields["ref"]),
--- a/onyxpost/simulator_host/host.py
+++ b/onyxpost/simulator_host/host.py
@@ -48,26 +48,28 @@
             raise WireError(f"not a time and a list of events ({type(err).__name__}: {err})") from err
         output: list[Action] = []
         for node, events in events_by_node.items():
-            self._run_node(node, now, events, ActionWriter(node, output))
+            self._handle_node_events(node, now, events, ActionWriter(node, output))
         return {"output": output}
 
-    def _run_node(self, node: int, now: float, events: list[NamedEvent], actions: ActionWriter) -> None:
+    def _handle_node_events(
+        self, node: int, now: float, events: list[NamedEvent], actions: ActionWriter
+    ) -> None:
         try:
-            self._handle(node, now, events, actions)
+            self._handle_events(node, now, events, actions)
         except WireError:
             raise
         except InvalidInputError as err:
             raise WireError(err.message, err.location) from err
         except Exception as err:  # reported to the simulator, which continues
-            where = traceback.extract_tb(err.__traceback__)[-1]
-            actions.report_fault(f"{type(err).__name__}: {err} ({where.name}, line {where.lineno})")
+            frame = traceback.extract_tb(err.__traceback__)[-1]
+            actions.report_fault(f"{type(err).__name__}: {err} ({frame.name}, line {frame.lineno})")
 
-    def _handle(self, node: int, now: float, events: list[NamedEvent], actions: ActionWriter) -> None:
+    def _handle_events(self, node: int, now: float, events: list[NamedEvent], actions: ActionWriter) -> None:
         """Splits the events at each start and stop, so that each incarnation gets only its own events."""
         batch: list[Event] = []
         gateway = self.gateways.get(node)
         for name, fields in events:
-            if name not in (decode.START, decode.STOP):
+            if name not in (decode.START_EVENT, decode.STOP_EVENT):
                 event = decode.decode_event(name, fields)
                 if event is not None:
                     batch.append(event)
@@ -75,7 +77,7 @@
             if gateway is not None and batch:
                 gateway.handle(now, batch, actions)
             batch = []
-            gateway = decode.build_gateway(now, fields) if name == decode.START else None
+            gateway = decode.build_gateway(now, fields) if name == decode.START_EVENT else None
             if gateway is None:
                 self.gateways.pop(node, None)
             else:
