--- a/onyxpost/node/config.py
+++ b/onyxpost/node/config.py
@@ -77,7 +77,7 @@
         raise error.with_location(source) from error
     if file.rules is None:
         return config
-    # os.path, because pathlib normalizes the path, and errors have to quote it as the operator wrote it.
+    # pathlib would normalize the path, but errors have to quote the path as the operator wrote it.
     path = os.path.join(os.path.dirname(source), file.rules)  # noqa: PTH118, PTH120
     config = replace(config, routing_rules_path=path)
     return config if is_reload else _with_routing_rules(config)
--- a/onyxpost/node/edge_node.py
+++ b/onyxpost/node/edge_node.py
@@ -26,11 +26,11 @@
 
 SWEEP_INTERVAL_SECONDS = 0.25  # interval between checks for connections that exceed a timeout
 INITIAL_ENDPOINTS_TIMEOUT_MS = 500.0
-"""How long a starting node waits for endpoints from discovery, at most; the drain grace period if shorter.
+"""Upper bound of the time that a starting node waits for endpoints from discovery.
 
 A discovery agent answers the first poll at once, so an agent that does not answer within this time is down.
-App servers that the answer would report as draining still accept requests during the drain grace period, so a
-wait beyond that period has no use.
+The node waits no longer than the drain grace period: app servers that the answer would report as draining may
+still receive requests until that period ends.
 """
 ACCEPT_AFTER_STOP_SECONDS = 0.6  # new connections may arrive for 0.4 s after SIGTERM
 DRAIN_POLL_SECONDS = 0.01  # interval between checks whether all requests have been answered
--- a/onyxpost/runtime/log_event.py
+++ b/onyxpost/runtime/log_event.py
@@ -10,7 +10,7 @@
 
 
 class LogEvent(NamedTuple):
-    """A request to write an event to the log.
+    """An event to be written to the log.
 
     Attributes:
         event: the event's name.
--- a/onyxpost/runtime/structured_log.py
+++ b/onyxpost/runtime/structured_log.py
@@ -68,9 +68,9 @@
         self._logger = logging.Logger(node, level.upper())
         self._logger.addHandler(self._handler)
 
-    def write(self, at: float, event: str, fields: dict[str, Any], level: int = logging.INFO) -> None:
-        """Writes an event that occurred at `at` (Unix time in ms)."""
-        self._logger.log(level, event, extra={"entry": _EventEntry(at, fields)})
+    def write(self, unix_ms: float, event: str, fields: dict[str, Any], level: int = logging.INFO) -> None:
+        """Writes an event that occurred at `unix_ms` (Unix time)."""
+        self._logger.log(level, event, extra={"entry": _EventEntry(unix_ms, fields)})
 
     def capture_library_logs(self) -> None:
         """Writes log records of asyncio and other libraries as JSON lines too, from level WARNING on."""
--- a/onyxpost/simulator_host/encode.py
+++ b/onyxpost/simulator_host/encode.py
@@ -40,7 +40,7 @@
         self._write("Post", peer=peer, body=body)
 
     def start_timer(self, delay_ms: float, token: int) -> None:
-        """Starts a timer; its event returns `token`."""
+        """Starts a timer that delivers `TimerFired(token)` after `delay_ms`."""
         self._write("After", offset_us=to_micros(delay_ms), nonce=token)
 
     def log(self, line: str) -> None:
--- a/onyxpost/simulator_host/host.py
+++ b/onyxpost/simulator_host/host.py
@@ -33,7 +33,7 @@
         """Handles one message and returns the reply.
 
         Args:
-            message: a time, and events of one or more nodes.
+            message: a time and a batch of events, which may be of several nodes.
 
         Raises:
             WireError: the message is malformed.
--- a/tests/process/test_early_signals.py
+++ b/tests/process/test_early_signals.py
@@ -46,7 +46,7 @@
 def test_a_signal_while_modules_are_imported(
     arguments: list[str], number: signal.Signals, exit_code: int
 ) -> None:
-    """SIGTERM ends the process with exit code 0; SIGHUP does not, and the missing file ends it then."""
+    """SIGTERM ends the process with exit code 0; after SIGHUP it continues and reports the missing file."""
     result = subprocess.run(
         [sys.executable, "-c", RUN_WITH_SIGNAL_ON_IMPORT, str(int(number)), *arguments],
         env={**os.environ, "EDGE_CONFIG": "/nowhere"},
@@ -57,7 +57,7 @@
 
 
 def test_sighup_before_the_event_loop_waits_for_it_and_the_file_is_read_again(tmp_path: Path) -> None:
-    """A rollout may restart nodes and move discovery at once, so the file that was read may be outdated.
+    """A rollout may restart nodes and move discovery, so the file that was read may be outdated already.
 
     The pipe delays the start until the file is replaced and SIGHUP is sent. If SIGHUP were lost, the node
     would continue with the old address of discovery.
