--- a/onyxpost/cli.py
+++ b/onyxpost/cli.py
@@ -1,4 +1,4 @@
-"""The command line. `__main__` starts `serve` without it."""
+"""The command line. `__main__` runs `serve` without importing this module."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 SIMULATE = "simulate"
 OLD_SIMULATE = "lab"
-SIMULATE_SUMMARY = "Simulations, seeded faults, load and reports (needs libraries of its own)."
+SIMULATE_SUMMARY = "Run simulations, fault injection, load and reports (needs additional libraries)."
 MAX_HELP_CHARS = 80
 
 
 class LazySimulateGroup(click.Group):
-    """A group whose command `simulate` is imported only when it is used: it needs libraries of its own."""
+    """A command group that imports `simulate` only when it is run, because it needs additional libraries."""
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Returns the command; fails with the way to install what `simulate` lacks."""
+        """Returns the command; if `simulate` lacks a module, a usage error says how to install it."""
         if cmd_name != SIMULATE:
             return super().get_command(ctx, cmd_name)
         try:
             from onyxpost.simulation.cli import simulate
         except ModuleNotFoundError as err:
-            ctx.fail(f"{SIMULATE} needs {err.name}: pip install -r requirements-lab.txt")
+            ctx.fail(f"{SIMULATE} requires the module {err.name}: pip install -r requirements-lab.txt")
         return simulate
 
     def resolve_command(
         self, ctx: click.Context, args: list[str]
     ) -> tuple[str | None, click.Command | None, list[str]]:
-        """Finds the command; the simulation's old spellings are announced and replaced."""
+        """Finds the command; warns about deprecated spellings of simulation commands and replaces them."""
         if args[0] in (SIMULATE, OLD_SIMULATE):
             from onyxpost.simulation.deprecation import parse_simulation_command
 
@@ -42,11 +42,11 @@
         return super().resolve_command(ctx, args)
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Returns the names of all commands."""
+        """Returns the names of all commands, including `simulate`."""
         return [*super().list_commands(ctx), SIMULATE]
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:  # noqa: ARG002 - as in the base class
-        """Writes the summary of each command without importing `simulate`."""
+        """Writes the list of commands and their summaries, without importing `simulate`."""
         rows = [
             (name, command.get_short_help_str(MAX_HELP_CHARS))
             for name, command in sorted(self.commands.items())
@@ -59,15 +59,15 @@
 @click.group(cls=LazySimulateGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="onyxpost", message="%(prog)s %(version)s")
 def main() -> None:
-    """Holds customers to their quotas before a shared back end."""
+    """Enforces customer quotas in front of a shared back end."""
 
 
 @main.command()
 def serve() -> None:
-    """Run one edge node, as EDGE_CONFIG and the other EDGE_ variables say.
+    """Run one edge node, configured by EDGE_CONFIG and the other EDGE_ variables.
 
     Exit 0: stopped by a signal, all requests answered. Exit 1: an address cannot be bound. Exit 2: the file
-    cannot be used.
+    is invalid.
     """
     from onyxpost.node.serve import serve as run_node
 
@@ -77,9 +77,10 @@
 @main.command()
 @click.argument("file")
 def plan(file: str) -> None:
-    """Run one planner by its JSON FILE: it grants forwarders leases of their customers' quotas.
+    """Run one planner, which grants leases of quotas, configured by the JSON FILE.
 
-    SIGHUP reads the file again: plans, forwarders and a later version of the planners take effect at once.
+    A planner leases parts of the customers' quotas to forwarders. On SIGHUP it reads the file again: plans,
+    forwarders and a later version of the planners' membership take effect at once.
     """
     from onyxpost.planner.serve import serve as run_planner
 
@@ -89,7 +90,10 @@
 @main.command()
 @click.argument("file", required=False)
 def check(file: str | None) -> None:
-    """Check the FILE of a node or planner, or what EDGE_CONFIG names (exit 2 if it cannot be used)."""
+    """Check the FILE of a node or planner, by default the one that EDGE_CONFIG names.
+
+    Exit 2: the file is invalid.
+    """
     from onyxpost.errors import InvalidInputError
 
     try:
@@ -106,11 +110,15 @@
 
 
 def _planner_summary(file: str | None) -> str | None:
-    """Describes a planner's file; None for the file of a node. Raises InvalidInputError."""
+    """Returns a summary of a planner's file, or None if the file is not a planner's.
+
+    Raises:
+        InvalidInputError: the file is invalid.
+    """
     from onyxpost.config.decoding import decode_as
     from onyxpost.planner import config
 
-    if not file or not config.is_planner_file(decode_as(_read_or_empty(file), dict, file)):
+    if not file or not config.is_planner_file(decode_as(_read_or_empty_object(file), dict, file)):
         return None
     planner = config.read_config(file)
     return (
@@ -120,7 +128,11 @@
 
 
 def _node_summary(file: str | None) -> str:
-    """Describes a node's file. Raises InvalidInputError."""
+    """Returns a summary of a node's file, by default the one that `EDGE_CONFIG` names.
+
+    Raises:
+        InvalidInputError: the file is invalid.
+    """
     from onyxpost.node import config
 
     node = config.read({"EDGE_CONFIG": file} if file else os.environ)
@@ -129,8 +141,11 @@
     return f"{node.name}: {server_count} servers, {len(node.deployment.frontends)} frontends{rules}"
 
 
-def _read_or_empty(file: str) -> bytes:
-    """Returns an empty object for a file that cannot be opened: reading it as a node's reports the cause."""
+def _read_or_empty_object(file: str) -> bytes:
+    """Returns the file's content, or an empty JSON object if the file cannot be opened.
+
+    The caller then reads the file as a node's, which reports why it cannot be opened.
+    """
     try:
         return Path(file).read_bytes()
     except OSError:
--- a/onyxpost/node/components.py
+++ b/onyxpost/node/components.py
@@ -1,4 +1,4 @@
-"""Builds the components of an edge node and connects them with each other."""
+"""Builds the components of an edge node and connects them to each other."""
 
 from __future__ import annotations
 
@@ -37,16 +37,21 @@
     """The calls that components make to their node."""
 
     def is_ready(self) -> bool:
-        """Returns whether the node serves."""
+        """Returns whether the node is in its serving phase."""
 
     def may_start_attempt(self, effect: SendAttempt, remaining_ms: float) -> bool:
-        """Returns whether an attempt may still be written to its connection."""
+        """Returns whether an attempt may still be written to its connection.
+
+        Args:
+            effect: the attempt.
+            remaining_ms: the time until the attempt expires.
+        """
 
     def descriptor_limit(self) -> int:
         """Returns how many file descriptors the node may have open."""
 
     def log(self, event: LogEvent) -> None:
-        """Writes to the node's log."""
+        """Writes an event to the node's log."""
 
     def report_fault(self, operation: str, error: BaseException | None) -> None:
         """Logs an unexpected exception in an operation."""
@@ -54,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Components:
-    """The parts of one node."""
+    """The components of one node."""
 
     state_machine: EdgeStateMachine
     events: EventProcessor
@@ -67,7 +72,7 @@
 
 
 def build_components(config: NodeConfig, net: Transport, node: NodeCallbacks) -> Components:
-    """Builds all parts of a node; none of them opens a socket yet."""
+    """Builds all components of a node without opening a socket."""
     deployment = config.deployment
     state_machine = EdgeStateMachine(deployment, deployment.build_gateway(net.clock(), config.seed))
     events = EventProcessor(state_machine, net.clock, node.report_fault)
@@ -77,7 +82,7 @@
         net,
         events.post,
         node.is_ready,
-        lambda: descriptors.has_client_capacity(),  # built below, as it counts these connections
+        lambda: descriptors.has_client_capacity(),  # `descriptors` is defined below, since it needs `clients`
         node.report_fault,
     )
     options = UpstreamPoolOptions(
@@ -101,7 +106,7 @@
     components = Components(
         state_machine, events, descriptors, clients, servers, discovery, peers, extensions
     )
-    _connect_effects(components, node)
+    _register_effect_handlers(components, node)
     return components
 
 
@@ -118,8 +123,8 @@
     return DiscoveryClient(net, options, events.post, node.log)
 
 
-def _connect_effects(components: Components, node: NodeCallbacks) -> None:
-    """Sets which component carries out each type of effect."""
+def _register_effect_handlers(components: Components, node: NodeCallbacks) -> None:
+    """Registers for each type of effect the component that carries it out."""
     clients = components.clients
     servers = components.servers
     discovery = components.discovery
@@ -132,8 +137,8 @@
             RetireEndpoint: lambda effect: servers.retire_endpoint(effect.endpoint),
             SendAnswer: clients.send_answer,
             SendPeerMessage: components.peers.send,
-            ReportUnitsSpent: _ignore,
-            ReturnLease: _ignore,
+            ReportUnitsSpent: _ignore_effect,
+            ReturnLease: _ignore_effect,
             WatchEndpoints: lambda _effect: discovery.start(),
             LogEvent: node.log,
         }
@@ -142,5 +147,5 @@
         handlers.update(extension.effect_handlers())
 
 
-def _ignore(effect: Effect) -> None:
-    """Discards an effect that only an extension carries out: this node has none for it."""
+def _ignore_effect(effect: Effect) -> None:
+    """Discards an effect whose extension this node does not have."""
--- a/onyxpost/simulator_host/decode.py
+++ b/onyxpost/simulator_host/decode.py
@@ -1,4 +1,4 @@
-"""Decodes the simulator's events: names, units and defaults, nothing else."""
+"""Decodes the simulator's events: translates names and units, and fills in defaults."""
 
 from __future__ import annotations
 
@@ -26,14 +26,15 @@
     from onyxpost.config.decoding import JsonObject
     from onyxpost.policy.gateway import Gateway
 
-START = "Attach"
-STOP = "Teardown"
+START_EVENT = "Attach"
+STOP_EVENT = "Teardown"
 UNUSED_EVENTS = ("Total", "CheckResult")  # replies to queries that the gateway never sends
 
-CHANGED_ENDPOINTS = 0  # scope of an update that names only what changed
-POLL_FAILED = 3  # scope of the reply to a poll that failed; all others: a complete update
+# Values of `scope` in an update of endpoints; all other values mark an update with all endpoints.
+CHANGED_ENDPOINTS_SCOPE = 0  # the update contains only endpoints that changed
+POLL_FAILED_SCOPE = 3  # a poll of discovery failed
 
-RESULTS = {
+ATTEMPT_RESULTS = {
     "delivered": AttemptResult.OK,
     "app_error": AttemptResult.ERROR,
     "shed": AttemptResult.FULL,
@@ -43,36 +44,36 @@
     "revoked": AttemptResult.CANCELLED,
     "unused": AttemptResult.UNUSED,
 }
-STATES = {1: EndpointState.READY, 2: EndpointState.DRAINING, 0: EndpointState.GONE}
+ENDPOINT_STATES = {1: EndpointState.READY, 2: EndpointState.DRAINING, 0: EndpointState.GONE}
 
 
 def build_gateway(now: float, fields: JsonObject) -> Gateway:
-    """Builds the gateway of a node that starts.
+    """Builds the gateway of a starting node from the fields of its start event.
 
     Raises:
         WireError: a field is missing.
-        InvalidInputError: a value of the settings cannot be used.
+        InvalidInputError: a value of the settings is invalid.
     """
     try:
         return deployment.decode_deployment(fields["params"]).build_gateway(now, fields["init_seed"])
     except KeyError as err:
-        raise WireError(f"KeyError: {err}", START) from err
+        raise WireError(f"missing field {err}", START_EVENT) from err
 
 
 def decode_event(name: str, fields: JsonObject) -> Event | None:
-    """Decodes an event; returns None for one that the gateway has no use for.
+    """Decodes an event; returns None if the gateway does not use events of this name.
 
     Raises:
         WireError: the event is unknown or malformed.
     """
     if name in UNUSED_EVENTS:
         return None
-    if name not in DECODERS:
+    if name not in EVENT_DECODERS:
         raise WireError(f"unknown event {name}")
     try:
-        return DECODERS[name](fields)
+        return EVENT_DECODERS[name](fields)
     except (KeyError, TypeError, ValueError) as err:
-        raise WireError(f"{type(err).__name__}: {err}", name) from err
+        raise WireError(f"missing or invalid field ({type(err).__name__}: {err})", name) from err
 
 
 def _decode_endpoint(row: JsonObject) -> EndpointStatus:
@@ -80,25 +81,25 @@
         server=row["server"],
         zone=row.get("zone", ""),
         cell=row.get("cohort", 0),
-        state=STATES[row.get("condition", 0)],
+        state=ENDPOINT_STATES[row.get("condition", 0)],
         weight=row.get("scale", 1.0),
         started_at=to_millis(row.get("up_since_us", 0)),
     )
 
 
 def _decode_endpoints(fields: JsonObject) -> Event:
-    scope = fields.get("scope", CHANGED_ENDPOINTS)
-    if scope == POLL_FAILED:
+    scope = fields.get("scope", CHANGED_ENDPOINTS_SCOPE)
+    if scope == POLL_FAILED_SCOPE:
         return EndpointPollFailed()
     endpoints = [_decode_endpoint(row) for row in fields.get("rows", [])]
-    return EndpointsUpdated(scope != CHANGED_ENDPOINTS, endpoints)
+    return EndpointsUpdated(scope != CHANGED_ENDPOINTS_SCOPE, endpoints)
 
 
 def _decode_attempt_finished(fields: JsonObject) -> Event:
     return AttemptFinished(
         request_id=fields["ref"],
         attempt_index=fields.get("round_no", 0),
-        result=RESULTS[fields["rc"]],
+        result=ATTEMPT_RESULTS[fields["rc"]],
         latency_ms=to_millis(fields.get("wait_time_us", 0)),
         settled=fields.get("settled", False),
         actual_units=fields.get("actual", 0),
@@ -118,7 +119,7 @@
     )
 
 
-DECODERS: dict[str, Callable[[JsonObject], Event]] = {
+EVENT_DECODERS: dict[str, Callable[[JsonObject], Event]] = {
     "Accept": _decode_request,
     "Completed": _decode_attempt_finished,
     "CancelledByClient": lambda fields: RequestCancelled(fields["ref"]),
--- a/onyxpost/simulator_host/host.py
+++ b/onyxpost/simulator_host/host.py
@@ -1,4 +1,4 @@
-"""Hosts one gateway for each node of the simulator and forwards every batch of events to them."""
+"""Hosts one gateway per simulated node and passes each batch of events to the gateways."""
 
 from __future__ import annotations
 
@@ -16,21 +16,24 @@
     from onyxpost.core.events import Event
     from onyxpost.policy.gateway import Gateway
 
-NamedEvent = tuple[str, "JsonObject"]  # the event's name on the wire, and its fields
+NamedEvent = tuple[str, "JsonObject"]  # the event's name in the protocol, and its fields
 
 
 class Host:
-    """The gateways of all nodes that have started.
+    """Runs the gateways of all simulated nodes.
 
     Attributes:
-        gateways: by the node's id.
+        gateways: the gateways of the nodes that have started, by node id.
     """
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
 
     def batch(self, message: JsonObject) -> dict[str, list[Action]]:
-        """Handles one message, a time and the events of any nodes, and returns the reply.
+        """Handles one message and returns the reply.
+
+        Args:
+            message: a time and a batch of events, which may be of several nodes.
 
         Raises:
             WireError: the message is malformed.
@@ -42,29 +45,31 @@
                 ((name, fields),) = event.items()
                 events_by_node.setdefault(fields["node_id"], []).append((name, fields))
         except (KeyError, TypeError, ValueError, AttributeError) as err:
-            raise WireError(f"{type(err).__name__}: {err}") from err
+            raise WireError(f"not a time and a list of events ({type(err).__name__}: {err})") from err
         output: list[Action] = []
         for node, events in events_by_node.items():
-            self._run_node(node, now, events, ActionWriter(node, output))
+            self._handle_node_events(node, now, events, ActionWriter(node, output))
         return {"output": output}
 
-    def _run_node(self, node: int, now: float, events: list[NamedEvent], actions: ActionWriter) -> None:
+    def _handle_node_events(
+        self, node: int, now: float, events: list[NamedEvent], actions: ActionWriter
+    ) -> None:
         try:
-            self._handle(node, now, events, actions)
+            self._handle_events(node, now, events, actions)
         except WireError:
             raise
         except InvalidInputError as err:
             raise WireError(err.message, err.location) from err
-        except Exception as err:  # the simulator continues, and reports the fault
-            where = traceback.extract_tb(err.__traceback__)[-1]
-            actions.report_fault(f"{type(err).__name__}: {err} ({where.name}, line {where.lineno})")
+        except Exception as err:  # reported to the simulator, which continues
+            frame = traceback.extract_tb(err.__traceback__)[-1]
+            actions.report_fault(f"{type(err).__name__}: {err} ({frame.name}, line {frame.lineno})")
 
-    def _handle(self, node: int, now: float, events: list[NamedEvent], actions: ActionWriter) -> None:
-        """Splits the events at each start and stop, so that an incarnation gets only its own."""
+    def _handle_events(self, node: int, now: float, events: list[NamedEvent], actions: ActionWriter) -> None:
+        """Splits the events at each start and stop, so that each incarnation gets only its own events."""
         batch: list[Event] = []
         gateway = self.gateways.get(node)
         for name, fields in events:
-            if name not in (decode.START, decode.STOP):
+            if name not in (decode.START_EVENT, decode.STOP_EVENT):
                 event = decode.decode_event(name, fields)
                 if event is not None:
                     batch.append(event)
@@ -72,7 +77,7 @@
             if gateway is not None and batch:
                 gateway.handle(now, batch, actions)
             batch = []
-            gateway = decode.build_gateway(now, fields) if name == decode.START else None
+            gateway = decode.build_gateway(now, fields) if name == decode.START_EVENT else None
             if gateway is None:
                 self.gateways.pop(node, None)
             else:
