--- a/onyxpost/planner/__init__.py
+++ b/onyxpost/planner/__init__.py
@@ -1,1 +1,1 @@
-"""Planners: grant forwarders time-limited leases of their customers' quota units."""
+"""Planners, which grant forwarders time-limited leases of quota units of customers."""
--- a/onyxpost/planner/config.py
+++ b/onyxpost/planner/config.py
@@ -1,4 +1,4 @@
-"""A planner's file: decoded once into a typed configuration; every error names the key at fault."""
+"""Decodes a planner's file into a typed configuration. Every error names the key at fault."""
 
 from __future__ import annotations
 
@@ -22,7 +22,10 @@
 
 
 class PlannerFile(Settings):
-    """The keys of a planner's JSON file."""
+    """Schema of a planner's JSON file; each attribute has the name of its key.
+
+    `packages` are the plans of customers; `lease_ms` and `drift` become the planner's `LeaseTerms`.
+    """
 
     name: str
     listen: str
@@ -36,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerConfig:
-    """Configuration of one planner."""
+    """Validated configuration of one planner; a reload replaces it as a whole."""
 
     name: str
     listen: Address
@@ -45,17 +48,29 @@
     forwarders: tuple[str, ...]
     plans: tuple[Plan, ...]
     lease_terms: LeaseTerms
-    safe_share: float  # the part of each quota that forwarders use without a lease
+    safe_share: float  # part of each quota that forwarders may use without a lease
     log_level: str
 
 
 def read_config(path: str) -> PlannerConfig:
-    """Reads a planner's file. Raises InvalidInputError for one that cannot be used."""
+    """Reads and decodes a planner's file.
+
+    Raises:
+        InvalidInputError: the file cannot be read, is not JSON or has an invalid value.
+    """
     return decode_config(read_json_file(path), path)
 
 
 def decode_config(fields: object, source: str = "planner") -> PlannerConfig:
-    """Decodes the content of a planner's file; errors name the `source`."""
+    """Decodes the parsed JSON of a planner's file.
+
+    Args:
+        fields: the parsed JSON.
+        source: the file's path, or another name for errors.
+
+    Raises:
+        InvalidInputError: a key is missing, or a value is invalid or conflicts with another one.
+    """
     file = decode_as(fields, PlannerFile, source)
     listen = parse_address_at("listen", file.listen, source)
     for name, text in file.planners.members.items():
@@ -80,5 +95,5 @@
 
 
 def is_planner_file(fields: object) -> bool:
-    """Whether the content of a file is a planner's, and not a node's."""
+    """Returns whether parsed JSON is a planner's file; an edge node's file has no key `forwarders`."""
     return isinstance(fields, dict) and "forwarders" in fields
--- a/onyxpost/planner/customer_account.py
+++ b/onyxpost/planner/customer_account.py
@@ -1,4 +1,4 @@
-"""A planner's account of one customer: its rate limits, leases and recent requests. Times are in ms."""
+"""A planner's account of one customer: token buckets, leases and recent lease requests. Times are in ms."""
 
 from __future__ import annotations
 
@@ -11,20 +11,24 @@
     from onyxpost.core.types import Plan
     from onyxpost.planner.lease import Lease
 
-REQUEST_MEMORY_MS = 3000.0  # how long a forwarder's request counts when available units are shared out
+REQUEST_MEMORY_MS = 3000.0  # a forwarder's last request counts in the fair share for this time
 IDLE_BEFORE_REVOCATION_MS = 300.0  # a lease unused for this long may be revoked for another forwarder
 ACCOUNT_MEMORY_MS = 60_000.0  # an unused account with full buckets is dropped after this time
 
 
 class RecentRequest(NamedTuple):
-    """The last request of one forwarder."""
+    """The last lease request of one forwarder."""
 
     received_at_ms: float
-    missing_units: int  # requested, and not granted so far
+    missing_units: int  # units of the request that were not granted
 
 
 class CustomerAccount:
-    """State of one customer at its planner."""
+    """Token buckets, leases and recent lease requests of one customer.
+
+    There is one bucket for each rate limit of the plan (quota, then hard limit), and none for a plan without
+    limits.
+    """
 
     def __init__(self, plan: Plan, sizes: list[BucketSize], opens_at_ms: float, now_ms: float) -> None:
         self.plan = plan
@@ -34,27 +38,30 @@
         self.recent_requests: dict[str, RecentRequest] = {}  # by forwarder
 
     def mark_seen(self, now_ms: float) -> None:
-        """The customer was named in a message."""
+        """Records that a message named the customer, which delays the drop of the account."""
         self.last_seen_at_ms = now_ms
 
     def record_request(self, now_ms: float, forwarder: str, missing_units: int) -> None:
-        """Keeps a forwarder's last request, of which `missing_units` are not granted so far."""
+        """Replaces a forwarder's last lease request; `missing_units` of it were not granted."""
         self.recent_requests[forwarder] = RecentRequest(now_ms, missing_units)
 
     def grant_lease(self, lease: Lease) -> None:
-        """Moves available units into a new lease."""
+        """Adds a new lease; its units are taken from the available ones."""
         self.leases[lease.lease_id] = lease
         for bucket in self.buckets:
             bucket.lease(lease.units)
 
     def recover_lease(self, lease: Lease) -> None:
-        """Adds a lease of the planner's previous incarnation, whose units were never available here."""
+        """Adds a lease of the planner's previous incarnation.
+
+        Its units are not taken from the available ones: buckets are empty when a planner starts.
+        """
         self.leases[lease.lease_id] = lease
         for bucket in self.buckets:
             bucket.recover_lease(lease.units)
 
     def record_spent(self, now_ms: float, units: int) -> None:
-        """Counts units of a lease as spent, which goes on."""
+        """Counts units of a lease as spent; the lease continues with the rest."""
         for bucket in self.buckets:
             bucket.settle(now_ms, units, 0.0)
 
@@ -65,22 +72,30 @@
         del self.leases[lease.lease_id]
 
     def available_units(self, now_ms: float) -> float:
-        """Units that can be leased now: what the strictest limit allows."""
+        """Refills the buckets and returns the units that the strictest limit allows to lease now.
+
+        Raises:
+            ValueError: the plan has no limits.
+        """
         for bucket in self.buckets:
             bucket.refill(now_ms)
         return min(bucket.available for bucket in self.buckets)
 
     def is_forgettable(self, now_ms: float) -> bool:
-        """Whether a new account would be in the same state: full buckets, no lease, long unused."""
+        """Returns whether the account can be dropped: no leases, full buckets, and no recent message.
+
+        A new account would have the same state: its buckets refill from the time when granting started.
+        """
         self.available_units(now_ms)
         is_full = all(bucket.available >= bucket.burst for bucket in self.buckets)
         return is_full and not self.leases and now_ms - self.last_seen_at_ms > ACCOUNT_MEMORY_MS
 
     def fair_share(self, now_ms: float, units: int, min_units: int) -> float:
-        """The units that may be granted to a request of `units`, which `recent_requests` contains already.
+        """Returns the units that may be granted to a request of `units`, already in `recent_requests`.
 
-        All available units if they suffice for all recent requests, else a part in proportion to them. A part
-        below `min_units` would be of no use to the forwarder, so it gets that much if it is available.
+        These are all available units if they suffice for all recent requests; otherwise each request gets a
+        part in proportion to its units. A forwarder cannot use a lease below `min_units`, so a smaller part
+        is raised to `min_units`, or to all available units if they are fewer.
         """
         self.recent_requests = {
             forwarder: request
@@ -94,14 +109,17 @@
         return max(min(min_units, available), available * units / wanted)
 
     def ms_until_available(self, units: int) -> float:
-        """Time until the refill alone makes `units` available; infinite if it never does."""
+        """Returns the time until the refill alone makes `units` available; infinite for a rate of 0."""
         return max(
             (units - bucket.available) / bucket.rate * MS_PER_SECOND if bucket.rate else float("inf")
             for bucket in self.buckets
         )
 
     def revoke_idle_lease(self, now_ms: float, requester: str) -> Lease | None:
-        """Revokes the longest unused lease of another forwarder, if there is one that is idle."""
+        """Revokes the lease of another forwarder that has been unused for the longest time.
+
+        Returns None if no lease of another forwarder has been unused for `IDLE_BEFORE_REVOCATION_MS`.
+        """
         candidates = [
             lease for lease in self.leases.values() if lease.forwarder != requester and not lease.is_revoked
         ]
@@ -112,11 +130,11 @@
         return lease
 
     def resize(self, now_ms: float, plan: Plan | None, sizes: list[BucketSize]) -> None:
-        """Applies a changed plan; `plan` is None if it was removed, and `sizes` is then empty.
+        """Applies a changed plan. For a plan that was removed, `plan` is None and `sizes` is empty.
 
         Sizes are matched to buckets by position (quota, then hard limit). If the plan gained or lost a limit,
-        buckets without a size admit nothing and surplus sizes are ignored, until the account is dropped and
-        created again.
+        the account keeps its number of buckets until it is dropped and created again: a bucket without a size
+        grants nothing, and sizes without a bucket are ignored.
         """
         count = len(self.buckets)
         if plan is not None and len(sizes) == count:
@@ -126,7 +144,7 @@
             bucket.resize(now_ms, size)
 
     def revoke_surplus(self) -> list[Lease]:
-        """Revokes the newest leases until what stays leased fits the burst; returns the revoked ones."""
+        """Revokes leases, newest first, until the others fit into the burst; returns the revoked ones."""
         surplus = max((bucket.leased - bucket.burst for bucket in self.buckets), default=0.0)
         surplus -= sum(lease.units for lease in self.leases.values() if lease.is_revoked)
         revoked: list[Lease] = []
--- a/onyxpost/planner/customer_assignment.py
+++ b/onyxpost/planner/customer_assignment.py
@@ -1,6 +1,6 @@
-"""Which planner grants a customer's quota: rendezvous hashing over the planners of one membership.
+"""Assigns each customer to one planner by rendezvous hashing over the planners of a membership version.
 
-Adding or removing a planner moves only the customers of that planner.
+Adding a planner moves customers only to it, and removing a planner moves only its customers.
 """
 
 from __future__ import annotations
@@ -14,7 +14,11 @@
 
 
 def planner_for_customer(planners: Sequence[str], customer: int) -> str:
-    """The planner with the highest hash for this customer. Raises ValueError if there is no planner."""
+    """Returns the planner with the highest hash for this customer.
+
+    Raises:
+        ValueError: there are no planners.
+    """
     if not planners:
         raise ValueError("no planner")
     return max(planners, key=lambda name: (stable_hash(f"{name}/{customer:x}"), name))
--- a/onyxpost/planner/errors.py
+++ b/onyxpost/planner/errors.py
@@ -6,12 +6,15 @@
 
 
 class SlowReaderError(OperatorError):
-    """A peer does not read what is sent to it; its connection is aborted, and it may connect again."""
+    """A peer reads too slowly: the send buffer of its connection is full.
+
+    The connection is aborted; the peer may connect again.
+    """
 
     remedy = "look at the node named: stopped, short of CPU, or behind a slow network"
 
 
 class RestartRequiredError(InvalidInputError):
-    """A reloaded file changes a setting that is fixed while a planner runs."""
+    """A reloaded file changes a setting that cannot change while a planner runs."""
 
     remedy = "put those keys back and SIGHUP again, or restart the planner with the new ones"
--- a/onyxpost/planner/lease_coordinator.py
+++ b/onyxpost/planner/lease_coordinator.py
@@ -1,6 +1,6 @@
-"""A planner's decisions: answers to forwarders' messages, recovery, and changes of configuration.
+"""State machine of a planner: handles messages of forwarders, lease recovery and configuration changes.
 
-Pure state: no I/O and no clock; every time is passed in, in milliseconds. Messages to send are returned.
+There is no I/O and no clock here: times are arguments, in milliseconds, and messages to send are returned.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 if TYPE_CHECKING:
     from onyxpost.planner.config import PlannerConfig
 
-MISCONFIGURED_RETRY_MS = 500.0  # the two files differ, as while a change of membership is rolled out
-NO_QUORUM_RETRY_MS = 200.0  # retry time of requests while this planner has no quorum
+MISCONFIGURED_RETRY_MS = 500.0  # retry time while files of planner and forwarder differ, as in a rollout
+NO_QUORUM_RETRY_MS = 200.0  # retry time while this planner has no quorum of forwarders
 
 
 class EventLog(Protocol):
-    """Writes one event, with its fields, to the planner's log."""
+    """Function that writes one event, with its fields, to the planner's log."""
 
     def __call__(self, event: str, /, **fields: object) -> None:
         """Writes the event."""
 
 
 class LeaseCoordinator:
-    """State machine of one planner, from its start to its end."""
+    """Decisions of one planner process: whether it may grant, and the answer to each message."""
 
     def __init__(self, config: PlannerConfig, epoch: str, now_ms: float, log: EventLog) -> None:
         self.config = config
@@ -40,14 +40,14 @@
         self.ledger = LeaseLedger(now_ms, config.plans, config.lease_terms, 1.0 - config.safe_share)
         self.quorum = PlannerQuorum(config.forwarders, config.membership_version)
         self.is_granting = False
-        self.reported_leases: dict[str, list[ReportedLease]] = {}  # by forwarder, until the ledger opens
+        self.reported_leases: dict[str, list[ReportedLease]] = {}  # by forwarder, until granting starts
 
     def tick(self, now_ms: float) -> None:
-        """Expires leases and follows the quorum; to be called every few tens of milliseconds."""
+        """Expires leases and checks the quorum; to be called every few tens of milliseconds."""
         self.ledger.expire(now_ms)
         self._handle_quorum_loss(now_ms)
         if self.quorum.detect_gain(now_ms):
-            # Another membership version may have had the majority until a moment ago.
+            # Planners of another membership version may have granted leases until just now.
             drift_margin = 1.0 + 2.0 * self.config.lease_terms.clock_drift
             self.ledger.reset_and_wait(now_ms, HEARTBEAT_VALIDITY_MS * drift_margin)
         has_all_reports = len(self.reported_leases) == len(self.config.forwarders)
@@ -67,12 +67,16 @@
             self.reported_leases = {}
 
     def _record_heartbeat(self, now_ms: float, forwarder: str, membership_version: int) -> bool:
-        # A loss is looked for before this heartbeat counts: it may have been sent long ago.
+        # Checks for a lost quorum before this heartbeat counts, because it may have been sent long ago.
         self._handle_quorum_loss(now_ms)
         return self.quorum.record_heartbeat(now_ms, forwarder, membership_version)
 
     def handle_hello(self, now_ms: float, hello: protocol.Hello) -> protocol.Welcome:
-        """Records a forwarder's heartbeat and, while this planner waits, its leases; returns the answer."""
+        """Records a forwarder's heartbeat and returns the answer.
+
+        While this planner does not grant yet, the leases that the forwarder reports are recorded for
+        recovery.
+        """
         is_follower = self._record_heartbeat(now_ms, hello.forwarder, hello.membership_version)
         is_waiting = now_ms < self.ledger.opens_at_ms or not self.quorum.is_established
         if is_follower and hello.is_complete and is_waiting:
@@ -96,13 +100,17 @@
         )
 
     def handle_disconnect(self, forwarder: str) -> None:
-        """A forwarder's connection ended."""
+        """Stops counting the heartbeat of a disconnected forwarder; its leases stay until they expire."""
         self.quorum.remove_follower(forwarder)
 
     def handle_message(
         self, now_ms: float, forwarder: str, message: protocol.ForwarderMessage
     ) -> list[AddressedMessage]:
-        """Handles a message of a connected forwarder. Raises MalformedFrameError for a second hello."""
+        """Handles a message of a connected forwarder and returns the messages to send.
+
+        Raises:
+            MalformedFrameError: the message is a second hello.
+        """
         match message:
             case protocol.MembershipHeartbeat():
                 self._record_heartbeat(now_ms, forwarder, message.membership_version)
@@ -130,7 +138,8 @@
             return [reject(MISCONFIGURED_RETRY_MS, "another version")]
         if planner_for_customer(self.config.planners, request.customer) != self.config.name:
             return [reject(MISCONFIGURED_RETRY_MS, "not this planner's customer")]
-        # Until a tick has established the quorum, the wait for another version's leases has not begun.
+        # The wait for leases of other membership versions begins in the tick that establishes the quorum, so
+        # a majority alone does not suffice.
         if not (self.quorum.is_established and self.quorum.has_majority(now_ms)):
             return [reject(NO_QUORUM_RETRY_MS, "less than half follow")]
         result = self.ledger.request_lease(
@@ -150,13 +159,16 @@
     def update_config(self, now_ms: float, config: PlannerConfig) -> list[AddressedMessage]:
         """Applies a reloaded file; returns revocations of leases that its plans no longer allow.
 
-        Raises StaleVersionError or RestartRequiredError for a file that cannot be applied.
+        Raises:
+            StaleVersionError: the membership version is older than the current one.
+            RestartRequiredError: a setting changed that only a restart can change.
         """
         if config.membership_version < self.config.membership_version:
             raise StaleVersionError(
                 f"version {config.membership_version} is older than {self.config.membership_version}"
             )
-        # Outstanding leases were granted under these settings, and only a restart waits until they are over.
+        # Outstanding leases were granted under these settings, and only a restart waits until they have
+        # expired.
         fixed = (config.lease_terms, config.safe_share, config.name)
         if fixed != (self.config.lease_terms, self.config.safe_share, self.config.name):
             raise RestartRequiredError("lease_ms, drift, share and name take a restart")
@@ -170,7 +182,7 @@
         ]
 
     def statistics(self) -> dict[str, int]:
-        """Counters and current sizes, for the log."""
+        """Returns counters since the start and current sizes, as fields of a log line."""
         counters = self.ledger.counters
         return {
             "followers": len(self.quorum.last_heartbeats_at_ms),
--- a/onyxpost/planner/lease_ledger.py
+++ b/onyxpost/planner/lease_ledger.py
@@ -1,17 +1,17 @@
-"""Ledger of the leases that one planner has granted, and of what it may still grant.
+"""Lease ledger of one planner: the leases that it has granted and the units that it may still grant.
 
-Pure state: no I/O and no clock; every time is passed in, in milliseconds.
+There is no I/O and no clock here: times are arguments, in milliseconds.
 
-For each customer and rate limit (quota, hard limit) the ledger keeps `available + leased <= burst`, where
-`available` grows by the rate alone. All forwarders together therefore send at most `burst + rate * t` units
-in any time t, whenever each of them uses its leases: units used in that time were leased at its start,
-available at its start, or refilled since.
+For each customer and rate limit (quota, hard limit) the ledger keeps `available + leased <= burst`, and only
+the refill at the limit's rate adds to `available`. In any time t all forwarders together therefore send at
+most `burst + rate * t` units, whenever they use their leases: each of these units was leased or available at
+the start of that time, or was refilled during it.
 
-A lease ends when its forwarder returns it, or when it expires here, which is later than at the forwarder
-(`LeaseTerms.planner_duration_ms`). Units of a lease that expired without a report count as spent. A planner
-that restarts does not know the leases of its previous incarnation: it grants nothing until the longest of
-those has surely expired, or until all forwarders have reported theirs (`recover`). It starts from empty
-buckets.
+A lease ends when its forwarder returns it or when it expires. It expires later at the planner than at the
+forwarder (`LeaseTerms.planner_duration_ms`). Units of an expired lease that were not reported count as spent.
+
+A restarted planner does not know the leases of its previous incarnation. It starts with empty buckets and
+grants nothing until all these leases have expired, or until all forwarders have reported theirs (`recover`).
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
     from onyxpost.core.types import Plan
     from onyxpost.planner.lease_terms import LeaseTerms
 
-REVOCATION_RETRY_MS = 60.0  # retry time while an idle lease is revoked: time for its return, and a margin
-MIN_RETRY_MS = 20.0  # shortest retry time given, however soon the refill suffices
-ROUNDING_TOLERANCE = 1e-9  # units: a floating-point share just below a whole number counts as that number
+REVOCATION_RETRY_MS = 60.0  # retry time after the revocation of an idle lease, long enough for its return
+MIN_RETRY_MS = 20.0  # lower limit of the retry time in a rejection
+ROUNDING_TOLERANCE = 1e-9  # units; a floating-point share this close below an integer counts as the integer
 
 
 class ReportedLease(NamedTuple):
-    """A lease of the planner's previous incarnation, as its forwarder reports it."""
+    """A lease of the planner's previous incarnation, as reported by its forwarder."""
 
     forwarder: str
     customer: int
@@ -46,7 +46,11 @@
 
 
 class Rejection(NamedTuple):
-    """Nothing is granted; `revoked` is an idle lease of another forwarder that must be sent a revocation."""
+    """Result of a lease request to which nothing is granted.
+
+    `revoked` is an idle lease of another forwarder, to which the caller must send the revocation; None if no
+    lease was revoked.
+    """
 
     retry_after_ms: float
     revoked: Lease | None = None
@@ -54,7 +58,7 @@
 
 @dataclass(slots=True)
 class LedgerCounters:
-    """Totals since the planner started: units, but for `rejected`, which counts requests."""
+    """Totals since the planner started, in units, except for `rejected`, which counts lease requests."""
 
     granted: int = 0
     spent: int = 0
@@ -66,8 +70,8 @@
 class LeaseLedger:
     """Grants leases to forwarders within the limits of their customers' plans.
 
-    `leasable_share` is the part of each rate and burst that planners grant; forwarders use the rest on their
-    own, as their safe shares.
+    `leasable_share` is the part of each rate and burst that planners grant. Forwarders use the rest without
+    leases, as their safe shares.
     """
 
     def __init__(
@@ -78,7 +82,7 @@
         self.plans = {plan.name: plan for plan in plans}
         self.opens_at_ms = (
             now_ms + terms.planner_duration_ms
-        )  # by then the previous incarnation's leases are over
+        )  # the previous incarnation's leases have expired by then
         self.accounts: dict[int, CustomerAccount] = {}
         self.leases: dict[int, Lease] = {}
         self.last_lease_id = 0
@@ -87,15 +91,19 @@
     # Start and recovery
 
     def reset_and_wait(self, now_ms: float, extra_ms: float = 0.0) -> None:
-        """Forgets all accounts and leases; grants nothing until those that any planner granted are over."""
+        """Drops all accounts and leases, and grants nothing until all leases of any planner have expired.
+
+        `extra_ms` is added to the duration of a lease, for leases that another planner may still grant.
+        """
         self.opens_at_ms = now_ms + self.terms.planner_duration_ms + extra_ms
         self.accounts = {}
         self.leases = {}
 
     def recover(self, now_ms: float, reports: Iterable[ReportedLease]) -> None:
-        """Opens with the leases that all forwarders reported; no other lease can exist.
+        """Starts granting at once, with the leases that all forwarders reported; no other lease can exist.
 
-        Use of these leases is not reported to this incarnation, so they count as spent when they expire.
+        The use of these leases is not reported to this incarnation, so their units count as spent when they
+        expire.
         """
         self.opens_at_ms = now_ms
         self.accounts = {}
@@ -115,7 +123,7 @@
                 self.get_or_create_account(now_ms, report.customer, plan).recover_lease(lease)
 
     def get_or_create_account(self, now_ms: float, customer: int, plan: Plan) -> CustomerAccount:
-        """The account of a customer, marked as seen now."""
+        """Returns the account of a customer, with the current time as the time of its last use."""
         account = self.accounts.get(customer)
         if account is None:
             account = CustomerAccount(plan, self._bucket_sizes(plan), self.opens_at_ms, now_ms)
@@ -140,7 +148,7 @@
     def request_lease(
         self, now_ms: float, forwarder: str, customer: int, plan_name: str, units: int, min_units: int = 1
     ) -> Lease | Rejection:
-        """Grants up to `units`, or nothing if fewer than `min_units` can be granted."""
+        """Grants a lease of at most `units`; rejects the request if fewer than `min_units` can be granted."""
         plan = self.plans.get(plan_name)
         if plan is None or units <= 0:
             return self._reject(math.inf)
@@ -178,7 +186,7 @@
         return lease
 
     def record_use(self, now_ms: float, forwarder: str, lease_id: int, units: int) -> None:
-        """Counts `units` of a lease as spent; a report about another forwarder's lease is ignored."""
+        """Counts `units` of a lease as spent; ignores the report if the forwarder does not hold the lease."""
         lease = self._lease_of(forwarder, lease_id)
         if lease is None:
             return
@@ -187,7 +195,7 @@
         self.accounts[lease.customer].record_spent(now_ms, spent)
 
     def return_lease(self, now_ms: float, forwarder: str, lease_id: int, unused_units: int) -> None:
-        """Ends a lease. Units that are not returned as unused count as spent, reported or not."""
+        """Ends a lease; units that are not returned as unused count as spent, even if never reported."""
         lease = self._lease_of(forwarder, lease_id)
         if lease is None:
             return
@@ -207,7 +215,7 @@
     # Time and configuration
 
     def expire(self, now_ms: float) -> list[Lease]:
-        """Ends the leases whose time is over, their units counted as spent; drops unused accounts."""
+        """Ends and returns expired leases, whose remaining units count as spent; drops unused accounts."""
         expired = [lease for lease in self.leases.values() if now_ms >= lease.expires_at_ms]
         for lease in expired:
             self.counters.expired += lease.units
@@ -221,7 +229,7 @@
         return expired
 
     def update_plans(self, now_ms: float, plans: Iterable[Plan]) -> list[Lease]:
-        """Applies changed plans; returns the leases that are revoked because more is leased than allowed."""
+        """Applies changed plans; returns the leases that are revoked to fit the new limits."""
         self.plans = {plan.name: plan for plan in plans}
         revoked: list[Lease] = []
         for account in self.accounts.values():
@@ -231,5 +239,5 @@
         return revoked
 
     def outstanding_units(self) -> int:
-        """Units in leases, as far as the ledger knows."""
+        """Returns the units of all leases that were neither reported as spent nor returned."""
         return sum(lease.units for lease in self.leases.values())
--- a/onyxpost/planner/lease_terms.py
+++ b/onyxpost/planner/lease_terms.py
@@ -1,4 +1,4 @@
-"""How long leases last on each side of the protocol, given the drift between the two clocks."""
+"""Duration of leases at the forwarder and at the planner, given the drift between their clocks."""
 
 from __future__ import annotations
 
@@ -6,14 +6,18 @@
 
 
 class LeaseTerms(NamedTuple):
-    """Timing of leases, from the planner's file; a forwarder gets the duration in the planner's welcome."""
+    """Timing of leases, from the planner's file. The planner's welcome tells forwarders the duration."""
 
-    #: How long a forwarder may use a lease, from the sending of its request, by the forwarder's clock.
+    #: How long a forwarder may use a lease after it sent the lease request, by the forwarder's clock.
     duration_ms: float = 2000.0
     #: Upper bound on the relative difference between the rates of two clocks.
     clock_drift: float = 0.01
 
     @property
     def planner_duration_ms(self) -> float:
-        """Time from a grant until the forwarder has surely stopped using it, by the planner's clock."""
+        """Time after a grant at which the forwarder no longer uses the lease, by the planner's clock.
+
+        The forwarder's duration begins earlier, when it sends the request; the margin covers the clocks'
+        drift.
+        """
         return self.duration_ms * (1.0 + 2.0 * self.clock_drift)
--- a/onyxpost/planner/leased_token_bucket.py
+++ b/onyxpost/planner/leased_token_bucket.py
@@ -1,4 +1,4 @@
-"""Token bucket whose tokens are leased to forwarders instead of being spent at once."""
+"""Token bucket whose tokens are leased to forwarders, which spend or return them later."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class BucketSize(NamedTuple):
-    """Rate in tokens a second, and burst in tokens."""
+    """Size of a token bucket: rate in tokens per second, burst in tokens."""
 
     rate: float
     burst: float
@@ -18,10 +18,11 @@
 
 
 class LeasedTokenBucket:
-    """One rate limit of one customer. Starts empty; times are in milliseconds.
+    """Token bucket of one rate limit of one customer. It starts empty; times are in milliseconds.
 
-    Invariant: `available + leased <= burst`, and `available` grows by `rate` alone. Tokens that are leased
-    out leave no space to refill, so all lease holders together use at most `burst + rate * t` in any time t.
+    Invariant: `available + leased <= burst`, and only the refill at `rate` adds to `available`. Leased tokens
+    take up space in the bucket, so all lease holders together spend at most `burst + rate * t` tokens in any
+    time t.
     """
 
     def __init__(self, size: BucketSize, opens_at_ms: float) -> None:
@@ -32,7 +33,7 @@
         self.refilled_at_ms = opens_at_ms
 
     def refill(self, now_ms: float) -> None:
-        """Adds the tokens of the time since the last refill."""
+        """Adds the tokens for the time since the last refill, up to the burst minus the leased tokens."""
         if now_ms > self.refilled_at_ms:
             capacity = max(0.0, self.burst - self.leased)
             added = self.rate * (now_ms - self.refilled_at_ms) / MS_PER_SECOND
@@ -40,23 +41,23 @@
             self.refilled_at_ms = now_ms
 
     def lease(self, units: float) -> None:
-        """Moves available tokens into a lease."""
+        """Moves available tokens into a lease. The caller checks that there are enough."""
         self.available -= units
         self.leased += units
 
     def recover_lease(self, units: float) -> None:
-        """Counts tokens as leased that an earlier bucket of this limit leased out."""
+        """Counts tokens as leased without taking them from the available ones."""
         self.leased += units
 
     def settle(self, now_ms: float, units: float, unused: float) -> None:
-        """Ends the lease of `units` tokens, of which `unused` were not spent and become available again."""
-        # Refilled first: the time before now must not refill the space that these tokens give up only now.
+        """Ends the lease of `units` tokens; the `unused` ones among them become available again."""
+        # Refills first: the time before now must not refill the space that these tokens occupied until now.
         self.refill(now_ms)
         self.leased -= units
         self.available = min(max(0.0, self.burst - self.leased), self.available + unused)
 
     def resize(self, now_ms: float, size: BucketSize) -> None:
-        """Changes rate and burst; tokens above the new burst are dropped."""
+        """Changes rate and burst; available tokens above the new burst are dropped."""
         self.refill(now_ms)
         self.rate = size.rate
         self.burst = size.burst
--- a/onyxpost/planner/planner.py
+++ b/onyxpost/planner/planner.py
@@ -1,4 +1,4 @@
-"""One planner: its connections to forwarders, its timer and its signals. `LeaseCoordinator` decides."""
+"""I/O of one planner: connections to forwarders, timer and signals. `LeaseCoordinator` decides."""
 
 from __future__ import annotations
 
@@ -27,14 +27,15 @@
 TICK_SECONDS = 0.05
 STATISTICS_INTERVAL_MS = 10_000.0
 HELLO_TIMEOUT_SECONDS = 2.0
-SILENCE_TIMEOUT_SECONDS = 10.0  # a connection on which nothing is received for this long is closed
+SILENCE_TIMEOUT_SECONDS = 10.0  # a connection that receives nothing for this long is closed
 READ_BUFFER_BYTES = 65_536
-# Connections without a hello, beyond one for each forwarder; above this the oldest is aborted.
+# Connections that have not sent their hello yet may exceed the number of forwarders by this many; beyond that
+# the oldest one is aborted.
 MAX_EXTRA_UNIDENTIFIED = 64
 
 
 class Planner:
-    """One planner process; `epoch` identifies its incarnation. Nothing of its state is kept on disk."""
+    """One planner process. All its state is in memory; `epoch` identifies its incarnation."""
 
     def __init__(
         self,
@@ -56,7 +57,7 @@
 
     @property
     def config(self) -> PlannerConfig:
-        """The configuration in force."""
+        """The current configuration, which a reload replaces."""
         return self.coordinator.config
 
     def _log(self, event: str, /, **fields: object) -> None:
@@ -94,7 +95,7 @@
         self.unidentified.abort_all()
 
     def reload(self) -> None:
-        """Reads the file again; one that cannot be applied is logged and changes nothing."""
+        """Reads the file again and applies it; an error is logged, and the current configuration stays."""
         try:
             config = self.reload_config()
             revocations = self.coordinator.update_config(self.net.clock(), config)
@@ -130,7 +131,7 @@
             async with asyncio.timeout(HELLO_TIMEOUT_SECONDS):
                 first_message = await protocol.read_forwarder_message(reader)
             if writer.transport.is_closing():
-                return  # aborted as the oldest one, or by `close`, before its hello was read
+                return  # aborted by `close`, or as the oldest connection without a hello
             hello = self._check_hello(first_message)
             forwarder = hello.forwarder
             self._register(hello, writer)
@@ -138,7 +139,7 @@
         except MalformedFrameError as error:
             self._log_warning("forwarder connection closed", forwarder=forwarder, **error.fields())
         except (OSError, EOFError, asyncio.CancelledError):
-            pass  # the forwarder disconnected, or this planner stops: both are usual
+            pass  # the forwarder disconnected, or this planner stops; neither is a fault
         finally:
             self._remove_connection(forwarder, writer)
 
@@ -150,7 +151,7 @@
         return message
 
     def _register(self, hello: protocol.Hello, writer: asyncio.StreamWriter) -> None:
-        """Answers a hello; a previous connection of the same forwarder is aborted."""
+        """Answers a hello and aborts a previous connection of the same forwarder."""
         self.unidentified.discard(writer)
         previous = self.writers.pop(hello.forwarder, None)
         if previous is not None:
@@ -165,8 +166,8 @@
         while True:
             async with asyncio.timeout(SILENCE_TIMEOUT_SECONDS):
                 message = await protocol.read_forwarder_message(reader)
-            # Requests and heartbeats on a replaced connection are ignored: the current one has later ones.
-            # Units that it reports as spent or returned are counted, as they are reported only once.
+            # Requests and heartbeats on a replaced connection are ignored, because the current one has later
+            # ones. Usage reports and returns on it count, because forwarders send each of them only once.
             is_current = self.writers.get(forwarder) is writer
             if is_current or isinstance(message, protocol.UsageReport | protocol.LeaseReturn):
                 self._send_all(self.coordinator.handle_message(self.net.clock(), forwarder, message))
@@ -184,7 +185,7 @@
             self._send(recipient, message)
 
     def _send(self, forwarder: str, message: protocol.Message) -> None:
-        """Sends without waiting; aborts the connection of a forwarder that does not read."""
+        """Sends without waiting; aborts the connection if the forwarder reads too slowly."""
         writer = self.writers.get(forwarder)
         if writer is None:
             return
--- a/onyxpost/planner/protocol.py
+++ b/onyxpost/planner/protocol.py
@@ -1,8 +1,8 @@
 """Protocol between planners and forwarders, version 1; docs/planners.md describes it.
 
-Messages travel in the frames of `onyxpost.cluster.frames`, of 64 KiB at most. A message that is malformed, of
-an unknown type or too long ends its connection and affects nothing else. Names on the wire are older than
-those here and are kept: `name=` and `tag=` give them.
+Each message is one frame of `onyxpost.cluster.frames`, of at most 64 KiB. A message that is malformed, of an
+unknown type or too long ends its connection and affects no other. Where a name on the wire differs from the
+Python name, `name=` or `tag=` gives the name on the wire, which stays for compatibility.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 
 PROTOCOL_VERSION = 1
 FRAME_LIMIT_BYTES = 64 * 1024
-MAX_REPORTED_LEASES = 1000  # in a hello
-MAX_RETRY_AFTER_MS = 60_000.0  # also sent where no retry can succeed, as for an unknown plan
+MAX_REPORTED_LEASES = 1000  # per hello
+MAX_RETRY_AFTER_MS = 60_000.0  # also sent if no retry can succeed, as for an unknown plan
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Number = Annotated[int, Meta(ge=0, lt=2**53)]
@@ -28,11 +28,11 @@
 
 
 class Message(msgspec.Struct, forbid_unknown_fields=True, tag_field="say"):
-    """Base of all messages."""
+    """Base of all messages; the field `say` on the wire has the type."""
 
 
 class HeldLease(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """A lease that a forwarder holds: a restarted planner recovers its ledger from these."""
+    """A lease that a forwarder holds, from which a restarted planner recovers its ledger."""
 
     customer: Number
     plan: Name
@@ -41,7 +41,7 @@
 
 
 class Hello(Message, tag="hello"):
-    """First message of a forwarder."""
+    """First message of a forwarder on a connection."""
 
     protocol: Number
     forwarder: Name
@@ -49,12 +49,12 @@
     held_leases: Annotated[list[HeldLease], Meta(max_length=MAX_REPORTED_LEASES)] = msgspec.field(
         name="holds", default_factory=list
     )
-    #: Whether `held_leases` are all leases that the forwarder holds.
+    #: False if the forwarder holds more leases than `held_leases` may contain.
     is_complete: bool = msgspec.field(name="whole", default=True)
 
 
 class Welcome(Message, tag="welcome"):
-    """A planner's answer to a hello. Lease ids are unique within its incarnation, the `epoch`."""
+    """A planner's answer to a hello. `epoch` identifies its incarnation; lease ids are unique within it."""
 
     protocol: Number
     planner: Name
@@ -64,13 +64,13 @@
 
 
 class MembershipHeartbeat(Message, tag="follow"):
-    """Sent every half second: the membership version that the forwarder follows."""
+    """Tells a planner, every half second, which membership version the forwarder follows."""
 
     membership_version: Number = msgspec.field(name="version")
 
 
 class LeaseRequest(Message, tag="ask"):
-    """A forwarder requests a lease; fewer than `min_units` are of no use to it."""
+    """A forwarder's request for a lease of at most `units`, and of at least `min_units`."""
 
     request_id: Number = msgspec.field(name="number")
     customer: Number
@@ -81,7 +81,7 @@
 
 
 class LeaseGrant(Message, tag="grant"):
-    """Answer to a lease request: a lease of `units`, for the duration that the welcome gave."""
+    """Answer to a lease request: a lease of `units`, for the duration given in the welcome."""
 
     request_id: Number = msgspec.field(name="ask")
     lease_id: Number = msgspec.field(name="lease")
@@ -92,7 +92,7 @@
 
 
 class LeaseRejection(Message, tag="refuse"):
-    """Answer to a lease request: nothing is granted; retry after `retry_after_ms`."""
+    """Answer to a lease request: nothing is granted; the forwarder may retry after `retry_after_ms`."""
 
     request_id: Number = msgspec.field(name="ask")
     customer: Number
@@ -101,14 +101,14 @@
 
 
 class LeaseRevocation(Message, tag="withdraw"):
-    """A planner calls a lease back; the forwarder answers with a lease return."""
+    """A planner revokes a lease; the forwarder answers with a lease return."""
 
     lease_id: Number = msgspec.field(name="lease")
     epoch: Name
 
 
 class UsageReport(Message, tag="used"):
-    """A forwarder has spent `units` of a lease since its last report."""
+    """Units of a lease that a forwarder has spent since its last usage report for this lease."""
 
     lease_id: Number = msgspec.field(name="lease")
     units: Units
@@ -116,7 +116,7 @@
 
 
 class LeaseReturn(Message, tag="back"):
-    """A forwarder uses a lease no more."""
+    """A forwarder ends a lease and returns its unused units."""
 
     lease_id: Number = msgspec.field(name="lease")
     unused_units: Units = msgspec.field(name="units")
@@ -124,7 +124,7 @@
 
 
 class AddressedMessage(NamedTuple):
-    """A message to be sent, and the name of the planner or forwarder that it goes to."""
+    """A message to send, and the name of the planner or forwarder that receives it."""
 
     recipient: str
     message: Message
@@ -138,15 +138,31 @@
 
 
 def encode_frame(message: Message) -> bytes:
-    """The message as a frame. Raises the frames' error for one over the limit."""
+    """Encodes a message as a frame.
+
+    Raises:
+        FrameTooLongError: the message exceeds `FRAME_LIMIT_BYTES`.
+    """
     return frames.encode_frame(message, FRAME_LIMIT_BYTES)
 
 
 async def read_forwarder_message(reader: asyncio.StreamReader) -> ForwarderMessage:
-    """The next message of a forwarder. Raises MalformedFrameError, OSError and EOFError."""
+    """Reads the next message of a forwarder.
+
+    Raises:
+        MalformedFrameError: the frame or its message is invalid.
+        OSError: the connection failed.
+        EOFError: the connection ended.
+    """
     return await frames.read_frame(reader, _forwarder_message_decoder, FRAME_LIMIT_BYTES)
 
 
 async def read_planner_message(reader: asyncio.StreamReader) -> PlannerMessage:
-    """The next message of a planner. Raises MalformedFrameError, OSError and EOFError."""
+    """Reads the next message of a planner.
+
+    Raises:
+        MalformedFrameError: the frame or its message is invalid.
+        OSError: the connection failed.
+        EOFError: the connection ended.
+    """
     return await frames.read_frame(reader, _planner_message_decoder, FRAME_LIMIT_BYTES)
--- a/onyxpost/planner/serve.py
+++ b/onyxpost/planner/serve.py
@@ -1,4 +1,4 @@
-"""Runs one planner as a process."""
+"""Entry point of a planner process."""
 
 from __future__ import annotations
 
@@ -10,6 +10,6 @@
 
 
 def serve(path: str) -> int:
-    """Runs the planner of the file at `path` until SIGTERM; returns the exit code."""
+    """Runs the planner configured by the file at `path` until SIGTERM; returns the exit code."""
     read = partial(read_config, path)
     return process.run_process(read, lambda config, lines: Planner(config, lines, read).run())
