--- a/onyxpost/config/address.py
+++ b/onyxpost/config/address.py
@@ -1,22 +1,22 @@
-"""Network addresses as files and messages write them."""
+"""Network addresses in the form `host:port`, as files and messages contain them."""
 
 from __future__ import annotations
 
 from onyxpost.errors import InvalidAddressError, at_key
 
 Address = tuple[str, int]
-"""A host's name or IP address, and a port."""
+"""Host name or IP address, and port."""
 
-PORT_LIMIT = 65_536
+PORT_LIMIT = 65_536  # ports are below this number
 MAX_PORT_DIGITS = 5
 MAX_QUOTED_LENGTH = 80
 
 
 def parse_address(text: str) -> Address:
-    """Parses `host:port`.
+    """Parses `host:port`; an IPv6 address is written without brackets, as in `::1:8081`.
 
     Raises:
-        InvalidAddressError: the text is no address.
+        InvalidAddressError: the host is empty, or the port is not a number below `PORT_LIMIT`.
     """
     host, _, port = text.rpartition(":")
     is_port = port.isdecimal() and len(port) <= MAX_PORT_DIGITS and int(port) < PORT_LIMIT
@@ -26,15 +26,15 @@
 
 
 def parse_address_at(path: str, text: str, source: str = "") -> Address:
-    """Parses the address of one key of a file.
+    """Parses the address that is the value of one key of a file.
 
     Args:
         path: the key's path in the file, for errors.
-        text: its value.
-        source: the file, for errors; empty if the caller adds it.
+        text: the value of the key.
+        source: the file's path, for errors; empty if the caller adds it.
 
     Raises:
-        InvalidAddressError: the text is no address; the message ends with the path.
+        InvalidAddressError: the text is not an address; the message ends with the key's path.
     """
     try:
         return parse_address(text)
--- a/onyxpost/config/cluster.py
+++ b/onyxpost/config/cluster.py
@@ -1,4 +1,4 @@
-"""The `fleet` section of a node's file."""
+"""Schema of the `fleet` section of a node's file, which configures the cluster."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from onyxpost.config.decoding import Settings
 
-MAX_MEMBERS = 256  # a full mesh of connections: more members would need a gossip protocol
+MAX_MEMBERS = 256  # members connect in a full mesh; larger clusters would need a gossip protocol
 
 
 class ClusterSettings(Settings):
-    """The members of the cluster, and where this node accepts their connections.
+    """Members of the cluster by name, and the address at which this node accepts their connections.
 
-    `onyxpost.cluster.membership` validates it for one node.
+    `onyxpost.cluster.membership` validates these settings for one node.
     """
 
     version: Annotated[int, Meta(ge=1, lt=2**53)]
--- a/onyxpost/config/decoding.py
+++ b/onyxpost/config/decoding.py
@@ -1,4 +1,4 @@
-"""Decodes files and messages into typed values; every error names its place."""
+"""Decodes files and messages into typed values. Every error names its source and the key at fault."""
 
 from __future__ import annotations
 
@@ -15,11 +15,16 @@
 
 
 class Settings(msgspec.Struct, kw_only=True):
-    """Base of the settings that an operator or the simulator gives. Unknown keys are ignored."""
+    """Base of settings from operators and from the simulator. Unknown keys are ignored."""
 
 
 def decode_as(data: object, kind: type[Decoded], source: str) -> Decoded:
-    """Decodes JSON text, or a value that was decoded before, and checks its types and ranges.
+    """Decodes JSON text, or converts parsed JSON, and checks types and ranges.
+
+    Args:
+        data: JSON text as bytes, or parsed JSON.
+        kind: the type to decode to.
+        source: the file's path, or another name for errors.
 
     Raises:
         InvalidValueError: a key is missing, of another type or out of its range.
@@ -36,11 +41,11 @@
 
 
 def read_json_file(path: str) -> JsonObject:
-    """Reads a JSON object whose values are not checked yet.
+    """Reads a JSON object from a file; its keys and values are not checked.
 
     Raises:
         FileOpenError: the file cannot be read.
-        InvalidInputError: it holds no JSON object.
+        InvalidInputError: the file is not JSON, or its top level is not an object.
     """
     try:
         data = Path(path).read_bytes()
--- a/onyxpost/config/deployment.py
+++ b/onyxpost/config/deployment.py
@@ -1,4 +1,4 @@
-"""The deployment of a node, built from its settings for the edge node and for the simulator's host."""
+"""Builds the deployment of a node from its settings, for the edge node and for the simulator's host."""
 
 from __future__ import annotations
 
@@ -44,21 +44,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """The deployment that a node belongs to.
+    """The deployment of a node: its share of the quotas, frontends, plans and limits.
 
     Attributes:
         node_index: this node's index among `node_count` nodes.
         node_count: number of nodes that share the customers' quotas.
-        tick_ms: resolution of the node's timers; 0 if they have none.
+        tick_ms: resolution of the node's timers; 0: no fixed resolution.
         frontends: all frontends.
         plans: all plans of customers.
-        slow_start: how app servers start.
-        limits: what the node may do.
-        polls_endpoints: whether the node must poll discovery, which does not push changes.
+        slow_start: capacity of app servers during warmup, and their behaviour under overload.
+        limits: limits on attempts, retries and messages to peers.
+        polls_endpoints: whether the node must poll discovery, because discovery does not push changes.
         drain_grace_ms: time after which a draining app server accepts no new attempts.
-        connect_timeout_ms: limit on connecting to an app server; 0: none.
-        keep_alive_ms: how long app servers keep an idle connection.
-        max_request_units: limit on the units of a request; 0: none is given.
+        connect_timeout_ms: limit on connecting to an app server; 0: no limit.
+        keep_alive_ms: time for which app servers keep an idle connection open.
+        max_request_units: limit on the units of a request; 0: no limit.
     """
 
     node_index: int
@@ -75,7 +75,10 @@
     max_request_units: int
 
     def build_gateway(self, now_ms: float, seed: int) -> Gateway:
-        """Returns the decision code of a node that starts now; equal seeds give equal decisions."""
+        """Returns the gateway, which makes all decisions of a node that starts now.
+
+        Equal seeds and events give equal decisions.
+        """
         options = GatewayOptions(
             seed=seed,
             node_index=self.node_index,
@@ -94,7 +97,7 @@
     """Decodes the settings of a deployment.
 
     Raises:
-        InvalidInputError: a value cannot be used.
+        InvalidInputError: a key is missing, or a value is invalid or conflicts with another one.
     """
     return build_deployment(decode_as(data, DeploymentSettings, "settings"))
 
@@ -103,7 +106,7 @@
     """Builds a deployment from its settings.
 
     Raises:
-        ConflictingValuesError: the node's index is out of range.
+        ConflictingValuesError: the node's index is not below the number of nodes.
     """
     if settings.node_index >= settings.node_count:
         message = f"{settings.node_index} of {settings.node_count} nodes, numbered from 0"
@@ -125,7 +128,7 @@
 
 
 def build_plans(settings: Iterable[PlanSettings]) -> list[Plan]:
-    """Builds the plans of customers from their settings."""
+    """Builds plans from the entries of `packages`."""
     return [
         Plan(
             name=plan.name,
@@ -182,10 +185,11 @@
 
 
 def _connect_timeout_us(settings: DeploymentSettings) -> float:
-    """Returns the limit on connecting, which the settings may only lower.
+    """Returns the timeout for connecting; the settings may lower it, but not raise it.
 
-    An attempt that connected for longer than the drain grace could begin after it. And if all attempts of a
-    request fail to connect, that must take at most half of the request's time.
+    There are two upper limits. An attempt that took longer to connect than the drain grace period could begin
+    after the end of that period. And if all attempts of a request fail to connect, they must take at most
+    half of the request's deadline.
     """
     drain_grace_us = settings.upstreams.drain_grace_us
     shortest_deadline_us = min(frontend.deadline_us for frontend in settings.frontends)
--- a/onyxpost/config/planners.py
+++ b/onyxpost/config/planners.py
@@ -1,4 +1,4 @@
-"""The `planners` section, which files of nodes and of planners share."""
+"""Schema of the `planners` section, which files of nodes and files of planners contain."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class PlannerSettings(Settings):
-    """Addresses of all planners by name; `share` is the part of each quota that nodes keep to themselves."""
+    """Addresses of all planners by name, and the membership version of this list.
+
+    `share` is the safe share: the part of each quota that nodes use without a lease.
+    """
 
     version: Annotated[int, Meta(ge=1)]
     members: Annotated[dict[str, str], Meta(min_length=1, max_length=MAX_PLANNERS)]
--- a/onyxpost/config/settings.py
+++ b/onyxpost/config/settings.py
@@ -1,7 +1,7 @@
-"""The deployment settings as operators and the simulator write them.
+"""Schema of the deployment settings, as operators and the simulator write them.
 
-The keys are the operators'; where they differ from the terms of the field, the Python name is the latter and
-the key stands in `msgspec.field`. Times in the settings are microseconds, rates are per second.
+Where a key differs from the usual term, the attribute has the usual term and `msgspec.field` has the key.
+Times in the settings are in microseconds, and rates are per second.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class LimitSettings(Settings):
-    """What a node may do (`bounds`)."""
+    """Limits on attempts, retries and connections of a node, and features that it may use (`bounds`)."""
 
     max_attempts: Annotated[int, Meta(ge=1)] = field(default=1, name="try_limit")
     parallel_attempts: bool = field(default=False, name="parallel_tries")
@@ -30,14 +30,14 @@
 
 
 class NodeGroupSettings(Settings):
-    """Limits that hold for all nodes of a deployment (`family_info`); 0 units: no limit is given."""
+    """Limits that are equal for all nodes of a deployment (`family_info`); 0 units: no limit."""
 
     peer_messages_per_s: float = field(default=0.0, name="mail_per_s")
     max_request_units: int = field(default=0, name="most_units")
 
 
 class UpstreamSettings(Settings):
-    """How app servers start, fail under overload, and drain (`rules`)."""
+    """Slow start, overload and drain of app servers (`rules`)."""
 
     initial_capacity: float = field(default=1.0, name="start_capacity")
     slow_start_us: float = field(default=0.0, name="cold_us")
@@ -47,7 +47,7 @@
 
 
 class FrontendSettings(Settings):
-    """How the requests of one frontend are served (an entry of `grades`)."""
+    """One frontend: latency objective, deadline, idempotency and weights (an entry of `grades`)."""
 
     name: str
     latency_objective_us: Annotated[float, Meta(gt=0.0)] = field(name="aim_us")
@@ -62,7 +62,7 @@
 
 
 class PlanSettings(Settings):
-    """The quota of a customer (an entry of `packages`); 0: no such limit."""
+    """One plan: the quota and limits of its customers (an entry of `packages`); 0: no limit."""
 
     name: str
     rate: float = field(default=0.0, name="refill")
@@ -74,7 +74,7 @@
 
 
 class DeploymentSettings(Settings):
-    """All settings of one node's deployment."""
+    """All deployment settings of one node; limits, frontends and plans apply to the whole deployment."""
 
     node_index: Annotated[int, Meta(ge=0)] = field(name="ordinal")
     node_count: Annotated[int, Meta(ge=1)] = field(name="n_instances")
--- a/onyxpost/forwarder/__init__.py
+++ b/onyxpost/forwarder/__init__.py
@@ -1,4 +1,4 @@
-"""The forwarder's side of the planners: requests leases of quota units, caches them and returns them.
+"""Planner client of a forwarder: requests, caches and returns leases of quota units.
 
-The policy still decides every request; no request waits for a planner.
+The policy decides every client request from the leases at hand; no client request waits for a planner.
 """
--- a/onyxpost/forwarder/cached_lease.py
+++ b/onyxpost/forwarder/cached_lease.py
@@ -1,4 +1,4 @@
-"""What a forwarder keeps of each lease. Times are in milliseconds by the forwarder's clock."""
+"""Entry of a forwarder's lease cache. Times are in milliseconds by the forwarder's clock."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 if TYPE_CHECKING:
     from onyxpost.planner import protocol
 
-NOT_ACCEPTED = 0  # local id of leases that were never accepted
+NOT_ACCEPTED = 0  # local id of all leases that were not accepted
 
 
 @dataclass(slots=True)
 class CachedLease:
-    """A lease that this forwarder holds."""
+    """A lease that this forwarder holds, and the units of it that are left."""
 
     planner: str
-    epoch: str  # the planner's incarnation
+    epoch: str  # incarnation of the planner that granted the lease
     lease_id: int  # given by the planner
     customer: int
     plan: str
     expires_at_ms: float
     units_left: int
-    reported_units_left: int  # `units_left` at the last report to the planner
+    reported_units_left: int  # `units_left` as of the last usage report
 
     @classmethod
     def from_grant(cls, planner: str, grant: protocol.LeaseGrant, expires_at_ms: float) -> CachedLease:
-        """The lease of a grant, none of it spent."""
+        """Creates the lease of a grant, with no units spent."""
         return cls(
             planner=planner,
             epoch=grant.epoch,
@@ -39,11 +39,14 @@
         )
 
     def spend(self, units: int) -> None:
-        """Takes units that a client request consumed; more than are left is possible in a race."""
+        """Subtracts units that a client request consumed; a race may make `units_left` negative."""
         self.units_left -= units
 
     def take_unreported_units(self) -> int:
-        """Units spent since the last report, which counts as sent now; 0 if the lease is overdrawn."""
+        """Returns the units to report as spent since the last report; 0 if `units_left` is negative.
+
+        The caller sends the report: the units are not returned again.
+        """
         if self.units_left < 0:
             return 0
         spent = self.reported_units_left - self.units_left
--- a/onyxpost/forwarder/lease_cache.py
+++ b/onyxpost/forwarder/lease_cache.py
@@ -1,10 +1,10 @@
-"""Leases that a forwarder holds: accepted, used, reported and returned.
+"""Lease cache of a forwarder: accepts grants, reports the use of leases and returns them.
 
-Pure state: no I/O and no clock; every time is passed in, in milliseconds by the forwarder's clock.
+There is no I/O and no clock here: times are arguments, in milliseconds by the forwarder's clock.
 
-A lease expires its duration after its *request* was sent, which was before the planner granted it, so it ends
-here before it ends at the planner. A grant is not accepted if it is a duplicate, late, revoked already, from
-another incarnation of its planner or an answer to no request.
+The duration of a lease begins when its *request* is sent, which is before the planner grants it, so it
+expires at the forwarder before it expires at the planner. A grant is discarded if it is a duplicate, late or
+already revoked, if it comes from another incarnation of its planner, or if it answers no pending request.
 """
 
 from __future__ import annotations
@@ -25,12 +25,14 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-EXPIRY_MARGIN_MS = 100.0  # a lease's use stops this early: requests in flight arrive before its end
-REVOCATION_MEMORY_DURATIONS = 4.0  # lease durations, beyond that, for which a revoked lease is remembered
+# A forwarder stops using a lease this early, so that requests in flight arrive before the lease ends.
+EXPIRY_MARGIN_MS = 100.0
+# Revoked leases are kept in `SeenLeases` for this many lease durations longer; their grants may still arrive.
+REVOCATION_MEMORY_DURATIONS = 4.0
 
 
 class CacheOutput(NamedTuple):
-    """Messages for planners, and changes of leases for the policy."""
+    """Messages to send to planners, and lease events to pass to the policy."""
 
     messages: list[AddressedMessage]
     lease_events: list[LeaseGranted | LeaseRevoked]
@@ -38,7 +40,7 @@
 
 @dataclass(slots=True)
 class CacheCounters:
-    """Totals since the start: units, but for `rejected` and `discarded`, which count messages."""
+    """Totals since the start, in units, except for `rejected` and `discarded`, which count messages."""
 
     granted: int = 0
     spent: int = 0
@@ -48,7 +50,7 @@
 
 
 class LeaseCache:
-    """State of one forwarder's leases. Messages and lease events gather until `take_output`."""
+    """All leases of one forwarder. `take_output` returns the collected messages and lease events."""
 
     def __init__(self, forwarder: str, planners: Sequence[str], membership_version: int) -> None:
         self.forwarder = forwarder
@@ -65,13 +67,13 @@
 
     @property
     def membership_version(self) -> int:
-        """The version that this forwarder follows."""
+        """The membership version that this forwarder follows."""
         return self.requester.membership_version
 
     # Events of the policy
 
     def report_units_spent(self, now_ms: float, customer: int, plan: str, units: int, local_id: int) -> None:
-        """A client request consumed `units` of a lease, or lacked them (local id 0)."""
+        """Handles that a client request consumed `units` of a lease, or lacked units (local id 0)."""
         self.requester.record_use(now_ms, customer, plan, units)
         lease = self.leases.get(local_id)
         if lease is not None:
@@ -80,7 +82,7 @@
         self._request_if_needed(now_ms, customer)
 
     def return_lease(self, local_id: int, unused_units: int) -> None:
-        """The policy uses a lease no more; it goes back to its planner."""
+        """Handles that the policy no longer uses a lease: returns it to its planner."""
         lease = self.leases.pop(local_id, None)
         if lease is not None:
             self.counters.returned += unused_units
@@ -90,16 +92,16 @@
     # Events of planners
 
     def handle_connected(self, now_ms: float, planner: str, welcome: protocol.Welcome) -> None:
-        """A planner answered the hello on a new connection."""
+        """Handles the welcome of a planner on a new connection."""
         self.sessions.open(now_ms, planner, welcome)
         self.requester.handle_connected(planner)
 
     def handle_disconnected(self, planner: str) -> None:
-        """A planner's connection ended; its leases may be used until they expire."""
+        """Handles the end of a planner's connection; its leases may be used until they expire."""
         self.sessions.close(planner)
 
     def handle_message(self, now_ms: float, planner: str, message: protocol.PlannerMessage) -> None:
-        """Handles a message of a connected planner."""
+        """Handles a message of a connected planner; a welcome is ignored here."""
         self.sessions.on_message_received(now_ms, planner)
         match message:
             case protocol.LeaseGrant():
@@ -120,7 +122,8 @@
         if not (is_answer and is_current and is_usable) or key in self.seen_leases:
             self.counters.discarded += 1
             if is_current and key not in self.seen_leases:
-                # Late, or its request is forgotten, as after a change of membership: returned unused.
+                # The grant is late, or its request was dropped, as after a change of membership: its units
+                # are returned unused.
                 self.seen_leases.remember(now_ms, key, NOT_ACCEPTED)
                 self._send(planner, protocol.LeaseReturn(grant.lease_id, grant.units, grant.epoch))
             return
@@ -136,7 +139,7 @@
     def _handle_revocation(self, now_ms: float, planner: str, revocation: protocol.LeaseRevocation) -> None:
         key = LeaseKey(revocation.epoch, revocation.lease_id)
         local_id = self.seen_leases.local_id(key)
-        # Remembered also if the grant is still on its way, perhaps on another connection.
+        # Also remembered if the grant has not arrived yet: it may arrive later, on another connection.
         extra_ms = REVOCATION_MEMORY_DURATIONS * self.sessions.lease_duration_ms(planner)
         self.seen_leases.remember(now_ms, key, local_id, extra_ms)
         if local_id in self.leases:
@@ -147,7 +150,7 @@
     # Time
 
     def tick(self, now_ms: float) -> None:
-        """Reports use, ends leases, sends heartbeats and requests leases; to be called every 50 ms or so."""
+        """Reports use, ends leases, sends heartbeats and requests leases; to be called about every 50 ms."""
         for local_id, lease in self.leases.items():
             self._report_use(lease)
             if lease.expires_at_ms <= now_ms:
@@ -182,13 +185,13 @@
             self._messages.append(request)
 
     def unresponsive_planners(self, now_ms: float) -> set[str]:
-        """Connected planners that should have answered a request by now."""
+        """Returns the connected planners that did not answer a lease request within `ANSWER_TIMEOUT_MS`."""
         return self.requester.unresponsive_planners(now_ms)
 
     # Membership and shutdown
 
     def hello(self, now_ms: float) -> protocol.Hello:
-        """First message on a new connection, with all leases that this forwarder holds."""
+        """Returns the first message on a new connection, with the leases that this forwarder holds."""
         leases = [
             lease for lease in self.leases.values() if lease.units_left > 0 and lease.expires_at_ms > now_ms
         ]
@@ -204,25 +207,28 @@
         )
 
     def update_membership(self, planners: Sequence[str], membership_version: int) -> None:
-        """Follows a later membership; leases of the former planners may be used until they expire."""
+        """Follows a later membership version; an earlier one is ignored.
+
+        Leases of planners that are not members any more may be used until they expire.
+        """
         if membership_version > self.membership_version:
             self.requester.update_membership(planners, membership_version)
             self.last_heartbeat_at_ms = -math.inf
 
     def stop(self) -> None:
-        """Returns all leases, also those granted from now on, and requests no more."""
+        """Starts to return all leases, and stops requesting leases; later grants are returned unused."""
         self.is_stopping = True
         for local_id, lease in self.leases.items():
             self._lease_events.append(LeaseRevoked(lease.customer, local_id))
 
     def is_settled(self) -> bool:
-        """Whether no lease is held and no answer is awaited."""
+        """Returns whether all leases are returned and no lease request is unanswered."""
         return not self.leases and not self.requester.is_awaiting_answer()
 
     # Output
 
     def _send_to_granter(self, lease: CachedLease, message: protocol.Message) -> None:
-        """Sends to the incarnation that granted the lease, or to nobody if that is not connected."""
+        """Sends a message to the planner if the incarnation that granted the lease is connected."""
         if self.sessions.is_current(lease.planner, lease.epoch):
             self._send(lease.planner, message)
 
@@ -230,14 +236,14 @@
         self._messages.append(AddressedMessage(planner, message))
 
     def take_output(self) -> CacheOutput:
-        """Messages and lease events since the last call."""
+        """Returns and clears the collected messages and lease events."""
         output = CacheOutput(self._messages, self._lease_events)
         self._messages = []
         self._lease_events = []
         return output
 
     def statistics(self) -> dict[str, int]:
-        """Counters and current sizes, for the log."""
+        """Returns counters since the start and current sizes, as fields of a log line."""
         return asdict(self.counters) | {
             "leases": len(self.leases),
             "connected_planners": len(self.sessions.epochs),
--- a/onyxpost/forwarder/lease_requests.py
+++ b/onyxpost/forwarder/lease_requests.py
@@ -1,6 +1,6 @@
-"""When a forwarder requests leases, from which planner, and of how many units.
+"""Lease requests of a forwarder: their time, their planner and their units.
 
-Pure state: no I/O and no clock; every time is passed in, in milliseconds by the forwarder's clock.
+There is no I/O and no clock here: times are arguments, in milliseconds by the forwarder's clock.
 """
 
 from __future__ import annotations
@@ -18,15 +18,16 @@
 
     from onyxpost.forwarder.planner_sessions import PlannerSessions
 
-REFILL_THRESHOLD = 0.5  # more units are requested when leases have less than this part of what is needed
+REFILL_THRESHOLD = 0.5  # a lease is requested when less than this part of the needed units is left
 REQUEST_RETRY_MS = 500.0  # an unanswered lease request is repeated after this time
-REQUEST_MEMORY_MS = 10.0 * REQUEST_RETRY_MS  # an unanswered lease request is forgotten after this time
-ANSWER_TIMEOUT_MS = 3000.0  # a planner silent for this long, with a request unanswered, is unresponsive
-MAX_RETRY_AFTER_MS = 10_000.0  # a longer retry time, of up to 60 s on the wire, is cut to this
+REQUEST_MEMORY_MS = 10.0 * REQUEST_RETRY_MS  # an unanswered lease request is dropped after this time
+# A planner is unresponsive if it leaves a request unanswered, and sends nothing at all, for this time.
+ANSWER_TIMEOUT_MS = 3000.0
+MAX_RETRY_AFTER_MS = 10_000.0  # upper limit of the retry time; planners may send up to 60 s
 
 
 class PendingRequest(NamedTuple):
-    """A lease request without an answer."""
+    """A lease request that was sent and is unanswered."""
 
     customer: int
     sent_at_ms: float
@@ -37,7 +38,7 @@
 
 
 class LeaseRequester:
-    """Use of each customer's quota, and the lease requests that follow from it."""
+    """Tracks the use of each customer's quota, and requests leases before units run out."""
 
     def __init__(self, sessions: PlannerSessions, planners: Sequence[str], membership_version: int) -> None:
         self.sessions = sessions
@@ -48,13 +49,16 @@
         self.last_request_id = 0
 
     def record_use(self, now_ms: float, customer: int, plan: str, units: int) -> None:
-        """Records units that a client request consumed or lacked."""
+        """Records units that a client request consumed, or that it needed and did not get."""
         if customer not in self.usage:
             self.usage[customer] = CustomerUsage(plan)
         self.usage[customer].record(now_ms, plan, units)
 
     def find_planner(self, now_ms: float, customer: int) -> str | None:
-        """The planner from which a lease may be requested now, if there is one."""
+        """Returns the customer's planner if a lease may be requested from it now.
+
+        Returns None if a request is unanswered, the retry time is not over or the planner is not connected.
+        """
         usage = self.usage[customer]
         is_waiting = (
             now_ms < usage.retry_not_before_ms or now_ms - usage.request_sent_at_ms < REQUEST_RETRY_MS
@@ -67,7 +71,7 @@
     def request_if_needed(
         self, now_ms: float, customer: int, planner: str, units_left: float
     ) -> AddressedMessage | None:
-        """A lease request, if `units_left` in the customer's leases are too few."""
+        """Returns a lease request if `units_left` in the customer's leases are too few, otherwise None."""
         usage = self.usage[customer]
         needed = usage.units_needed(now_ms, self.sessions.lease_duration_ms(planner))
         if units_left >= max(REFILL_THRESHOLD * needed, usage.largest_request):
@@ -86,17 +90,17 @@
         return AddressedMessage(planner, request)
 
     def take_pending(self, request_id: int) -> PendingRequest:
-        """Removes and returns a request that was answered; `NO_REQUEST` if it is unknown."""
+        """Removes and returns the pending request with this id; returns `NO_REQUEST` for an unknown id."""
         return self.pending_requests.pop(request_id, NO_REQUEST)
 
     def handle_granted(self, customer: int) -> None:
-        """A grant was accepted: the next request may follow."""
+        """Handles an accepted grant: the next lease request may be sent at once."""
         usage = self.usage.get(customer)
         if usage is not None:
             usage.clear_pending_request()
 
     def handle_rejection(self, now_ms: float, rejection: protocol.LeaseRejection) -> bool:
-        """Waits the time that the planner gave; returns False for an unknown request."""
+        """Delays the next request by the planner's retry time; returns False for an unknown request."""
         request = self.pending_requests.pop(rejection.request_id, None)
         if request is None:
             return False
@@ -105,7 +109,7 @@
         return True
 
     def handle_connected(self, planner: str) -> None:
-        """Forgets the planner's unanswered requests: answers on its previous connection are lost."""
+        """Drops the planner's unanswered requests, because answers on its previous connection are lost."""
         for request in self.pending_requests.values():
             if request.planner == planner and request.customer in self.usage:
                 self.usage[request.customer].clear_pending_request()
@@ -116,7 +120,7 @@
         }
 
     def forget_requests(self, now_ms: float) -> None:
-        """Drops requests that have been unanswered for long."""
+        """Drops requests that have been unanswered for `REQUEST_MEMORY_MS`."""
         self.pending_requests = {
             request_id: request
             for request_id, request in self.pending_requests.items()
@@ -124,7 +128,7 @@
         }
 
     def active_customers(self, now_ms: float) -> list[int]:
-        """Customers seen lately; the others are dropped."""
+        """Returns the customers with a recent client request; drops the usage of all others."""
         self.usage = {
             customer: usage
             for customer, usage in self.usage.items()
@@ -133,7 +137,7 @@
         return list(self.usage)
 
     def unresponsive_planners(self, now_ms: float) -> set[str]:
-        """Connected planners that left a request unanswered, and sent nothing, for the answer timeout."""
+        """Returns connected planners with an overdue request that sent nothing for `ANSWER_TIMEOUT_MS`."""
         late = (
             request.planner
             for request in self.pending_requests.values()
@@ -147,11 +151,11 @@
         }
 
     def is_awaiting_answer(self) -> bool:
-        """Whether a connected planner has still to answer."""
+        """Returns whether a request to a connected planner is unanswered."""
         return any(self.sessions.is_connected(request.planner) for request in self.pending_requests.values())
 
     def update_membership(self, planners: Sequence[str], membership_version: int) -> None:
-        """Requests leases from the planners of another membership."""
+        """Requests leases from the planners of another membership version from now on, without delay."""
         self.planners = list(planners)
         self.membership_version = membership_version
         self.pending_requests = {}
--- a/onyxpost/forwarder/planner_client.py
+++ b/onyxpost/forwarder/planner_client.py
@@ -1,4 +1,4 @@
-"""A forwarder's connections to its planners, and the timer of its lease cache. I/O only."""
+"""I/O of a forwarder: connections to planners, and the timer. `LeaseCache` makes the decisions."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
 
 TICK_SECONDS = 0.05
 RECONNECT_DELAY_SECONDS = 0.2
-CONNECT_TIMEOUT_SECONDS = 1.0  # for a connection, and again for its welcome
+CONNECT_TIMEOUT_SECONDS = 1.0  # limit on connecting, and again on waiting for the welcome
 STATISTICS_INTERVAL_MS = 10_000.0
-SETTLE_POLLS = 10  # how often `stop` looks whether all leases are returned
+SETTLE_POLLS = 10  # number of times that `stop` checks whether all leases are returned
 POLL_SECONDS = 0.01
-CLOSE_TIMEOUT_SECONDS = 0.2  # for planners to read the last messages and close
+CLOSE_TIMEOUT_SECONDS = 0.2  # limit on waiting until planners have read all and closed
 
 
 class PlannerClient:
-    """Keeps one connection to each planner of the membership; no request of a client waits for it."""
+    """Keeps one connection to each planner of the membership; no client request waits for a planner."""
 
     def __init__(
         self,
@@ -62,33 +62,33 @@
 
     @property
     def membership_version(self) -> int:
-        """The version that this forwarder follows."""
+        """The membership version that this forwarder follows."""
         return self.cache.membership_version
 
     def start(self) -> None:
-        """Starts the timer and the connections."""
+        """Starts the timer and the connections to all planners."""
         self._tick_task = asyncio.get_running_loop().create_task(self._run_ticks())
         self._start_connections()
 
     def _start_connections(self) -> None:
         for planner in self.members:
-            if planner not in self._connection_tasks:  # a reload during the start has begun some
+            if planner not in self._connection_tasks:  # a reload before `start` may have started it
                 self._connection_tasks[planner] = self._keep_connected(planner)
 
     def report_units_spent(self, effect: ReportUnitsSpent) -> None:
-        """The policy spent units of a lease, or lacked them; may send a lease request."""
+        """Handles that the policy spent units of a lease, or lacked units; may send a lease request."""
         self.cache.report_units_spent(
             self.net.clock(), effect.customer, effect.plan, effect.units, effect.lease_id
         )
         self._deliver()
 
     def return_lease(self, effect: ReturnLease) -> None:
-        """The policy uses a lease no more."""
+        """Handles that the policy no longer uses a lease: returns it to its planner."""
         self.cache.return_lease(effect.lease_id, effect.units)
         self._deliver()
 
     def _deliver(self) -> None:
-        """Sends the cache's messages and posts its events. Never waits: a slow planner is disconnected."""
+        """Sends the cache's messages and posts its events without waiting; a slow planner is disconnected."""
         output = self.cache.take_output()
         for planner, message in output.messages:
             writer = self.writers.get(planner)
@@ -127,7 +127,7 @@
         is_failure_logged = False
 
         def handle_connection_end(error: Exception | None) -> float:
-            """Logs the first of several failures in a row; returns the seconds to wait."""
+            """Logs the first of several failures in a row; returns the reconnect delay in seconds."""
             nonlocal is_failure_logged
             if error is not None and not is_failure_logged and not self._is_stopping:
                 self._log_disconnect(planner, error)
@@ -145,7 +145,7 @@
         self.log(LogEvent("planner disconnected", {"planner": planner, **error.fields()}, logging.WARNING))
 
     async def _run_connection(self, planner: str) -> None:
-        """Connects and handles messages until the connection ends."""
+        """Connects and handles messages until an error ends the connection."""
         if self._is_stopping:
             return
         async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
@@ -168,7 +168,10 @@
             writer.transport.abort()
 
     def update_membership(self, members: dict[str, Address], membership_version: int) -> bool:
-        """Follows a membership from a reloaded file; returns False for one that is not later."""
+        """Follows the membership of a reloaded file; returns False for an earlier or equal version.
+
+        After `stop` no membership is followed, and the result is False.
+        """
         if membership_version <= self.cache.membership_version or self._is_stopping:
             return False
         changed = [name for name in self._connection_tasks if members.get(name) != self.members.get(name)]
@@ -184,10 +187,10 @@
     # End
 
     async def stop(self) -> None:
-        """Returns all leases, and waits for at most 0.3 s until the planners have read that.
+        """Returns all leases, and waits for at most 0.3 s until the planners have read the returns.
 
-        Each connection is closed for writing only, until its planner closes it: closing a socket that holds
-        unread bytes, such as a late grant, would reset it and drop the last messages.
+        Each connection is closed for writing only, until its planner closes it. Closing a socket with unread
+        received bytes, such as a late grant, would reset the connection and drop the last messages.
         """
         self._is_stopping = True
         self.cache.stop()
@@ -207,7 +210,7 @@
                     await asyncio.sleep(POLL_SECONDS)
 
     def close(self) -> None:
-        """Ends all connections at once."""
+        """Ends the timer and all connections without waiting."""
         for task in [self._tick_task, *self._connection_tasks.values()]:
             if task is not None:
                 task.cancel()
