--- a/onyxpost/config/address.py
+++ b/onyxpost/config/address.py
@@ -21,7 +21,9 @@
     host, _, port = text.rpartition(":")
     is_port = port.isdecimal() and len(port) <= MAX_PORT_DIGITS and int(port) < PORT_LIMIT
     if not host or not is_port:
-        raise InvalidAddressError(f"no address: {text[:MAX_QUOTED_LENGTH]!r}")
+        raise InvalidAddressError(
+            f"expected host:port with a port below {PORT_LIMIT}, got {text[:MAX_QUOTED_LENGTH]!r}"
+        )
     return host, int(port)
 
 
--- a/onyxpost/config/deployment.py
+++ b/onyxpost/config/deployment.py
@@ -109,7 +109,7 @@
         ConflictingValuesError: the node's index is not below the number of nodes.
     """
     if settings.node_index >= settings.node_count:
-        message = f"{settings.node_index} of {settings.node_count} nodes, numbered from 0"
+        message = f"expected a node index below {settings.node_count}, got {settings.node_index}"
         raise ConflictingValuesError(at_key(message, "ordinal"))
     return Deployment(
         node_index=settings.node_index,
--- a/onyxpost/forwarder/errors.py
+++ b/onyxpost/forwarder/errors.py
@@ -8,4 +8,4 @@
 class PlannerUnavailableError(OperatorError):
     """A planner cannot be reached, closed the connection, or did not answer a lease request within 3 s."""
 
-    remedy = "see that the planner runs, and at the address in this node's file; safe shares hold meanwhile"
+    remedy = "check that the planner runs at the address in this node's file; safe shares apply meanwhile"
--- a/onyxpost/forwarder/planner_client.py
+++ b/onyxpost/forwarder/planner_client.py
@@ -96,7 +96,9 @@
                 continue
             writer.write(protocol.encode_frame(message))
             if not has_buffer_space(writer, 0):
-                self._abort_connection(planner, SlowReaderError("does not read"))
+                self._abort_connection(
+                    planner, SlowReaderError("planner does not read its messages; the send buffer is full")
+                )
         for event in output.lease_events:
             self.post(event)
 
@@ -115,7 +117,9 @@
             self.cache.tick(now_ms)
             self._deliver()
             for planner in self.cache.unresponsive_planners(now_ms) & self.writers.keys():
-                error = PlannerUnavailableError(f"no answer for {ANSWER_TIMEOUT_MS:.0f} ms")
+                error = PlannerUnavailableError(
+                    f"no answer to a lease request for {ANSWER_TIMEOUT_MS:.0f} ms"
+                )
                 self._abort_connection(planner, error)
             if now_ms - logged_at_ms >= STATISTICS_INTERVAL_MS:
                 logged_at_ms = now_ms
@@ -155,7 +159,9 @@
             async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 welcome = await protocol.read_planner_message(reader)
             if not isinstance(welcome, protocol.Welcome) or welcome.protocol != protocol.PROTOCOL_VERSION:
-                raise MalformedFrameError("no welcome of this protocol")
+                raise MalformedFrameError(
+                    f"first message is not a welcome of protocol version {protocol.PROTOCOL_VERSION}"
+                )
             self.writers[planner] = writer
             self.cache.handle_connected(self.net.clock(), planner, welcome)
             fields = {"planner": planner, "epoch": welcome.epoch, "version": welcome.membership_version}
--- a/onyxpost/planner/config.py
+++ b/onyxpost/planner/config.py
@@ -77,10 +77,12 @@
         parse_address_at(f"planners.members.{name}", text, source)
     if file.name not in file.planners.members:
         raise ConflictingValuesError(
-            at_key(f"{file.name} is none of the planners", "planners.members"), source
+            at_key(f"this planner's name, {file.name}, is not among the members", "planners.members"), source
         )
     if len(set(file.forwarders)) < len(file.forwarders):
-        raise ConflictingValuesError(at_key("a forwarder twice", "forwarders"), source)
+        raise ConflictingValuesError(
+            at_key("expected distinct names, got a forwarder more than once", "forwarders"), source
+        )
     return PlannerConfig(
         name=file.name,
         listen=listen,
--- a/onyxpost/planner/customer_assignment.py
+++ b/onyxpost/planner/customer_assignment.py
@@ -20,5 +20,5 @@
         ValueError: there are no planners.
     """
     if not planners:
-        raise ValueError("no planner")
+        raise ValueError("expected at least one planner, got none")
     return max(planners, key=lambda name: (stable_hash(f"{name}/{customer:x}"), name))
--- a/onyxpost/planner/errors.py
+++ b/onyxpost/planner/errors.py
@@ -11,10 +11,10 @@
     The connection is aborted; the peer may connect again.
     """
 
-    remedy = "look at the node named: stopped, short of CPU, or behind a slow network"
+    remedy = "check whether the named process is stopped or short of CPU, or the network to it is slow"
 
 
 class RestartRequiredError(InvalidInputError):
     """A reloaded file changes a setting that cannot change while a planner runs."""
 
-    remedy = "put those keys back and SIGHUP again, or restart the planner with the new ones"
+    remedy = "restore those keys and send SIGHUP again, or restart the planner with the new values"
--- a/onyxpost/planner/lease_coordinator.py
+++ b/onyxpost/planner/lease_coordinator.py
@@ -123,7 +123,7 @@
                 if message.epoch == self.epoch:
                     self.ledger.return_lease(now_ms, forwarder, message.lease_id, message.unused_units)
             case protocol.Hello():
-                raise MalformedFrameError("a second hello")
+                raise MalformedFrameError("expected one hello per connection, got a second one")
         return []
 
     def _handle_lease_request(
@@ -165,13 +165,16 @@
         """
         if config.membership_version < self.config.membership_version:
             raise StaleVersionError(
-                f"version {config.membership_version} is older than {self.config.membership_version}"
+                f"expected membership version {self.config.membership_version} or later,"
+                f" got {config.membership_version}"
             )
         # Outstanding leases were granted under these settings, and only a restart waits until they have
         # expired.
         fixed = (config.lease_terms, config.safe_share, config.name)
         if fixed != (self.config.lease_terms, self.config.safe_share, self.config.name):
-            raise RestartRequiredError("lease_ms, drift, share and name take a restart")
+            raise RestartRequiredError(
+                "lease_ms, drift, planners.share and name cannot change while the planner runs"
+            )
         self.config = config
         if self.quorum.update_membership(config.forwarders, config.membership_version):
             self.is_granting = False
--- a/onyxpost/planner/planner.py
+++ b/onyxpost/planner/planner.py
@@ -145,9 +145,11 @@
 
     def _check_hello(self, message: protocol.ForwarderMessage) -> protocol.Hello:
         if not isinstance(message, protocol.Hello) or message.protocol != protocol.PROTOCOL_VERSION:
-            raise MalformedFrameError("no hello of this protocol")
+            raise MalformedFrameError(
+                f"first message is not a hello of protocol version {protocol.PROTOCOL_VERSION}"
+            )
         if message.forwarder not in self.config.forwarders:
-            raise MalformedFrameError(f"unknown forwarder {message.forwarder}")
+            raise MalformedFrameError(f"forwarder {message.forwarder} is not listed in this planner's file")
         return message
 
     def _register(self, hello: protocol.Hello, writer: asyncio.StreamWriter) -> None:
@@ -191,6 +193,6 @@
             return
         writer.write(protocol.encode_frame(message))
         if not has_buffer_space(writer, 0):
-            error = SlowReaderError("does not read")
+            error = SlowReaderError("forwarder does not read its messages; the send buffer is full")
             self._log_warning("forwarder connection closed", forwarder=forwarder, **error.fields())
             writer.transport.abort()
--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -103,6 +103,12 @@
     ),
     # Descriptions of violations in result files.
     (" ms after it was told", " ms after its node was notified of the drain"),
+    # Errors of a planner's file and of addresses.
+    ("p9 is none of the planners", "this planner's name, p9, is not among the members"),
+    ("no address: 'localhost'", "expected host:port with a port below 65536, got 'localhost'"),
+    ("no address: 'x'", "expected host:port with a port below 65536, got 'x'"),
+    ("no address: '127.0.0.1'", "expected host:port with a port below 65536, got '127.0.0.1'"),
+    ("no address: '127.0.0.1:x'", "expected host:port with a port below 65536, got '127.0.0.1:x'"),
 )
 
 USAGE_ERROR = re.compile(r"^Error: .*", re.MULTILINE | re.DOTALL)
--- a/tests/config/test_deployment.py
+++ b/tests/config/test_deployment.py
@@ -64,7 +64,7 @@
 def test_a_node_index_out_of_range_names_its_key() -> None:
     with pytest.raises(ConflictingValuesError) as caught:
         deployment_with(ordinal=5, n_instances=5)
-    assert caught.value.message == "5 of 5 nodes, numbered from 0 - at `$.ordinal`"
+    assert caught.value.message == "expected a node index below 5, got 5 - at `$.ordinal`"
 
 
 @pytest.mark.parametrize(
--- a/tests/planner/test_config.py
+++ b/tests/planner/test_config.py
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize(
     ("changes", "key_path"),
     [
-        ({"listen": "x"}, "no address"),
+        ({"listen": "x"}, "expected host:port with a port below 65536, got 'x'"),
         ({"name": "p9"}, "$.planners.members"),
         ({"forwarders": []}, "$.forwarders"),
         ({"forwarders": ["a", "a"]}, "$.forwarders"),
--- a/tests/planner/test_protocol.py
+++ b/tests/planner/test_protocol.py
@@ -51,9 +51,9 @@
         (b"\xff\xff\xff\xff", "a frame of"),
         (b"\0\0\0\0", "a frame of 0"),
         (b"\0\0\0\x03abc", ""),
-        (protocol.encode_frame(protocol.MembershipHeartbeat(1)), "no hello"),
-        (protocol.encode_frame(protocol.Hello(2, "f0", 1)), "no hello"),
-        (protocol.encode_frame(protocol.Hello(1, "who", 1)), "unknown forwarder"),
+        (protocol.encode_frame(protocol.MembershipHeartbeat(1)), "first message is not a hello"),
+        (protocol.encode_frame(protocol.Hello(2, "f0", 1)), "first message is not a hello"),
+        (protocol.encode_frame(protocol.Hello(1, "who", 1)), "forwarder who is not listed"),
         (HELLO.replace(b"hello", b"jello"), ""),
     ],
 )
