--- a/onyxpost/config/address.py
+++ b/onyxpost/config/address.py
@@ -9,7 +9,7 @@
 
 PORT_LIMIT = 65_536  # ports are below this number
 MAX_PORT_DIGITS = 5
-MAX_QUOTED_LENGTH = 80
+MAX_QUOTED_CHARS = 80
 
 
 def parse_address(text: str) -> Address:
@@ -22,7 +22,7 @@
     is_port = port.isdecimal() and len(port) <= MAX_PORT_DIGITS and int(port) < PORT_LIMIT
     if not host or not is_port:
         raise InvalidAddressError(
-            f"expected host:port with a port below {PORT_LIMIT}, got {text[:MAX_QUOTED_LENGTH]!r}"
+            f"expected host:port with a port below {PORT_LIMIT}, got {text[:MAX_QUOTED_CHARS]!r}"
         )
     return host, int(port)
 
--- a/onyxpost/config/decoding.py
+++ b/onyxpost/config/decoding.py
@@ -18,12 +18,12 @@
     """Base of settings from operators and from the simulator. Unknown keys are ignored."""
 
 
-def decode_as(data: object, kind: type[Decoded], source: str) -> Decoded:
+def decode_as(data: object, target_type: type[Decoded], source: str) -> Decoded:
     """Decodes JSON text, or converts parsed JSON, and checks types and ranges.
 
     Args:
         data: JSON text as bytes, or parsed JSON.
-        kind: the type to decode to.
+        target_type: the type to decode to.
         source: the file's path, or another name for errors.
 
     Raises:
@@ -32,8 +32,8 @@
     """
     try:
         if isinstance(data, bytes):
-            return msgspec.json.decode(data, type=kind)
-        return msgspec.convert(data, type=kind)
+            return msgspec.json.decode(data, type=target_type)
+        return msgspec.convert(data, type=target_type)
     except msgspec.ValidationError as error:
         raise InvalidValueError(str(error), source) from error
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
--- a/onyxpost/config/deployment.py
+++ b/onyxpost/config/deployment.py
@@ -135,7 +135,7 @@
             rate=plan.rate,
             burst=plan.burst,
             concurrency_limit=plan.concurrency_limit,
-            priority_factor=plan.price,
+            priority_factor=plan.priority_factor,
             hard_limit_rate=plan.hard_limit_rate,
             hard_limit_burst=plan.hard_limit_burst,
         )
--- a/onyxpost/config/settings.py
+++ b/onyxpost/config/settings.py
@@ -68,7 +68,7 @@
     rate: float = field(default=0.0, name="refill")
     burst: float = field(default=0.0, name="depth")
     concurrency_limit: int = field(default=0, name="open")
-    price: float = field(default=1.0, name="worth_factor")
+    priority_factor: float = field(default=1.0, name="worth_factor")
     hard_limit_rate: float = field(default=0.0, name="cap_rate")
     hard_limit_burst: float = field(default=0.0, name="ceiling_burst")
 
--- a/onyxpost/forwarder/customer_usage.py
+++ b/onyxpost/forwarder/customer_usage.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 RATE_WINDOW_MS = 2000.0  # window of the mean rate of use
-USAGE_MEMORY_MS = 10_000.0  # leases of a customer cover its largest request for this time
+USAGE_RETENTION_MS = 10_000.0  # leases of a customer cover its largest request for this time
 
 
 class UsageSample(NamedTuple):
@@ -29,7 +29,7 @@
 
     def record(self, now_ms: float, plan: str, units: int) -> None:
         """Records a client request of `units`, and its plan for the next lease request."""
-        is_recent = now_ms - self.last_seen_at_ms < USAGE_MEMORY_MS
+        is_recent = now_ms - self.last_seen_at_ms < USAGE_RETENTION_MS
         self.plan = plan
         self.samples.append(UsageSample(now_ms, units))
         self.largest_request = max(units, self.largest_request if is_recent else 0)
@@ -45,7 +45,7 @@
 
         This is 0 for a customer without a recent request.
         """
-        if now_ms - self.last_seen_at_ms >= USAGE_MEMORY_MS:
+        if now_ms - self.last_seen_at_ms >= USAGE_RETENTION_MS:
             return 0.0
         return max(self.units_per_ms(now_ms) * lease_duration_ms, self.largest_request)
 
--- a/onyxpost/forwarder/lease_cache.py
+++ b/onyxpost/forwarder/lease_cache.py
@@ -28,7 +28,7 @@
 # A forwarder stops using a lease this early, so that requests in flight arrive before the lease ends.
 EXPIRY_MARGIN_MS = 100.0
 # Revoked leases are kept in `SeenLeases` for this many lease durations longer; their grants may still arrive.
-REVOCATION_MEMORY_DURATIONS = 4.0
+REVOCATION_RETENTION_DURATIONS = 4.0
 
 
 class CacheOutput(NamedTuple):
@@ -113,7 +113,7 @@
                 self._handle_revocation(now_ms, planner, message)
 
     def _handle_grant(self, now_ms: float, planner: str, grant: protocol.LeaseGrant) -> None:
-        request = self.requester.take_pending(grant.request_id)
+        request = self.requester.take_pending_request(grant.request_id)
         expires_at_ms = request.sent_at_ms + self.sessions.lease_duration_ms(planner) - EXPIRY_MARGIN_MS
         is_answer = request.planner == planner and request.customer == grant.customer
         is_current = self.sessions.is_current(planner, grant.epoch)
@@ -124,11 +124,11 @@
             if is_current and key not in self.seen_leases:
                 # The grant is late, or its request was dropped, as after a change of membership: its units
                 # are returned unused.
-                self.seen_leases.remember(now_ms, key, NOT_ACCEPTED)
+                self.seen_leases.add(now_ms, key, NOT_ACCEPTED)
                 self._send(planner, protocol.LeaseReturn(grant.lease_id, grant.units, grant.epoch))
             return
         self.last_local_id += 1
-        self.seen_leases.remember(now_ms, key, self.last_local_id)
+        self.seen_leases.add(now_ms, key, self.last_local_id)
         self.leases[self.last_local_id] = CachedLease.from_grant(planner, grant, expires_at_ms)
         self.counters.granted += grant.units
         self.requester.handle_granted(grant.customer)
@@ -140,8 +140,8 @@
         key = LeaseKey(revocation.epoch, revocation.lease_id)
         local_id = self.seen_leases.local_id(key)
         # Also remembered if the grant has not arrived yet: it may arrive later, on another connection.
-        extra_ms = REVOCATION_MEMORY_DURATIONS * self.sessions.lease_duration_ms(planner)
-        self.seen_leases.remember(now_ms, key, local_id, extra_ms)
+        extra_ms = REVOCATION_RETENTION_DURATIONS * self.sessions.lease_duration_ms(planner)
+        self.seen_leases.add(now_ms, key, local_id, extra_ms)
         if local_id in self.leases:
             self._lease_events.append(LeaseRevoked(self.leases[local_id].customer, local_id))
         elif local_id == NOT_ACCEPTED and self.sessions.is_current(planner, revocation.epoch):
@@ -159,8 +159,8 @@
             self.last_heartbeat_at_ms = now_ms
             for planner in self.sessions.epochs:
                 self._send(planner, protocol.MembershipHeartbeat(self.membership_version))
-        self.requester.forget_requests(now_ms)
-        self.seen_leases.forget_old(now_ms)
+        self.requester.drop_old_requests(now_ms)
+        self.seen_leases.drop_old(now_ms)
         for customer in self.requester.active_customers(now_ms):
             self._request_if_needed(now_ms, customer)
 
@@ -221,7 +221,7 @@
         for local_id, lease in self.leases.items():
             self._lease_events.append(LeaseRevoked(lease.customer, local_id))
 
-    def is_settled(self) -> bool:
+    def has_returned_all(self) -> bool:
         """Returns whether all leases are returned and no lease request is unanswered."""
         return not self.leases and not self.requester.is_awaiting_answer()
 
--- a/onyxpost/forwarder/lease_requests.py
+++ b/onyxpost/forwarder/lease_requests.py
@@ -8,7 +8,7 @@
 import math
 from typing import TYPE_CHECKING, NamedTuple
 
-from onyxpost.forwarder.customer_usage import USAGE_MEMORY_MS, CustomerUsage
+from onyxpost.forwarder.customer_usage import USAGE_RETENTION_MS, CustomerUsage
 from onyxpost.planner import protocol
 from onyxpost.planner.customer_assignment import planner_for_customer
 from onyxpost.planner.protocol import AddressedMessage
@@ -20,7 +20,7 @@
 
 REFILL_THRESHOLD = 0.5  # a lease is requested when less than this part of the needed units is left
 REQUEST_RETRY_MS = 500.0  # an unanswered lease request is repeated after this time
-REQUEST_MEMORY_MS = 10.0 * REQUEST_RETRY_MS  # an unanswered lease request is dropped after this time
+REQUEST_RETENTION_MS = 10.0 * REQUEST_RETRY_MS  # an unanswered lease request is dropped after this time
 # A planner is unresponsive if it leaves a request unanswered, and sends nothing at all, for this time.
 ANSWER_TIMEOUT_MS = 3000.0
 MAX_RETRY_AFTER_MS = 10_000.0  # upper limit of the retry time; planners may send up to 60 s
@@ -89,7 +89,7 @@
         )
         return AddressedMessage(planner, request)
 
-    def take_pending(self, request_id: int) -> PendingRequest:
+    def take_pending_request(self, request_id: int) -> PendingRequest:
         """Removes and returns the pending request with this id; returns `NO_REQUEST` for an unknown id."""
         return self.pending_requests.pop(request_id, NO_REQUEST)
 
@@ -119,12 +119,12 @@
             if request.planner != planner
         }
 
-    def forget_requests(self, now_ms: float) -> None:
-        """Drops requests that have been unanswered for `REQUEST_MEMORY_MS`."""
+    def drop_old_requests(self, now_ms: float) -> None:
+        """Drops requests that have been unanswered for `REQUEST_RETENTION_MS`."""
         self.pending_requests = {
             request_id: request
             for request_id, request in self.pending_requests.items()
-            if now_ms - request.sent_at_ms < REQUEST_MEMORY_MS
+            if now_ms - request.sent_at_ms < REQUEST_RETENTION_MS
         }
 
     def active_customers(self, now_ms: float) -> list[int]:
@@ -132,20 +132,20 @@
         self.usage = {
             customer: usage
             for customer, usage in self.usage.items()
-            if now_ms - usage.last_seen_at_ms < USAGE_MEMORY_MS
+            if now_ms - usage.last_seen_at_ms < USAGE_RETENTION_MS
         }
         return list(self.usage)
 
     def unresponsive_planners(self, now_ms: float) -> set[str]:
         """Returns connected planners with an overdue request that sent nothing for `ANSWER_TIMEOUT_MS`."""
-        late = (
+        overdue = (
             request.planner
             for request in self.pending_requests.values()
             if now_ms - request.sent_at_ms >= ANSWER_TIMEOUT_MS
         )
         return {
             planner
-            for planner in late
+            for planner in overdue
             if self.sessions.is_connected(planner)
             and now_ms - self.sessions.last_received_at_ms[planner] >= ANSWER_TIMEOUT_MS
         }
--- a/onyxpost/forwarder/planner_client.py
+++ b/onyxpost/forwarder/planner_client.py
@@ -32,7 +32,7 @@
 RECONNECT_DELAY_SECONDS = 0.2
 CONNECT_TIMEOUT_SECONDS = 1.0  # limit on connecting, and again on waiting for the welcome
 STATISTICS_INTERVAL_MS = 10_000.0
-SETTLE_POLLS = 10  # number of times that `stop` checks whether all leases are returned
+MAX_RETURN_POLLS = 10  # number of times that `stop` checks whether all leases are returned
 POLL_SECONDS = 0.01
 CLOSE_TIMEOUT_SECONDS = 0.2  # limit on waiting until planners have read all and closed
 
@@ -46,12 +46,12 @@
         forwarder: str,
         members: dict[str, Address],
         membership_version: int,
-        post: Callable[[LeaseGranted | LeaseRevoked], None],
+        post_event: Callable[[LeaseGranted | LeaseRevoked], None],
         log: Callable[[LogEvent], None],
     ) -> None:
         self.net = net
         self.members = dict(members)
-        self.post = post
+        self.post_event = post_event
         self.log = log
         self.cache = LeaseCache(forwarder, list(members), membership_version)
         self.writers: dict[str, asyncio.StreamWriter] = {}  # by planner
@@ -100,7 +100,7 @@
                     planner, SlowReaderError("planner does not read its messages; the send buffer is full")
                 )
         for event in output.lease_events:
-            self.post(event)
+            self.post_event(event)
 
     def _abort_connection(self, planner: str, error: OperatorError) -> None:
         fields = {"planner": planner, **error.fields()}
@@ -130,7 +130,7 @@
     def _keep_connected(self, planner: str) -> asyncio.Task[None]:
         is_failure_logged = False
 
-        def handle_connection_end(error: Exception | None) -> float:
+        def on_connection_end(error: Exception | None) -> float:
             """Logs the first of several failures in a row; returns the reconnect delay in seconds."""
             nonlocal is_failure_logged
             if error is not None and not is_failure_logged and not self._is_stopping:
@@ -140,7 +140,7 @@
             self.writers.pop(planner, None)
             return RECONNECT_DELAY_SECONDS
 
-        connecting = keep_connected(partial(self._run_connection, planner), handle_connection_end)
+        connecting = keep_connected(partial(self._run_connection, planner), on_connection_end)
         return asyncio.get_running_loop().create_task(connecting)
 
     def _log_disconnect(self, planner: str, error: Exception) -> None:
@@ -201,8 +201,8 @@
         self._is_stopping = True
         self.cache.stop()
         self._deliver()
-        for _ in range(SETTLE_POLLS):
-            if self.cache.is_settled():
+        for _ in range(MAX_RETURN_POLLS):
+            if self.cache.has_returned_all():
                 break
             await asyncio.sleep(POLL_SECONDS)
         self._deliver()
--- a/onyxpost/forwarder/seen_leases.py
+++ b/onyxpost/forwarder/seen_leases.py
@@ -6,7 +6,7 @@
 
 from onyxpost.forwarder.cached_lease import NOT_ACCEPTED
 
-MEMORY_MS = 60_000.0  # the id of a lease is kept for this time
+RETENTION_MS = 60_000.0  # the id of a lease is kept for this time
 
 
 class LeaseKey(NamedTuple):
@@ -19,7 +19,7 @@
 class _SeenLease(NamedTuple):
     """Record of a lease, which may have ended."""
 
-    forget_at_ms: float
+    drop_at_ms: float
     local_id: int
 
 
@@ -40,10 +40,10 @@
         seen = self._seen.get(key)
         return NOT_ACCEPTED if seen is None else seen.local_id
 
-    def remember(self, now_ms: float, key: LeaseKey, local_id: int, extra_ms: float = 0.0) -> None:
-        """Keeps a record of a lease for `MEMORY_MS` and `extra_ms` more."""
-        self._seen[key] = _SeenLease(now_ms + extra_ms + MEMORY_MS, local_id)
+    def add(self, now_ms: float, key: LeaseKey, local_id: int, extra_ms: float = 0.0) -> None:
+        """Keeps a record of a lease for `RETENTION_MS` and `extra_ms` more."""
+        self._seen[key] = _SeenLease(now_ms + extra_ms + RETENTION_MS, local_id)
 
-    def forget_old(self, now_ms: float) -> None:
+    def drop_old(self, now_ms: float) -> None:
         """Drops the records whose time is over."""
-        self._seen = {key: seen for key, seen in self._seen.items() if seen.forget_at_ms > now_ms}
+        self._seen = {key: seen for key, seen in self._seen.items() if seen.drop_at_ms > now_ms}
--- a/onyxpost/planner/customer_account.py
+++ b/onyxpost/planner/customer_account.py
@@ -11,16 +11,16 @@
     from onyxpost.core.types import Plan
     from onyxpost.planner.lease import Lease
 
-REQUEST_MEMORY_MS = 3000.0  # a forwarder's last request counts in the fair share for this time
+REQUEST_RETENTION_MS = 3000.0  # a forwarder's last request counts in the fair share for this time
 IDLE_BEFORE_REVOCATION_MS = 300.0  # a lease unused for this long may be revoked for another forwarder
-ACCOUNT_MEMORY_MS = 60_000.0  # an unused account with full buckets is dropped after this time
+ACCOUNT_RETENTION_MS = 60_000.0  # an unused account with full buckets is dropped after this time
 
 
 class RecentRequest(NamedTuple):
     """The last lease request of one forwarder."""
 
     received_at_ms: float
-    missing_units: int  # units of the request that were not granted
+    ungranted_units: int  # units of the request that were not granted
 
 
 class CustomerAccount:
@@ -30,9 +30,11 @@
     limits.
     """
 
-    def __init__(self, plan: Plan, sizes: list[BucketSize], opens_at_ms: float, now_ms: float) -> None:
+    def __init__(
+        self, plan: Plan, sizes: list[BucketSize], granting_starts_at_ms: float, now_ms: float
+    ) -> None:
         self.plan = plan
-        self.buckets = [LeasedTokenBucket(size, opens_at_ms) for size in sizes]
+        self.buckets = [LeasedTokenBucket(size, granting_starts_at_ms) for size in sizes]
         self.last_seen_at_ms = now_ms
         self.leases: dict[int, Lease] = {}
         self.recent_requests: dict[str, RecentRequest] = {}  # by forwarder
@@ -41,9 +43,9 @@
         """Records that a message named the customer, which delays the drop of the account."""
         self.last_seen_at_ms = now_ms
 
-    def record_request(self, now_ms: float, forwarder: str, missing_units: int) -> None:
-        """Replaces a forwarder's last lease request; `missing_units` of it were not granted."""
-        self.recent_requests[forwarder] = RecentRequest(now_ms, missing_units)
+    def record_request(self, now_ms: float, forwarder: str, ungranted_units: int) -> None:
+        """Replaces a forwarder's last lease request; `ungranted_units` of it were not granted."""
+        self.recent_requests[forwarder] = RecentRequest(now_ms, ungranted_units)
 
     def grant_lease(self, lease: Lease) -> None:
         """Adds a new lease; its units are taken from the available ones."""
@@ -81,14 +83,14 @@
             bucket.refill(now_ms)
         return min(bucket.available for bucket in self.buckets)
 
-    def is_forgettable(self, now_ms: float) -> bool:
+    def can_be_dropped(self, now_ms: float) -> bool:
         """Returns whether the account can be dropped: no leases, full buckets, and no recent message.
 
         A new account would have the same state: its buckets refill from the time when granting started.
         """
         self.available_units(now_ms)
         is_full = all(bucket.available >= bucket.burst for bucket in self.buckets)
-        return is_full and not self.leases and now_ms - self.last_seen_at_ms > ACCOUNT_MEMORY_MS
+        return is_full and not self.leases and now_ms - self.last_seen_at_ms > ACCOUNT_RETENTION_MS
 
     def fair_share(self, now_ms: float, units: int, min_units: int) -> float:
         """Returns the units that may be granted to a request of `units`, already in `recent_requests`.
@@ -100,13 +102,13 @@
         self.recent_requests = {
             forwarder: request
             for forwarder, request in self.recent_requests.items()
-            if now_ms - request.received_at_ms <= REQUEST_MEMORY_MS
+            if now_ms - request.received_at_ms <= REQUEST_RETENTION_MS
         }
-        wanted = sum(request.missing_units for request in self.recent_requests.values())
+        requested_units = sum(request.ungranted_units for request in self.recent_requests.values())
         available = self.available_units(now_ms)
-        if wanted <= available:
+        if requested_units <= available:
             return available
-        return max(min(min_units, available), available * units / wanted)
+        return max(min(min_units, available), available * units / requested_units)
 
     def ms_until_available(self, units: int) -> float:
         """Returns the time until the refill alone makes `units` available; infinite for a rate of 0."""
--- a/onyxpost/planner/lease_coordinator.py
+++ b/onyxpost/planner/lease_coordinator.py
@@ -51,12 +51,12 @@
             drift_margin = 1.0 + 2.0 * self.config.lease_terms.clock_drift
             self.ledger.reset_and_wait(now_ms, HEARTBEAT_VALIDITY_MS * drift_margin)
         has_all_reports = len(self.reported_leases) == len(self.config.forwarders)
-        if now_ms < self.ledger.opens_at_ms and has_all_reports and self.quorum.has_all(now_ms):
+        if now_ms < self.ledger.granting_starts_at_ms and has_all_reports and self.quorum.has_all(now_ms):
             self.ledger.recover(
                 now_ms, (lease for leases in self.reported_leases.values() for lease in leases)
             )
             self.log("leases recovered", forwarders=len(self.reported_leases), leases=len(self.ledger.leases))
-        is_granting = self.quorum.is_established and now_ms >= self.ledger.opens_at_ms
+        is_granting = self.quorum.is_established and now_ms >= self.ledger.granting_starts_at_ms
         if is_granting != self.is_granting:
             self.is_granting = is_granting
             event = "granting started" if is_granting else "granting stopped"
@@ -78,7 +78,7 @@
         recovery.
         """
         is_follower = self._record_heartbeat(now_ms, hello.forwarder, hello.membership_version)
-        is_waiting = now_ms < self.ledger.opens_at_ms or not self.quorum.is_established
+        is_waiting = now_ms < self.ledger.granting_starts_at_ms or not self.quorum.is_established
         if is_follower and hello.is_complete and is_waiting:
             drift_margin = 1.0 + 2.0 * self.config.lease_terms.clock_drift
             self.reported_leases[hello.forwarder] = [
@@ -170,8 +170,8 @@
             )
         # Outstanding leases were granted under these settings, and only a restart waits until they have
         # expired.
-        fixed = (config.lease_terms, config.safe_share, config.name)
-        if fixed != (self.config.lease_terms, self.config.safe_share, self.config.name):
+        fixed_settings = (config.lease_terms, config.safe_share, config.name)
+        if fixed_settings != (self.config.lease_terms, self.config.safe_share, self.config.name):
             raise RestartRequiredError(
                 "lease_ms, drift, planners.share and name cannot change while the planner runs"
             )
--- a/onyxpost/planner/lease_ledger.py
+++ b/onyxpost/planner/lease_ledger.py
@@ -80,7 +80,7 @@
         self.terms = terms
         self.leasable_share = leasable_share
         self.plans = {plan.name: plan for plan in plans}
-        self.opens_at_ms = (
+        self.granting_starts_at_ms = (
             now_ms + terms.planner_duration_ms
         )  # the previous incarnation's leases have expired by then
         self.accounts: dict[int, CustomerAccount] = {}
@@ -95,7 +95,7 @@
 
         `extra_ms` is added to the duration of a lease, for leases that another planner may still grant.
         """
-        self.opens_at_ms = now_ms + self.terms.planner_duration_ms + extra_ms
+        self.granting_starts_at_ms = now_ms + self.terms.planner_duration_ms + extra_ms
         self.accounts = {}
         self.leases = {}
 
@@ -105,7 +105,7 @@
         The use of these leases is not reported to this incarnation, so their units count as spent when they
         expire.
         """
-        self.opens_at_ms = now_ms
+        self.granting_starts_at_ms = now_ms
         self.accounts = {}
         self.leases = {}
         for report in reports:
@@ -126,7 +126,7 @@
         """Returns the account of a customer, with the current time as the time of its last use."""
         account = self.accounts.get(customer)
         if account is None:
-            account = CustomerAccount(plan, self._bucket_sizes(plan), self.opens_at_ms, now_ms)
+            account = CustomerAccount(plan, self._bucket_sizes(plan), self.granting_starts_at_ms, now_ms)
             self.accounts[customer] = account
         account.mark_seen(now_ms)
         return account
@@ -154,8 +154,8 @@
             return self._reject(math.inf)
         account = self.get_or_create_account(now_ms, customer, plan)
         account.record_request(now_ms, forwarder, units)
-        if now_ms < self.opens_at_ms:
-            return self._reject(self.opens_at_ms - now_ms)
+        if now_ms < self.granting_starts_at_ms:
+            return self._reject(self.granting_starts_at_ms - now_ms)
         if not account.buckets:  # a plan without limits
             return self._grant(now_ms, account, forwarder, customer, units)
         min_units = max(1, min(min_units, units))
@@ -220,11 +220,11 @@
         for lease in expired:
             self.counters.expired += lease.units
             self._end_lease(now_ms, lease, 0)
-        if now_ms >= self.opens_at_ms:
+        if now_ms >= self.granting_starts_at_ms:
             self.accounts = {
                 customer: account
                 for customer, account in self.accounts.items()
-                if not account.is_forgettable(now_ms)
+                if not account.can_be_dropped(now_ms)
             }
         return expired
 
--- a/onyxpost/planner/leased_token_bucket.py
+++ b/onyxpost/planner/leased_token_bucket.py
@@ -25,12 +25,12 @@
     time t.
     """
 
-    def __init__(self, size: BucketSize, opens_at_ms: float) -> None:
+    def __init__(self, size: BucketSize, granting_starts_at_ms: float) -> None:
         self.rate = size.rate
         self.burst = size.burst
         self.available = 0.0
         self.leased = 0.0
-        self.refilled_at_ms = opens_at_ms
+        self.refilled_at_ms = granting_starts_at_ms
 
     def refill(self, now_ms: float) -> None:
         """Adds the tokens for the time since the last refill, up to the burst minus the leased tokens."""
--- a/onyxpost/planner/planner.py
+++ b/onyxpost/planner/planner.py
@@ -40,12 +40,12 @@
     def __init__(
         self,
         config: PlannerConfig,
-        lines: StructuredLog,
+        structured_log: StructuredLog,
         reload_config: Callable[[], PlannerConfig],
         net: Transport | None = None,
         epoch: str | None = None,
     ) -> None:
-        self.lines = lines
+        self.structured_log = structured_log
         self.reload_config = reload_config
         self.net: Transport = net or SocketTransport()
         self.coordinator = LeaseCoordinator(
@@ -61,10 +61,10 @@
         return self.coordinator.config
 
     def _log(self, event: str, /, **fields: object) -> None:
-        self.lines.write(self.net.clock(), event, fields)
+        self.structured_log.write(self.net.clock(), event, fields)
 
     def _log_warning(self, event: str, /, **fields: object) -> None:
-        self.lines.write(self.net.clock(), event, fields, logging.WARNING)
+        self.structured_log.write(self.net.clock(), event, fields, logging.WARNING)
 
     # Process
 
@@ -78,10 +78,10 @@
         self._log(
             "phase", phase="serving", epoch=self.coordinator.epoch, version=self.config.membership_version
         )
-        ticking = asyncio.get_running_loop().create_task(self._run_ticks())
+        tick_task = asyncio.get_running_loop().create_task(self._run_ticks())
         await stop_requested.wait()
         self._log("phase", phase="stopped", **self.coordinator.statistics())
-        ticking.cancel()
+        tick_task.cancel()
         self.net.ignore_signals()
         self.close()
         return 0
--- a/onyxpost/planner/quorum.py
+++ b/onyxpost/planner/quorum.py
@@ -47,8 +47,8 @@
 
     def has_majority(self, now_ms: float) -> bool:
         """Returns whether more than half of all forwarders have a valid heartbeat."""
-        alive = sum(self._is_valid(now_ms, at_ms) for at_ms in self.last_heartbeats_at_ms.values())
-        return 2 * alive > len(self.forwarders)
+        valid_count = sum(self._is_valid(now_ms, at_ms) for at_ms in self.last_heartbeats_at_ms.values())
+        return 2 * valid_count > len(self.forwarders)
 
     @staticmethod
     def _is_valid(now_ms: float, heartbeat_at_ms: float) -> bool:
--- a/onyxpost/planner/serve.py
+++ b/onyxpost/planner/serve.py
@@ -12,4 +12,6 @@
 def serve(path: str) -> int:
     """Runs the planner configured by the file at `path` until SIGTERM; returns the exit code."""
     read = partial(read_config, path)
-    return process.run_process(read, lambda config, lines: Planner(config, lines, read).run())
+    return process.run_process(
+        read, lambda config, structured_log: Planner(config, structured_log, read).run()
+    )
--- a/tests/planner/test_cluster_faults.py
+++ b/tests/planner/test_cluster_faults.py
@@ -103,7 +103,7 @@
             await asyncio.sleep(0.3)
 
     def open_with_full_buckets(ledger: LeaseLedger, now_ms: float, extra_ms: float = 0.0) -> None:
-        ledger.opens_at_ms = now_ms
+        ledger.granting_starts_at_ms = now_ms
         plan = ledger.plans["p"]
         for customer in list(ledger.accounts) or [crc32(b"c")]:
             account = ledger.get_or_create_account(now_ms, customer, plan)
