--- a/tests/config/test_decoding.py
+++ b/tests/config/test_decoding.py
@@ -1,4 +1,4 @@
-"""Decoding of files and messages, and addresses."""
+"""Decoding of files and messages, and parsing of addresses."""
 
 from __future__ import annotations
 
@@ -73,6 +73,6 @@
 @pytest.mark.parametrize(
     "text", ["", "host", ":80", "host:", "host:65536", "host:000080", "host:-1", "host:x"]
 )
-def test_texts_that_are_no_address_are_rejected(text: str) -> None:
+def test_texts_that_are_not_an_address_are_rejected(text: str) -> None:
     with pytest.raises(InvalidAddressError):
         parse_address(text)
--- a/tests/config/test_deployment.py
+++ b/tests/config/test_deployment.py
@@ -1,4 +1,4 @@
-"""The deployment of a node, built from its settings."""
+"""Building the deployment of a node from its settings."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def deployment_with(**changes: Any) -> Deployment:
-    """The deployment of the test settings with some sections changed."""
+    """Returns the deployment of the test settings, with some keys or sections changed."""
     merged = {
         key: SETTINGS[key] | value if isinstance(value, dict) else value for key, value in changes.items()
     }
@@ -43,14 +43,16 @@
         ("fragile", Idempotency.NON_IDEMPOTENT),
     ],
 )
-def test_effects_of_frontends_are_read(effect: str, idempotency: Idempotency) -> None:
+def test_idempotency_and_deduplication_scope_of_a_frontend_are_read(
+    effect: str, idempotency: Idempotency
+) -> None:
     grade = {"name": "f", "aim_us": 1000, "deadline_us": 2000, "effect": effect, "group": "zone"}
     (frontend,) = deployment_with(grades=[grade]).frontends
     assert frontend.idempotency is idempotency
     assert frontend.deduplication_scope is DeduplicationScope.ZONE
 
 
-def test_without_leave_to_send_retry_after_its_limit_is_zero() -> None:
+def test_max_retry_after_is_zero_if_retry_after_is_not_sent() -> None:
     bounds = {"retry_after": False, "max_retry_after_us": 1_000_000}
     assert deployment_with(bounds=bounds).limits.max_retry_after_ms == 0.0
 
--- a/tests/forwarder/test_lease_cache.py
+++ b/tests/forwarder/test_lease_cache.py
@@ -1,4 +1,4 @@
-"""The lease cache: which grants a forwarder accepts, when it requests leases and when it returns them."""
+"""The lease cache of a forwarder: accepted and discarded grants, lease requests and returns."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def cache() -> LeaseCache:
-    """A cache connected to the planner p1 in its incarnation e1."""
+    """A cache with a connection to the planner p1, whose epoch is e1."""
     cache = LeaseCache("f", ["p1"], 1)
     connect(cache, 0.0, "e1")
     return cache
--- a/tests/forwarder/test_planner_client.py
+++ b/tests/forwarder/test_planner_client.py
@@ -32,8 +32,10 @@
     return PlannerClient(cluster.net.host("f0"), "f0", cluster.members(), 1, lambda _: None, log)
 
 
-@pytest.mark.parametrize("turns", [0, 1, 3], ids=["request on its way", "grant on its way", "granted"])
-def test_stopping_forwarder_returns_a_lease_that_is_still_being_granted(turns: int) -> None:
+@pytest.mark.parametrize("half_delays", [0, 1, 3], ids=["request in flight", "grant in flight", "granted"])
+def test_stopping_forwarder_returns_a_lease_that_is_still_being_granted(half_delays: int) -> None:
+    """A lease whose request or grant is in flight at the stop would stay leased until it expires."""
+
     async def main() -> None:
         cluster = VirtualCluster(1, 3, 1, PLAN)
         cluster.net.delay_seconds = lambda source, target: 0.0008  # type: ignore[method-assign]  # of this instance alone
@@ -45,7 +47,7 @@
             await asyncio.sleep(0.05)
         assert stopping.client.cache.leases
         stopping.request("other", 2)
-        await asyncio.sleep(0.0004 * turns)
+        await asyncio.sleep(0.0004 * half_delays)
         await stopping.client.stop()
         stopping.kill()
         await asyncio.sleep(0.1)
@@ -56,7 +58,9 @@
     virtual_time.run(main())
 
 
-def test_stopping_forwarder_returns_all_leases_though_a_planner_sends_just_then() -> None:
+def test_stopping_forwarder_returns_all_leases_while_a_planner_sends() -> None:
+    """Closing a socket with unread received bytes resets it, and the planner would miss the last returns."""
+
     async def main() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as listening:
@@ -85,7 +89,7 @@
                 client.close()
 
             stopping = loop.create_task(stop())
-            for _ in range(50):  # all that it does before it waits for anything
+            for _ in range(50):  # iterations until `stop` waits for the planner
                 await asyncio.sleep(0)
             revocation = protocol.LeaseRevocation(5000, "e")
             received = await send_and_read_to_end(sock, protocol.encode_frame(revocation))
@@ -98,6 +102,8 @@
 
 
 def test_reload_during_the_start_leaves_one_connection_to_each_planner() -> None:
+    """A reload before `start` connects to the planners; `start` must not connect to them again."""
+
     async def scenario(cluster: VirtualCluster, planner: Planner) -> None:
         client = make_client(cluster)
         client.update_membership(cluster.members(), 2)
@@ -121,7 +127,7 @@
         members = {**cluster.members(), "p1": cluster.members()["p0"]}
         assert not client.update_membership(members, 2)
         await stopping
-        await asyncio.sleep(1.0)  # longer than the delay of a reconnect
+        await asyncio.sleep(1.0)  # longer than the reconnect delay
         assert planner.writers == {}
         assert len(cluster.net.connections["f0"]) == 1
         client.close()
@@ -130,7 +136,7 @@
 
 
 def test_only_a_planner_that_leaves_a_request_unanswered_is_reconnected() -> None:
-    """As behind a path that loses all packets, where the system itself gives up after minutes."""
+    """If the network loses all packets, the operating system closes the connection only after minutes."""
 
     async def scenario(cluster: VirtualCluster, planner: Planner) -> None:
         logs: list[LogEvent] = []
--- a/tests/planner/cluster.py
+++ b/tests/planner/cluster.py
@@ -1,4 +1,4 @@
-"""Planners and forwarders on the virtual clock, with an independent count of what all forwarders send."""
+"""A cluster of planners and forwarders on the virtual clock, which checks the hard limit independently."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class VirtualCluster:
-    """Forwarders and planners, and the true count of what all forwarders send on."""
+    """Forwarders and planners, and a count of the units that all forwarders send to app servers."""
 
     def __init__(self, seed: int, forwarders: int, planners: int, plan: Plan) -> None:
         self.net = Network(Random(f"{seed}/net"))
@@ -112,7 +112,7 @@
             self.hard_limits[customer] = bucket
         if not bucket.consume(now_ms, units):
             self.violations.append(
-                f"{now_ms:.0f} ms: {forwarder.name} passes {customer} by {-bucket.level:.2f}"
+                f"{now_ms:.0f} ms: {forwarder.name} exceeds {customer}'s hard limit by {-bucket.level:.2f}"
             )
 
     def stop(self) -> None:
@@ -123,10 +123,10 @@
             self.kill_planner(name)
 
     async def send_traffic(self, seconds: float, rate: float, rng: Random, customer: str = "c") -> None:
-        """Sends `rate` requests a second to random forwarders."""
+        """Sends `rate` requests per second, of 1 to 3 units each, to random forwarders."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + seconds
-        while loop.time() < until:
+        end_seconds = loop.time() + seconds
+        while loop.time() < end_seconds:
             await asyncio.sleep(rng.expovariate(rate))
             forwarder = rng.choice(self.forwarders)
             if forwarder.is_alive:
@@ -147,7 +147,7 @@
     """Runs a scenario with all planners and forwarders started, and returns the stopped cluster."""
 
     async def main() -> VirtualCluster:
-        # Tasks of processes that are killed end with errors.
+        # Tasks of killed processes end with errors, which would be reported.
         asyncio.get_running_loop().set_exception_handler(lambda loop, context: None)
         cluster = VirtualCluster(seed, forwarders, planners, plan)
         cluster.start()
--- a/tests/planner/forwarder_model.py
+++ b/tests/planner/forwarder_model.py
@@ -1,4 +1,4 @@
-"""A forwarder on the virtual clock: a gateway, its planner client, and a server that answers at once."""
+"""A forwarder on the virtual clock: a gateway, its planner client, and an app server that answers at once."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class ForwarderEnvironment(Protocol):
-    """What a forwarder needs of the cluster that it belongs to."""
+    """Interface of the cluster that a forwarder uses."""
 
     net: Network
     plan: Plan
@@ -51,11 +51,14 @@
         """Returns the planners' addresses by name."""
 
     def count_sent(self, forwarder: ForwarderModel, customer: str, units: int) -> None:
-        """Counts units that a forwarder has sent on."""
+        """Counts units that a forwarder has sent to its app server."""
 
 
 class ForwarderModel:
-    """A gateway and its planner client; its one server answers at once, so that only limits decide."""
+    """A gateway and its planner client.
+
+    The only app server answers at once, so that only rate limits reject requests.
+    """
 
     def __init__(self, cluster: ForwarderEnvironment, index: int) -> None:
         self.cluster = cluster
@@ -64,7 +67,7 @@
         self.incarnation = 0
         self.is_alive = False
         self.request_count = 0
-        self.final_answer = ""  # of the request that is being handled
+        self.final_answer = ""  # of the current request
         self.answers: Counter[str] = Counter()
 
     def start(self) -> None:
@@ -110,17 +113,17 @@
         self.gateway.handle(self.clock(), events, self)
 
     def request(self, customer: str, units: int) -> None:
-        """One client request; it has its one final answer when this returns."""
+        """Handles one client request; its only final answer is counted when this returns."""
         self.request_count += 1
         self.final_answer = ""
         request_id = f"{self.incarnation}.{self.request_count}"
-        spread = len(self.cluster.forwarders)
+        node_count = len(self.cluster.forwarders)
         deadline = self.clock() + 5000.0
-        self.handle(RequestArrived(request_id, deadline, "f", customer, "p", units, spread, 0))
+        self.handle(RequestArrived(request_id, deadline, "f", customer, "p", units, node_count, 0))
         if self.final_answer == "sent":
             self.cluster.count_sent(self, customer, units)
             self.handle(AttemptFinished(request_id, 0, AttemptResult.OK, 1.0, True, 0))
-            self.final_answer = "passed"
+            self.final_answer = "forwarded"
         self.answers[self.final_answer] += 1
 
     # DecisionSink
@@ -129,7 +132,7 @@
         self.final_answer = "sent"
 
     def reject(self, request_id: str, retry_after_ms: float) -> None:
-        self.final_answer += "denied"
+        self.final_answer += "rejected"
 
     def abort(self, request_id: str) -> None:
         self.final_answer += "aborted"
--- a/tests/planner/scripted_forwarder.py
+++ b/tests/planner/scripted_forwarder.py
@@ -1,4 +1,4 @@
-"""A planner alone on the virtual clock, and forwarders whose every message the test sends."""
+"""One planner on the virtual clock, and forwarders whose messages are sent by the test."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
     from onyxpost.planner.planner import Planner
 
-START_SECONDS = 5.0  # leases of a previous incarnation or another membership are surely over by then
-MESSAGE_SECONDS = 0.02  # for messages on their way to arrive
+START_SECONDS = 5.0  # leases of a previous incarnation or another membership have expired by then
+DELIVERY_SECONDS = 0.02  # messages on the network arrive within this time
 
 
 class ScriptedForwarder:
-    """One connection to the planner p0, under a forwarder's name."""
+    """One connection to the planner p0, with the name of a forwarder."""
 
     def __init__(self, cluster: VirtualCluster, name: str) -> None:
         self.cluster = cluster
@@ -31,25 +31,25 @@
         self.planner_end = self.cluster.net.connections[self.name][-1].ends[1]
         return self
 
-    async def greet(self) -> ScriptedForwarder:
+    async def connect_with_hello(self) -> ScriptedForwarder:
         """Connects and sends the hello."""
         await self.connect()
         self.send(protocol.Hello(1, self.name, 1))
         return self
 
     def send(self, *messages: protocol.Message) -> None:
-        """Sends messages in one piece, so that they are read in one turn of the loop."""
+        """Sends messages in one write, so that the planner reads them in one iteration of the event loop."""
         self.writer.write(b"".join(protocol.encode_frame(message) for message in messages))
 
     def deliver_now(self, *messages: protocol.Message) -> None:
-        """Lets the planner read messages in this very turn of the loop."""
+        """Delivers messages at once: the planner reads them in this iteration of the event loop."""
         self.planner_end.receive(b"".join(protocol.encode_frame(message) for message in messages))
 
     async def receive(self) -> list[protocol.Message]:
-        """All messages of the planner so far, but for its welcome."""
-        await asyncio.sleep(MESSAGE_SECONDS)
+        """Returns the messages that the planner has sent since the last call, without its welcome."""
+        await asyncio.sleep(DELIVERY_SECONDS)
         received: list[protocol.Message] = []
-        while self.reader._buffer:  # type: ignore[attr-defined]  # not public; read blocks when it is empty
+        while self.reader._buffer:  # type: ignore[attr-defined]  # private: read waits while it is empty
             received.append(await protocol.read_planner_message(self.reader))
         return [message for message in received if not isinstance(message, protocol.Welcome)]
 
@@ -64,7 +64,7 @@
 def run_planner(
     scenario: Callable[[VirtualCluster, Planner], Awaitable[None]], forwarders: int = 4
 ) -> VirtualCluster:
-    """Runs a scenario with one planner that has been up for a while, and no forwarder connected."""
+    """Runs a scenario with one planner, `START_SECONDS` after its start, and without connected forwarders."""
 
     async def main() -> VirtualCluster:
         cluster = VirtualCluster(1, forwarders, 1, PLAN)
--- a/tests/planner/test_cluster_faults.py
+++ b/tests/planner/test_cluster_faults.py
@@ -1,4 +1,4 @@
-"""Planners and forwarders on the virtual clock: the hard limit holds under faults."""
+"""Planners and forwarders on the virtual clock: faults do not make them exceed the hard limit."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     from tests.planner.forwarder_model import ForwarderModel
 
 QUORUM_WAIT_MS = 1600.0
-# Seconds until planners have waited for older leases to end, and their buckets hold something.
+# After this time planners have waited until older leases expired, and their buckets have tokens.
 READY_SECONDS = (LEASE_TERMS.planner_duration_ms + QUORUM_WAIT_MS) / 1000.0 + 1.5
 
 
 def run_ready_cluster(
     scenario: Callable[[VirtualCluster], Awaitable[None]], plan: Plan = PLAN
 ) -> VirtualCluster:
-    """Runs a scenario on a cluster whose planners have granted leases for a while."""
+    """Runs a scenario on a cluster whose planners can grant leases."""
 
     async def wait_and_run(cluster: VirtualCluster) -> None:
         await asyncio.sleep(READY_SECONDS)
@@ -39,27 +39,27 @@
 
 
 def assert_limits_held(cluster: VirtualCluster) -> None:
-    """The hard limit held, and each request had one final answer."""
+    """Asserts that the hard limit was not exceeded and that each request had one final answer."""
     assert cluster.violations == []
     for forwarder in cluster.forwarders:
-        assert set(forwarder.answers) <= {"passed", "denied"}
+        assert set(forwarder.answers) <= {"forwarded", "rejected"}
 
 
 def test_use_within_the_quota_is_forwarded() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
-        await cluster.send_traffic(20.0, 10.0, Random(1))  # 20 units a second of 40
+        await cluster.send_traffic(20.0, 10.0, Random(1))  # 20 units per second; the quota is 40
 
     cluster = run_ready_cluster(scenario)
     assert_limits_held(cluster)
     answers: Counter[str] = Counter()
     for forwarder in cluster.forwarders:
         answers += forwarder.answers
-    assert answers["passed"] > 0.9 * (answers["passed"] + answers["denied"])
+    assert answers["forwarded"] > 0.9 * (answers["forwarded"] + answers["rejected"])
 
 
 def test_surge_uses_over_half_of_the_quota_within_the_hard_limit() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
-        await cluster.send_traffic(20.0, 100.0, Random(2))  # 200 units a second of 40
+        await cluster.send_traffic(20.0, 100.0, Random(2))  # 200 units per second; the quota is 40
 
     cluster = run_ready_cluster(scenario)
     assert_limits_held(cluster)
@@ -76,10 +76,10 @@
                 await asyncio.sleep(0.05)
                 forwarder.request("c", 1)
             forwarder.answers.clear()
-            for _ in range(60):  # 20 units a second, 3 s after the traffic moved here
+            for _ in range(60):  # 20 units per second, from 3 s after the traffic moved to this forwarder
                 await asyncio.sleep(0.05)
                 forwarder.request("c", 1)
-            forwarded_shares.append(forwarder.answers["passed"] / 60.0)
+            forwarded_shares.append(forwarder.answers["forwarded"] / 60.0)
 
     assert_limits_held(run_ready_cluster(scenario))
     assert len(forwarded_shares) == 2
@@ -87,6 +87,8 @@
 
 
 def test_planners_restarted_in_a_surge_grant_nothing_twice() -> None:
+    """A restarted planner does not know its leases; if it granted at once, units would be used twice."""
+
     async def scenario(cluster: VirtualCluster) -> None:
         asyncio.get_running_loop().call_later(2.0, cluster.restart_all_planners)
         await cluster.send_traffic(12.0, 100.0, Random(3))
@@ -95,6 +97,8 @@
 
 
 def test_planner_that_grants_at_once_after_a_restart_is_detected() -> None:
+    """Verifies that the check detects violations, with planners that do not wait after a restart."""
+
     async def scenario(cluster: VirtualCluster) -> None:
         await asyncio.sleep(3.0)
         for _ in range(12):
@@ -140,7 +144,7 @@
             await asyncio.sleep(0.02)
             partitioned.request("c", 2)
         cluster.net.cut_off.add(partitioned.host)
-        cluster.plan = Plan("p", 4.0, 6.0, 0, 1.0, 6.0, 8.0)  # lowered below what is leased
+        cluster.plan = Plan("p", 4.0, 6.0, 0, 1.0, 6.0, 8.0)  # fewer units than are leased
         for name in cluster.planner_names:
             cluster.planner(name).reload()
         before = cluster.units_sent["c"]
@@ -148,7 +152,8 @@
             await asyncio.sleep(0.02)
             for forwarder in cluster.forwarders:
                 forwarder.request("c", 1)
-        # The violations count by the old hard limit; only what was leased may come on top of the new one.
+        # `violations` are counted by the old hard limit. With the new one, at most the units that were leased
+        # before the change may be used in addition.
         units_after_change = cluster.units_sent["c"] - before
 
     assert_limits_held(run_ready_cluster(scenario))
@@ -156,6 +161,8 @@
 
 
 def test_forwarder_restarted_within_its_leases_duration_holds_none() -> None:
+    """A restarted forwarder has no leases; the planner counts those of its previous incarnation as spent."""
+
     async def scenario(cluster: VirtualCluster) -> None:
         for _ in range(10):
             await cluster.send_traffic(0.4, 150.0, Random(5))
@@ -175,7 +182,7 @@
 
 
 def remove_first_planner(cluster: VirtualCluster) -> None:
-    """The planner p0 gets no notification, and two of the forwarders only 3 s later."""
+    """Removes p0 from the membership; p0 is not notified, and two forwarders follow only 3 s later."""
     cluster.planner_names = ["p1", "p2"]
     cluster.membership_version = 2
     for name in cluster.planner_names:
--- a/tests/planner/test_config.py
+++ b/tests/planner/test_config.py
@@ -1,4 +1,4 @@
-"""Files of planners, and the planners section of a node's file."""
+"""Decoding of a planner's file, and of the `planners` section of a node's file."""
 
 from __future__ import annotations
 
--- a/tests/planner/test_connections.py
+++ b/tests/planner/test_connections.py
@@ -1,4 +1,4 @@
-"""A planner's connections: messages that cross a restart, a pause, a replaced connection or a reload."""
+"""A planner's connections: messages in flight at a hello, a pause, a reconnect, a reload or a stop."""
 
 from __future__ import annotations
 
@@ -33,30 +33,37 @@
 
 
 def test_request_read_with_the_hello_that_makes_the_majority_is_rejected() -> None:
+    """A majority alone does not suffice: the wait for other leases begins in the next tick."""
+
     async def scenario(cluster: VirtualCluster, planner: Planner) -> None:
-        others = [await ScriptedForwarder(cluster, name).greet() for name in ("f0", "f1")]
+        others = [await ScriptedForwarder(cluster, name).connect_with_hello() for name in ("f0", "f1")]
         await asyncio.sleep(0.3)
         last = await ScriptedForwarder(cluster, "f2").connect()
         last.send(protocol.Hello(1, "f2", 1), lease_request())
         assert await last.receive_types() == [protocol.LeaseRejection]
         assert planner.coordinator.ledger.counters.granted == 0
-        assert len(others) == 2  # kept open until here
+        assert len(others) == 2  # keeps the references, and so the connections, until here
 
     run_planner(scenario)
 
 
 def test_heartbeats_sent_before_a_pause_make_no_majority_after_it() -> None:
-    """Read after the pause they would count as sent now, while their senders follow another version."""
+    """A planner that was paused reads old heartbeats, as if they were sent now.
+
+    Their senders may follow another membership version meanwhile, so they must not make a majority.
+    """
 
     async def scenario(cluster: VirtualCluster, planner: Planner) -> None:
-        forwarders = [await ScriptedForwarder(cluster, f"f{index}").greet() for index in range(4)]
+        forwarders = [
+            await ScriptedForwarder(cluster, f"f{index}").connect_with_hello() for index in range(4)
+        ]
         await send_heartbeats(forwarders, 9, 0.4)
         await asyncio.sleep(0.4)
         for forwarder in forwarders:
             forwarder.send(HEARTBEAT, lease_request(9))
         received = [await forwarder.receive_types() for forwarder in forwarders]
         assert {kind for kinds in received for kind in kinds} == {protocol.LeaseGrant}
-        with mock.patch.object(planner.coordinator, "tick"):  # paused: it neither reads nor ticks
+        with mock.patch.object(planner.coordinator, "tick"):  # paused: the planner neither reads nor ticks
             for writer in planner.writers.values():
                 pause_reading(writer)
             for forwarder in forwarders[1:]:
@@ -67,7 +74,7 @@
             for name in ("f1", "f2", "f3", "f0"):
                 resume_reading(planner.writers[name])
             assert await forwarders[0].receive_types() == [protocol.LeaseRejection]
-        # With new heartbeats it grants again, after its wait.
+        # With new heartbeats the planner grants again, after its wait for older leases.
         await send_heartbeats(forwarders, 11, 0.4)
         await asyncio.sleep(0.4)
         for forwarder in forwarders:
@@ -78,11 +85,11 @@
 
 
 def test_request_on_a_replaced_connection_is_not_answered_on_its_successor() -> None:
-    """Request ids start anew with each incarnation: the answer could be taken for another one's."""
+    """A restarted forwarder reuses request ids, so it could take the answer for that of another request."""
 
     async def scenario(cluster: VirtualCluster, planner: Planner) -> None:
-        others = [await ScriptedForwarder(cluster, f"f{index}").greet() for index in (1, 2, 3)]
-        old = await ScriptedForwarder(cluster, "f0").greet()
+        others = [await ScriptedForwarder(cluster, f"f{index}").connect_with_hello() for index in (1, 2, 3)]
+        old = await ScriptedForwarder(cluster, "f0").connect_with_hello()
         for forwarder in (*others, old) * 10:
             forwarder.send(HEARTBEAT)
             await asyncio.sleep(0.1)
@@ -98,7 +105,7 @@
         )
         assert await new.receive() == []
         assert "f0" in planner.coordinator.quorum.last_heartbeats_at_ms
-        assert planner.coordinator.ledger.leases == {}  # its lease return counts
+        assert planner.coordinator.ledger.leases == {}  # the lease return on the replaced connection counts
         new.send(lease_request(1))
         assert await new.receive_types() == [protocol.LeaseGrant]
 
@@ -107,7 +114,9 @@
 
 def test_forwarder_removed_by_a_reload_gets_no_lease_for_a_request_already_received() -> None:
     async def scenario(cluster: VirtualCluster, planner: Planner) -> None:
-        forwarders = [await ScriptedForwarder(cluster, f"f{index}").greet() for index in range(4)]
+        forwarders = [
+            await ScriptedForwarder(cluster, f"f{index}").connect_with_hello() for index in range(4)
+        ]
         for forwarder in forwarders * 10:
             forwarder.send(HEARTBEAT)
             await asyncio.sleep(0.1)
@@ -123,7 +132,7 @@
 
 
 class LoopbackWithoutSignals(SocketTransport):
-    """The system's sockets; the test calls `stop` in place of SIGTERM."""
+    """Sockets of the operating system; the test calls `stop` instead of sending SIGTERM."""
 
     handles_signals = True
 
@@ -134,8 +143,9 @@
         self.handles_signals = False
 
 
-@pytest.mark.parametrize("turns", range(8))
-def test_planner_stopped_at_any_turn_of_a_new_connection_ends_without_a_fault(turns: int) -> None:
+@pytest.mark.parametrize("iterations", range(8))
+def test_planner_stopped_at_any_iteration_of_a_new_connection_ends_without_a_fault(iterations: int) -> None:
+    """A stop may come at any point between the accept and the hello; no task may end with an error."""
     faults: list[dict[str, Any]] = []
     net = LoopbackWithoutSignals()
 
@@ -152,22 +162,24 @@
         writer.write(protocol.encode_frame(protocol.Hello(1, "f0", 1)))
         assert isinstance(await protocol.read_planner_message(reader), protocol.Welcome)
         with socket.create_connection(address):
-            for _ in range(turns):
+            for _ in range(iterations):
                 await asyncio.sleep(0)
             net.stop()
             return await running
 
     assert asyncio.run(main()) == 0
     assert faults == []
-    assert not net.handles_signals  # a SIGHUP from here on would find no loop
+    assert not net.handles_signals  # a SIGHUP after the stop would find no event loop
 
 
 def test_connections_without_a_hello_are_limited_and_forwarders_connect_nevertheless() -> None:
+    """Many silent connections must neither use up memory nor keep forwarders from connecting."""
+
     async def scenario(cluster: VirtualCluster, planner: Planner) -> None:
-        first = await ScriptedForwarder(cluster, "f0").greet()
-        silent = [await ScriptedForwarder(cluster, "stranger").connect() for _ in range(300)]
+        first = await ScriptedForwarder(cluster, "f0").connect_with_hello()
+        silent = [await ScriptedForwarder(cluster, "unidentified").connect() for _ in range(300)]
         assert len(planner.unidentified) <= 4 + MAX_EXTRA_UNIDENTIFIED
-        second = await ScriptedForwarder(cluster, "f1").greet()
+        second = await ScriptedForwarder(cluster, "f1").connect_with_hello()
         await asyncio.sleep(0.1)
         assert set(planner.writers) == {"f0", "f1"}
         await asyncio.sleep(3.0)
@@ -178,9 +190,11 @@
     run_planner(scenario)
 
 
-def test_connection_aborted_in_the_turn_of_its_hello_replaces_none() -> None:
+def test_connection_aborted_in_the_iteration_of_its_hello_replaces_none() -> None:
+    """A hello that is read after its connection was aborted must not end the current connection."""
+
     async def scenario(cluster: VirtualCluster, planner: Planner) -> None:
-        first = await ScriptedForwarder(cluster, "f0").greet()
+        first = await ScriptedForwarder(cluster, "f0").connect_with_hello()
         await asyncio.sleep(0.1)
         kept = planner.writers["f0"]
         late = await ScriptedForwarder(cluster, "f0").connect()
--- a/tests/planner/test_processes.py
+++ b/tests/planner/test_processes.py
@@ -1,4 +1,4 @@
-"""Planners and forwarders as processes on loopback."""
+"""Planners and forwarders as processes that communicate over loopback."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-pytestmark = pytest.mark.xdist_group("quiet")  # many processes: not beside tests that measure time
+# Many processes are started here, which would disturb tests that measure time.
+pytestmark = pytest.mark.xdist_group("quiet")
 
 
 def read_logs(folder: Path) -> dict[str, list[dict[str, Any]]]:
-    """Log lines of each process."""
+    """Returns the log lines of each process, by the name of the process."""
     return {
         path.stem: [json.loads(line) for line in path.read_text().splitlines()]
         for path in folder.glob("*.log")
--- a/tests/planner/test_protocol.py
+++ b/tests/planner/test_protocol.py
@@ -1,4 +1,4 @@
-"""Messages between planners and forwarders, and how a planner treats bytes that are none."""
+"""Messages between planners and forwarders, and a planner's handling of malformed messages."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Outcome(NamedTuple):
-    """What a connection that sent raw bytes brought about."""
+    """State after raw bytes were sent to a planner on a connection of their own."""
 
     received: bytes
     connected_forwarders: int
@@ -25,14 +25,14 @@
 
 
 def send_raw_bytes(data: bytes) -> Outcome:
-    """Sends bytes on a new connection to the planner p0, and waits until that ends."""
+    """Sends bytes on a new connection to the planner p0, and waits until the planner closes it."""
     received = b""
     connected_forwarders = 0
 
     async def scenario(cluster: VirtualCluster) -> None:
         nonlocal received, connected_forwarders
         await asyncio.sleep(1.0)
-        host = cluster.net.host("stranger")
+        host = cluster.net.host("unidentified")
         reader, writer, *_ = await host.dial(cluster.members()["p0"], 65536)
         writer.write(data)
         async with asyncio.timeout(20.0):
@@ -53,7 +53,7 @@
         (b"\0\0\0\x03abc", ""),
         (protocol.encode_frame(protocol.MembershipHeartbeat(1)), "first message is not a hello"),
         (protocol.encode_frame(protocol.Hello(2, "f0", 1)), "first message is not a hello"),
-        (protocol.encode_frame(protocol.Hello(1, "who", 1)), "forwarder who is not listed"),
+        (protocol.encode_frame(protocol.Hello(1, "unknown", 1)), "forwarder unknown is not listed"),
         (HELLO.replace(b"hello", b"jello"), ""),
     ],
 )
@@ -68,7 +68,7 @@
     assert outcome.connected_forwarders == FORWARDERS
 
 
-def test_truncated_frame_is_no_message() -> None:
+def test_truncated_frame_is_ignored() -> None:
     assert send_raw_bytes(HELLO[:-2]).connected_forwarders == FORWARDERS
 
 
--- a/tests/planner/test_quorum.py
+++ b/tests/planner/test_quorum.py
@@ -1,4 +1,4 @@
-"""Which planner serves a customer, and when a planner has the quorum that lets it grant."""
+"""Assignment of customers to planners, and the quorum of forwarders that a planner needs to grant."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     quorum.record_heartbeat(20.0, "c", 3)
     assert quorum.has_majority(20.0)
     assert not quorum.has_majority(20.0 + HEARTBEAT_VALIDITY_MS)
-    assert not quorum.record_heartbeat(30.0, "stranger", 3)
+    assert not quorum.record_heartbeat(30.0, "unknown", 3)
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -42,16 +42,16 @@
     old = PlannerQuorum(forwarders, 1)
     new = PlannerQuorum(forwarders, 2)
     followed_version = dict.fromkeys(forwarders, 1)
-    opened_at_ms = None
+    granting_starts_at_ms = None
     for _ in range(400):
         now_ms += rng.uniform(0.0, 100.0)
         forwarder = rng.choice(forwarders)
         if rng.random() < 0.05:
-            followed_version[forwarder] = 2  # and never back
+            followed_version[forwarder] = 2  # forwarders never follow an earlier version again
         for quorum in (old, new):
-            if rng.random() < 0.6:  # else the heartbeat is lost
+            if rng.random() < 0.6:  # otherwise the heartbeat is lost
                 quorum.record_heartbeat(now_ms, forwarder, followed_version[forwarder])
         if new.detect_gain(now_ms):
-            opened_at_ms = now_ms + HEARTBEAT_VALIDITY_MS + TERMS.planner_duration_ms
-        if opened_at_ms is not None and now_ms >= opened_at_ms:
+            granting_starts_at_ms = now_ms + HEARTBEAT_VALIDITY_MS + TERMS.planner_duration_ms
+        if granting_starts_at_ms is not None and now_ms >= granting_starts_at_ms:
             assert not old.has_majority(now_ms)
