--- a/onyxpost/config/deployment.py
+++ b/onyxpost/config/deployment.py
@@ -171,7 +171,7 @@
     limits = settings.limits
     return GatewayLimits(
         max_attempts=limits.max_attempts,
-        parallel_attempts=limits.parallel_attempts,
+        parallel_attempts=limits.allows_parallel_attempts,
         cancellation=limits.cancels_attempts,
         peer_messages=limits.gossips_with_peers,
         max_retry_after_ms=_max_retry_after_us(limits) / US_PER_MS,
--- a/onyxpost/config/settings.py
+++ b/onyxpost/config/settings.py
@@ -20,7 +20,7 @@
     """Limits on attempts, retries and connections of a node, and features that it may use (`bounds`)."""
 
     max_attempts: Annotated[int, Meta(ge=1)] = field(default=1, name="try_limit")
-    parallel_attempts: bool = field(default=False, name="parallel_tries")
+    allows_parallel_attempts: bool = field(default=False, name="parallel_tries")
     cancels_attempts: bool = field(default=False, name="cancelling")
     gossips_with_peers: bool = field(default=False, name="peers")
     sends_retry_after: bool = field(default=False, name="retry_after")
--- a/onyxpost/planner/customer_account.py
+++ b/onyxpost/planner/customer_account.py
@@ -65,12 +65,12 @@
     def record_spent(self, now_ms: float, units: int) -> None:
         """Counts units of a lease as spent; the lease continues with the rest."""
         for bucket in self.buckets:
-            bucket.settle(now_ms, units, 0.0)
+            bucket.release(now_ms, units, 0.0)
 
     def end_lease(self, now_ms: float, lease: Lease, unused_units: int) -> None:
         """Ends a lease; its `unused_units` become available again."""
         for bucket in self.buckets:
-            bucket.settle(now_ms, lease.units, unused_units)
+            bucket.release(now_ms, lease.units, unused_units)
         del self.leases[lease.lease_id]
 
     def available_units(self, now_ms: float) -> float:
--- a/onyxpost/planner/lease_coordinator.py
+++ b/onyxpost/planner/lease_coordinator.py
@@ -27,7 +27,7 @@
     """Function that writes one event, with its fields, to the planner's log."""
 
     def __call__(self, event: str, /, **fields: object) -> None:
-        """Writes the event."""
+        """Writes `event` and its fields as one log line."""
 
 
 class LeaseCoordinator:
@@ -51,7 +51,11 @@
             drift_margin = 1.0 + 2.0 * self.config.lease_terms.clock_drift
             self.ledger.reset_and_wait(now_ms, HEARTBEAT_VALIDITY_MS * drift_margin)
         has_all_reports = len(self.reported_leases) == len(self.config.forwarders)
-        if now_ms < self.ledger.granting_starts_at_ms and has_all_reports and self.quorum.has_all(now_ms):
+        if (
+            now_ms < self.ledger.granting_starts_at_ms
+            and has_all_reports
+            and self.quorum.has_all_forwarders(now_ms)
+        ):
             self.ledger.recover(
                 now_ms, (lease for leases in self.reported_leases.values() for lease in leases)
             )
--- a/onyxpost/planner/leased_token_bucket.py
+++ b/onyxpost/planner/leased_token_bucket.py
@@ -49,8 +49,8 @@
         """Counts tokens as leased without taking them from the available ones."""
         self.leased += units
 
-    def settle(self, now_ms: float, units: float, unused: float) -> None:
-        """Ends the lease of `units` tokens; the `unused` ones among them become available again."""
+    def release(self, now_ms: float, units: float, unused: float) -> None:
+        """Ends the lease of `units` tokens; `unused` of them become available again, the others are spent."""
         # Refills first: the time before now must not refill the space that these tokens occupied until now.
         self.refill(now_ms)
         self.leased -= units
--- a/onyxpost/planner/quorum.py
+++ b/onyxpost/planner/quorum.py
@@ -6,7 +6,7 @@
 time and never an earlier one again, so no two versions have a majority at the same time. A planner that gains
 the majority (at its start, after a change of membership or after a loss) first waits until all leases that
 other planners may have granted have expired. A planner that is partitioned or has an outdated file loses its
-majority and grants nothing.
+majority and grants nothing, whatever its own file says.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
     def _is_valid(now_ms: float, heartbeat_at_ms: float) -> bool:
         return now_ms - heartbeat_at_ms <= HEARTBEAT_VALIDITY_MS
 
-    def has_all(self, now_ms: float) -> bool:
+    def has_all_forwarders(self, now_ms: float) -> bool:
         """Returns whether every forwarder has a valid heartbeat."""
         is_complete = len(self.last_heartbeats_at_ms) == len(self.forwarders)
         return is_complete and all(
--- a/tests/planner/test_connections.py
+++ b/tests/planner/test_connections.py
@@ -173,7 +173,7 @@
 
 
 def test_connections_without_a_hello_are_limited_and_forwarders_connect_nevertheless() -> None:
-    """Many silent connections must neither use up memory nor keep forwarders from connecting."""
+    """Silent connections are limited in number and time, and must not keep forwarders from connecting."""
 
     async def scenario(cluster: VirtualCluster, planner: Planner) -> None:
         first = await ScriptedForwarder(cluster, "f0").connect_with_hello()
@@ -196,13 +196,13 @@
     async def scenario(cluster: VirtualCluster, planner: Planner) -> None:
         first = await ScriptedForwarder(cluster, "f0").connect_with_hello()
         await asyncio.sleep(0.1)
-        kept = planner.writers["f0"]
-        late = await ScriptedForwarder(cluster, "f0").connect()
+        current_writer = planner.writers["f0"]
+        late_connection = await ScriptedForwarder(cluster, "f0").connect()
         await asyncio.sleep(0.01)
-        late.deliver_now(protocol.Hello(1, "f0", 1))
-        late.planner_end.abort()
+        late_connection.deliver_now(protocol.Hello(1, "f0", 1))
+        late_connection.planner_end.abort()
         await asyncio.sleep(0.1)
-        assert planner.writers.get("f0") is kept
+        assert planner.writers.get("f0") is current_writer
         first.writer.close()
 
     run_planner(scenario)
