--- a/onyxpost/forwarder/lease_requests.py
+++ b/onyxpost/forwarder/lease_requests.py
@@ -57,7 +57,8 @@
     def find_planner(self, now_ms: float, customer: int) -> str | None:
         """Returns the customer's planner if a lease may be requested from it now.
 
-        Returns None if a request is unanswered, the retry time is not over or the planner is not connected.
+        Returns None while a recent request is unanswered, the retry time is not over or the planner is not
+        connected.
         """
         usage = self.usage[customer]
         is_waiting = (
--- a/onyxpost/forwarder/planner_client.py
+++ b/onyxpost/forwarder/planner_client.py
@@ -212,7 +212,7 @@
                 writer.write_eof()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(CLOSE_TIMEOUT_SECONDS):
-                while self.writers:  # noqa: ASYNC110 - bounded, and once in a process's life
+                while self.writers:  # noqa: ASYNC110 - limited by the timeout, and only once per process
                     await asyncio.sleep(POLL_SECONDS)
 
     def close(self) -> None:
--- a/onyxpost/planner/lease_ledger.py
+++ b/onyxpost/planner/lease_ledger.py
@@ -80,9 +80,8 @@
         self.terms = terms
         self.leasable_share = leasable_share
         self.plans = {plan.name: plan for plan in plans}
-        self.granting_starts_at_ms = (
-            now_ms + terms.planner_duration_ms
-        )  # the previous incarnation's leases have expired by then
+        # All leases of the previous incarnation have expired by then.
+        self.granting_starts_at_ms = now_ms + terms.planner_duration_ms
         self.accounts: dict[int, CustomerAccount] = {}
         self.leases: dict[int, Lease] = {}
         self.last_lease_id = 0
--- a/onyxpost/planner/protocol.py
+++ b/onyxpost/planner/protocol.py
@@ -20,7 +20,7 @@
 PROTOCOL_VERSION = 1
 FRAME_LIMIT_BYTES = 64 * 1024
 MAX_REPORTED_LEASES = 1000  # per hello
-MAX_RETRY_AFTER_MS = 60_000.0  # also sent if no retry can succeed, as for an unknown plan
+MAX_RETRY_AFTER_MS = 60_000.0  # longest retry time, also sent if no retry can succeed, as for an unknown plan
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Number = Annotated[int, Meta(ge=0, lt=2**53)]
