--- a/tests/forwarder/test_lease_cache.py
+++ b/tests/forwarder/test_lease_cache.py
@@ -111,7 +111,7 @@
     assert cache.requester.planners == ["p1", "p2"]
 
 
-def test_memory_of_old_leases_customers_and_requests_is_bounded(cache: LeaseCache) -> None:
+def test_records_of_old_leases_customers_and_requests_are_dropped(cache: LeaseCache) -> None:
     for number in range(2000):
         cache.handle_message(number * 1.0, "p1", protocol.LeaseRevocation(number, "e1"))
         cache.report_units_spent(number * 1.0, number, "p", 1, 0)
@@ -132,15 +132,15 @@
 
 
 @pytest.mark.parametrize(
-    "forget",
+    "drop_request",
     [lambda cache: cache.update_membership(["p1", "p2"], 2), lambda cache: cache.tick(5_200.0)],
     ids=["by another membership", "by time"],
 )
-def test_grant_for_a_forgotten_request_is_returned_once(
-    cache: LeaseCache, forget: Callable[[LeaseCache], None]
+def test_grant_for_a_dropped_request_is_returned_once(
+    cache: LeaseCache, drop_request: Callable[[LeaseCache], None]
 ) -> None:
     request = request_lease(cache, 100.0)
-    forget(cache)
+    drop_request(cache)
     cache.take_output()
     for _ in range(2):
         cache.handle_message(5_300.0, "p1", make_grant(request, lease_id=4))
--- a/tests/planner/test_protocol.py
+++ b/tests/planner/test_protocol.py
@@ -57,9 +57,7 @@
         (HELLO.replace(b"hello", b"jello"), ""),
     ],
 )
-def test_malformed_message_ends_its_connection_with_a_logged_reason_and_no_other(
-    data: bytes, reason: str
-) -> None:
+def test_malformed_message_ends_only_its_connection_with_a_logged_reason(data: bytes, reason: str) -> None:
     outcome = send_raw_bytes(data)
     assert outcome.received == b""
     (line,) = [line for line in outcome.log.splitlines() if "forwarder connection closed" in line]
