--- a/onyxpost/forwarder/planner_client.py
+++ b/onyxpost/forwarder/planner_client.py
@@ -1,4 +1,4 @@
-"""A forwarder's connections to its planners, and the timer of its lease cache. I/O only."""
+"""I/O of a forwarder: connections to planners, and the timer. `LeaseCache` makes the decisions."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
 
 TICK_SECONDS = 0.05
 RECONNECT_DELAY_SECONDS = 0.2
-CONNECT_TIMEOUT_SECONDS = 1.0  # for a connection, and again for its welcome
+CONNECT_TIMEOUT_SECONDS = 1.0  # limit on connecting, and again on waiting for the welcome
 STATISTICS_INTERVAL_MS = 10_000.0
-SETTLE_POLLS = 10  # how often `stop` looks whether all leases are returned
+MAX_RETURN_POLLS = 10  # number of times that `stop` checks whether all leases are returned
 POLL_SECONDS = 0.01
-CLOSE_TIMEOUT_SECONDS = 0.2  # for planners to read the last messages and close
+CLOSE_TIMEOUT_SECONDS = 0.2  # limit on waiting until planners have read all and closed
 
 
 class PlannerClient:
-    """Keeps one connection to each planner of the membership; no request of a client waits for it."""
+    """Keeps one connection to each planner of the membership; no client request waits for a planner."""
 
     def __init__(
         self,
@@ -46,12 +46,12 @@
         forwarder: str,
         members: dict[str, Address],
         membership_version: int,
-        post: Callable[[LeaseGranted | LeaseRevoked], None],
+        post_event: Callable[[LeaseGranted | LeaseRevoked], None],
         log: Callable[[LogEvent], None],
     ) -> None:
         self.net = net
         self.members = dict(members)
-        self.post = post
+        self.post_event = post_event
         self.log = log
         self.cache = LeaseCache(forwarder, list(members), membership_version)
         self.writers: dict[str, asyncio.StreamWriter] = {}  # by planner
@@ -62,33 +62,33 @@
 
     @property
     def membership_version(self) -> int:
-        """The version that this forwarder follows."""
+        """The membership version that this forwarder follows."""
         return self.cache.membership_version
 
     def start(self) -> None:
-        """Starts the timer and the connections."""
+        """Starts the timer and the connections to all planners."""
         self._tick_task = asyncio.get_running_loop().create_task(self._run_ticks())
         self._start_connections()
 
     def _start_connections(self) -> None:
         for planner in self.members:
-            if planner not in self._connection_tasks:  # a reload during the start has begun some
+            if planner not in self._connection_tasks:  # a reload before `start` may have started it
                 self._connection_tasks[planner] = self._keep_connected(planner)
 
     def report_units_spent(self, effect: ReportUnitsSpent) -> None:
-        """The policy spent units of a lease, or lacked them; may send a lease request."""
+        """Handles that the policy spent units of a lease, or lacked units; may send a lease request."""
         self.cache.report_units_spent(
             self.net.clock(), effect.customer, effect.plan, effect.units, effect.lease_id
         )
         self._deliver()
 
     def return_lease(self, effect: ReturnLease) -> None:
-        """The policy uses a lease no more."""
+        """Handles that the policy no longer uses a lease: returns it to its planner."""
         self.cache.return_lease(effect.lease_id, effect.units)
         self._deliver()
 
     def _deliver(self) -> None:
-        """Sends the cache's messages and posts its events. Never waits: a slow planner is disconnected."""
+        """Sends the cache's messages and posts its events without waiting; a slow planner is disconnected."""
         output = self.cache.take_output()
         for planner, message in output.messages:
             writer = self.writers.get(planner)
@@ -96,9 +96,11 @@
                 continue
             writer.write(protocol.encode_frame(message))
             if not has_buffer_space(writer, 0):
-                self._abort_connection(planner, SlowReaderError("does not read"))
+                self._abort_connection(
+                    planner, SlowReaderError("planner does not read its messages; the send buffer is full")
+                )
         for event in output.lease_events:
-            self.post(event)
+            self.post_event(event)
 
     def _abort_connection(self, planner: str, error: OperatorError) -> None:
         fields = {"planner": planner, **error.fields()}
@@ -115,7 +117,9 @@
             self.cache.tick(now_ms)
             self._deliver()
             for planner in self.cache.unresponsive_planners(now_ms) & self.writers.keys():
-                error = PlannerUnavailableError(f"no answer for {ANSWER_TIMEOUT_MS:.0f} ms")
+                error = PlannerUnavailableError(
+                    f"no answer to a lease request for {ANSWER_TIMEOUT_MS:.0f} ms"
+                )
                 self._abort_connection(planner, error)
             if now_ms - logged_at_ms >= STATISTICS_INTERVAL_MS:
                 logged_at_ms = now_ms
@@ -126,8 +130,8 @@
     def _keep_connected(self, planner: str) -> asyncio.Task[None]:
         is_failure_logged = False
 
-        def handle_connection_end(error: Exception | None) -> float:
-            """Logs the first of several failures in a row; returns the seconds to wait."""
+        def on_connection_end(error: Exception | None) -> float:
+            """Logs the first of several failures in a row; returns the reconnect delay in seconds."""
             nonlocal is_failure_logged
             if error is not None and not is_failure_logged and not self._is_stopping:
                 self._log_disconnect(planner, error)
@@ -136,7 +140,7 @@
             self.writers.pop(planner, None)
             return RECONNECT_DELAY_SECONDS
 
-        connecting = keep_connected(partial(self._run_connection, planner), handle_connection_end)
+        connecting = keep_connected(partial(self._run_connection, planner), on_connection_end)
         return asyncio.get_running_loop().create_task(connecting)
 
     def _log_disconnect(self, planner: str, error: Exception) -> None:
@@ -145,7 +149,7 @@
         self.log(LogEvent("planner disconnected", {"planner": planner, **error.fields()}, logging.WARNING))
 
     async def _run_connection(self, planner: str) -> None:
-        """Connects and handles messages until the connection ends."""
+        """Connects and handles messages until an error ends the connection."""
         if self._is_stopping:
             return
         async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
@@ -155,7 +159,9 @@
             async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 welcome = await protocol.read_planner_message(reader)
             if not isinstance(welcome, protocol.Welcome) or welcome.protocol != protocol.PROTOCOL_VERSION:
-                raise MalformedFrameError("no welcome of this protocol")
+                raise MalformedFrameError(
+                    f"first message is not a welcome of protocol version {protocol.PROTOCOL_VERSION}"
+                )
             self.writers[planner] = writer
             self.cache.handle_connected(self.net.clock(), planner, welcome)
             fields = {"planner": planner, "epoch": welcome.epoch, "version": welcome.membership_version}
@@ -168,7 +174,10 @@
             writer.transport.abort()
 
     def update_membership(self, members: dict[str, Address], membership_version: int) -> bool:
-        """Follows a membership from a reloaded file; returns False for one that is not later."""
+        """Follows the membership of a reloaded file; returns False for an earlier or equal version.
+
+        After `stop` no membership is followed, and the result is False.
+        """
         if membership_version <= self.cache.membership_version or self._is_stopping:
             return False
         changed = [name for name in self._connection_tasks if members.get(name) != self.members.get(name)]
@@ -184,16 +193,16 @@
     # End
 
     async def stop(self) -> None:
-        """Returns all leases, and waits for at most 0.3 s until the planners have read that.
+        """Returns all leases, and waits for at most 0.3 s until the planners have read the returns.
 
-        Each connection is closed for writing only, until its planner closes it: closing a socket that holds
-        unread bytes, such as a late grant, would reset it and drop the last messages.
+        Each connection is closed for writing only, until its planner closes it. Closing a socket with unread
+        received bytes, such as a late grant, would reset the connection and drop the last messages.
         """
         self._is_stopping = True
         self.cache.stop()
         self._deliver()
-        for _ in range(SETTLE_POLLS):
-            if self.cache.is_settled():
+        for _ in range(MAX_RETURN_POLLS):
+            if self.cache.has_returned_all():
                 break
             await asyncio.sleep(POLL_SECONDS)
         self._deliver()
@@ -203,11 +212,11 @@
                 writer.write_eof()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(CLOSE_TIMEOUT_SECONDS):
-                while self.writers:  # noqa: ASYNC110 - bounded, and once in a process's life
+                while self.writers:  # noqa: ASYNC110 - limited by the timeout, and only once per process
                     await asyncio.sleep(POLL_SECONDS)
 
     def close(self) -> None:
-        """Ends all connections at once."""
+        """Ends the timer and all connections without waiting."""
         for task in [self._tick_task, *self._connection_tasks.values()]:
             if task is not None:
                 task.cancel()
--- a/onyxpost/planner/errors.py
+++ b/onyxpost/planner/errors.py
@@ -6,12 +6,15 @@
 
 
 class SlowReaderError(OperatorError):
-    """A peer does not read what is sent to it; its connection is aborted, and it may connect again."""
+    """A peer reads too slowly: the send buffer of its connection is full.
 
-    remedy = "look at the node named: stopped, short of CPU, or behind a slow network"
+    The connection is aborted; the peer may connect again.
+    """
+
+    remedy = "check whether the named process is stopped or short of CPU, or the network to it is slow"
 
 
 class RestartRequiredError(InvalidInputError):
-    """A reloaded file changes a setting that is fixed while a planner runs."""
+    """A reloaded file changes a setting that cannot change while a planner runs."""
 
-    remedy = "put those keys back and SIGHUP again, or restart the planner with the new ones"
+    remedy = "restore those keys and send SIGHUP again, or restart the planner with the new values"
--- a/onyxpost/planner/planner.py
+++ b/onyxpost/planner/planner.py
@@ -1,4 +1,4 @@
-"""One planner: its connections to forwarders, its timer and its signals. `LeaseCoordinator` decides."""
+"""I/O of one planner: connections to forwarders, timer and signals. `LeaseCoordinator` decides."""
 
 from __future__ import annotations
 
@@ -27,24 +27,25 @@
 TICK_SECONDS = 0.05
 STATISTICS_INTERVAL_MS = 10_000.0
 HELLO_TIMEOUT_SECONDS = 2.0
-SILENCE_TIMEOUT_SECONDS = 10.0  # a connection on which nothing is received for this long is closed
+SILENCE_TIMEOUT_SECONDS = 10.0  # a connection that receives nothing for this long is closed
 READ_BUFFER_BYTES = 65_536
-# Connections without a hello, beyond one for each forwarder; above this the oldest is aborted.
+# Connections that have not sent their hello yet may exceed the number of forwarders by this many; beyond that
+# the oldest one is aborted.
 MAX_EXTRA_UNIDENTIFIED = 64
 
 
 class Planner:
-    """One planner process; `epoch` identifies its incarnation. Nothing of its state is kept on disk."""
+    """One planner process. All its state is in memory; `epoch` identifies its incarnation."""
 
     def __init__(
         self,
         config: PlannerConfig,
-        lines: StructuredLog,
+        structured_log: StructuredLog,
         reload_config: Callable[[], PlannerConfig],
         net: Transport | None = None,
         epoch: str | None = None,
     ) -> None:
-        self.lines = lines
+        self.structured_log = structured_log
         self.reload_config = reload_config
         self.net: Transport = net or SocketTransport()
         self.coordinator = LeaseCoordinator(
@@ -56,14 +57,14 @@
 
     @property
     def config(self) -> PlannerConfig:
-        """The configuration in force."""
+        """The current configuration, which a reload replaces."""
         return self.coordinator.config
 
     def _log(self, event: str, /, **fields: object) -> None:
-        self.lines.write(self.net.clock(), event, fields)
+        self.structured_log.write(self.net.clock(), event, fields)
 
     def _log_warning(self, event: str, /, **fields: object) -> None:
-        self.lines.write(self.net.clock(), event, fields, logging.WARNING)
+        self.structured_log.write(self.net.clock(), event, fields, logging.WARNING)
 
     # Process
 
@@ -77,10 +78,10 @@
         self._log(
             "phase", phase="serving", epoch=self.coordinator.epoch, version=self.config.membership_version
         )
-        ticking = asyncio.get_running_loop().create_task(self._run_ticks())
+        tick_task = asyncio.get_running_loop().create_task(self._run_ticks())
         await stop_requested.wait()
         self._log("phase", phase="stopped", **self.coordinator.statistics())
-        ticking.cancel()
+        tick_task.cancel()
         self.net.ignore_signals()
         self.close()
         return 0
@@ -94,7 +95,7 @@
         self.unidentified.abort_all()
 
     def reload(self) -> None:
-        """Reads the file again; one that cannot be applied is logged and changes nothing."""
+        """Reads the file again and applies it; an error is logged, and the current configuration stays."""
         try:
             config = self.reload_config()
             revocations = self.coordinator.update_config(self.net.clock(), config)
@@ -130,7 +131,7 @@
             async with asyncio.timeout(HELLO_TIMEOUT_SECONDS):
                 first_message = await protocol.read_forwarder_message(reader)
             if writer.transport.is_closing():
-                return  # aborted as the oldest one, or by `close`, before its hello was read
+                return  # aborted by `close`, or as the oldest connection without a hello
             hello = self._check_hello(first_message)
             forwarder = hello.forwarder
             self._register(hello, writer)
@@ -138,19 +139,21 @@
         except MalformedFrameError as error:
             self._log_warning("forwarder connection closed", forwarder=forwarder, **error.fields())
         except (OSError, EOFError, asyncio.CancelledError):
-            pass  # the forwarder disconnected, or this planner stops: both are usual
+            pass  # the forwarder disconnected, or this planner stops; neither is a fault
         finally:
             self._remove_connection(forwarder, writer)
 
     def _check_hello(self, message: protocol.ForwarderMessage) -> protocol.Hello:
         if not isinstance(message, protocol.Hello) or message.protocol != protocol.PROTOCOL_VERSION:
-            raise MalformedFrameError("no hello of this protocol")
+            raise MalformedFrameError(
+                f"first message is not a hello of protocol version {protocol.PROTOCOL_VERSION}"
+            )
         if message.forwarder not in self.config.forwarders:
-            raise MalformedFrameError(f"unknown forwarder {message.forwarder}")
+            raise MalformedFrameError(f"forwarder {message.forwarder} is not listed in this planner's file")
         return message
 
     def _register(self, hello: protocol.Hello, writer: asyncio.StreamWriter) -> None:
-        """Answers a hello; a previous connection of the same forwarder is aborted."""
+        """Answers a hello and aborts a previous connection of the same forwarder."""
         self.unidentified.discard(writer)
         previous = self.writers.pop(hello.forwarder, None)
         if previous is not None:
@@ -165,8 +168,8 @@
         while True:
             async with asyncio.timeout(SILENCE_TIMEOUT_SECONDS):
                 message = await protocol.read_forwarder_message(reader)
-            # Requests and heartbeats on a replaced connection are ignored: the current one has later ones.
-            # Units that it reports as spent or returned are counted, as they are reported only once.
+            # Requests and heartbeats on a replaced connection are ignored, because the current one has later
+            # ones. Usage reports and returns on it count, because forwarders send each of them only once.
             is_current = self.writers.get(forwarder) is writer
             if is_current or isinstance(message, protocol.UsageReport | protocol.LeaseReturn):
                 self._send_all(self.coordinator.handle_message(self.net.clock(), forwarder, message))
@@ -184,12 +187,12 @@
             self._send(recipient, message)
 
     def _send(self, forwarder: str, message: protocol.Message) -> None:
-        """Sends without waiting; aborts the connection of a forwarder that does not read."""
+        """Sends without waiting; aborts the connection if the forwarder reads too slowly."""
         writer = self.writers.get(forwarder)
         if writer is None:
             return
         writer.write(protocol.encode_frame(message))
         if not has_buffer_space(writer, 0):
-            error = SlowReaderError("does not read")
+            error = SlowReaderError("forwarder does not read its messages; the send buffer is full")
             self._log_warning("forwarder connection closed", forwarder=forwarder, **error.fields())
             writer.transport.abort()
--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -128,6 +128,12 @@
         "check this process's limits of descriptors (`ulimit -n`) and of memory",
         "check this process's limits on file descriptors (`ulimit -n`) and memory",
     ),
+    # Errors of a planner's file and of addresses.
+    ("p9 is none of the planners", "this planner's name, p9, is not among the members"),
+    ("no address: 'localhost'", "expected host:port with a port below 65536, got 'localhost'"),
+    ("no address: 'x'", "expected host:port with a port below 65536, got 'x'"),
+    ("no address: '127.0.0.1'", "expected host:port with a port below 65536, got '127.0.0.1'"),
+    ("no address: '127.0.0.1:x'", "expected host:port with a port below 65536, got '127.0.0.1:x'"),
 )
 
 USAGE_ERROR = re.compile(r"^Error: .*", re.MULTILINE | re.DOTALL)
