--- a/onyxpost/policy/__init__.py
+++ b/onyxpost/policy/__init__.py
@@ -1,1 +1,1 @@
-"""All decisions of an edge node; `onyxpost/core/sink.py` defines how a host calls them."""
+"""The decision code of an edge node. `onyxpost/core/sink.py` defines the interface to its hosts."""
--- a/onyxpost/policy/abandonment.py
+++ b/onyxpost/policy/abandonment.py
@@ -1,4 +1,4 @@
-"""How a request ends that is not retried any more: rejected if that is safe, else aborted."""
+"""Ends requests that are not retried any more: rejected if no second execution is possible, else aborted."""
 
 from onyxpost.core.requests import Request
 from onyxpost.core.sink import DecisionSink
@@ -9,7 +9,7 @@
 
 
 class Abandonment:
-    """Ends requests without an answer of a server."""
+    """Ends requests that got no final answer from a server."""
 
     def __init__(
         self,
@@ -24,7 +24,10 @@
         self._rejections = rejections
 
     def abandon(self, request: Request, sink: DecisionSink) -> None:
-        """Rejects a request if its client may safely send it again, else aborts it."""
+        """Rejects a request if its client may send it again without a second execution, else aborts it.
+
+        The load shedder counts the request as answered at its deadline.
+        """
         self._shedder.record_unanswered(request, request.arrived_at)
         self._completion.finish(request, sink)
         if self._execution.safe_to_reject(request):
--- a/onyxpost/policy/admission.py
+++ b/onyxpost/policy/admission.py
@@ -1,4 +1,4 @@
-"""Which requests the customers' quotas admit: at once, or after a wait for tokens of the hard limit."""
+"""Admits requests by their customers' quotas: at once, or after a wait for hard-limit tokens."""
 
 from zlib import crc32
 
@@ -15,7 +15,7 @@
 
 
 class Admission:
-    """Admits requests, lets them wait, or rejects them over their quota."""
+    """Admits a request, queues it for hard-limit tokens, or rejects it over quota."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._rejections = rejections
 
     def on_request_arrived(self, now: float, event: RequestArrived, sink: DecisionSink) -> None:
-        """Decides on a request that has just arrived."""
+        """Routes, queues or rejects a request that has just arrived."""
         request = self._new_request(now, event)
         customer = request.customer
         has_capacity = not self._waiting.has_waiting(customer) and self._quotas.has_capacity(now, request)
@@ -54,12 +54,12 @@
         return Request(event.request_id, now, event.deadline, frontend, customer, event.units)
 
     def on_timer(self, now: float, _event: TimerFired, sink: DecisionSink) -> None:
-        """Decides on all requests that need not wait any more."""
+        """Routes or rejects the queued requests of all customers whose wait is over."""
         for customer in self._waiting.customers():
             self.release(now, customer, sink)
 
     def release(self, now: float, customer: CustomerQuota, sink: DecisionSink) -> None:
-        """Decides on the customer's requests that need not wait any more."""
+        """Routes or rejects the customer's queued requests whose wait is over."""
         for request, is_admitted in self._waiting.release(now, customer):
             del self._state.requests[request.id]
             if is_admitted:
--- a/onyxpost/policy/attempt_results.py
+++ b/onyxpost/policy/attempt_results.py
@@ -1,4 +1,4 @@
-"""What follows from the end of an attempt: the request is answered, retried, rejected or aborted."""
+"""Handles the end of an attempt: the request is answered, retried, rejected or aborted."""
 
 from onyxpost.core.events import AttemptFinished
 from onyxpost.core.node_state import NodeState
@@ -15,7 +15,7 @@
 
 
 class AttemptResults:
-    """Decides how a request goes on when one of its attempts has ended."""
+    """Decides whether a request whose attempt has ended is finished, retried, rejected or aborted."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._abandonment = abandonment
 
     def on_attempt_finished(self, now: float, event: AttemptFinished, sink: DecisionSink) -> None:
-        """Ends an attempt; one that is not known is ignored."""
+        """Records the result of an attempt and decides on its request; unknown attempts are ignored."""
         attempt = self._find(event)
         if attempt is None:
             return
--- a/onyxpost/policy/attempts.py
+++ b/onyxpost/policy/attempts.py
@@ -1,4 +1,4 @@
-"""Starts attempts: sets their timeouts and counts them at their servers and customers."""
+"""Starts attempts, with their timeout and latest start, and counts them for their server and customer."""
 
 from onyxpost.core.requests import Request, UpstreamServer
 from onyxpost.core.sink import DecisionSink
@@ -14,7 +14,7 @@
         self._balancer = balancer
 
     def start(self, now: float, request: Request, server: UpstreamServer, sink: DecisionSink) -> None:
-        """Starts an attempt at the server."""
+        """Starts an attempt at the server and counts it as in flight."""
         timeout_ms = self._retries.attempt_timeout_ms(request, now)
         sink.start_attempt(request.id, server.id, timeout_ms, self._retries.begin_before(request))
         request.start_attempt(server, now)
--- a/onyxpost/policy/concurrency.py
+++ b/onyxpost/policy/concurrency.py
@@ -1,4 +1,7 @@
-"""Limits attempts in flight: beyond what the servers can do, more only add latency (Little's law)."""
+"""Limits the attempts in flight at the app servers.
+
+Attempts beyond the servers' capacity add latency but no throughput (Little's law).
+"""
 
 from typing import NamedTuple
 
@@ -12,7 +15,13 @@
 
 
 class LatenessCounts(NamedTuple):
-    """Answers to attempts that were sent since the limit was last decreased."""
+    """Counts of answers to attempts that were sent since the limit was last decreased.
+
+    Attributes:
+        answers: all of these answers.
+        late: those that took longer than `ConcurrencyLimit.LATE_FRACTION` of the latency objective.
+        quick: those that took less than `ConcurrencyLimit.QUICK_FRACTION` of that time.
+    """
 
     answers: float = 0.0
     late: float = 0.0
@@ -20,21 +29,30 @@
 
 
 class ConcurrencyLimit:
-    """A limit per server, decreased while answers are late; too low where they are late without load."""
-
-    INITIAL_LIMIT = 8.0  # attempts in flight at one server, from all edge nodes together
-    MAX_LIMIT_FACTOR = 8.0  # of the initial limit
-    MIN_LIMIT = 0.5  # in the unit of the initial limit
-    MIN_TOTAL_LIMIT = 2.0  # attempts in flight at all servers; with fewer nothing would be measured
-    PERIOD_FRACTION = 0.25  # of the shortest latency objective, between two updates of the limit
-    WINDOW_PERIODS = 4  # over which answers count
-    LATE_FRACTION = 0.4  # of its frontend's latency objective, after which an answer counts as late
-    QUICK_FRACTION = 0.5  # of the time after which an answer is late, up to which it counts as quick
+    """A limit on attempts in flight per server: decreased while answers are late, else increased when used.
+
+    Answers that are late for another reason than load decrease the limit, too, and leave it too low.
+
+    Attributes:
+        limit: attempts in flight that this node may have per available server, with fractions.
+    """
+
+    INITIAL_LIMIT = 8.0  # attempts in flight per server, of all edge nodes together
+    MAX_LIMIT_FACTOR = 8.0  # upper bound of the limit, as a multiple of the initial limit
+    MIN_LIMIT = 0.5  # lower bound: attempts in flight per server, of all edge nodes together
+    MIN_TOTAL_LIMIT = 2.0  # attempts in flight at all servers; fewer give too few answers to measure
+    PERIOD_FRACTION = 0.25  # time between two updates, as a fraction of the shortest latency objective
+    WINDOW_PERIODS = 4  # number of update periods over which answers are counted
+    LATE_FRACTION = 0.4  # answers that take a larger fraction of the latency objective count as late
+    QUICK_FRACTION = 0.5  # answers that take a smaller fraction of the time of a late answer count as quick
     MAX_LATE_SHARE = 0.3  # share of late answers above which the limit is decreased
-    MIN_LATE_ANSWERS = 2.0  # one late answer says little
-    DECREASE_FACTOR = 0.6  # attempts sent before a decrease do not count towards the next one
-    INCREASE_FACTOR = 1.08  # for a period in which load is shed or enough of the limit is used
-    MIN_USED_SHARE = 0.5  # of the limit, to increase it: one that is hardly used says nothing of the servers
+    MIN_LATE_ANSWERS = 2.0  # ignore single late answers, which are no sign of overload
+    # Factor of each decrease. Attempts sent before a decrease do not count towards the next one.
+    DECREASE_FACTOR = 0.6
+    INCREASE_FACTOR = 1.08  # factor per period in which load is shed or enough of the limit is used
+    # Smallest used share of the limit at which it is increased. At lower use, quick answers do not show that
+    # the servers could take more.
+    MIN_USED_SHARE = 0.5
 
     def __init__(
         self, now: float, options: GatewayOptions, servers: ServerRegistry, shedder: LatencyLoadShedder
@@ -53,8 +71,8 @@
         return SlidingWindowCounter(self._period_ms, self.WINDOW_PERIODS, LatenessCounts)
 
     def is_reached(self, servers: list[UpstreamServer], in_flight: int, share: float = 1.0) -> bool:
-        """Returns whether `in_flight` attempts reach this share of the limit of these servers together."""
-        # Ejected servers add no capacity, or the loss of a zone would overload the servers that are left.
+        """Returns whether `in_flight` attempts reach a share of the limit of these servers together."""
+        # Ejected servers do not count as capacity; else the loss of a zone would overload the other zones.
         available = [server for server in servers if not server.circuit_breaker.successes_to_close]
         return in_flight >= share * max(self.MIN_TOTAL_LIMIT, self.limit * len(available))
 
@@ -63,7 +81,7 @@
         return attempt.sent_at >= self._decreased_at and latency_ms > late_ms
 
     def record_answer(self, now: float, attempt: Attempt, latency_ms: float) -> None:
-        """Counts an answer, or an attempt that ended by its timeout."""
+        """Counts an answer, or an attempt that ended by its timeout, unless sent before the last decrease."""
         counts = float(attempt.sent_at >= self._decreased_at)
         objective_ms = attempt.request.frontend.latency_objective_ms
         is_quick = latency_ms < self.QUICK_FRACTION * self.LATE_FRACTION * objective_ms
@@ -71,7 +89,10 @@
         self._answers.add(now, LatenessCounts(answers=counts, late=float(is_late), quick=counts * is_quick))
 
     def on_timer(self, now: float, _event: TimerFired, _sink: DecisionSink) -> None:
-        """Sets the limit for the next period, if one has passed."""
+        """Updates the limit at the end of each period.
+
+        Attempts in flight that are late already count as late answers.
+        """
         if now < self._next_update_at:
             return
         self._next_update_at = now + self._period_ms
@@ -82,7 +103,8 @@
         counts = self._answers.totals(now)
         late = overdue + counts.late
         answers = overdue + counts.answers
-        # If as many answers are quick, late ones are lost or expensive requests: the servers are not slow.
+        # If at least as many answers are quick as late, the late ones are due to lost or expensive requests
+        # and not to slow servers.
         threshold = max(self.MAX_LATE_SHARE * answers, counts.quick)
         if late >= self.MIN_LATE_ANSWERS and late > threshold:
             self.limit = max(self._min_limit, self.limit * self.DECREASE_FACTOR)
--- a/onyxpost/policy/endpoint_updates.py
+++ b/onyxpost/policy/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""What follows from reports of discovery, and for how long servers are trusted where these may be stale."""
+"""Applies endpoint updates from discovery, and bounds the trust in servers while endpoints are stale."""
 
 from __future__ import annotations
 
@@ -18,16 +18,19 @@
 
 
 class EndpointTrust:
-    """How long after its last success a server surely still accepts attempts.
+    """Bounds how long a server gets attempts after its last success while endpoints are stale.
 
     Attributes:
-        trusted_ms: that time; `inf` while endpoints are not stale.
+        trusted_ms: time for which a server is trusted after its last successful attempt was sent; `inf` while
+            endpoints are not stale.
     """
 
-    MAX_NOTICE_DELAY_MS = 5000.0  # of the 6 s in which a change must be noticed where endpoints are polled
+    # Assumed delay until a node notices a change of polled endpoints: 5 s of the 6 s within which it must.
+    MAX_NOTICE_DELAY_MS = 5000.0
 
     def __init__(self, drain_grace_ms: float, *, polls_endpoints: bool) -> None:
-        # A drain since the last success may be unknown; half of its grace period is left for connecting.
+        # The server may have begun to drain since its last success without notice. Half of the drain grace
+        # period is left for connecting.
         notice_delay_ms = polls_endpoints * self.MAX_NOTICE_DELAY_MS
         self._stale_trust_ms = drain_grace_ms / 2.0 + notice_delay_ms
         self.trusted_ms = inf
@@ -37,12 +40,12 @@
         self.trusted_ms = inf
 
     def on_endpoints_stale(self, _now: float, _event: EndpointsStale, _sink: DecisionSink) -> None:
-        """Trusts only servers with a recent success."""
+        """Trusts only servers that have answered successfully within the stale trust time."""
         self.trusted_ms = self._stale_trust_ms
 
 
 class EndpointUpdates:
-    """Watches discovery and applies what it reports."""
+    """Polls discovery, where needed, and applies its updates to the server registry."""
 
     def __init__(
         self,
@@ -60,16 +63,16 @@
         self._order = order
 
     def start(self, sink: DecisionSink) -> None:
-        """Asks discovery for changes where it does not push them."""
+        """Starts the first poll of discovery if discovery does not push changes."""
         if self._polls_endpoints:
             sink.watch_endpoints()
 
     def on_endpoint_poll_failed(self, _now: float, _event: EndpointPollFailed, sink: DecisionSink) -> None:
-        """Repeats the poll."""
+        """Starts the next poll of discovery."""
         sink.watch_endpoints()
 
     def on_endpoints_updated(self, _now: float, event: EndpointsUpdated, _sink: DecisionSink) -> None:
-        """Applies what discovery reports."""
+        """Updates the server registry and drops the preference orders."""
         self._servers.update(event, self._create, self._restart)
         self._order.forget()
 
@@ -77,6 +80,6 @@
         return UpstreamServer(server_id, self._latency.new_window())
 
     def _restart(self, server: UpstreamServer) -> None:
-        """Resets a server with a new process: results, circuit breaker and slow start."""
+        """Resets results, circuit breaker and slow start of a server whose process has been restarted."""
         server.reset(self._latency.new_window())
         self._slow_start.restart(server, self._random.next())
--- a/onyxpost/policy/gateway.py
+++ b/onyxpost/policy/gateway.py
@@ -1,4 +1,4 @@
-"""All decisions of one edge node: says which collaborator gets which event."""
+"""The entry point of the decision code: builds its components and dispatches events to them."""
 
 from collections.abc import Iterable
 
@@ -23,14 +23,15 @@
     """Makes all decisions of one incarnation of an edge node.
 
     Attributes:
-        state: what the node knows.
+        state: requests, customers, servers and routing rules of this node.
         random: the only source of random numbers, so that equal seeds give equal decisions.
-        execution: which requests may have been executed.
-        shedder: the control loop of the rejection probability.
-        quota_control: what customers may spend.
-        selection: which server gets an attempt.
-        handling: what becomes of requests.
-        exchange: reports to and from other nodes.
+        execution: decides which requests are possibly executed.
+        shedder: controls the rejection probability.
+        quota_control: the components that enforce and report customers' quotas.
+        selection: the components that select a server for each attempt.
+        handling: the components that handle requests from arrival to end.
+        exchange: sends and receives gossip.
+        dispatcher: calls the handlers of each event type.
     """
 
     def __init__(self, now: float, options: GatewayOptions) -> None:
@@ -51,7 +52,7 @@
         self._register_handlers()
 
     def _register_handlers(self) -> None:
-        """Says which collaborators get which event; those of one event, in this order."""
+        """Registers the handlers of each event type; handlers of one type run in the order given here."""
         register = self.dispatcher.register
         endpoints = self.selection.endpoints
         trust = self.selection.trust
@@ -88,7 +89,7 @@
 
         Args:
             now: the host's time, in ms.
-            events: what has arrived.
+            events: the events that have arrived since the last call.
             sink: carries out the decisions.
         """
         if not self._is_started:
--- a/onyxpost/policy/gossip_exchange.py
+++ b/onyxpost/policy/gossip_exchange.py
@@ -1,4 +1,4 @@
-"""When nodes report customers' usage to each other, and what follows when reports arrive."""
+"""Schedules gossip: sends rounds of usage reports, and releases queued requests when reports arrive."""
 
 from onyxpost.core.customer_quota import CustomerQuota
 from onyxpost.core.events import PeerMessageReceived, TimerFired
@@ -8,9 +8,9 @@
 
 
 class GossipExchange:
-    """Receives reports as they arrive and sends a round of them at intervals."""
+    """Applies peer messages as they arrive and sends a round of messages at fixed intervals."""
 
-    GOSSIP_INTERVAL_MS = 50.0
+    GOSSIP_INTERVAL_MS = 50.0  # time between two rounds
 
     def __init__(self, first_round_at: float, quota_control: QuotaControl, admission: Admission) -> None:
         self._next_round_at = first_round_at
@@ -20,7 +20,7 @@
         self._admission = admission
 
     def on_peer_message(self, now: float, event: PeerMessageReceived, sink: DecisionSink) -> None:
-        """Applies a message; requests that have waited for what it brings are decided on."""
+        """Applies a peer message; after each report, decides on the customer's queued requests again."""
 
         def on_report(customer: CustomerQuota) -> None:
             self._admission.release(now, customer, sink)
@@ -28,7 +28,7 @@
         self._gossip.receive(now, event.peer, event.body, on_report)
 
     def on_timer(self, now: float, _event: TimerFired, sink: DecisionSink) -> None:
-        """Forgets unused customers and sends reports, if an interval has passed."""
+        """Forgets unused customers and sends a round of messages, once per interval."""
         if now < self._next_round_at:
             return
         self._next_round_at = now + self.GOSSIP_INTERVAL_MS
--- a/onyxpost/policy/hard_limit_queue.py
+++ b/onyxpost/policy/hard_limit_queue.py
@@ -1,4 +1,4 @@
-"""The order of requests that wait for tokens of their customer's hard limit: first come, first served."""
+"""The queues of requests that wait for tokens of their customer's hard limit, first in, first out."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class HardLimitQueue:
-    """A queue for each customer, in order of arrival."""
+    """One queue per customer, in order of arrival. `len()` is the number of requests in all queues."""
 
     def __init__(self) -> None:
         self._queues: dict[CustomerQuota, list[Request]] = {}
@@ -19,28 +19,32 @@
         return sum(len(queue) for queue in self._queues.values())
 
     def customers(self) -> list[CustomerQuota]:
-        """Returns the customers with requests that wait."""
+        """Returns the customers that have queued requests."""
         return list(self._queues)
 
     def units(self, customer: CustomerQuota) -> int:
-        """Returns the units of all requests of a customer that wait."""
+        """Returns the units of all queued requests of the customer."""
         return sum(request.units for request in self._queues.get(customer, []))
 
     def has(self, customer: CustomerQuota) -> bool:
-        """Returns whether requests of a customer wait."""
+        """Returns whether the customer has queued requests."""
         return customer in self._queues
 
     def append(self, request: Request) -> None:
-        """Adds a request at the end of its customer's queue."""
+        """Appends a request to its customer's queue."""
         self._queues.setdefault(request.customer, []).append(request)
 
     def first(self, customer: CustomerQuota) -> Request | None:
-        """Returns the request that is next, without removing it."""
+        """Returns the head of the customer's queue without removing it; None if there is no queue."""
         queue = self._queues.get(customer)
         return queue[0] if queue else None
 
     def pop(self, customer: CustomerQuota) -> None:
-        """Removes the request that is next."""
+        """Removes the head of the customer's queue.
+
+        Raises:
+            KeyError: the customer has no queued requests.
+        """
         queue = self._queues[customer]
         del queue[0]
         if not queue:
--- a/onyxpost/policy/hard_limit_wait.py
+++ b/onyxpost/policy/hard_limit_wait.py
@@ -1,4 +1,4 @@
-"""Which requests wait for tokens of the hard limit, and when they are decided on."""
+"""Decides which requests wait for hard-limit tokens, and when their wait is over."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -11,24 +11,26 @@
 
 
 class WaitDecision(NamedTuple):
-    """A request that need not wait any more, and whether its quota admits it."""
+    """A request whose wait is over, and whether it is admitted or rejected."""
 
     request: Request
     is_admitted: bool
 
 
 class HardLimitWait:
-    """Lets requests wait while only the hard limit lacks tokens.
+    """Queues requests that lack only hard-limit tokens.
 
     Args:
-        quotas: what customers may spend.
-        queue: the requests that wait.
-        latency: how long an answer takes.
-        may_wait: whether any request may wait; where planners grant leases, none does.
+        quotas: decides whether a customer has capacity.
+        queue: the queued requests.
+        latency: estimates the time that an answer takes.
+        may_wait: whether requests may wait at all; False where planners grant leases.
     """
 
-    START_MARGIN_LATENCIES = 2.0  # mean latencies before the latency deadline, so that the answer is in time
-    MAX_WAIT_FRACTION = 0.5  # of the time that the client waits
+    # A queued request is sent at least this many mean latencies before its latency deadline, for an answer
+    # in time.
+    START_MARGIN_LATENCIES = 2.0
+    MAX_WAIT_FRACTION = 0.5  # longest wait, as a fraction of the time that the client waits
 
     def __init__(
         self, quotas: QuotaPolicy, queue: HardLimitQueue, latency: LatencyEstimator, *, may_wait: bool
@@ -39,32 +41,36 @@
         self._may_wait = may_wait
 
     def _latest_start(self, request: Request) -> float:
-        """Returns until when a request may wait, in ms."""
+        """Returns the time until which a request may wait, in ms on the host's clock."""
         margin_ms = self.START_MARGIN_LATENCIES * self._latency.mean_latency_ms
         in_time = request.latency_deadline - margin_ms
         return min(in_time, self.MAX_WAIT_FRACTION * (request.arrived_at + request.deadline))
 
     def has_waiting(self, customer: CustomerQuota) -> bool:
-        """Returns whether requests of the customer wait, which later ones must not overtake."""
+        """Returns whether the customer has queued requests; later requests must not overtake them."""
         return self._queue.has(customer)
 
     def customers(self) -> list[CustomerQuota]:
-        """Returns the customers with requests that wait."""
+        """Returns the customers that have queued requests."""
         return self._queue.customers()
 
     def should_wait(self, now: float, request: Request) -> bool:
-        """Returns whether a request lacks only hard-limit tokens, and gets them by its latest start."""
+        """Returns whether a request lacks only hard-limit tokens and would get them by its latest start."""
         if not self._may_wait:
             return False
         deferral_ms = self._quotas.deferral_ms(now, request, self._queue.units(request.customer))
         return deferral_ms is not None and now + deferral_ms <= self._latest_start(request)
 
     def add(self, request: Request) -> None:
-        """Lets a request wait, behind those of the same customer that wait already."""
+        """Appends a request to its customer's queue."""
         self._queue.append(request)
 
     def release(self, now: float, customer: CustomerQuota) -> Iterator[WaitDecision]:
-        """Removes requests that are finished (not yielded), too late (rejected) or have their tokens now."""
+        """Removes and yields the customer's queued requests whose wait is over.
+
+        A request is rejected if its latest start has passed or its customer has no capacity. Requests
+        that were finished while queued are removed but not yielded.
+        """
         while (request := self._queue.first(customer)) is not None:
             customer.refill(now)
             is_late = now > self._latest_start(request)
--- a/onyxpost/policy/latency_estimates.py
+++ b/onyxpost/policy/latency_estimates.py
@@ -1,4 +1,4 @@
-"""Estimates of each app server's latency, from answers and from the age of attempts in flight."""
+"""Estimates each app server's latency from its answers and from the age of its attempts in flight."""
 
 from __future__ import annotations
 
@@ -18,13 +18,16 @@
     """Estimates the latency of one more request at each server.
 
     Attributes:
-        mean_latency_ms: mean of all servers' answers within the window, at the last update.
+        mean_latency_ms: mean latency of all servers' answers within the window, as of the last update.
     """
 
-    WINDOW_MS = 6000.0  # over which answers count: enough of them to judge, yet quick to forget
-    INITIAL_LATENCY_FRACTION = 0.125  # of the shortest latency objective, until an answer has come
-    PRIOR_ANSWERS = 2.0  # with the mean latency of all servers, added to each server's own answers
-    WINDOW_SLOTS = 12
+    # Time over which answers count: long enough for a sufficient number of answers, short enough to follow
+    # changes of latency.
+    WINDOW_MS = 6000.0
+    # Mean latency that is assumed before the first answer, as a fraction of the shortest latency objective.
+    INITIAL_LATENCY_FRACTION = 0.125
+    PRIOR_ANSWERS = 2.0  # assumed answers with the mean latency of all servers, added to each server's own
+    WINDOW_SLOTS = 12  # intervals of the window, which moves on by one interval at a time
 
     def __init__(self, shortest_objective_ms: float) -> None:
         self._initial_latency_ms = self.INITIAL_LATENCY_FRACTION * shortest_objective_ms
@@ -32,21 +35,21 @@
         self.mean_latency_ms = self._initial_latency_ms
 
     def new_window(self) -> SlidingWindowCounter[AnswerCounts]:
-        """Returns an empty window for a server's results."""
+        """Returns an empty sliding window for the results of one server or of all."""
         return SlidingWindowCounter(self.WINDOW_MS / self.WINDOW_SLOTS, self.WINDOW_SLOTS, AnswerCounts)
 
     def record_answer(self, now: float, server: UpstreamServer, latency_ms: float) -> None:
-        """Counts an answer, or an attempt that ended by its timeout."""
+        """Counts the latency of an answer, or of an attempt that ended by its timeout."""
         counts = AnswerCounts(answers=1.0, latency_ms=latency_ms)
         server.latency.window.add(now, counts)
         self._all_answers.add(now, counts)
 
     def record_failure(self, now: float, server: UpstreamServer) -> None:
-        """Counts an attempt that failed."""
+        """Counts a failed attempt; its latency does not count."""
         server.latency.window.add(now, ONE_FAILURE)
 
     def update(self, now: float, servers: ServerRegistry) -> None:
-        """Updates the means of all active servers; those that have become idle are not active any more."""
+        """Updates the means of all active servers; resets and deactivates those that have become idle."""
         totals = self._all_answers.totals(now)
         self.mean_latency_ms = (
             totals.latency_ms / totals.answers if totals.answers else self._initial_latency_ms
@@ -60,10 +63,10 @@
                 del servers.active[server]
 
     def _update_means(self, now: float, server: UpstreamServer, counts: AnswerCounts) -> None:
-        """Updates the means, as if `PRIOR_ANSWERS` had come with the usual latency.
+        """Updates a server's means, with `PRIOR_ANSWERS` assumed answers at the mean latency of all servers.
 
-        An attempt that is in flight for longer than usual counts as an answer, with its age as latency: a
-        slow server has few answers to be judged by, and they come late.
+        An attempt that has been in flight for longer than this mean counts as an answer with its age as
+        latency, because the answers of a slow server are few and arrive late.
         """
         usual_ms = self.mean_latency_ms
         ages = [now - each.sent_at for each in server.in_flight if now - each.sent_at > usual_ms]
@@ -73,7 +76,7 @@
         server.latency.mean_in_flight = counts.latency_ms / self.WINDOW_MS + 1.0
 
     def expected_latency_ms(self, server: UpstreamServer) -> float:
-        """Returns the latency of one more request: the mean, scaled by what is in flight (Little's law)."""
+        """Returns the latency of one more request: the mean, scaled by attempts in flight (Little's law)."""
         latency = server.latency
         mean_ms = latency.mean_latency_ms or self.mean_latency_ms
         return mean_ms * (len(server.in_flight) + 1.0) / latency.mean_in_flight
--- a/onyxpost/policy/latency_model.py
+++ b/onyxpost/policy/latency_model.py
@@ -1,4 +1,4 @@
-"""The model of latency by rejection probability, and its fit to what is observed.
+"""A model of the latency as a function of the rejection probability, and its fit to observations.
 
 Model (11) and the least-mean-squares fit (section II-C, figure 2) of Qin and Wang, "Feedback Performance
 Control for Computer Systems: An LPV Approach".
@@ -10,10 +10,10 @@
 
 
 class Period(NamedTuple):
-    """What was observed in one period.
+    """The observations of one control period.
 
     Attributes:
-        ratio: mean latency divided by its objective, of the frontend with the largest ratio.
+        ratio: mean latency divided by the latency objective, of the frontend with the largest ratio.
         load: the paper's r, arrivals divided by capacity.
         rejection_probability: the paper's theta during the period.
     """
@@ -24,17 +24,18 @@
 
 
 class Coefficient(NamedTuple):
-    """A coefficient that is affine in the load."""
+    """A coefficient of the model, affine in the load intensity r."""
 
     constant: float
     slope: float
 
     def at(self, load: float) -> float:
-        """Returns its value at a load."""
+        """Returns the coefficient's value at a load."""
         return self.constant + self.slope * load
 
 
-# The paper's a1, a2 and b, with latency as a ratio to its target of 0.02 s; b > 0, as it is subtracted.
+# The paper's a1, a2 and b. Latency is a ratio to its objective here, so b is divided by the paper's target of
+# 0.02 s; b is positive because the model subtracts its term.
 PUBLISHED_COEFFICIENTS = [
     Coefficient(0.3464, 0.1313),
     Coefficient(0.2527, 0.1187),
@@ -51,7 +52,7 @@
     Args:
         coefficients: a1, a2 and b.
         learning_rate: of the least-mean-squares fit.
-        max_error: a larger error of the prediction counts as this.
+        max_error: bound on the absolute prediction error that the fit uses.
     """
 
     def __init__(self, coefficients: list[Coefficient], learning_rate: float, max_error: float) -> None:
@@ -61,17 +62,17 @@
         self._history: list[Period] = []
 
     def input_coefficient(self, load: float) -> float:
-        """Returns b at a load."""
+        """Returns b, the coefficient of the rejection probability, at a load."""
         return self._coefficients[2].at(load)
 
     def forget(self) -> None:
-        """Forgets earlier periods, after one without observations."""
+        """Drops the history; called after a period without observations."""
         self._history = []
 
     def observe(self, period: Period) -> None:
-        """Remembers a period, and fits the model to it if the probability differed between the two before.
+        """Records a period, and fits the model to it if the two previous rejection probabilities differ.
 
-        While the probability stays the same, its effect on the latency cannot be observed.
+        The effect of the probability on the latency cannot be observed while the probability is constant.
         """
         if len(self._history) > 1:
             older, last = self._history
--- a/onyxpost/policy/leases.py
+++ b/onyxpost/policy/leases.py
@@ -1,4 +1,4 @@
-"""Leases of quota units: which are usable, and that requests spend them before the node's own tokens."""
+"""Leases of quota units. Requests spend leased units before the tokens of the node's own buckets."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     from onyxpost.core.requests import Request
     from onyxpost.core.sink import DecisionSink
 
-OWN_SHARE = 0  # in place of a lease id: units of the node's own buckets
+OWN_SHARE = 0  # lease id that stands for the node's own buckets
 
 
 class LeaseUse(NamedTuple):
@@ -24,12 +24,15 @@
 
 
 def leased_units(customer: CustomerQuota, now: float) -> float:
-    """Returns the units of all leases that have not expired."""
+    """Returns the units that are left in the customer's unexpired leases."""
     return sum(lease.units for lease in customer.leases.values() if now < lease.expires_at)
 
 
 def spend(customer: CustomerQuota, now: float, units: int) -> list[LeaseUse]:
-    """Takes a request's units from leases if these hold all of them, else from this node's buckets."""
+    """Takes a request's units from leases if these hold all of them, else from this node's buckets.
+
+    Returns the units that were taken from each lease, or from the buckets.
+    """
     if leased_units(customer, now) < units:
         customer.consume(units, units)
         return [LeaseUse(OWN_SHARE, units)]
@@ -47,7 +50,7 @@
 
 
 class LeaseHolder:
-    """Holds the leases that planners grant, and reports what requests take from them.
+    """Holds the leases that planners grant, and reports the units that requests spend.
 
     Args:
         customers: the customers that this node knows.
@@ -59,7 +62,7 @@
         self._has_planners = has_planners
 
     def on_lease_granted(self, now: float, event: LeaseGranted, sink: DecisionSink) -> None:
-        """Adds a lease; one of an unknown customer, or that has expired already, is returned at once."""
+        """Adds a lease; returns it at once if its customer is unknown or it has already expired."""
         customer = self._customers.by_key.get(event.customer)
         if customer is None or event.expires_at <= now:
             sink.return_lease(event.lease_id, event.units)
@@ -67,7 +70,7 @@
             customer.leases[event.lease_id] = Lease(event.units, event.expires_at)
 
     def on_lease_revoked(self, _now: float, event: LeaseRevoked, sink: DecisionSink) -> None:
-        """Removes a lease and returns what is left of it."""
+        """Removes a lease and returns its remaining units; 0 units if the lease is not known."""
         customer = self._customers.by_key.get(event.customer)
         lease = None if customer is None else customer.leases.pop(event.lease_id, None)
         sink.return_lease(event.lease_id, 0 if lease is None else int(lease.units))
@@ -78,7 +81,7 @@
             self._report(request, use, sink)
 
     def report_shortage(self, request: Request, sink: DecisionSink) -> None:
-        """Reports the units that a request lacked that is rejected over its quota."""
+        """Reports the units that a request rejected over quota lacked, with `OWN_SHARE` as lease id."""
         self._report(request, LeaseUse(OWN_SHARE, request.units), sink)
 
     def _report(self, request: Request, use: LeaseUse, sink: DecisionSink) -> None:
--- a/onyxpost/policy/load_balancing.py
+++ b/onyxpost/policy/load_balancing.py
@@ -1,4 +1,4 @@
-"""Picks an app server for each attempt, by the latencies and failures of earlier attempts."""
+"""Picks an app server for each attempt by the latencies and failures of earlier attempts."""
 
 from onyxpost.core.requests import Request, UpstreamServer
 from onyxpost.core.server_registry import ServerRegistry
@@ -11,9 +11,10 @@
 
 
 class LoadBalancer:
-    """Picks the server for each attempt."""
+    """Picks the server with the lowest expected latency, or one that is due in slow start."""
 
-    LATENCY_TOLERANCE = 1.1  # servers up to this multiple of the lowest expected latency are equally good
+    # Servers up to this multiple of the lowest expected latency are equivalent; preference order decides.
+    LATENCY_TOLERANCE = 1.1
 
     def __init__(
         self,
@@ -40,23 +41,24 @@
         due = [each for each in ranking if each not in warming_up or each.slow_start.intervals_left <= 0.0]
         candidates = self._eligibility.candidates(now, due, request)
         constraint = request.constraint
-        if constraint is not UNRESTRICTED:  # the full limit would overload the selected servers
+        if constraint is not UNRESTRICTED:  # the limit of all servers would overload the selected ones
             candidates = constraint.select(candidates)
             in_flight = sum(each.unexpired_attempts(now) for each in candidates)
             if self._limit.is_reached(candidates, in_flight, constraint.capacity_share):
                 return None
         self._slow_start.record_request(now)
-        # Servers whose turn in slow start has come go first: by expected latency they might get nothing.
+        # Servers that are due in slow start take precedence. Chosen by expected latency alone, they might get
+        # no requests at all.
         first = next((each for each in candidates if not each.in_flight and each in warming_up), None)
         return self._lowest_expected_latency(candidates) if first is None and candidates else first
 
     def _lowest_expected_latency(self, servers: list[UpstreamServer]) -> UpstreamServer:
-        """Returns the first server in preference order that is about as quick as the quickest."""
+        """Returns the first server in preference order within `LATENCY_TOLERANCE` of the lowest latency."""
         expected_ms = [self._latency.expected_latency_ms(server) for server in servers]
         max_ms = self.LATENCY_TOLERANCE * min(expected_ms)
         return next(server for server, ms in zip(servers, expected_ms, strict=True) if ms <= max_ms)
 
     def on_attempt_started(self, server: UpstreamServer) -> None:
-        """Counts a server as active, and its turn in slow start as taken."""
+        """Marks the server as active and restarts its slow-start interval."""
         self._slow_start.on_attempt_started(server)
         self._servers.active[server] = None
--- a/onyxpost/policy/load_shedding.py
+++ b/onyxpost/policy/load_shedding.py
@@ -12,27 +12,27 @@
 
 
 class CompletionCounts(NamedTuple):
-    """Requests that were answered, in time or late."""
+    """Count of the requests that were answered, in time or late."""
 
     completions: float = 0.0
 
 
 class LatencyLoadShedder:
-    """Integral control of the rejection probability (the paper's theta), its gain scheduled by load (r).
+    """Integral control of the rejection probability (the paper's theta), gain-scheduled by the load r.
 
     Attributes:
-        rejection_probability: of a request that arrives in this period; set by `on_timer` alone.
+        rejection_probability: of each request in the current period; set by `on_timer` only.
     """
 
-    PERIOD_MS = 500.0
+    PERIOD_MS = 500.0  # time between two updates of the rejection probability
     MAX_REJECTION_PROBABILITY = 0.95
-    MIN_INPUT_COEFFICIENT = 0.2  # lower bound of the divisor of a step, which would else grow without bound
-    GAIN = 0.3  # share of the gap to target that one period closes
-    MAX_STEP = 0.1  # of the probability in one period
-    LEARNING_RATE = 0.01  # of the model; a faster fit would follow noise, as a period holds few answers
-    MAX_MODEL_ERROR = 1.0
-    MAX_LOAD = 2.0  # of r: arrivals divided by the most completions in one of the last periods
-    CAPACITY_PERIODS = 20  # the most completions in one of these count as the capacity
+    MIN_INPUT_COEFFICIENT = 0.2  # lower bound of the divisor b of a step; near 0 a step would be unbounded
+    GAIN = 0.3  # share of the gap between latency and objective that one period closes
+    MAX_STEP = 0.1  # largest change of the probability in one period
+    LEARNING_RATE = 0.01  # rate of the model's fit; a faster fit follows noise, as a period has few answers
+    MAX_MODEL_ERROR = 1.0  # bound on the prediction error that the fit uses, as a ratio to the objective
+    MAX_LOAD = 2.0  # upper bound of r, the arrivals of a period divided by the capacity
+    CAPACITY_PERIODS = 20  # the capacity is the largest number of completions in one of these last periods
 
     def __init__(self, now: float, random: SeededRandom) -> None:
         self.rejection_probability = 0.0
@@ -46,34 +46,34 @@
 
     @property
     def is_shedding(self) -> bool:
-        """Whether any requests are rejected."""
+        """Whether the rejection probability is above 0."""
         return self.rejection_probability > 0.0
 
     def on_request_arrived(self, _now: float, _event: RequestArrived, _sink: DecisionSink) -> None:
-        """Counts an arrival."""
+        """Counts an arrival, from which the load intensity r is computed."""
         self._arrivals += 1
 
     def should_shed(self) -> bool:
-        """Returns whether to reject a request; draws a random number only while any are rejected."""
+        """Returns whether to reject a request; draws a random number only while load is shed."""
         return self.is_shedding and self._random.next() < self.rejection_probability
 
     def record_completion(self, request: Request, now: float) -> None:
-        """Counts an answered request and its latency since it was admitted."""
+        """Counts an answered request with its latency since admission."""
         self._completed += 1
         self._record_latency(request.frontend, now - request.admitted_at)
 
     def record_unanswered(self, request: Request, since: float) -> None:
-        """Counts a request as answered at its deadline: left out, it would hide an overload."""
+        """Counts a request as answered at its deadline; leaving it out would hide an overload."""
         self._record_latency(request.frontend, request.deadline - since)
 
     def _record_latency(self, frontend: Frontend, latency_ms: float) -> None:
-        """Counts a latency as a ratio to its latency objective."""
+        """Records a latency as a ratio to the frontend's latency objective."""
         self._ratios.setdefault(frontend, []).append(latency_ms / frontend.latency_objective_ms)
 
     def on_timer(self, now: float, _event: TimerFired, sink: DecisionSink) -> None:
-        """Sets the probability for the next period, if one has passed.
+        """Updates the rejection probability at the end of each period.
 
-        A period in which no request ended leaves it as it is.
+        The probability stays the same after a period in which no request ended.
         """
         if now < self._next_update_at:
             return
--- a/onyxpost/policy/node_timer.py
+++ b/onyxpost/policy/node_timer.py
@@ -1,17 +1,17 @@
-"""The timer that drives all periodic decisions of a node."""
+"""The periodic timer of a node, which drives all decisions that depend on time."""
 
 from onyxpost.core.events import TimerFired
 from onyxpost.core.sink import DecisionSink
 
 
 class NodeTimer:
-    """Starts the timer anew each time it fires."""
+    """Keeps the timer running by restarting it each time it fires."""
 
-    TICK_MS = 50.0  # between two events of the timer
-    TOKEN = 0  # the node has only this timer
+    TICK_MS = 50.0  # time between two events of the timer
+    TOKEN = 0  # identifies the timer; a node has only this one
 
     def start(self, sink: DecisionSink) -> None:
-        """Starts the timer."""
+        """Starts the timer for one tick."""
         sink.start_timer(self.TICK_MS, self.TOKEN)
 
     def on_timer(self, _now: float, _event: TimerFired, sink: DecisionSink) -> None:
--- a/onyxpost/policy/outlier_detection.py
+++ b/onyxpost/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Circuit breakers: servers that fail a large share of their attempts are ejected for a while."""
+"""Outlier detection: ejects servers that fail a large share of their attempts, by circuit breakers."""
 
 from onyxpost.core.requests import UpstreamServer
 from onyxpost.core.server_registry import ServerRegistry
@@ -7,23 +7,23 @@
 
 
 class OutlierDetector:
-    """Ejects failing servers; after a while they are tried again, one attempt at a time."""
+    """Ejects failing servers; after the open time they get one trial attempt at a time."""
 
-    MAX_FAILED_SHARE = 0.35  # a server that fails more of its attempts is ejected
-    MIN_FAILURES = 2.0  # one lost answer says little
-    OPEN_MS = 1000.0  # how long a circuit breaker is open at first; doubled at each trip
-    MAX_OPEN_MS = 8000.0
+    MAX_FAILED_SHARE = 0.35  # largest share of failed attempts at which a server is not ejected
+    MIN_FAILURES = 2.0  # ignore single failures, which are often lost packets
+    OPEN_MS = 1000.0  # open time after the first trip of a circuit breaker; doubled at each further trip
+    MAX_OPEN_MS = 8000.0  # upper bound of the open time
 
     def __init__(self, servers: ServerRegistry) -> None:
         self._servers = servers
 
     def may_attempt(self, now: float, server: UpstreamServer) -> bool:
-        """Returns whether the server is not ejected, or due for a trial."""
+        """Returns whether the server is not ejected or is due for a trial attempt."""
         breaker = server.circuit_breaker
         return not breaker.successes_to_close or (now >= breaker.open_until and not server.in_flight)
 
     def on_success(self, now: float, server: UpstreamServer) -> bool:
-        """Counts a successful trial of an ejected server; returns whether this closes its circuit breaker."""
+        """Counts a success of an ejected server; returns whether this closes its circuit breaker."""
         breaker = server.circuit_breaker
         if not breaker.successes_to_close or now < breaker.open_until:
             return False
@@ -33,13 +33,14 @@
     def on_failure(
         self, now: float, server: UpstreamServer, result: AttemptResult, sink: DecisionSink
     ) -> None:
-        """Ejects the server if it fails too much, unless half of the servers are ejected already."""
+        """Ejects the server if it is an outlier, unless half of the ready servers are ejected already."""
         counts = server.latency.window.totals(now)
         failed = counts.failures
         good = counts.answers
         breaker = server.circuit_breaker
         is_outlier = failed >= self.MIN_FAILURES and failed > self.MAX_FAILED_SHARE * (failed + good)
-        # One failed connection is enough, as probably no process listens there; so is one failed trial.
+        # One failed connection is enough to eject a server, as probably no process listens there. One failed
+        # trial is enough, too.
         if not (breaker.successes_to_close or result is AttemptResult.NO_CONNECTION or is_outlier):
             return
         if now >= breaker.open_until and 2 * self._count_other_ejected(server) < len(self._servers.ready):
--- a/onyxpost/policy/peer_usage.py
+++ b/onyxpost/policy/peer_usage.py
@@ -1,4 +1,4 @@
-"""How the usage that peers report counts: in a customer's buckets and towards its concurrency limit."""
+"""Applies the usage that peers report to customers' token buckets and concurrency limits."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class PeerUsageAccounting:
-    """Applies what peers report, and adds up attempts in flight at all nodes."""
+    """Applies reports and corrections of peers, and sums the attempts in flight at all nodes."""
 
-    MAX_AGE_MS = 3000.0  # older reports of peers do not count
+    MAX_AGE_MS = 3000.0  # age from which on a peer's report of attempts in flight is ignored
 
     def total_in_flight(self, customer: CustomerQuota, now: float, excluded_peer: int | None = None) -> int:
-        """Returns the customer's attempts in flight at all nodes, of peers by their recent reports."""
+        """Returns the customer's attempts in flight at this node, plus those in recent reports of peers."""
         return customer.in_flight + sum(
             usage.in_flight
             for peer, usage in customer.peer_usage.items()
@@ -25,24 +25,25 @@
         )
 
     def at_concurrency_limit(self, customer: CustomerQuota, now: float) -> bool:
-        """Returns whether all nodes together have as many attempts in flight as the plan permits."""
+        """Returns whether the attempts in flight at all nodes reach the concurrency limit of the plan."""
         return 0 < customer.plan.concurrency_limit <= self.total_in_flight(customer, now)
 
     def apply_report(
         self, customer: CustomerQuota, now: float, peer: int, incarnation: str, report: UsageReport
     ) -> None:
-        """Takes what a peer has used since its last report from the customer's bucket.
+        """Takes the units that a peer has used since its last report from the customer's bucket.
 
-        A cumulative count makes a lost or repeated message harmless. Of the first report only `new_units`
-        count: the rest may have been used, and refilled, before this node started. Transferred units have
-        no such count: a lost message loses them, a repeated one would add them twice.
+        Reports carry a cumulative count, so lost and repeated messages do no harm. Of a peer's first report
+        only `new_units` count, because the other units may have been used and refilled before this node
+        started. Transferred units have no cumulative count: a lost message loses them, and a repeated message
+        would add them twice.
         """
         usage = customer.peer_usage.setdefault(peer, PeerUsage())
         if usage.incarnation == incarnation:
             units = report.units_used - usage.units_used
         else:
             units = report.units_used if usage.incarnation else report.new_units
-        peer_forgot_customer = units < 0 and report.units_used == report.new_units  # it counts from 0 again
+        peer_forgot_customer = units < 0 and report.units_used == report.new_units  # its count restarted at 0
         customer.last_seen_at = now
         customer.refill(now)
         customer.quota.consume(report.new_units if peer_forgot_customer else units)
@@ -52,7 +53,7 @@
     def apply_correction(
         self, customer: CustomerQuota, now: float, peer: int, correction: QuotaCorrection
     ) -> None:
-        """Sets the bucket to what the coordinator knows, less the units not yet reported to it."""
+        """Sets the bucket to the coordinator's count, less the units that are not yet reported to it."""
         usage = customer.peer_usage.setdefault(peer, PeerUsage())
         usage.in_flight = correction.in_flight
         usage.reported_at = now
--- a/onyxpost/policy/possible_execution.py
+++ b/onyxpost/policy/possible_execution.py
@@ -1,4 +1,4 @@
-"""Which requests count as possibly executed, and when their clients may send them again."""
+"""Decides which requests are possibly executed, and whether their clients may send them again."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 
 
 def finish_attempt(attempt: Attempt, result: AttemptResult) -> None:
-    """Ends an attempt; it stays possibly executed unless its result proves that it never was."""
+    """Ends an attempt; it remains possibly executed unless its result proves that it was never executed."""
     attempt.possibly_executed = attempt.possibly_executed and not result.never_executed
     attempt.finish()
 
 
 def first_possible_execution(request: Request) -> Attempt | None:
-    """Returns the first attempt that may have executed the request; one in flight may have, too."""
+    """Returns the first possibly executed attempt, in flight or ended; None if there is none."""
     return next((attempt for attempt in request.attempts if attempt.possibly_executed), None)
 
 
 class ExecutionSafety:
-    """Says whether a request may have been executed.
+    """Decides whether a second attempt or a retry by the client could execute a request twice.
 
     Attributes:
-        first_possible_execution: the rule in use, `first_possible_execution` of this module.
+        first_possible_execution: the rule in force; by default the function `first_possible_execution`.
     """
 
     def __init__(self) -> None:
         self.first_possible_execution: ExecutionRule = first_possible_execution
 
     def replace_rule(self, rule: ExecutionRule) -> None:
-        """Sets another rule; only mutation testing does."""
+        """Replaces `first_possible_execution`; used by mutation testing only."""
         self.first_possible_execution = rule
 
     def safe_to_reject(self, request: Request) -> bool:
-        """Returns whether the client may send the request again without the risk of a second execution."""
+        """Returns whether the client may send the request again without risk of a second execution."""
         frontend = request.frontend
         if frontend.idempotency is Idempotency.IDEMPOTENT or self.first_possible_execution(request) is None:
             return True
--- a/onyxpost/policy/preference_order.py
+++ b/onyxpost/policy/preference_order.py
@@ -1,4 +1,4 @@
-"""The order in which a customer's requests prefer the app servers, fixed by hashing."""
+"""Orders the app servers for each customer by hashing, so that its requests prefer the same servers."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class PreferenceOrder:
-    """Orders the ready servers for each customer; orders are kept until endpoints change.
+    """Orders the ready servers for each customer; orders are cached until endpoints change.
 
-    In a large set of nodes each node has its own order: with a common one all nodes would use the same
-    server, and each would see only a small part of its load.
+    In a set with a quota coordinator each node has its own order. With a common order all nodes of such a
+    large set would use the same server, and each would see only a small part of that server's load.
     """
 
-    HASH_MULTIPLIER = 2654435761  # 2**32 divided by the golden ratio (Knuth's multiplicative hashing)
+    HASH_MULTIPLIER = 2654435761  # 2**32 divided by the golden ratio, for Knuth's multiplicative hashing
 
     def __init__(self, node_index: int, servers: ServerRegistry) -> None:
         self._servers = servers
@@ -30,7 +30,7 @@
         self._orders = WeakKeyDictionary[CustomerQuota, list["UpstreamServer"]]()
 
     def forget(self) -> None:
-        """Forgets all orders, as the ready servers may have changed."""
+        """Drops all cached orders; called when the ready servers may have changed."""
         self._orders.clear()
 
     def servers_for(self, customer: CustomerQuota) -> list[UpstreamServer]:
--- a/onyxpost/policy/quota_control.py
+++ b/onyxpost/policy/quota_control.py
@@ -1,4 +1,4 @@
-"""Builds the collaborators that decide what customers may spend, and that report what they have spent."""
+"""Builds the components that enforce customers' quotas and report their usage."""
 
 from onyxpost.core.node_state import NodeState
 from onyxpost.policy.hard_limit_queue import HardLimitQueue
@@ -10,15 +10,15 @@
 
 
 class QuotaControl:
-    """The collaborators that deal with customers' quotas.
+    """The components that enforce customers' quotas and report their usage.
 
     Attributes:
-        quotas: what customers may spend.
-        queue: requests that wait for tokens of a hard limit.
-        leases: units that planners have granted.
-        gossip: what nodes report to each other.
+        quotas: decides whether a customer has capacity for a request.
+        queue: requests that wait for hard-limit tokens.
+        leases: the leases that planners have granted.
+        gossip: reads and writes the messages between nodes.
         usage: counts the units that requests use.
-        rejections: rejects requests, over their quota or for lack of capacity.
+        rejections: rejects requests over quota or for lack of server capacity.
     """
 
     def __init__(self, state: NodeState) -> None:
--- a/onyxpost/policy/quota_gossip.py
+++ b/onyxpost/policy/quota_gossip.py
@@ -1,4 +1,4 @@
-"""Which reports of customers' usage nodes send each other, and when."""
+"""Reads and writes the messages in which nodes exchange customers' usage."""
 
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
@@ -12,7 +12,7 @@
 
 
 class ReceivedCounts(NamedTuple):
-    """Messages received from peers."""
+    """Count of the messages received from peers."""
 
     messages: float = 0.0
 
@@ -21,13 +21,19 @@
 
 
 class QuotaGossip:
-    """Exchanges customers' usage with the other nodes."""
+    """Exchanges customers' usage with the other nodes.
 
-    MAX_RECEIVED_SHARE = 0.7  # of the messages that a peer can receive, above which sending is deferred
-    MAX_MESSAGE_BYTES = 256  # the most that one peer message may hold
-    RECEIVED_INTERVAL_MS = 250.0  # messages are counted over the last four of these: one second
-    RECEIVED_INTERVALS = 4
-    KEPT_FRACTION = 0.5  # of the burst of a hard limit's part, which is not handed to peers
+    Attributes:
+        incarnation: identifies this run of the node to its peers.
+        changed: customers with usage that is not yet reported to peers, in the order of their first change.
+    """
+
+    # Share of the messages per second that a node can receive; a node that receives as many does not send.
+    MAX_RECEIVED_SHARE = 0.7
+    MAX_MESSAGE_BYTES = 256  # size limit of one peer message
+    RECEIVED_INTERVAL_MS = 250.0  # length of a counting interval; received messages are counted per second
+    RECEIVED_INTERVALS = 4  # number of intervals in a second
+    KEPT_FRACTION = 0.5  # fraction of the hard limit's burst at this node that is never transferred to peers
 
     def __init__(self, options: GatewayOptions, quotas: QuotaPolicy) -> None:
         self._options = options
@@ -37,14 +43,14 @@
             self.RECEIVED_INTERVAL_MS, self.RECEIVED_INTERVALS, ReceivedCounts
         )
         self._max_received = self.MAX_RECEIVED_SHARE * options.max_peer_messages_per_second
-        self.changed: dict[CustomerQuota, None] = {}  # with usage that is not yet reported to peers
+        self.changed: dict[CustomerQuota, None] = {}
 
     def mark_changed(self, customer: CustomerQuota) -> None:
-        """Notes that a customer has usage to be reported."""
+        """Marks a customer as having usage to report to peers."""
         self.changed[customer] = None
 
     def receive(self, now: float, peer: int, body: str, on_report: Callable[[CustomerQuota], None]) -> None:
-        """Applies a message and calls `on_report` after each report; a malformed one is dropped whole."""
+        """Applies a message and calls `on_report` after each report; drops a malformed message as a whole."""
         if (message := decode_message(body, len(self._options.plans))) is None:
             return
         counts = not message.reports
@@ -55,14 +61,17 @@
             self.changed[customer] = None
             counts = counts or not customer.has_coordinator
             on_report(customer)
-        if counts:  # reports to a coordinator do not, or its corrections would be held back
+        if counts:  # reports to a coordinator do not, as they would defer its corrections
             self._received.add(now, ONE_MESSAGE)
         for correction in message.corrections:
             customer = self._quotas.customers.get(correction.customer)
             self._quotas.peer_usage.apply_correction(customer, now, peer, correction)
 
     def send(self, now: float, send: Callable[[int, str], None]) -> None:
-        """Sends changes, unless this node receives so much that peers, too, are probably near their limit."""
+        """Sends messages about all changed customers.
+
+        Sends none while this node receives so many messages that peers are probably near their limit, too.
+        """
         packer = MessagePacker(self.incarnation, self.MAX_MESSAGE_BYTES, send)
         is_overloaded = self._received.totals(now).messages >= self._max_received
         for customer in [] if is_overloaded else list(self.changed):
@@ -74,8 +83,8 @@
         packer.flush()
 
     def _entries(self, customer: CustomerQuota, now: float) -> Iterator[AddressedEntry]:
-        # In a large set, reports to one peer after the other come too late to keep totals within the quota.
-        # So one node coordinates: the others report their usage to it, and it sends them corrections.
+        # In a large set, reports to one peer after the other arrive too late to keep the total within the
+        # quota. Instead, all nodes report their usage to the quota coordinator, which sends them corrections.
         if not customer.peers:
             customer.units_reported = customer.units_used
         elif customer.coordinator == self._options.node_index:
@@ -96,7 +105,7 @@
                 yield peer, QuotaCorrection(customer.key, int(gone), in_flight)
 
     def _report(self, customer: CustomerQuota, now: float) -> Iterator[AddressedEntry]:
-        """Yields a report to the coordinator, or to one peer; after the last peer the next round begins."""
+        """Yields a report to the coordinator or to the next peer; a round ends with the last peer."""
         turn = customer.next_peer % len(customer.peers)
         peer = customer.coordinator if customer.has_coordinator else customer.peers[turn]
         new_units = customer.units_used - customer.units_reported
@@ -109,7 +118,10 @@
         yield peer, customer.report(new_units, transferred_units)
 
     def _transfer_tokens(self, customer: CustomerQuota, now: float, peer: int, own_units: int) -> int:
-        """Takes spare hard-limit tokens for a busier peer, before sending: only one node may spend them."""
+        """Takes spare hard-limit tokens out of the bucket for a peer with more usage; returns their number.
+
+        They are taken before the report is sent, because only one node may spend them.
+        """
         usage = customer.peer_usage.get(peer)
         if not customer.hard_limit.rate or usage is None or usage.recent_units <= own_units:
             return 0
--- a/onyxpost/policy/quotas.py
+++ b/onyxpost/policy/quotas.py
@@ -1,4 +1,4 @@
-"""What customers may spend at this node: own token buckets, parts of hard limits, leases, peers' usage."""
+"""Decides what customers may spend at this node, by token buckets, hard limits, leases and peers' usage."""
 
 from collections.abc import Callable
 
@@ -18,15 +18,17 @@
     """Decides what customers may spend at this node.
 
     Attributes:
-        customers: those that this node knows.
-        peer_usage: how the usage that peers report counts.
+        customers: the customers that this node knows.
+        peer_usage: applies the usage that peers report.
     """
 
-    FORGET_AFTER_MS = 20000.0  # after which a customer with full buckets is dropped
-    SWEEP_FRACTION = 0.25  # of that time, between two looks for such customers
-    MAX_DEBT_MS = 1000.0  # of refilling: the largest debt that peers' usage can leave a bucket in
-    MAX_GOSSIP_PEERS = 4  # that get reports in turn; a larger set has a coordinator
-    PRESSURE_FRACTION = 0.5  # of the burst: used up when corrections start, left when admission turns random
+    FORGET_AFTER_MS = 20000.0  # time since a customer was last seen after which it is dropped if unused
+    SWEEP_FRACTION = 0.25  # time between two searches for unused customers, as a fraction of that time
+    MAX_DEBT_MS = 1000.0  # largest debt of a bucket due to peers' usage, as the time to refill it
+    MAX_GOSSIP_PEERS = 4  # largest number of peers that get reports in turn; a larger set has a coordinator
+    # Fraction of the burst: the coordinator sends corrections once this much is used, and nodes admit at
+    # random once less than this is left.
+    PRESSURE_FRACTION = 0.5
 
     def __init__(self, options: GatewayOptions, customers: CustomerTable) -> None:
         self._options = options
@@ -36,14 +38,15 @@
         self._capacity_rule: CapacityRule = self._holds_units
 
     def assign_plan(self, customer: CustomerQuota, now: float, placement: Placement) -> None:
-        """Sets the customer's plan when a request or a report first names it."""
+        """Records that the customer was seen; sets its plan if this is the first request or report of it."""
         customer.last_seen_at = now
         if customer.plan is not UNKNOWN_PLAN:
             return
         plan = self._options.plans[placement.plan_index]
         share = 1.0 / max(1, placement.set_size)
         if local_share := self._options.limits.local_share:
-            # Starts empty, as an earlier incarnation may have spent this share; planners lease out the rest.
+            # The buckets start empty, as an earlier incarnation may have spent this share. Planners grant
+            # leases of the rest.
             customer.set_plan(plan, share * local_share, share * local_share, self.MAX_DEBT_MS)
             return
         node_count = self._options.node_count
@@ -52,13 +55,14 @@
             customer.coordinator = placement.member(customer.key, node_count)
         customer.placement = placement
         customer.set_plan(plan, 1.0, share, self.MAX_DEBT_MS)
-        # A new bucket starts with one node's share; in a large set, where that may be less than one request,
-        # with all, soon corrected by the coordinator. The hard limit may have been spent: it starts empty.
+        # A new bucket starts with this node's share of the burst. In a large set, where a share may be less
+        # than one request, it starts with the whole burst, which the coordinator soon corrects. The hard
+        # limit starts empty because its tokens may have been spent.
         customer.quota.tokens += plan.burst * (1.0 if customer.has_coordinator else share)
         customer.refill(now)
 
     def forget_unused(self, now: float, queue: HardLimitQueue) -> None:
-        """Drops customers long unseen that hold nothing: full buckets, no leases, no attempts."""
+        """Drops customers that are unused and were last seen more than `FORGET_AFTER_MS` ago."""
         if now < self._next_sweep_at:
             return
         self._next_sweep_at = now + self.SWEEP_FRACTION * self.FORGET_AFTER_MS
@@ -68,17 +72,17 @@
                 del self.customers.by_key[key]
 
     def _is_unused(self, customer: CustomerQuota, now: float) -> bool:
-        """Returns whether both buckets are full, and nothing is in flight or leased."""
+        """Returns whether the customer has full buckets, no attempts in flight and no leases."""
         customer.refill(now)
         has_full_buckets = customer.quota.is_full() and customer.hard_limit.is_full()
         return has_full_buckets and not customer.in_flight and not customer.leases
 
     def has_capacity(self, now: float, request: Request) -> bool:
-        """Returns whether the customer may spend the request's units now."""
+        """Returns whether buckets or leases hold the request's units, within the concurrency limit."""
         return self._capacity_rule(now, request)
 
     def replace_capacity_rule(self, rule: CapacityRule) -> None:
-        """Sets another rule for `has_capacity`; only mutation testing does."""
+        """Replaces the rule behind `has_capacity`; used by mutation testing only."""
         self._capacity_rule = rule
 
     def _holds_units(self, now: float, request: Request) -> bool:
@@ -89,14 +93,17 @@
         return fits and not self.peer_usage.at_concurrency_limit(customer, now)
 
     def admission_probability(self, customer: CustomerQuota) -> float:
-        """Returns the probability of admission, below 1 while a large set runs short."""
-        # All nodes see the same tokens at once; admitting all while there are any, they would exceed the
-        # quota by what comes in before the coordinator's next correction.
+        """Returns the probability of admission, less than 1 if a large set has few tokens left.
+
+        This is independent of the load shedder's rejection probability.
+        """
+        # All nodes count the same tokens. If each admitted every request while tokens are left, all together
+        # would exceed the quota by the requests that arrive before the coordinator's next correction.
         pressure = self.PRESSURE_FRACTION * customer.plan.burst if customer.has_coordinator else 0.0
         return customer.quota.tokens / pressure if pressure else 1.0
 
     def deferral_ms(self, now: float, request: Request, queued: int) -> float | None:
-        """Returns the wait until the hard limit holds queued and own units; None: waiting does not help."""
+        """Returns the time until the hard limit holds queued and own units; None if waiting is of no use."""
         customer = request.customer
         customer.refill(now)
         limit = customer.hard_limit
--- a/onyxpost/policy/rejection.py
+++ b/onyxpost/policy/rejection.py
@@ -1,4 +1,4 @@
-"""How requests are rejected, and the time after which their clients are asked to retry (`Retry-After`)."""
+"""Rejects requests, with the time after which their clients should retry (`Retry-After`)."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
 
 
 class Rejections:
-    """Rejects requests (429); no client is asked to wait for longer than the deployment permits."""
+    """Rejects requests (429) with a `Retry-After` no longer than the deployment permits."""
 
-    RETRY_AFTER_FRACTION = 0.03  # of the latency objective: Retry-After where capacity is lacking
+    RETRY_AFTER_FRACTION = 0.03  # Retry-After for lack of capacity, as a fraction of the latency objective
 
     def __init__(self, max_retry_after_ms: float, leases: LeaseHolder) -> None:
         self._max_retry_after_ms = max_retry_after_ms
         self._leases = leases
 
     def reject_for_capacity(self, request: Request, sink: DecisionSink) -> None:
-        """Rejects a request for lack of capacity; a retry after a longer wait could not be in time."""
+        """Rejects a request for lack of capacity; after a longer wait, a retry could not be in time."""
         self._reject(request, self.RETRY_AFTER_FRACTION * request.frontend.latency_objective_ms, sink)
 
     def reject_over_quota(self, request: Request, sink: DecisionSink) -> None:
-        """Rejects a request over one of its customer's limits, until the quota's bucket holds its units.
+        """Rejects a request over its customer's quota, hard limit or concurrency limit, or at random.
 
-        If that bucket holds them already (the hard limit or the concurrency limit is short, or admission is
-        random), the time is 0 and the answer has no `Retry-After`.
+        `Retry-After` is the time until the quota's bucket holds the request's units. If the bucket holds them
+        already, because another limit or random admission is the reason, the time is 0 and the answer has no
+        `Retry-After`.
         """
         self._leases.report_shortage(request, sink)
         self._reject(request, request.customer.quota.wait_ms(request.units), sink)
--- a/onyxpost/policy/request_completion.py
+++ b/onyxpost/policy/request_completion.py
@@ -1,4 +1,4 @@
-"""How a request ends, and when its attempts in flight are cancelled."""
+"""Finishes requests and cancels their attempts in flight."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RequestCompletion:
-    """Finishes requests, and removes those without attempts in flight from the node's state."""
+    """Finishes requests, and removes them from the node's state once they have no attempts in flight."""
 
     def __init__(self, state: NodeState) -> None:
         self._requests = state.requests
@@ -25,12 +25,12 @@
             self.finish(request, sink)
 
     def on_response_started(self, _now: float, event: ResponseStarted, _sink: DecisionSink) -> None:
-        """Marks a request whose response is streamed: it is not retried any more."""
+        """Marks a request as streaming: it is not retried any more, and its attempts are not cancelled."""
         if event.request_id in self._requests:
             self._requests[event.request_id].is_streaming = True
 
     def finish(self, request: Request, sink: DecisionSink) -> None:
-        """Finishes a request; attempts in flight are cancelled unless a response is streamed."""
+        """Finishes a request; cancels its attempts in flight if permitted and no response is streaming."""
         request.is_finished = True
         for attempt in request.attempts:
             if attempt.in_flight and self._may_cancel and not request.is_streaming:
--- a/onyxpost/policy/request_handling.py
+++ b/onyxpost/policy/request_handling.py
@@ -1,4 +1,4 @@
-"""Builds the collaborators that decide on a request from its arrival to its end."""
+"""Builds the components that handle a request from its arrival to its end."""
 
 from onyxpost.core.node_state import NodeState
 from onyxpost.core.seeded_random import SeededRandom
@@ -19,14 +19,14 @@
 
 
 class RequestHandling:
-    """The collaborators that deal with requests and their attempts.
+    """The components that handle requests and their attempts.
 
     Attributes:
-        retry_budget: how many retries the node may send.
-        constraints: what the routing rules permit.
-        admission: which requests the quotas admit.
-        completion: how requests end.
-        results: what follows from the end of an attempt.
+        retry_budget: limits the retries that the node may send.
+        constraints: looks up the constraint that routing rules put on a request.
+        admission: admits requests by their customers' quotas.
+        completion: finishes requests.
+        results: handles the ends of attempts.
     """
 
     def __init__(
--- a/onyxpost/policy/request_routing.py
+++ b/onyxpost/policy/request_routing.py
@@ -1,4 +1,4 @@
-"""What becomes of a request that its quota admits: shed, rejected for lack of capacity, or sent."""
+"""Routes admitted requests: each is shed, rejected for lack of capacity, or sent to a server."""
 
 from onyxpost.core.node_state import NodeState
 from onyxpost.core.requests import Request
@@ -12,7 +12,7 @@
 
 
 class RequestRouter:
-    """Sends admitted requests to a server, unless load is shed or no server has capacity."""
+    """Sends admitted requests to a server, unless they are shed or no server has capacity."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self._rejections = rejections
 
     def route(self, now: float, request: Request, sink: DecisionSink) -> None:
-        """Sends a request's first attempt, or rejects the request."""
+        """Starts a request's first attempt, or rejects the request for lack of capacity."""
         request.admitted_at = now
         request.constraint = self._constraints.constraint_for(request)
         is_shed = self._shedder.should_shed()
--- a/onyxpost/policy/retry_dispatch.py
+++ b/onyxpost/policy/retry_dispatch.py
@@ -1,4 +1,4 @@
-"""Sends retries, within the retry budget, where they are permitted and of use."""
+"""Starts retries that the retry policy, the retry budget and the attempt limits permit."""
 
 from onyxpost.core.requests import Request
 from onyxpost.core.sink import DecisionSink
@@ -9,7 +9,7 @@
 
 
 class RetryDispatcher:
-    """Sends requests again whose attempts have failed."""
+    """Retries requests whose attempts have failed."""
 
     def __init__(
         self,
@@ -28,7 +28,10 @@
         self._max_attempts = max_attempts
 
     def retry(self, now: float, request: Request, sink: DecisionSink) -> bool:
-        """Sends the request again if a retry is permitted, of use and affordable; returns whether it is."""
+        """Starts a retry if policy, budget and attempt limits permit it and a server has capacity.
+
+        Returns whether a retry was started.
+        """
         if not self._may_retry(now, request):
             return False
         server = self._balancer.pick(now, request)
--- a/onyxpost/policy/routing_constraints.py
+++ b/onyxpost/policy/routing_constraints.py
@@ -1,4 +1,4 @@
-"""What the routing rules in force permit a request."""
+"""Looks up the constraints that routing rules put on requests."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class RoutingConstraints:
-    """Looks up the constraint of each request; it keeps that of its admission when the rules change."""
+    """Looks up the constraint of a request at its admission; a later change of rules does not alter it."""
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
 
     def on_routing_rules_changed(self, _now: float, event: RoutingRulesChanged, _sink: DecisionSink) -> None:
-        """Puts the rules into force for requests that are admitted from now on."""
+        """Replaces the rules for all requests that are admitted from now on."""
         self._state.rules = event.rules
 
     def constraint_for(self, request: Request) -> RoutingConstraint:
-        """Returns the constraint that the rules in force put on the request."""
+        """Returns the constraint that the rules put on the request; `UNRESTRICTED` if there are no rules."""
         rules = self._state.rules
         if rules is None:
             return UNRESTRICTED
--- a/onyxpost/policy/server_assessment.py
+++ b/onyxpost/policy/server_assessment.py
@@ -1,4 +1,4 @@
-"""What the ends of attempts say of app servers, and when estimates are updated by it."""
+"""Passes results of attempts to the components that assess app servers, and updates their estimates."""
 
 from onyxpost.core.events import AttemptFinished, TimerFired
 from onyxpost.core.requests import Attempt
@@ -12,9 +12,9 @@
 
 
 class ServerAssessment:
-    """Passes the ends of attempts on to all that judge servers."""
+    """Updates latency estimates, the concurrency limit and circuit breakers by the results of attempts."""
 
-    ASSESS_INTERVAL_MS = 100.0  # between updates of all estimates: for each request they would cost too much
+    ASSESS_INTERVAL_MS = 100.0  # between updates of all estimates, which are too expensive per request
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self._next_assessment_at = now
 
     def on_timer(self, now: float, _event: TimerFired, _sink: DecisionSink) -> None:
-        """Updates mean latencies and slow start, if an interval has passed."""
+        """Updates mean latencies and slow start, once per interval."""
         if now < self._next_assessment_at:
             return
         self._next_assessment_at = now + self.ASSESS_INTERVAL_MS
@@ -41,7 +41,7 @@
         self._latency.update(now, self._servers)
 
     def record_result(self, now: float, attempt: Attempt, event: AttemptFinished, sink: DecisionSink) -> None:
-        """Counts how an attempt ended."""
+        """Counts the result of an attempt; cancelled, unused and full attempts are not counted."""
         server = attempt.server
         if event.result in (AttemptResult.OK, AttemptResult.EXPIRED):
             self._limit.record_answer(now, attempt, event.latency_ms)
--- a/onyxpost/policy/server_eligibility.py
+++ b/onyxpost/policy/server_eligibility.py
@@ -1,4 +1,4 @@
-"""Which app servers a request's next attempt may be sent to."""
+"""Decides which app servers a request's next attempt may be sent to."""
 
 from onyxpost.core.requests import Request, UpstreamServer
 from onyxpost.core.types import Idempotency
@@ -16,12 +16,16 @@
         self._outliers = outliers
 
     def candidates(self, now: float, servers: list[UpstreamServer], request: Request) -> list[UpstreamServer]:
-        """Returns the servers that may be chosen; ejected ones only where there are no others."""
+        """Returns the eligible servers in the given order; ejected ones only if there are no others."""
         eligible = self._eligible(now, servers, request)
         return [each for each in eligible if self._outliers.may_attempt(now, each)] or eligible
 
     def _eligible(self, now: float, servers: list[UpstreamServer], request: Request) -> list[UpstreamServer]:
-        """Returns trusted servers in the deduplication scope; tried ones only if certainly not executed."""
+        """Returns trusted servers in the deduplication scope.
+
+        Servers that were tried before are included only if there are no others and the request was certainly
+        never executed.
+        """
         trusted_ms = self._trust.trusted_ms
         servers = [each for each in servers if now - each.last_success_sent_at < trusted_ms]
         executed = self._execution.first_possible_execution(request)
--- a/onyxpost/policy/server_selection.py
+++ b/onyxpost/policy/server_selection.py
@@ -1,4 +1,4 @@
-"""Builds the collaborators that decide which server gets an attempt, and how many are in flight."""
+"""Builds the components that select a server for each attempt and limit the attempts in flight."""
 
 from onyxpost.core.node_state import NodeState
 from onyxpost.core.seeded_random import SeededRandom
@@ -16,16 +16,16 @@
 
 
 class ServerSelection:
-    """The collaborators that deal with servers.
+    """The components that deal with app servers.
 
     Attributes:
-        latency: estimates of latency.
-        slow_start: the turns of servers that warm up.
+        latency: estimates each server's latency.
+        slow_start: decides when a server that warms up is due for a request.
         concurrency: the limit on attempts in flight.
-        order: each customer's order of preference.
-        trust: which servers are trusted while endpoints may be stale.
-        endpoints: applies what discovery reports.
-        assessment: applies what the ends of attempts say.
+        order: orders the servers for each customer.
+        trust: bounds the trust in servers while endpoints are stale.
+        endpoints: applies updates from discovery.
+        assessment: applies the results of attempts.
         balancer: picks the server for an attempt.
     """
 
--- a/onyxpost/policy/slow_start.py
+++ b/onyxpost/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: all nodes together send a new server only the part of a share that its age permits."""
+"""Slow start: all nodes together send a server only the fraction of its load that its age permits."""
 
 from typing import NamedTuple
 
@@ -10,7 +10,7 @@
 
 
 class RequestCounts(NamedTuple):
-    """Requests that this node was to send, to any server."""
+    """Count of the attempts that this node was about to send, to any server."""
 
     requests: float = 0.0
 
@@ -22,12 +22,12 @@
     """Decides when a server that warms up gets its next request from this node.
 
     Attributes:
-        requests: recent requests that this node was to send.
+        requests: counts the recent attempts that this node was about to send.
     """
 
-    GOLDEN_RATIO = 0.6180339887  # any run of its multiples, modulo 1, is spread evenly from 0 to 1
-    JITTER_PARTS = 20.0  # a node's phase is moved at random by up to one such part of an interval
-    MIN_WINDOW_MS = 1000.0  # over which a node that has just started counts what it has sent
+    GOLDEN_RATIO = 0.6180339887  # its successive multiples modulo 1 are spread evenly from 0 to 1
+    JITTER_PARTS = 20.0  # a node's phase is shifted at random by up to 1 / JITTER_PARTS of an interval
+    MIN_WINDOW_MS = 1000.0  # shortest time over which a node that has just started measures its request rate
 
     def __init__(self, now: float, options: GatewayOptions, servers: ServerRegistry) -> None:
         self._started_at = now
@@ -39,7 +39,7 @@
         self.requests = SlidingWindowCounter(self._window_ms / slots, slots, RequestCounts)
 
     def warmup_fraction(self, now: float, server: UpstreamServer) -> float:
-        """Returns the share of its capacity that the server surely has by now."""
+        """Returns the fraction of its capacity that a server of this age is certain to have."""
         started_at = server.endpoint.started_at
         age_ms = now - started_at
         if started_at <= 0.0 or age_ms >= self._policy.warmup_ms:
@@ -47,26 +47,27 @@
         return max(self._policy.initial_fraction, age_ms / self._policy.warmup_ms)
 
     def restart(self, server: UpstreamServer, random_number: float) -> None:
-        """Sets when a new process gets its first request from this node."""
-        # Each node has its own phase: all nodes' first requests at once would overload the server.
+        """Sets the time until a restarted server gets its first request from this node."""
+        # Each node has its own phase, as the first requests of all nodes at once would overload the server.
         phase = self._node_index * self.GOLDEN_RATIO + server.hash / 2.0**32
         server.slow_start.intervals_left = (phase + random_number / self.JITTER_PARTS) % 1.0
 
     def record_request(self, now: float) -> None:
-        """Counts a request that is to be sent to a server."""
+        """Counts an attempt that is about to be sent, to any server."""
         self.requests.add(now, ONE_REQUEST)
 
     def on_attempt_started(self, server: UpstreamServer) -> None:
-        """Lets the server wait for a whole interval until its next request."""
+        """Makes the server due again after a whole interval."""
         server.slow_start.intervals_left = 1.0
 
     def advance(self, now: float, elapsed_ms: float) -> None:
-        """Counts the waits down by the intervals that have passed within `elapsed_ms`."""
+        """Reduces each server's remaining intervals by `elapsed_ms`, divided by the current interval."""
         sent = self.requests.totals(now).requests
         window_ms = min(self._window_ms, max(self.MIN_WINDOW_MS, now - self._started_at))
         fractions = [(server, self.warmup_fraction(now, server)) for server in self._servers.ready]
         interval_ms = window_ms * sum(fraction for _, fraction in fractions) / max(1.0, sent)
-        # The wait counts down in steps, each by the interval at its time. Measured as a whole, it would let
-        # all nodes send at once when half of the warm servers disappear, which halves the interval.
-        for server, fraction in fractions:  # that of a warm server is never read
+        # Remaining intervals are reduced in steps, each by the interval at that time. If they were computed
+        # from the time of the last request, the loss of half of the warm servers, which halves the interval,
+        # would make the server due at all nodes at once.
+        for server, fraction in fractions:  # the value of a warm server is never read
             server.slow_start.intervals_left -= elapsed_ms * fraction / interval_ms
