--- a/onyxpost/core/__init__.py
+++ b/onyxpost/core/__init__.py
@@ -1,1 +1,1 @@
-"""Types, events and arithmetic shared by the decision code and its hosts; no decisions, no I/O."""
+"""Types, events and arithmetic shared by the decision code and its hosts, without decisions or I/O."""
--- a/onyxpost/core/customer_quota.py
+++ b/onyxpost/core/customer_quota.py
@@ -1,4 +1,4 @@
-"""What a node keeps of one customer: token buckets, leases, usage of peers. No decisions here."""
+"""A node's record of one customer: token buckets, leases and the usage of peers. No decisions here."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from onyxpost.core.types import Plan
 from onyxpost.core.usage_reports import NO_NODE, Placement, UsageReport
 
-UNKNOWN_PLAN = Plan("", 0.0, 0.0, 0, 0.0, 0.0, 0.0)  # until a request or a peer's report names the plan
+UNKNOWN_PLAN = Plan("", 0.0, 0.0, 0, 0.0, 0.0, 0.0)  # plan of a customer until a request or report names it
 
 
 @dataclass(slots=True)
 class Lease:
-    """Units of a customer's quota that a planner lets this node spend until `expires_at`, in ms."""
+    """Units of a customer's quota that a planner lets this node spend until `expires_at` (ms)."""
 
     units: float
     expires_at: float
@@ -21,14 +21,14 @@
 
 @dataclass(slots=True)
 class PeerUsage:
-    """A customer's usage as one peer has last reported it.
+    """A customer's usage, as last reported by one peer.
 
     Attributes:
         incarnation: the peer's incarnation; a restarted peer counts from 0 again.
-        units_used: the peer's cumulative count.
-        in_flight: attempts that it has in flight.
-        recent_units: units that its last report added.
-        reported_at: when that report was received, in ms.
+        units_used: the peer's cumulative count of units.
+        in_flight: the peer's attempts in flight.
+        recent_units: units that the last report added to the count.
+        reported_at: when the last report was received, in ms.
     """
 
     incarnation: str = ""
@@ -42,19 +42,20 @@
     """The state of one customer's quota at this node.
 
     Attributes:
-        key: CRC-32 of the customer's key.
+        key: CRC-32 of the customer's key, by which nodes identify the customer to each other.
         last_seen_at: when a request or report of the customer was last received, in ms.
-        quota: tokens in units of the plan's quota.
-        hard_limit: tokens of this node's part of the plan's hard limit.
-        leases: by lease id.
-        in_flight: attempts of this node.
+        plan: the customer's plan; `UNKNOWN_PLAN` until it is known.
+        quota: the token bucket of the plan's quota, in units.
+        hard_limit: the token bucket of this node's part of the plan's hard limit, in units.
+        leases: the leases that this node holds, by lease id.
+        in_flight: attempts in flight from this node.
         units_used: cumulative count of units that this node has used.
-        units_reported: the part of them that has been reported to all peers, or to the coordinator.
+        units_reported: `units_used` as of the last report to all peers, or to the coordinator.
         peers: the other nodes that serve the customer.
-        next_peer: number of peers that got a report in the current round; 0 where there is a coordinator.
-        coordinator: the node that sums up all nodes' usage, or `NO_NODE`.
-        placement: None until the plan is known, and where planners grant leases.
-        peer_usage: by the peer's node index.
+        next_peer: number of peers that got a report in the current round; 0 if there is a coordinator.
+        coordinator: index of the quota coordinator, or `NO_NODE`.
+        placement: plan and nodes of the customer; None until the plan is known and if planners grant leases.
+        peer_usage: usage reported by peers, by node index.
     """
 
     def __init__(self, key: int, created_at: float) -> None:
@@ -75,11 +76,11 @@
 
     @property
     def has_coordinator(self) -> bool:
-        """Whether one node of the set sums up all nodes' usage."""
+        """Whether a quota coordinator sums the usage of all nodes."""
         return self.coordinator != NO_NODE
 
     def set_plan(self, plan: Plan, quota_share: float, hard_limit_share: float, max_debt_ms: float) -> None:
-        """Sets the plan and the shares of its limits that this node's buckets are refilled with."""
+        """Sets the plan, and the shares of its limits with which this node's buckets are refilled."""
         self.plan = plan
         self.quota.configure(plan.rate * quota_share, plan.burst * quota_share, max_debt_ms)
         self.hard_limit.configure(
@@ -87,18 +88,18 @@
         )
 
     def refill(self, now: float) -> None:
-        """Refills both buckets; before the plan is known there is nothing to refill them with."""
+        """Refills both buckets; does nothing until the plan is known."""
         if self.plan is not UNKNOWN_PLAN:
             self.quota.refill(now)
             self.hard_limit.refill(now)
 
     def consume(self, units: int, hard_limit_units: int) -> None:
-        """Counts units that this node uses."""
+        """Takes units from both buckets and counts them as used by this node."""
         self.quota.consume(units)
         self.units_used += units
         self.hard_limit.consume(hard_limit_units)
 
     def report(self, new_units: int, transferred_units: int) -> UsageReport:
-        """Returns a report of this node's usage."""
+        """Returns a report of this node's usage, to be sent to a peer."""
         placement = self.placement or Placement(0, 0, 0)
         return UsageReport(self.key, self.units_used, self.in_flight, new_units, transferred_units, placement)
--- a/onyxpost/core/customer_table.py
+++ b/onyxpost/core/customer_table.py
@@ -1,4 +1,4 @@
-"""The customers that a node knows. No decisions here."""
+"""The table of customers that a node knows. No decisions here."""
 
 from __future__ import annotations
 
@@ -6,14 +6,19 @@
 
 
 class CustomerTable:
-    """Customers' quotas, by CRC-32 of the customer's key."""
+    """Customers' quotas, by CRC-32 of the customer's key.
+
+    Attributes:
+        started_at: start of this node, in ms; buckets of new customers are refilled from then on.
+        by_key: all known customers.
+    """
 
     def __init__(self, started_at: float) -> None:
         self.started_at = started_at
         self.by_key: dict[int, CustomerQuota] = {}
 
     def get(self, key: int) -> CustomerQuota:
-        """Returns the customer of this key, a new one if it is not known."""
+        """Returns the customer with this key; adds it if it is not known."""
         found = self.by_key.get(key)
         if found is None:
             found = CustomerQuota(key, self.started_at)
--- a/onyxpost/core/event_dispatcher.py
+++ b/onyxpost/core/event_dispatcher.py
@@ -14,13 +14,13 @@
 
 
 class EventDispatcher:
-    """Calls the handlers that are registered for an event's type, in the order of their registration."""
+    """Calls the handlers of an event's type in the order of their registration."""
 
     def __init__(self) -> None:
         self._handlers: dict[type[Any], list[EventHandler[Any]]] = {}
 
     def register(self, event_type: type[EventT], *handlers: EventHandler[EventT]) -> None:
-        """Adds handlers for events of one type."""
+        """Appends handlers for events of one type."""
         self._handlers.setdefault(event_type, []).extend(handlers)
 
     def handled_types(self) -> set[type[Any]]:
--- a/onyxpost/core/events.py
+++ b/onyxpost/core/events.py
@@ -1,6 +1,6 @@
-"""Events that the decision code handles, in order of arrival; its host makes them from what it receives.
+"""Events that the decision code handles. Its host creates them and passes them on in order of arrival.
 
-Times are milliseconds on the host's clock, with fractions. Requests, servers and leases are named by ids.
+Times are milliseconds on the host's clock, with fractions. Requests, servers and leases are given by id.
 """
 
 from __future__ import annotations
@@ -12,30 +12,33 @@
 
 
 class EndpointsUpdated(NamedTuple):
-    """Discovery reported endpoints: all that exist if `complete`, else only those that changed."""
+    """Discovery has reported endpoints: all that exist if `complete`, else only those that have changed."""
 
     complete: bool
     endpoints: list[EndpointStatus]
 
 
 class EndpointPollFailed(NamedTuple):
-    """A poll of discovery failed and has to be repeated."""
+    """A poll of discovery has failed and must be repeated."""
 
 
 class EndpointsStale(NamedTuple):
-    """Changes of endpoints may have been missed: servers are trusted only for a while after an answer."""
+    """Changes of endpoints may have been missed.
+
+    Until the next `EndpointsUpdated`, servers are trusted only for a limited time after a success.
+    """
 
 
 class RequestArrived(NamedTuple):
-    """A client's request has been read whole.
+    """A client's request has been received completely.
 
     Attributes:
-        request_id: the host's id of the request, unique while it is pending.
+        request_id: the host's id of the request, unique among pending requests.
         deadline: when the client gives up, in ms.
-        frontend: name of the frontend that it addresses.
+        frontend: name of the frontend that the request addresses.
         customer: the customer's key, as text.
         plan: name of the customer's plan.
-        units: what it takes from the customer's quota.
+        units: units that the request takes from the customer's quota.
         set_size: number of nodes that serve this customer.
         first_node: index of the first of those nodes.
     """
@@ -51,13 +54,13 @@
 
 
 class RequestCancelled(NamedTuple):
-    """The client of a pending request has disconnected: the request needs no answer any more."""
+    """The client of a pending request has disconnected, so no answer is needed."""
 
     request_id: str
 
 
 class ResponseStarted(NamedTuple):
-    """A streamed response of a request has begun."""
+    """The streamed response to a request has started."""
 
     request_id: str
 
@@ -66,10 +69,10 @@
     """An attempt has ended.
 
     Attributes:
-        request_id: the request that it was made for.
+        request_id: the request to which the attempt belongs.
         attempt_index: 0 for the request's first attempt.
-        result: how it ended.
-        latency_ms: time from its start to its end.
+        result: how the attempt ended.
+        latency_ms: time from the start of the attempt to its end.
         settled: whether the request has its final answer.
         actual_units: units that the server reports as used; 0 where it reports none.
     """
@@ -83,7 +86,10 @@
 
 
 class LeaseGranted(NamedTuple):
-    """A planner lets this node spend `units` of a customer's quota until `expires_at`, in ms."""
+    """A planner lets this node spend `units` of a customer's quota until `expires_at` (ms).
+
+    `customer` is the CRC-32 of the customer's key.
+    """
 
     customer: int
     lease_id: int
@@ -92,27 +98,27 @@
 
 
 class LeaseRevoked(NamedTuple):
-    """A lease must not be used any more."""
+    """A planner has revoked a lease; this node must not spend its units any more."""
 
     customer: int
     lease_id: int
 
 
 class RoutingRulesChanged(NamedTuple):
-    """Routing rules take effect."""
+    """New routing rules apply to requests that are admitted from now on."""
 
     rules: RoutingRules
 
 
 class PeerMessageReceived(NamedTuple):
-    """Another node has sent its counts of customers' usage."""
+    """A message from another node has arrived; `body` is the text that `gossip_codec` decodes."""
 
     peer: int
     body: str
 
 
 class TimerFired(NamedTuple):
-    """A timer that was started by `DecisionSink.start_timer` has run out."""
+    """A timer that was started by `DecisionSink.start_timer` has expired."""
 
     token: int
 
--- a/onyxpost/core/gossip_codec.py
+++ b/onyxpost/core/gossip_codec.py
@@ -1,7 +1,7 @@
-"""The text of messages in which nodes report customers' usage to each other.
+"""Encodes and decodes the messages in which nodes report customers' usage to each other.
 
-A message is the sender's incarnation and entries, separated by spaces. An entry is eight (report) or three
-(correction) hexadecimal numbers, separated by colons.
+A message consists of the sender's incarnation and entries, separated by spaces. An entry consists of
+hexadecimal numbers, separated by colons: eight for a report, three for a correction.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class GossipMessage(NamedTuple):
-    """A decoded message."""
+    """A decoded message from a peer; `incarnation` identifies the sender's run."""
 
     incarnation: str
     reports: list[UsageReport]
@@ -27,7 +27,7 @@
 
 
 def decode_message(body: str, plan_count: int) -> GossipMessage | None:
-    """Decodes a message; returns None if an entry is malformed or names a plan that does not exist."""
+    """Returns the decoded message, or None if an entry is malformed or its plan does not exist."""
     incarnation, *entries = body.split(" ")
     message = GossipMessage(incarnation, [], [])
     for entry in entries:
@@ -50,13 +50,19 @@
 
 
 def encode_entry(entry: UsageReport | QuotaCorrection) -> str:
-    """Returns the text of one entry."""
+    """Returns the text of a report or correction."""
     fields = (*entry[:-1], *entry.placement) if isinstance(entry, UsageReport) else entry
     return ":".join(f"{field:x}" for field in fields)
 
 
 class MessagePacker:
-    """Packs entries for each peer into as few messages as possible and sends those that are full."""
+    """Collects entries per peer into messages of limited size and sends each message that is full.
+
+    Args:
+        incarnation: the sender's incarnation, which starts each message.
+        max_bytes: size limit of a message.
+        send: called with a peer's node index and a message.
+    """
 
     def __init__(self, incarnation: str, max_bytes: int, send: Callable[[int, str], None]) -> None:
         self._incarnation = incarnation
@@ -65,13 +71,13 @@
         self._bodies: dict[int, str] = {}
 
     def add(self, peer: int, entry: UsageReport | QuotaCorrection) -> None:
-        """Adds an entry to the peer's message."""
+        """Adds an entry to the peer's message; sends the message first if the entry does not fit."""
         text = encode_entry(entry)
         if len(self._bodies.get(peer, "")) + 1 + len(text) > self._max_bytes:
             self._send(peer, self._bodies.pop(peer))
         self._bodies[peer] = f"{self._bodies.get(peer, self._incarnation)} {text}"
 
     def flush(self) -> None:
-        """Sends the messages that are left."""
+        """Sends all messages that have not been sent yet."""
         for peer, body in self._bodies.items():
             self._send(peer, body)
--- a/onyxpost/core/node_state.py
+++ b/onyxpost/core/node_state.py
@@ -1,4 +1,4 @@
-"""What one node knows. No decisions here."""
+"""The state that the components of one node share. No decisions here."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     """The requests, customers, servers and routing rules that a node knows.
 
     Attributes:
-        requests: those that are queued, have attempts in flight or are not yet answered, by the host's id.
-        rules: the routing rules in force; None: there are none.
+        requests: requests that are queued, have attempts in flight or are unanswered, by request id.
+        rules: the routing rules in force; None if there are none.
     """
 
     options: GatewayOptions
--- a/onyxpost/core/options.py
+++ b/onyxpost/core/options.py
@@ -20,15 +20,15 @@
     """Options of a gateway.
 
     Attributes:
-        seed: equal seeds give equal decisions.
+        seed: seed of the node's random numbers; equal seeds give equal decisions.
         node_index: this node's index among `node_count` nodes.
         node_count: number of nodes that share the customers' quotas.
-        tick_ms: resolution of the node's timers; 0 if they have none.
+        tick_ms: resolution of the node's timers; 0 if they are exact.
         frontends: all frontends.
         plans: all plans of customers, in the same order on all nodes.
-        slow_start: how fast the capacity of an app server grows after its start.
-        limits: what the deployment permits the node.
-        polls_endpoints: whether the node must poll discovery, which does not push changes.
+        slow_start: how the capacity of an app server grows after its start.
+        limits: limits that the deployment sets for the node.
+        polls_endpoints: whether the node must poll discovery because discovery does not push changes.
     """
 
     seed: int
@@ -42,25 +42,25 @@
     polls_endpoints: bool = False
 
     def placement(self, event: RequestArrived) -> Placement:
-        """Returns the plan and the nodes of the customer whose request arrived.
+        """Returns the plan and the nodes of the customer whose request has arrived.
 
         Raises:
-            StopIteration: there is no plan of this name.
+            StopIteration: no plan has the name in the event.
         """
         plan_index = next(index for index, plan in enumerate(self.plans) if plan.name == event.plan)
         return Placement(plan_index, int(event.first_node), int(event.set_size))
 
     @property
     def incarnation(self) -> str:
-        """Distinguishes this run of the node from earlier ones in what its peers receive."""
+        """Identifies this run of the node in messages to peers, to distinguish it from earlier runs."""
         return f"{crc32(f'{self.seed}/life'.encode()) & INCARNATION_MASK:x}"
 
     @property
     def max_peer_messages_per_second(self) -> float:
-        """Messages that a node can receive from its peers; 0: it receives none."""
+        """Messages a second that a node can receive from its peers; 0 if nodes send no messages."""
         return self.limits.peer_messages * self.limits.peer_messages_per_second
 
     @property
     def shortest_latency_objective_ms(self) -> float:
-        """The shortest latency objective of all frontends."""
+        """The shortest latency objective of all frontends, in ms."""
         return min(frontend.latency_objective_ms for frontend in self.frontends)
--- a/onyxpost/core/requests.py
+++ b/onyxpost/core/requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients, their attempts, and the app servers that these are sent to. No decisions here."""
+"""Requests of clients, their attempts, and the app servers that receive these. No decisions here."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
     from onyxpost.core.customer_quota import CustomerQuota
     from onyxpost.core.sliding_window import SlidingWindowCounter
 
-NEVER_STARTED = -1.0  # differs from all start times, so that the first status of a server is a start
+NEVER_STARTED = -1.0  # differs from all start times, so that a server's first status counts as a start
 
 
 class UpstreamServer:
-    """An app server as this node sees it.
+    """This node's record of an app server.
 
     Attributes:
-        hash: CRC-32 of the id, for preference orders.
-        endpoint: what discovery last reported of it.
-        in_flight: attempts at the server, in order of their start.
+        hash: CRC-32 of the id, for preference orders and slow start.
+        endpoint: the server's status as last reported by discovery.
+        in_flight: attempts in flight from this node, in order of their start.
         last_success_sent_at: when the last attempt that succeeded was sent, in ms.
     """
 
@@ -45,12 +45,12 @@
 
     @property
     def zone(self) -> str:
-        """The server's zone."""
+        """The server's zone, as last reported by discovery."""
         return self.endpoint.zone
 
     @property
     def cell(self) -> int:
-        """The server's cell."""
+        """The server's cell, as last reported by discovery."""
         return self.endpoint.cell
 
     def reset(self, window: SlidingWindowCounter[AnswerCounts]) -> None:
@@ -59,11 +59,11 @@
         self.circuit_breaker = CircuitBreaker()
 
     def unexpired_attempts(self, now: float) -> int:
-        """Returns the number of attempts in flight that can still be within their latency objective."""
+        """Returns the number of attempts in flight whose latency deadline has not passed."""
         return sum(1 for attempt in self.in_flight if not attempt.is_expired(now))
 
     def scope_key(self, scope: DeduplicationScope) -> str | int:
-        """Returns a value that is equal for servers that drop each other's duplicates."""
+        """Returns a key that is equal for servers in the same deduplication scope."""
         if scope is DeduplicationScope.ZONE:
             return self.zone
         return self.cell if scope is DeduplicationScope.CELL else 0
@@ -71,12 +71,12 @@
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """A request at one server.
+    """An attempt to execute a request at one server.
 
     Attributes:
         index: 0 for the request's first attempt.
-        sent_at: when it was sent, in ms.
-        in_flight: whether it has not ended yet.
+        sent_at: when the attempt was sent, in ms.
+        in_flight: whether the attempt has not ended yet.
         possibly_executed: whether the server may have executed the request.
     """
 
@@ -88,11 +88,11 @@
     possibly_executed: bool = True
 
     def is_expired(self, now: float) -> bool:
-        """Returns whether its answer can no longer be within the latency objective."""
+        """Returns whether the request's latency deadline has passed."""
         return now >= self.request.latency_deadline
 
     def finish(self) -> None:
-        """Ends the attempt: it is in flight no more, neither at its server nor for its customer."""
+        """Ends the attempt and removes it from those in flight at its server and for its customer."""
         self.in_flight = False
         self.server.in_flight.pop(self, None)
         self.request.customer.in_flight -= 1
@@ -102,14 +102,16 @@
     """A client's request.
 
     Attributes:
-        arrived_at: when it arrived, in ms.
+        id: the host's id of the request.
+        arrived_at: when the request arrived, in ms.
         deadline: when the client gives up, in ms.
-        latency_deadline: until when an answer is within the frontend's latency objective, in ms.
-        units: what it takes from its customer's quota.
-        admitted_at: when it was admitted, in ms; until then, when it arrived.
-        constraint: what the routing rules that were in force at its admission permit.
-        is_finished: whether the client has its final answer, or has disconnected.
-        is_streaming: whether a streamed response has begun.
+        latency_deadline: the time until which an answer meets the frontend's latency objective, in ms.
+        units: units that the request takes from its customer's quota.
+        admitted_at: when the request was admitted, in ms; equal to `arrived_at` before admission.
+        constraint: the constraint of the routing rules that were in force at admission.
+        attempts: all attempts, in order of their start.
+        is_finished: whether the client has its final answer or has disconnected.
+        is_streaming: whether a streamed response has started.
     """
 
     def __init__(
@@ -135,7 +137,7 @@
         self.is_streaming = False
 
     def start_attempt(self, server: UpstreamServer, now: float) -> Attempt:
-        """Adds an attempt at the server."""
+        """Adds an attempt, in flight, at the server and returns it."""
         attempt = Attempt(self, server, len(self.attempts), now)
         self.attempts.append(attempt)
         server.in_flight[attempt] = None
@@ -143,5 +145,5 @@
         return attempt
 
     def has_attempt_in_flight(self) -> bool:
-        """Returns whether any attempt has not ended yet."""
+        """Returns whether any attempt is in flight."""
         return any(attempt.in_flight for attempt in self.attempts)
--- a/onyxpost/core/server_records.py
+++ b/onyxpost/core/server_records.py
@@ -1,7 +1,7 @@
-"""What a node keeps of one app server, a record for each concern. No decisions here.
+"""A node's records of one app server: latency, circuit breaker and slow start. No decisions here.
 
 `onyxpost.policy.latency_estimates`, `onyxpost.policy.outlier_detection` and `onyxpost.policy.slow_start`
-decide by these records.
+update and use these records.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
     """Counts of ended attempts and the sum of their latencies.
 
     Attributes:
-        answers: attempts that were answered, or that ended by their timeout.
-        latency_ms: sum of the latencies of these.
+        answers: attempts that were answered or ended by their timeout.
+        latency_ms: sum of the latencies of `answers`.
         failures: attempts that failed.
     """
 
@@ -27,11 +27,11 @@
 
 
 class LatencyStatistics:
-    """A server's results, and the means that were last computed from them.
+    """The recent results of a server, and the means that were last computed from them.
 
     Attributes:
         window: recent results.
-        mean_latency_ms: mean within the window, with the age of slow attempts in flight; 0: unknown.
+        mean_latency_ms: mean latency within the window, slow attempts in flight included; 0 if unknown.
         mean_in_flight: mean number of attempts in flight within the window, plus 1.
     """
 
@@ -47,8 +47,9 @@
     """Whether a server is ejected.
 
     Attributes:
-        open_until: the circuit breaker rejects all attempts until then, in ms.
-        successes_to_close: successful trials until it closes; 0: it is closed. Each trip adds one.
+        open_until: the time until which the server gets no attempts, in ms.
+        successes_to_close: successful attempts until the circuit breaker closes; 0 if it is closed. Each trip
+            adds one.
     """
 
     __slots__ = ("open_until", "successes_to_close")
@@ -62,7 +63,7 @@
     """When a server that warms up gets its next request from this node.
 
     Attributes:
-        intervals_left: intervals between requests that the server still waits for; from 0 on it is its turn.
+        intervals_left: remaining time, in intervals between two requests; the server is due at 0 or below.
     """
 
     __slots__ = ("intervals_left",)
--- a/onyxpost/core/server_registry.py
+++ b/onyxpost/core/server_registry.py
@@ -1,4 +1,4 @@
-"""The app servers that discovery reports. No decisions here."""
+"""The registry of the app servers that discovery reports. No decisions here."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
     """The known app servers.
 
     Attributes:
-        known: all servers, by id.
-        ready: those that accept new attempts.
-        active: those with attempts in flight or results within the window; only these are visited for sums.
+        known: all servers that are ready or draining, by id.
+        ready: servers that accept new attempts.
+        active: servers with attempts in flight or recent results; sums visit only these, to save time.
     """
 
     def __init__(self) -> None:
@@ -34,15 +34,16 @@
         create: Callable[[str], UpstreamServer],
         on_start: Callable[[UpstreamServer], None],
     ) -> None:
-        """Applies what discovery reports.
+        """Applies an update from discovery.
 
         Args:
-            update: what it reports.
-            create: makes a server that was not known.
-            on_start: called for each server with a new process, before its new endpoint is set.
+            update: the reported endpoints.
+            create: returns a new server for an unknown id.
+            on_start: called for each server that has started since its last status, before the new status
+                is set.
         """
         if update.complete:
-            for server in self.known.values():  # until the update names it
+            for server in self.known.values():  # unless the update contains the server
                 server.endpoint = replace(server.endpoint, state=EndpointState.GONE)
         for status in update.endpoints:
             server = self.known.get(status.server) or create(status.server)
@@ -58,9 +59,9 @@
         ]
 
     def unexpired_attempts(self, now: float) -> int:
-        """Returns the number of attempts at all servers that can still be within their latency objective."""
+        """Returns the number of attempts in flight, at all servers, whose latency deadline has not passed."""
         return sum(server.unexpired_attempts(now) for server in self.active)
 
     def attempts_in_flight(self) -> list[Attempt]:
-        """Returns the attempts at all servers."""
+        """Returns the attempts in flight at all servers."""
         return [attempt for server in self.active for attempt in server.in_flight]
--- a/onyxpost/core/sink.py
+++ b/onyxpost/core/sink.py
@@ -1,4 +1,4 @@
-"""How the decision code and its host call each other."""
+"""The interfaces between the decision code and its host."""
 
 from __future__ import annotations
 
@@ -11,44 +11,52 @@
 
 
 class DecisionSink(Protocol):
-    """Carries out decisions, in the order in which they are made. Durations are milliseconds."""
+    """Implemented by hosts: carries out decisions in the order in which they are made."""
 
     def start_attempt(self, request_id: str, server: str, timeout_ms: float, begin_before: float) -> None:
-        """Forwards a request to a server, for `timeout_ms`; nothing is sent from `begin_before` (ms) on."""
+        """Forwards a request to a server, with a timeout.
+
+        Args:
+            request_id: the request.
+            server: the server's id.
+            timeout_ms: how long the attempt may take.
+            begin_before: the time from which on the attempt must not start, in ms; `inf` for no limit.
+        """
 
     def reject(self, request_id: str, retry_after_ms: float) -> None:
         """Answers that the request was not executed and may be sent again after `retry_after_ms`."""
 
     def abort(self, request_id: str) -> None:
-        """Answers that the request failed and may have been executed."""
+        """Answers that the request has failed and is possibly executed."""
 
     def cancel_attempt(self, request_id: str, attempt_index: int) -> None:
-        """Ends an attempt whose result is of no use any more."""
+        """Cancels an attempt whose result is not needed any more."""
 
     def send_peer_message(self, peer: int, body: str) -> None:
-        """Sends one message with counts of customers' usage to another node."""
+        """Sends a message with customers' usage to another node."""
 
     def start_timer(self, delay_ms: float, token: int) -> None:
-        """Delivers `TimerFired(token)` after `delay_ms`."""
+        """Starts a timer: the host passes `TimerFired(token)` after `delay_ms`."""
 
     def log(self, line: str) -> None:
-        """Logs a change of mode."""
+        """Logs a change of mode: load shedding or the ejection of a server."""
 
     def watch_endpoints(self) -> None:
-        """Asks discovery for changes of endpoints."""
+        """Asks discovery for changes of endpoints; a failure is passed back as `EndpointPollFailed`."""
 
     def report_units_spent(self, customer: int, plan: str, units: int, lease: int) -> None:
-        """Reports units that a request took from a lease, or from this node's own share (lease 0).
+        """Reports to the planners the units that a request took from a lease.
 
-        Units that a request rejected over its quota lacked are reported with lease 0, too.
+        Lease 0 stands for this node's own share. Units that a request rejected over quota lacked are reported
+        with lease 0, too.
         """
 
     def return_lease(self, lease: int, units: int) -> None:
-        """Gives a lease back with the units that are left of it."""
+        """Returns a lease and its remaining units to its planner."""
 
 
 class DecisionMaker(Protocol):
-    """Makes all decisions of one node."""
+    """Implemented by the decision code: makes all decisions of one node."""
 
     def handle(self, now: float, events: Iterable[Event], sink: DecisionSink) -> None:
-        """Handles events in their order of arrival; `now` is the host's time in ms."""
+        """Handles events in order of arrival; `now` is the host's time, in ms."""
--- a/onyxpost/core/sliding_window.py
+++ b/onyxpost/core/sliding_window.py
@@ -11,12 +11,12 @@
 
 
 class SlidingWindowCounter(Generic[CountsT]):
-    """Sums of several named values over the last `slots` intervals of `slot_ms`.
+    """Sums of several named values over a window of the last `slots` intervals.
 
     Args:
         slot_ms: length of an interval.
         slots: number of intervals, the current one included.
-        counts: the `NamedTuple` that names the values; each is 0 by default.
+        counts: the `NamedTuple` class of the values, with a default of 0 for each.
     """
 
     def __init__(self, slot_ms: float, slots: int, counts: Callable[..., CountsT]) -> None:
@@ -38,7 +38,7 @@
         self._epoch = epoch
 
     def add(self, now: float, counts: CountsT) -> None:
-        """Adds to each value in the current interval."""
+        """Adds `counts` to the values of the current interval."""
         self.advance(now)
         row = self._rows[self._epoch % self._slots]
         for index, amount in enumerate(counts):
@@ -46,10 +46,10 @@
             self._sums[index] += amount
 
     def totals(self, now: float) -> CountsT:
-        """Returns the sums over the window."""
+        """Returns the sums over the window that ends with the current interval."""
         self.advance(now)
         return self._counts(*self._sums)
 
     def intervals(self) -> list[CountsT]:
-        """Returns the sums of each interval, not in order of time."""
+        """Returns the sums of each interval as of the last change, in no order of time."""
         return [self._counts(*row) for row in self._rows]
--- a/onyxpost/core/stable_hash.py
+++ b/onyxpost/core/stable_hash.py
@@ -1,4 +1,4 @@
-"""A hash that is the same in every process and on every node, for rendezvous hashing."""
+"""A hash that is equal in every process and on every node, for rendezvous hashing."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 def stable_hash(text: str) -> int:
     """Returns a 32-bit hash of the text.
 
-    CRC-32 is linear: without the mixing, the hashes of two names would differ by the same bits whatever is
-    appended to both.
+    CRC-32 is linear. Without the mixing rounds, the hashes of two names would differ in the same bits for
+    every text that is appended to both.
     """
     value = crc32(text.encode())
     for _ in range(_MIX_ROUNDS):
--- a/onyxpost/core/types.py
+++ b/onyxpost/core/types.py
@@ -1,8 +1,8 @@
-"""Types that pass between the decision code (`onyxpost.policy`) and its hosts. No decisions here.
+"""Types that the decision code (`onyxpost.policy`) and its hosts share. No decisions here.
 
-A host makes one `onyxpost.policy.gateway.Gateway` for each incarnation of an edge node and calls
-`handle(now, events, sink)` when events have arrived: `onyxpost.core.events` defines the events, and
-`onyxpost.core.sink` what a host does for the gateway.
+A host creates one `onyxpost.policy.gateway.Gateway` for each incarnation of an edge node and calls
+`handle(now, events, sink)` when events have arrived. `onyxpost.core.events` defines the events, and
+`onyxpost.core.sink` defines the calls that the gateway makes to its host.
 
 Times are milliseconds with fractions.
 """
@@ -16,7 +16,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a request of a frontend may be executed again."""
+    """Whether a request of a frontend may be executed more than once."""
 
     IDEMPOTENT = "replayable"
     IDEMPOTENCY_KEY = "keyed"
@@ -24,7 +24,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which app servers together drop duplicates of a request with an idempotency key."""
+    """The set of app servers that together drop duplicates of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -32,17 +32,17 @@
 
 
 class AttemptResult(Enum):
-    """How an attempt ended: its label in logs, and whether that proves that it was never executed.
+    """How an attempt ended, with a label for logs and whether the attempt was certainly never executed.
 
     Attributes:
         OK: the server answered.
         ERROR: the server answered with an error.
         FULL: the server rejected the request for lack of capacity.
         EXPIRED: no answer came within the attempt's timeout.
-        NO_CONNECTION: no connection, or it ended before the whole request was sent.
-        LOST: the connection was lost before the answer.
+        NO_CONNECTION: no connection was made, or it was lost before the whole request was sent.
+        LOST: the connection was lost after the request was sent and before the answer.
         CANCELLED: the gateway cancelled the attempt.
-        UNUSED: nothing was sent, for a reason that says nothing about the server.
+        UNUSED: nothing was sent, for a reason that is unrelated to the server.
     """
 
     OK = ("ok", False)
@@ -60,7 +60,7 @@
 
 
 class EndpointState(Enum):
-    """What discovery reports of an app server."""
+    """The state of an app server, as reported by discovery."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -74,11 +74,12 @@
     Attributes:
         latency_objective_ms: the time within which an answer has its full value.
         client_timeout_ms: the time after which clients give up.
-        deduplication_scope: which servers drop duplicates, for requests with an idempotency key.
-        deduplication_window_ms: how long they do.
-        priority_weight: value of an answer within the objective.
-        late_weight: value of a later answer; 0: it has none.
-        latency_objective_stretch: as the settings give it; decisions do not depend on it.
+        idempotency: whether requests may be executed more than once.
+        deduplication_scope: the servers that drop duplicates of requests with an idempotency key.
+        deduplication_window_ms: how long these servers drop duplicates.
+        priority_weight: value of an answer within the latency objective.
+        late_weight: value of a later answer; 0 if late answers are worthless.
+        latency_objective_stretch: value from the settings, which decisions do not use.
         streamed: whether responses are streamed.
     """
 
@@ -96,15 +97,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Limits of a customer's use.
+    """A plan: the limits on a customer's usage, and its priority.
 
     Attributes:
-        rate: units a second; 0: no quota in units.
-        burst: units that can be saved up.
-        concurrency_limit: on attempts in flight; 0: none.
-        priority_factor: by which the value of an answer is multiplied.
-        hard_limit_rate: units a second that may never be exceeded; 0: no hard limit.
-        hard_limit_burst: units of the hard limit that can be saved up.
+        rate: the quota, in units a second; 0 if there is no quota.
+        burst: the largest number of unused units of the quota.
+        concurrency_limit: the largest number of attempts in flight; 0 if there is no limit.
+        priority_factor: factor by which the value of an answer is multiplied.
+        hard_limit_rate: units a second that may never be exceeded; 0 if there is no hard limit.
+        hard_limit_burst: the largest number of unused units of the hard limit.
     """
 
     name: str
@@ -118,13 +119,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStartPolicy:
-    """How fast the capacity of app servers grows after their start.
+    """How the capacity of app servers grows after their start.
 
     Attributes:
-        initial_fraction: share of its capacity that a server has at its start.
-        warmup_ms: time after which it has its full capacity.
+        initial_fraction: fraction of its full capacity that a server has at its start.
+        warmup_ms: time after its start at which a server has its full capacity.
         overload_multiple: a server fails if all nodes together send it this multiple of its capacity.
-        overload_window_ms: time over which that is counted.
+        overload_window_ms: time over which the load on a server is measured for `overload_multiple`.
     """
 
     initial_fraction: float
@@ -135,18 +136,18 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayLimits:
-    """What this deployment permits an edge node.
+    """Limits that the deployment sets for an edge node.
 
     Attributes:
-        max_attempts: for one request.
+        max_attempts: the largest number of attempts for one request.
         parallel_attempts: whether attempts for one request may overlap.
         cancellation: whether attempts can be cancelled.
         peer_messages: whether nodes can send each other messages.
-        max_retry_after_ms: the longest time that a client is asked to wait.
-        peer_messages_per_second: messages that a node can receive.
-        local_share: 0: there are no planners. Above 0: planners grant leases, and the buckets of all nodes
+        max_retry_after_ms: upper bound of `Retry-After`.
+        peer_messages_per_second: messages that a node can receive from its peers.
+        local_share: 0 if there are no planners. Above 0, planners grant leases, and the buckets of all nodes
             together are refilled with this share of each limit.
-        drain_grace_ms: time after the start of a server's drain in which attempts may still begin.
+        drain_grace_ms: time after the start of a server's drain in which attempts may still start.
     """
 
     max_attempts: int
@@ -161,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointStatus:
-    """One app server as discovery reports it; `started_at` 0: long ago."""
+    """The status of one app server, as reported by discovery; `started_at` is 0 for a start long ago."""
 
     server: str
     zone: str
@@ -180,29 +181,29 @@
 
     @property
     def zone(self) -> str:
-        """The zone that it is in."""
+        """The server's zone."""
 
     @property
     def cell(self) -> int:
-        """The cell that it is in."""
+        """The server's cell."""
 
 
 ServerType = TypeVar("ServerType", bound=Locatable)
 
 
 class RoutingConstraint:
-    """What routing rules permit one request; this base class permits everything.
+    """The constraint that routing rules put on one request; this base class permits everything.
 
     Attributes:
-        max_attempts: limit on the request's attempts.
-        capacity_share: share of the concurrency limit from which on the request is rejected.
+        max_attempts: upper bound of the request's attempts.
+        capacity_share: share of the concurrency limit at which the request is rejected.
     """
 
     max_attempts: float = inf
     capacity_share: float = 1.0
 
     def select(self, servers: list[ServerType]) -> list[ServerType]:
-        """Returns those of the servers that may be chosen, in the same order."""
+        """Returns the servers that the request may be sent to, in the given order."""
         return servers
 
 
@@ -210,7 +211,7 @@
 
 
 class RoutingRules(Protocol):
-    """Routing rules in force. A request keeps the constraint of its admission."""
+    """The routing rules in force. A request keeps the constraint that it got at admission."""
 
     def constraint_for(self, frontend: str, plan: str, customer: int) -> RoutingConstraint:
         """Returns the constraint on a request; `customer` is the CRC-32 of its customer's key."""
--- a/onyxpost/core/usage_reports.py
+++ b/onyxpost/core/usage_reports.py
@@ -1,10 +1,10 @@
-"""What nodes report to each other of customers' usage."""
+"""The entries of messages in which nodes report customers' usage to each other."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-NO_NODE = -1  # in place of a node index
+NO_NODE = -1  # stands for "none" in place of a node index
 
 
 class Placement(NamedTuple):
@@ -15,16 +15,16 @@
     set_size: int
 
     def members(self, node_count: int) -> list[int]:
-        """Returns the nodes; a set that is larger than all nodes together is an error of a peer."""
+        """Returns the nodes of the set; a set size above `node_count`, a peer's error, is reduced to it."""
         size = min(self.set_size, node_count)
         return [(self.first_node + index) % node_count for index in range(size)]
 
     def peers_of(self, node_index: int, node_count: int) -> list[int]:
-        """Returns the other nodes."""
+        """Returns the nodes of the set other than `node_index`."""
         return [node for node in self.members(node_count) if node != node_index]
 
     def member(self, key: int, node_count: int) -> int:
-        """Returns the node of the set that a hash key selects."""
+        """Returns the node of the set that a hash key selects, such as a customer's coordinator."""
         return (self.first_node + key % self.set_size) % node_count
 
 
@@ -33,10 +33,10 @@
 
     Attributes:
         customer: CRC-32 of the customer's key.
-        units_used: cumulative count of the sender's incarnation.
+        units_used: units used by the sender's incarnation since its start.
         in_flight: the sender's attempts in flight.
-        new_units: those of `units_used` that have not been reported to the receiver before.
-        transferred_units: units of the hard limit that the sender hands over.
+        new_units: the part of `units_used` that is new since the sender's last round of reports.
+        transferred_units: hard-limit tokens that the sender transfers to the receiver.
         placement: the customer's plan and nodes.
     """
 
@@ -49,12 +49,12 @@
 
 
 class QuotaCorrection(NamedTuple):
-    """What a coordinator knows of one customer at all nodes.
+    """The quota coordinator's count of one customer's usage at all nodes.
 
     Attributes:
         customer: CRC-32 of the customer's key.
-        used_units: units that are missing from the full burst.
-        in_flight: attempts in flight at all nodes but the receiver.
+        used_units: tokens that are missing from a full bucket.
+        in_flight: attempts in flight at all nodes except the receiver.
     """
 
     customer: int
@@ -62,4 +62,4 @@
     in_flight: int
 
 
-AddressedEntry = tuple[int, UsageReport | QuotaCorrection]  # a peer's node index, and the entry to send to it
+AddressedEntry = tuple[int, UsageReport | QuotaCorrection]  # the peer's node index and the entry for it
