--- a/onyxpost/core/customer_table.py
+++ b/onyxpost/core/customer_table.py
@@ -19,8 +19,8 @@
 
     def get(self, key: int) -> CustomerQuota:
         """Returns the customer with this key; adds it if it is not known."""
-        found = self.by_key.get(key)
-        if found is None:
-            found = CustomerQuota(key, self.started_at)
-            self.by_key[key] = found
-        return found
+        customer = self.by_key.get(key)
+        if customer is None:
+            customer = CustomerQuota(key, self.started_at)
+            self.by_key[key] = customer
+        return customer
--- a/onyxpost/core/gossip_codec.py
+++ b/onyxpost/core/gossip_codec.py
@@ -36,8 +36,8 @@
         except ValueError:
             return None
         if len(fields) == REPORT_FIELDS:
-            customer, units_used, in_flight, new_units, transferred_units, *placed = fields
-            placement = Placement(*placed)
+            customer, units_used, in_flight, new_units, transferred_units, *placement_fields = fields
+            placement = Placement(*placement_fields)
             if not -plan_count <= placement.plan_index < plan_count:
                 return None
             report = UsageReport(customer, units_used, in_flight, new_units, transferred_units, placement)
--- a/onyxpost/core/server_registry.py
+++ b/onyxpost/core/server_registry.py
@@ -31,14 +31,14 @@
     def update(
         self,
         update: EndpointsUpdated,
-        create: Callable[[str], UpstreamServer],
+        create_server: Callable[[str], UpstreamServer],
         on_start: Callable[[UpstreamServer], None],
     ) -> None:
         """Applies an update from discovery.
 
         Args:
             update: the reported endpoints.
-            create: returns a new server for an unknown id.
+            create_server: returns a new server for an unknown id.
             on_start: called for each server that has started since its last status, before the new status
                 is set.
         """
@@ -46,7 +46,7 @@
             for server in self.known.values():  # unless the update contains the server
                 server.endpoint = replace(server.endpoint, state=EndpointState.GONE)
         for status in update.endpoints:
-            server = self.known.get(status.server) or create(status.server)
+            server = self.known.get(status.server) or create_server(status.server)
             self.known[server.id] = server
             if status.started_at != server.endpoint.started_at:
                 on_start(server)
--- a/onyxpost/core/sliding_window.py
+++ b/onyxpost/core/sliding_window.py
@@ -16,40 +16,42 @@
     Args:
         slot_ms: length of an interval.
         slots: number of intervals, the current one included.
-        counts: the `NamedTuple` class of the values, with a default of 0 for each.
+        counts_type: the `NamedTuple` class of the values, with a default of 0 for each.
     """
 
-    def __init__(self, slot_ms: float, slots: int, counts: Callable[..., CountsT]) -> None:
+    def __init__(self, slot_ms: float, slots: int, counts_type: Callable[..., CountsT]) -> None:
         self._slot_ms = slot_ms
         self._slots = slots
-        self._counts = counts
-        self._values = len(counts())
+        self._counts_type = counts_type
+        self._value_count = len(counts_type())
         self._epoch = 0
-        self._sums = [0.0] * self._values
-        self._rows = [[0.0] * self._values for _ in range(slots)]
+        self._totals = [0.0] * self._value_count
+        self._slot_sums = [[0.0] * self._value_count for _ in range(slots)]
 
     def advance(self, now: float) -> None:
         """Drops the intervals that have left the window."""
         epoch = int(now // self._slot_ms)
-        for passed in range(max(self._epoch, epoch - self._slots) + 1, epoch + 1):
-            dropped = self._rows[passed % self._slots]
-            self._rows[passed % self._slots] = [0.0] * self._values
-            self._sums = [total - old for total, old in zip(self._sums, dropped, strict=True)]
+        for new_epoch in range(max(self._epoch, epoch - self._slots) + 1, epoch + 1):
+            expired_sums = self._slot_sums[new_epoch % self._slots]
+            self._slot_sums[new_epoch % self._slots] = [0.0] * self._value_count
+            self._totals = [
+                total - expired for total, expired in zip(self._totals, expired_sums, strict=True)
+            ]
         self._epoch = epoch
 
     def add(self, now: float, counts: CountsT) -> None:
         """Adds `counts` to the values of the current interval."""
         self.advance(now)
-        row = self._rows[self._epoch % self._slots]
+        slot_sums = self._slot_sums[self._epoch % self._slots]
         for index, amount in enumerate(counts):
-            row[index] += amount
-            self._sums[index] += amount
+            slot_sums[index] += amount
+            self._totals[index] += amount
 
     def totals(self, now: float) -> CountsT:
         """Returns the sums over the window that ends with the current interval."""
         self.advance(now)
-        return self._counts(*self._sums)
+        return self._counts_type(*self._totals)
 
     def intervals(self) -> list[CountsT]:
         """Returns the sums of each interval as of the last change, in no order of time."""
-        return [self._counts(*row) for row in self._rows]
+        return [self._counts_type(*slot_sums) for slot_sums in self._slot_sums]
--- a/onyxpost/core/usage_reports.py
+++ b/onyxpost/core/usage_reports.py
@@ -23,7 +23,7 @@
         """Returns the nodes of the set other than `node_index`."""
         return [node for node in self.members(node_count) if node != node_index]
 
-    def member(self, key: int, node_count: int) -> int:
+    def member_for_key(self, key: int, node_count: int) -> int:
         """Returns the node of the set that a hash key selects, such as a customer's coordinator."""
         return (self.first_node + key % self.set_size) % node_count
 
@@ -53,12 +53,12 @@
 
     Attributes:
         customer: CRC-32 of the customer's key.
-        used_units: tokens that are missing from a full bucket.
+        missing_tokens: tokens that are missing from a full bucket.
         in_flight: attempts in flight at all nodes except the receiver.
     """
 
     customer: int
-    used_units: int
+    missing_tokens: int
     in_flight: int
 
 
--- a/onyxpost/policy/abandonment.py
+++ b/onyxpost/policy/abandonment.py
@@ -8,7 +8,7 @@
 from onyxpost.policy.request_completion import RequestCompletion
 
 
-class Abandonment:
+class FailureResponder:
     """Ends requests that got no final answer from a server."""
 
     def __init__(
@@ -23,7 +23,7 @@
         self._execution = execution
         self._rejections = rejections
 
-    def abandon(self, request: Request, sink: DecisionSink) -> None:
+    def respond(self, request: Request, sink: DecisionSink) -> None:
         """Rejects a request if its client may send it again without a second execution, else aborts it.
 
         The load shedder counts the request as answered at its deadline.
--- a/onyxpost/policy/admission.py
+++ b/onyxpost/policy/admission.py
@@ -22,7 +22,7 @@
         state: NodeState,
         random: SeededRandom,
         quotas: QuotaPolicy,
-        waiting: HardLimitWait,
+        hard_limit_wait: HardLimitWait,
         router: RequestRouter,
         rejections: Rejections,
     ) -> None:
@@ -30,7 +30,7 @@
         self._frontends = {frontend.name: frontend for frontend in state.options.frontends}
         self._random = random
         self._quotas = quotas
-        self._waiting = waiting
+        self._hard_limit_wait = hard_limit_wait
         self._router = router
         self._rejections = rejections
 
@@ -38,12 +38,14 @@
         """Routes, queues or rejects a request that has just arrived."""
         request = self._new_request(now, event)
         customer = request.customer
-        has_capacity = not self._waiting.has_waiting(customer) and self._quotas.has_capacity(now, request)
-        if not has_capacity and self._waiting.should_wait(now, request):
+        has_capacity = not self._hard_limit_wait.has_waiting(customer) and self._quotas.has_capacity(
+            now, request
+        )
+        if not has_capacity and self._hard_limit_wait.should_wait(now, request):
             self._state.requests[request.id] = request
-            self._waiting.add(request)
-        elif not has_capacity or self._random.next() > self._quotas.admission_probability(customer):
-            self._rejections.reject_over_quota(request, sink)
+            self._hard_limit_wait.add(request)
+        elif not has_capacity or self._random.next() > self._quotas.quota_admission_probability(customer):
+            self._rejections.reject_over_limit(request, sink)
         else:
             self._router.route(now, request, sink)
 
@@ -55,14 +57,14 @@
 
     def on_timer(self, now: float, _event: TimerFired, sink: DecisionSink) -> None:
         """Routes or rejects the queued requests of all customers whose wait is over."""
-        for customer in self._waiting.customers():
+        for customer in self._hard_limit_wait.customers():
             self.release(now, customer, sink)
 
     def release(self, now: float, customer: CustomerQuota, sink: DecisionSink) -> None:
         """Routes or rejects the customer's queued requests whose wait is over."""
-        for request, is_admitted in self._waiting.release(now, customer):
+        for request, is_admitted in self._hard_limit_wait.release(now, customer):
             del self._state.requests[request.id]
             if is_admitted:
                 self._router.route(now, request, sink)
             else:
-                self._rejections.reject_over_quota(request, sink)
+                self._rejections.reject_over_limit(request, sink)
--- a/onyxpost/policy/attempt_results.py
+++ b/onyxpost/policy/attempt_results.py
@@ -5,7 +5,7 @@
 from onyxpost.core.requests import Attempt
 from onyxpost.core.sink import DecisionSink
 from onyxpost.core.types import AttemptResult
-from onyxpost.policy.abandonment import Abandonment
+from onyxpost.policy.abandonment import FailureResponder
 from onyxpost.policy.load_shedding import LatencyLoadShedder
 from onyxpost.policy.possible_execution import finish_attempt
 from onyxpost.policy.request_completion import RequestCompletion
@@ -14,7 +14,7 @@
 from onyxpost.policy.usage import UsageRecorder
 
 
-class AttemptResults:
+class AttemptResultHandler:
     """Decides whether a request whose attempt has ended is finished, retried, rejected or aborted."""
 
     def __init__(
@@ -25,7 +25,7 @@
         usage: UsageRecorder,
         completion: RequestCompletion,
         retries: RetryDispatcher,
-        abandonment: Abandonment,
+        failure_responder: FailureResponder,
     ) -> None:
         self._requests = state.requests
         self._assessment = assessment
@@ -33,7 +33,7 @@
         self._usage = usage
         self._completion = completion
         self._retries = retries
-        self._abandonment = abandonment
+        self._failure_responder = failure_responder
 
     def on_attempt_finished(self, now: float, event: AttemptFinished, sink: DecisionSink) -> None:
         """Records the result of an attempt and decides on its request; unknown attempts are ignored."""
@@ -49,11 +49,11 @@
         if event.settled and not request.is_finished:
             self._completion.finish(request, sink)
         elif request.is_finished:
-            self._completion.remove_if_settled(request)
+            self._completion.remove_if_no_attempt_in_flight(request)
         elif not (
             request.has_attempt_in_flight() or request.is_streaming or self._retries.retry(now, request, sink)
         ):
-            self._abandonment.abandon(request, sink)
+            self._failure_responder.respond(request, sink)
 
     def _find(self, event: AttemptFinished) -> Attempt | None:
         request = self._requests.get(event.request_id)
--- a/onyxpost/policy/concurrency.py
+++ b/onyxpost/policy/concurrency.py
@@ -82,11 +82,13 @@
 
     def record_answer(self, now: float, attempt: Attempt, latency_ms: float) -> None:
         """Counts an answer, or an attempt that ended by its timeout, unless sent before the last decrease."""
-        counts = float(attempt.sent_at >= self._decreased_at)
+        answer_count = float(attempt.sent_at >= self._decreased_at)
         objective_ms = attempt.request.frontend.latency_objective_ms
         is_quick = latency_ms < self.QUICK_FRACTION * self.LATE_FRACTION * objective_ms
         is_late = self._is_late(attempt, latency_ms)
-        self._answers.add(now, LatenessCounts(answers=counts, late=float(is_late), quick=counts * is_quick))
+        self._answers.add(
+            now, LatenessCounts(answers=answer_count, late=float(is_late), quick=answer_count * is_quick)
+        )
 
     def on_timer(self, now: float, _event: TimerFired, _sink: DecisionSink) -> None:
         """Updates the limit at the end of each period.
@@ -97,21 +99,21 @@
             return
         self._next_update_at = now + self._period_ms
         in_flight = self._servers.attempts_in_flight()
-        overdue = sum(
+        late_in_flight = sum(
             self._is_late(each, now - each.sent_at) for each in in_flight if not each.is_expired(now)
         )
-        counts = self._answers.totals(now)
-        late = overdue + counts.late
-        answers = overdue + counts.answers
+        recent = self._answers.totals(now)
+        late_answers = late_in_flight + recent.late
+        all_answers = late_in_flight + recent.answers
         # If at least as many answers are quick as late, the late ones are due to lost or expensive requests
         # and not to slow servers.
-        threshold = max(self.MAX_LATE_SHARE * answers, counts.quick)
-        if late >= self.MIN_LATE_ANSWERS and late > threshold:
+        threshold = max(self.MAX_LATE_SHARE * all_answers, recent.quick)
+        if late_answers >= self.MIN_LATE_ANSWERS and late_answers > threshold:
             self.limit = max(self._min_limit, self.limit * self.DECREASE_FACTOR)
             self._decreased_at = now
             self._answers = self._new_window()
-        elif self._shedder.is_shedding or self._is_used(len(in_flight)):
+        elif self._shedder.is_shedding or self._is_limit_used(len(in_flight)):
             self.limit = min(self._max_limit, self.limit * self.INCREASE_FACTOR)
 
-    def _is_used(self, in_flight: int) -> bool:
+    def _is_limit_used(self, in_flight: int) -> bool:
         return self.is_reached(self._servers.ready, in_flight, self.MIN_USED_SHARE)
--- a/onyxpost/policy/hard_limit_queue.py
+++ b/onyxpost/policy/hard_limit_queue.py
@@ -26,7 +26,7 @@
         """Returns the units of all queued requests of the customer."""
         return sum(request.units for request in self._queues.get(customer, []))
 
-    def has(self, customer: CustomerQuota) -> bool:
+    def has_requests(self, customer: CustomerQuota) -> bool:
         """Returns whether the customer has queued requests."""
         return customer in self._queues
 
--- a/onyxpost/policy/hard_limit_wait.py
+++ b/onyxpost/policy/hard_limit_wait.py
@@ -43,12 +43,12 @@
     def _latest_start(self, request: Request) -> float:
         """Returns the time until which a request may wait, in ms on the host's clock."""
         margin_ms = self.START_MARGIN_LATENCIES * self._latency.mean_latency_ms
-        in_time = request.latency_deadline - margin_ms
-        return min(in_time, self.MAX_WAIT_FRACTION * (request.arrived_at + request.deadline))
+        latest_in_time = request.latency_deadline - margin_ms
+        return min(latest_in_time, self.MAX_WAIT_FRACTION * (request.arrived_at + request.deadline))
 
     def has_waiting(self, customer: CustomerQuota) -> bool:
         """Returns whether the customer has queued requests; later requests must not overtake them."""
-        return self._queue.has(customer)
+        return self._queue.has_requests(customer)
 
     def customers(self) -> list[CustomerQuota]:
         """Returns the customers that have queued requests."""
--- a/onyxpost/policy/latency_estimates.py
+++ b/onyxpost/policy/latency_estimates.py
@@ -55,25 +55,27 @@
             totals.latency_ms / totals.answers if totals.answers else self._initial_latency_ms
         )
         for server in list(servers.active):
-            counts = server.latency.window.totals(now)
-            self._update_means(now, server, counts)
-            if not (server.in_flight or counts.answers or counts.failures):
+            results = server.latency.window.totals(now)
+            self._update_means(now, server, results)
+            if not (server.in_flight or results.answers or results.failures):
                 server.latency.mean_latency_ms = 0.0
                 server.latency.mean_in_flight = 1.0
                 del servers.active[server]
 
-    def _update_means(self, now: float, server: UpstreamServer, counts: AnswerCounts) -> None:
+    def _update_means(self, now: float, server: UpstreamServer, results: AnswerCounts) -> None:
         """Updates a server's means, with `PRIOR_ANSWERS` assumed answers at the mean latency of all servers.
 
         An attempt that has been in flight for longer than this mean counts as an answer with its age as
         latency, because the answers of a slow server are few and arrive late.
         """
-        usual_ms = self.mean_latency_ms
-        ages = [now - each.sent_at for each in server.in_flight if now - each.sent_at > usual_ms]
-        answers = counts.answers + len(ages) + self.PRIOR_ANSWERS
-        total_ms = counts.latency_ms + sum(ages) + self.PRIOR_ANSWERS * usual_ms
+        overall_mean_ms = self.mean_latency_ms
+        overdue_ages_ms = [
+            now - each.sent_at for each in server.in_flight if now - each.sent_at > overall_mean_ms
+        ]
+        answers = results.answers + len(overdue_ages_ms) + self.PRIOR_ANSWERS
+        total_ms = results.latency_ms + sum(overdue_ages_ms) + self.PRIOR_ANSWERS * overall_mean_ms
         server.latency.mean_latency_ms = total_ms / answers
-        server.latency.mean_in_flight = counts.latency_ms / self.WINDOW_MS + 1.0
+        server.latency.mean_in_flight = results.latency_ms / self.WINDOW_MS + 1.0
 
     def expected_latency_ms(self, server: UpstreamServer) -> float:
         """Returns the latency of one more request: the mean, scaled by attempts in flight (Little's law)."""
--- a/onyxpost/policy/latency_model.py
+++ b/onyxpost/policy/latency_model.py
@@ -87,8 +87,8 @@
             (-last.rejection_probability, last.load),
         ]
         terms = list(zip(inputs, self._coefficients, strict=True))
-        predicted = sum(value * coefficient.at(load) for (value, load), coefficient in terms)
-        error = min(self._max_error, max(-self._max_error, ratio - predicted))
+        predicted_ratio = sum(value * coefficient.at(load) for (value, load), coefficient in terms)
+        error = min(self._max_error, max(-self._max_error, ratio - predicted_ratio))
         rate = self._learning_rate
         self._coefficients = [
             Coefficient(
--- a/onyxpost/policy/leases.py
+++ b/onyxpost/policy/leases.py
@@ -13,11 +13,11 @@
     from onyxpost.core.requests import Request
     from onyxpost.core.sink import DecisionSink
 
-OWN_SHARE = 0  # lease id that stands for the node's own buckets
+OWN_SHARE_LEASE_ID = 0  # stands for the node's own buckets, its share of the quota
 
 
 class LeaseUse(NamedTuple):
-    """Units that a request takes from a lease, or from the node's own share (`OWN_SHARE`)."""
+    """Units that a request takes from a lease, or from the node's own share (`OWN_SHARE_LEASE_ID`)."""
 
     lease_id: int
     units: int
@@ -35,17 +35,17 @@
     """
     if leased_units(customer, now) < units:
         customer.consume(units, units)
-        return [LeaseUse(OWN_SHARE, units)]
+        return [LeaseUse(OWN_SHARE_LEASE_ID, units)]
     customer.units_used += units
     uses = []
     for lease_id, lease in customer.leases.items():
         if now >= lease.expires_at:
             continue
-        part = int(min(units, lease.units))
-        lease.units -= part
-        units -= part
-        if part:
-            uses.append(LeaseUse(lease_id, part))
+        taken_units = int(min(units, lease.units))
+        lease.units -= taken_units
+        units -= taken_units
+        if taken_units:
+            uses.append(LeaseUse(lease_id, taken_units))
     return uses
 
 
@@ -81,8 +81,8 @@
             self._report(request, use, sink)
 
     def report_shortage(self, request: Request, sink: DecisionSink) -> None:
-        """Reports the units that a request rejected over quota lacked, with `OWN_SHARE` as lease id."""
-        self._report(request, LeaseUse(OWN_SHARE, request.units), sink)
+        """Reports the units that a request rejected over quota lacked, with `OWN_SHARE_LEASE_ID`."""
+        self._report(request, LeaseUse(OWN_SHARE_LEASE_ID, request.units), sink)
 
     def _report(self, request: Request, use: LeaseUse, sink: DecisionSink) -> None:
         if self._has_planners:
--- a/onyxpost/policy/load_balancing.py
+++ b/onyxpost/policy/load_balancing.py
@@ -34,12 +34,14 @@
 
     def pick(self, now: float, request: Request) -> UpstreamServer | None:
         """Returns the server for the request's next attempt; None if no server has capacity for it."""
-        ranking = self._order.servers_for(request.customer)
-        if self._limit.is_reached(ranking, self._servers.unexpired_attempts(now)):
+        preferred = self._order.servers_for(request.customer)
+        if self._limit.is_reached(preferred, self._servers.unexpired_attempts(now)):
             return None
-        warming_up = {each for each in ranking if self._slow_start.warmup_fraction(now, each) < 1.0}
-        due = [each for each in ranking if each not in warming_up or each.slow_start.intervals_left <= 0.0]
-        candidates = self._eligibility.candidates(now, due, request)
+        warming_servers = {each for each in preferred if self._slow_start.warmup_fraction(now, each) < 1.0}
+        due_servers = [
+            each for each in preferred if each not in warming_servers or each.slow_start.intervals_left <= 0.0
+        ]
+        candidates = self._eligibility.candidates(now, due_servers, request)
         constraint = request.constraint
         if constraint is not UNRESTRICTED:  # the limit of all servers would overload the selected ones
             candidates = constraint.select(candidates)
@@ -49,8 +51,10 @@
         self._slow_start.record_request(now)
         # Servers that are due in slow start take precedence. Chosen by expected latency alone, they might get
         # no requests at all.
-        first = next((each for each in candidates if not each.in_flight and each in warming_up), None)
-        return self._lowest_expected_latency(candidates) if first is None and candidates else first
+        first_due = next(
+            (each for each in candidates if not each.in_flight and each in warming_servers), None
+        )
+        return self._lowest_expected_latency(candidates) if first_due is None and candidates else first_due
 
     def _lowest_expected_latency(self, servers: list[UpstreamServer]) -> UpstreamServer:
         """Returns the first server in preference order within `LATENCY_TOLERANCE` of the lowest latency."""
--- a/onyxpost/policy/load_shedding.py
+++ b/onyxpost/policy/load_shedding.py
@@ -38,10 +38,10 @@
         self.rejection_probability = 0.0
         self._random = random
         self._arrivals = 0
-        self._completed = 0
+        self._completed_requests = 0
         self._next_update_at = now + self.PERIOD_MS * (1.0 + random.next())  # staggered over nodes
         self._completions = SlidingWindowCounter(self.PERIOD_MS, self.CAPACITY_PERIODS, CompletionCounts)
-        self._ratios: dict[Frontend, list[float]] = {}
+        self._latency_ratios: dict[Frontend, list[float]] = {}
         self._model = LatencyModel(PUBLISHED_COEFFICIENTS, self.LEARNING_RATE, self.MAX_MODEL_ERROR)
 
     @property
@@ -59,7 +59,7 @@
 
     def record_completion(self, request: Request, now: float) -> None:
         """Counts an answered request with its latency since admission."""
-        self._completed += 1
+        self._completed_requests += 1
         self._record_latency(request.frontend, now - request.admitted_at)
 
     def record_unanswered(self, request: Request, since: float) -> None:
@@ -68,7 +68,7 @@
 
     def _record_latency(self, frontend: Frontend, latency_ms: float) -> None:
         """Records a latency as a ratio to the frontend's latency objective."""
-        self._ratios.setdefault(frontend, []).append(latency_ms / frontend.latency_objective_ms)
+        self._latency_ratios.setdefault(frontend, []).append(latency_ms / frontend.latency_objective_ms)
 
     def on_timer(self, now: float, _event: TimerFired, sink: DecisionSink) -> None:
         """Updates the rejection probability at the end of each period.
@@ -78,11 +78,11 @@
         if now < self._next_update_at:
             return
         self._next_update_at += self.PERIOD_MS
-        self._completions.add(now, CompletionCounts(self._completed))
+        self._completions.add(now, CompletionCounts(self._completed_requests))
         capacity = max(interval.completions for interval in self._completions.intervals())
         load = min(self.MAX_LOAD, self._arrivals / capacity) if capacity else 0.0
         self._arrivals = 0
-        self._completed = 0
+        self._completed_requests = 0
         was_shedding = self.is_shedding
         self._update(load)
         if was_shedding != self.is_shedding:
@@ -90,11 +90,11 @@
             sink.log(f"shedding {mode}: theta={self.rejection_probability:.2f} r={load:.2f}")
 
     def _update(self, load: float) -> None:
-        if not self._ratios:
+        if not self._latency_ratios:
             self._model.forget()
             return
-        ratio = max(sum(ratios) / len(ratios) for ratios in self._ratios.values())
-        self._ratios = {}
+        ratio = max(sum(ratios) / len(ratios) for ratios in self._latency_ratios.values())
+        self._latency_ratios = {}
         self._model.observe(Period(ratio, load, self.rejection_probability))
         coefficient = max(self.MIN_INPUT_COEFFICIENT, self._model.input_coefficient(load))
         step = min(self.MAX_STEP, max(-self.MAX_STEP, self.GAIN * (ratio - 1.0) / coefficient))
--- a/onyxpost/policy/outlier_detection.py
+++ b/onyxpost/policy/outlier_detection.py
@@ -34,11 +34,11 @@
         self, now: float, server: UpstreamServer, result: AttemptResult, sink: DecisionSink
     ) -> None:
         """Ejects the server if it is an outlier, unless half of the ready servers are ejected already."""
-        counts = server.latency.window.totals(now)
-        failed = counts.failures
-        good = counts.answers
+        results = server.latency.window.totals(now)
+        failed = results.failures
+        answered = results.answers
         breaker = server.circuit_breaker
-        is_outlier = failed >= self.MIN_FAILURES and failed > self.MAX_FAILED_SHARE * (failed + good)
+        is_outlier = failed >= self.MIN_FAILURES and failed > self.MAX_FAILED_SHARE * (failed + answered)
         # One failed connection is enough to eject a server, as probably no process listens there. One failed
         # trial is enough, too.
         if not (breaker.successes_to_close or result is AttemptResult.NO_CONNECTION or is_outlier):
@@ -47,7 +47,7 @@
             open_ms = self.OPEN_MS * 2.0**breaker.successes_to_close
             breaker.open_until = now + min(self.MAX_OPEN_MS, open_ms)
             breaker.successes_to_close += 1
-            sink.log(f"server {server.id} ejected: {result.label} failed={failed:.0f} good={good:.0f}")
+            sink.log(f"server {server.id} ejected: {result.label} failed={failed:.0f} good={answered:.0f}")
 
     def _count_other_ejected(self, server: UpstreamServer) -> int:
         return sum(
--- a/onyxpost/policy/peer_usage.py
+++ b/onyxpost/policy/peer_usage.py
@@ -43,10 +43,11 @@
             units = report.units_used - usage.units_used
         else:
             units = report.units_used if usage.incarnation else report.new_units
-        peer_forgot_customer = units < 0 and report.units_used == report.new_units  # its count restarted at 0
+        # The peer has forgotten the customer in the meantime and counts from 0 again.
+        is_count_restarted = units < 0 and report.units_used == report.new_units
         customer.last_seen_at = now
         customer.refill(now)
-        customer.quota.consume(report.new_units if peer_forgot_customer else units)
+        customer.quota.consume(report.new_units if is_count_restarted else units)
         customer.hard_limit.tokens += report.transferred_units
         customer.peer_usage[peer] = PeerUsage(incarnation, report.units_used, report.in_flight, units, now)
 
@@ -61,4 +62,4 @@
         customer.quota.refilled_at = now
         customer.hard_limit.refilled_at = now
         unreported_units = customer.units_used - customer.units_reported
-        customer.quota.tokens = customer.plan.burst - correction.used_units - unreported_units
+        customer.quota.tokens = customer.plan.burst - correction.missing_tokens - unreported_units
--- a/onyxpost/policy/preference_order.py
+++ b/onyxpost/policy/preference_order.py
@@ -35,10 +35,10 @@
 
     def servers_for(self, customer: CustomerQuota) -> list[UpstreamServer]:
         """Returns the ready servers in the customer's order of preference."""
-        found = self._orders.get(customer)
-        if not found:
+        order = self._orders.get(customer)
+        if not order:
             key = customer.key ^ (self._node_salt if customer.has_coordinator else 0)
             multiplier = self.HASH_MULTIPLIER
-            found = sorted(self._servers.ready, key=lambda each: (each.hash ^ key) * multiplier % HASH_RANGE)
-            self._orders[customer] = found
-        return found
+            order = sorted(self._servers.ready, key=lambda each: (each.hash ^ key) * multiplier % HASH_RANGE)
+            self._orders[customer] = order
+        return order
--- a/onyxpost/policy/quota_gossip.py
+++ b/onyxpost/policy/quota_gossip.py
@@ -53,15 +53,15 @@
         """Applies a message and calls `on_report` after each report; drops a malformed message as a whole."""
         if (message := decode_message(body, len(self._options.plans))) is None:
             return
-        counts = not message.reports
+        is_counted = not message.reports
         for report in message.reports:
             customer = self._quotas.customers.get(report.customer)
             self._quotas.assign_plan(customer, now, report.placement)
             self._quotas.peer_usage.apply_report(customer, now, peer, message.incarnation, report)
             self.changed[customer] = None
-            counts = counts or not customer.has_coordinator
+            is_counted = is_counted or not customer.has_coordinator
             on_report(customer)
-        if counts:  # reports to a coordinator do not, as they would defer its corrections
+        if is_counted:  # reports to a coordinator do not, as they would defer its corrections
             self._received.add(now, ONE_MESSAGE)
         for correction in message.corrections:
             customer = self._quotas.customers.get(correction.customer)
@@ -97,22 +97,22 @@
         peer_usage = self._quotas.peer_usage
         customer.units_reported = customer.units_used
         customer.refill(now)
-        gone = plan.burst - customer.quota.tokens
-        is_short = gone >= self._quotas.PRESSURE_FRACTION * plan.burst > 0.0
-        if is_short or 2 * peer_usage.total_in_flight(customer, now) > plan.concurrency_limit > 0:
+        missing_tokens = plan.burst - customer.quota.tokens
+        is_under_pressure = missing_tokens >= self._quotas.PRESSURE_FRACTION * plan.burst > 0.0
+        if is_under_pressure or 2 * peer_usage.total_in_flight(customer, now) > plan.concurrency_limit > 0:
             for peer in customer.peers:
                 in_flight = peer_usage.total_in_flight(customer, now, peer)
-                yield peer, QuotaCorrection(customer.key, int(gone), in_flight)
+                yield peer, QuotaCorrection(customer.key, int(missing_tokens), in_flight)
 
     def _report(self, customer: CustomerQuota, now: float) -> Iterator[AddressedEntry]:
         """Yields a report to the coordinator or to the next peer; a round ends with the last peer."""
-        turn = customer.next_peer % len(customer.peers)
-        peer = customer.coordinator if customer.has_coordinator else customer.peers[turn]
+        peer_position = customer.next_peer % len(customer.peers)
+        peer = customer.coordinator if customer.has_coordinator else customer.peers[peer_position]
         new_units = customer.units_used - customer.units_reported
         transferred_units = self._transfer_tokens(customer, now, peer, new_units)
-        if not new_units and not transferred_units and not turn:
+        if not new_units and not transferred_units and not peer_position:
             return
-        customer.next_peer = 0 if customer.has_coordinator else turn + 1
+        customer.next_peer = 0 if customer.has_coordinator else peer_position + 1
         if customer.next_peer in (0, len(customer.peers)):
             customer.units_reported = customer.units_used
         yield peer, customer.report(new_units, transferred_units)
@@ -128,6 +128,8 @@
         if now - usage.reported_at > self._quotas.peer_usage.MAX_AGE_MS:
             return 0
         customer.refill(now)
-        spare = max(0, int(customer.hard_limit.tokens - self.KEPT_FRACTION * customer.hard_limit.burst))
-        customer.hard_limit.consume(spare)
-        return spare
+        spare_tokens = max(
+            0, int(customer.hard_limit.tokens - self.KEPT_FRACTION * customer.hard_limit.burst)
+        )
+        customer.hard_limit.consume(spare_tokens)
+        return spare_tokens
--- a/onyxpost/policy/quotas.py
+++ b/onyxpost/policy/quotas.py
@@ -35,7 +35,7 @@
         self.customers = customers
         self.peer_usage = PeerUsageAccounting()
         self._next_sweep_at = customers.started_at
-        self._capacity_rule: CapacityRule = self._holds_units
+        self._capacity_rule: CapacityRule = self._may_spend
 
     def assign_plan(self, customer: CustomerQuota, now: float, placement: Placement) -> None:
         """Records that the customer was seen; sets its plan if this is the first request or report of it."""
@@ -52,7 +52,7 @@
         node_count = self._options.node_count
         customer.peers = placement.peers_of(self._options.node_index, node_count)
         if len(customer.peers) > self.MAX_GOSSIP_PEERS and not plan.hard_limit_rate:
-            customer.coordinator = placement.member(customer.key, node_count)
+            customer.coordinator = placement.member_for_key(customer.key, node_count)
         customer.placement = placement
         customer.set_plan(plan, 1.0, share, self.MAX_DEBT_MS)
         # A new bucket starts with this node's share of the burst. In a large set, where a share may be less
@@ -67,8 +67,10 @@
             return
         self._next_sweep_at = now + self.SWEEP_FRACTION * self.FORGET_AFTER_MS
         for key, customer in list(self.customers.by_key.items()):
-            is_stale = self._is_unused(customer, now) and now - customer.last_seen_at > self.FORGET_AFTER_MS
-            if is_stale and not queue.has(customer):
+            is_forgettable = (
+                self._is_unused(customer, now) and now - customer.last_seen_at > self.FORGET_AFTER_MS
+            )
+            if is_forgettable and not queue.has_requests(customer):
                 del self.customers.by_key[key]
 
     def _is_unused(self, customer: CustomerQuota, now: float) -> bool:
@@ -85,30 +87,30 @@
         """Replaces the rule behind `has_capacity`; used by mutation testing only."""
         self._capacity_rule = rule
 
-    def _holds_units(self, now: float, request: Request) -> bool:
+    def _may_spend(self, now: float, request: Request) -> bool:
         customer = request.customer
         customer.refill(now)
-        own = customer.quota.holds(request.units) and customer.hard_limit.holds(request.units)
-        fits = own or leased_units(customer, now) >= request.units
-        return fits and not self.peer_usage.at_concurrency_limit(customer, now)
+        has_own_units = customer.quota.holds(request.units) and customer.hard_limit.holds(request.units)
+        has_units = has_own_units or leased_units(customer, now) >= request.units
+        return has_units and not self.peer_usage.at_concurrency_limit(customer, now)
 
-    def admission_probability(self, customer: CustomerQuota) -> float:
+    def quota_admission_probability(self, customer: CustomerQuota) -> float:
         """Returns the probability of admission, less than 1 if a large set has few tokens left.
 
         This is independent of the load shedder's rejection probability.
         """
         # All nodes count the same tokens. If each admitted every request while tokens are left, all together
         # would exceed the quota by the requests that arrive before the coordinator's next correction.
-        pressure = self.PRESSURE_FRACTION * customer.plan.burst if customer.has_coordinator else 0.0
-        return customer.quota.tokens / pressure if pressure else 1.0
+        pressure_tokens = self.PRESSURE_FRACTION * customer.plan.burst if customer.has_coordinator else 0.0
+        return customer.quota.tokens / pressure_tokens if pressure_tokens else 1.0
 
-    def deferral_ms(self, now: float, request: Request, queued: int) -> float | None:
+    def deferral_ms(self, now: float, request: Request, queued_units: int) -> float | None:
         """Returns the time until the hard limit holds queued and own units; None if waiting is of no use."""
         customer = request.customer
         customer.refill(now)
-        limit = customer.hard_limit
-        units = request.units + queued
-        is_deferred = limit.rate and customer.quota.tokens >= units and request.units <= limit.burst
+        bucket = customer.hard_limit
+        units = request.units + queued_units
+        is_deferred = bucket.rate and customer.quota.tokens >= units and request.units <= bucket.burst
         if not is_deferred or self.peer_usage.at_concurrency_limit(customer, now):
             return None
-        return limit.wait_ms(units)
+        return bucket.wait_ms(units)
--- a/onyxpost/policy/rejection.py
+++ b/onyxpost/policy/rejection.py
@@ -23,7 +23,7 @@
         """Rejects a request for lack of capacity; after a longer wait, a retry could not be in time."""
         self._reject(request, self.RETRY_AFTER_FRACTION * request.frontend.latency_objective_ms, sink)
 
-    def reject_over_quota(self, request: Request, sink: DecisionSink) -> None:
+    def reject_over_limit(self, request: Request, sink: DecisionSink) -> None:
         """Rejects a request over its customer's quota, hard limit or concurrency limit, or at random.
 
         `Retry-After` is the time until the quota's bucket holds the request's units. If the bucket holds them
--- a/onyxpost/policy/request_completion.py
+++ b/onyxpost/policy/request_completion.py
@@ -35,9 +35,9 @@
         for attempt in request.attempts:
             if attempt.in_flight and self._may_cancel and not request.is_streaming:
                 sink.cancel_attempt(request.id, attempt.index)
-        self.remove_if_settled(request)
+        self.remove_if_no_attempt_in_flight(request)
 
-    def remove_if_settled(self, request: Request) -> None:
+    def remove_if_no_attempt_in_flight(self, request: Request) -> None:
         """Removes a finished request once it has no attempts in flight."""
         if not request.has_attempt_in_flight():
             self._requests.pop(request.id, None)
--- a/onyxpost/policy/request_handling.py
+++ b/onyxpost/policy/request_handling.py
@@ -2,9 +2,9 @@
 
 from onyxpost.core.node_state import NodeState
 from onyxpost.core.seeded_random import SeededRandom
-from onyxpost.policy.abandonment import Abandonment
+from onyxpost.policy.abandonment import FailureResponder
 from onyxpost.policy.admission import Admission
-from onyxpost.policy.attempt_results import AttemptResults
+from onyxpost.policy.attempt_results import AttemptResultHandler
 from onyxpost.policy.attempts import AttemptStarter
 from onyxpost.policy.hard_limit_wait import HardLimitWait
 from onyxpost.policy.load_shedding import LatencyLoadShedder
@@ -49,13 +49,13 @@
         self.retry_budget = RetryBudget()
         self.constraints = RoutingConstraints(state)
         router = RequestRouter(state, self.constraints, shedder, balancer, attempts, usage, rejections)
-        waiting = HardLimitWait(quotas, quota_control.queue, latency, may_wait=not limits.local_share)
-        self.admission = Admission(state, random, quotas, waiting, router, rejections)
+        hard_limit_wait = HardLimitWait(quotas, quota_control.queue, latency, may_wait=not limits.local_share)
+        self.admission = Admission(state, random, quotas, hard_limit_wait, router, rejections)
         self.completion = RequestCompletion(state)
         retries = RetryDispatcher(
             retry_policy, self.retry_budget, balancer, latency, attempts, limits.max_attempts
         )
-        abandonment = Abandonment(shedder, self.completion, execution, rejections)
-        self.results = AttemptResults(
-            state, selection.assessment, shedder, usage, self.completion, retries, abandonment
+        failure_responder = FailureResponder(shedder, self.completion, execution, rejections)
+        self.results = AttemptResultHandler(
+            state, selection.assessment, shedder, usage, self.completion, retries, failure_responder
         )
--- a/onyxpost/policy/retries.py
+++ b/onyxpost/policy/retries.py
@@ -68,16 +68,16 @@
     def begin_before(self, request: Request) -> float:
         """Returns the time from which on no attempt may start; `inf` if always, 0 if never permitted."""
         frontend = request.frontend
-        first = self._execution.first_possible_execution(request)
-        if first is None or frontend.idempotency is Idempotency.IDEMPOTENT:
+        first_execution = self._execution.first_possible_execution(request)
+        if first_execution is None or frontend.idempotency is Idempotency.IDEMPOTENT:
             return inf
         if frontend.idempotency is Idempotency.NON_IDEMPOTENT:
             return 0.0
-        return first.sent_at + frontend.deduplication_window_ms * self.DEDUPLICATION_MARGIN
+        return first_execution.sent_at + frontend.deduplication_window_ms * self.DEDUPLICATION_MARGIN
 
     def may_retry(self, request: Request, now: float, mean_latency_ms: float) -> bool:
         """Returns whether a retry is permitted by idempotency and its answer can still be of use."""
-        in_time = now < request.latency_deadline - self.MIN_REMAINING_LATENCIES * mean_latency_ms
-        is_useful = in_time or request.frontend.late_weight > 0.0
+        is_in_time = now < request.latency_deadline - self.MIN_REMAINING_LATENCIES * mean_latency_ms
+        is_useful = is_in_time or request.frontend.late_weight > 0.0
         has_time = now < request.deadline - self.DEADLINE_MARGIN_TICKS * self._tick_ms
         return is_useful and has_time and now < self.begin_before(request)
--- a/onyxpost/policy/server_eligibility.py
+++ b/onyxpost/policy/server_eligibility.py
@@ -28,10 +28,10 @@
         """
         trusted_ms = self._trust.trusted_ms
         servers = [each for each in servers if now - each.last_success_sent_at < trusted_ms]
-        executed = self._execution.first_possible_execution(request)
-        if executed is not None and request.frontend.idempotency is Idempotency.IDEMPOTENCY_KEY:
+        first_execution = self._execution.first_possible_execution(request)
+        if first_execution is not None and request.frontend.idempotency is Idempotency.IDEMPOTENCY_KEY:
             scope = request.frontend.deduplication_scope
-            scope_key = executed.server.scope_key(scope)
+            scope_key = first_execution.server.scope_key(scope)
             servers = [each for each in servers if each.scope_key(scope) == scope_key]
-        tried = {attempt.server for attempt in request.attempts}
-        return [each for each in servers if each not in tried] or ([] if executed else servers)
+        tried_servers = {attempt.server for attempt in request.attempts}
+        return [each for each in servers if each not in tried_servers] or ([] if first_execution else servers)
--- a/onyxpost/policy/slow_start.py
+++ b/onyxpost/policy/slow_start.py
@@ -62,12 +62,12 @@
 
     def advance(self, now: float, elapsed_ms: float) -> None:
         """Reduces each server's remaining intervals by `elapsed_ms`, divided by the current interval."""
-        sent = self.requests.totals(now).requests
+        request_count = self.requests.totals(now).requests
         window_ms = min(self._window_ms, max(self.MIN_WINDOW_MS, now - self._started_at))
-        fractions = [(server, self.warmup_fraction(now, server)) for server in self._servers.ready]
-        interval_ms = window_ms * sum(fraction for _, fraction in fractions) / max(1.0, sent)
+        server_fractions = [(server, self.warmup_fraction(now, server)) for server in self._servers.ready]
+        interval_ms = window_ms * sum(fraction for _, fraction in server_fractions) / max(1.0, request_count)
         # Remaining intervals are reduced in steps, each by the interval at that time. If they were computed
         # from the time of the last request, the loss of half of the warm servers, which halves the interval,
         # would make the server due at all nodes at once.
-        for server, fraction in fractions:  # the value of a warm server is never read
+        for server, fraction in server_fractions:  # the value of a warm server is never read
             server.slow_start.intervals_left -= elapsed_ms * fraction / interval_ms
--- a/tests/policy/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -10,7 +10,7 @@
 from onyxpost.core.customer_table import CustomerTable
 from onyxpost.core.events import LeaseGranted, LeaseRevoked
 from onyxpost.core.types import Plan
-from onyxpost.policy.leases import OWN_SHARE, LeaseHolder, leased_units, spend
+from onyxpost.policy.leases import OWN_SHARE_LEASE_ID, LeaseHolder, leased_units, spend
 
 NOW = 1000.0
 CUSTOMER_KEY = 7
@@ -41,7 +41,7 @@
 
 def test_leases_that_do_not_hold_all_units_are_not_touched(customer: CustomerQuota) -> None:
     customer.leases = {1: Lease(3.0, NOW + 1.0)}
-    assert spend(customer, NOW, 4) == [(OWN_SHARE, 4)]
+    assert spend(customer, NOW, 4) == [(OWN_SHARE_LEASE_ID, 4)]
     assert customer.leases[1].units == 3.0
     assert (customer.quota.tokens, customer.hard_limit.tokens, customer.units_used) == (6.0, 6.0, 4)
 
