--- a/tests/policy/__init__.py
+++ b/tests/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the decisions: events in, decisions out, no sockets."""
+"""Tests of the decision code: events go in, decisions come out, without sockets."""
--- a/tests/policy/gateway_host.py
+++ b/tests/policy/gateway_host.py
@@ -1,4 +1,4 @@
-"""A host for one gateway: keeps the clock and records what was decided."""
+"""A host for one gateway that keeps the clock and records the decisions."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 )
 from onyxpost.policy.gateway import Gateway
 
-Decision = tuple[Any, ...]  # what was decided, and the arguments of `DecisionSink`
+Decision = tuple[Any, ...]  # the kind of the decision and the arguments of the `DecisionSink` method
 
 
 @dataclass(frozen=True)
 class HostOptions:
-    """What a host's gateway is built with.
+    """Options of a host's gateway.
 
     Attributes:
         servers: number of app servers, all ready and warm.
         effect: idempotency of the frontend's requests.
-        group: which servers drop duplicates.
-        late: weight of a late answer.
+        group: deduplication scope of the frontend's requests.
+        late: late weight of the frontend.
         polls_endpoints: whether the gateway must poll discovery.
-        plan: the customers' plan; None: one that hardly limits anything.
+        plan: the customers' plan; None for `DEFAULT_PLAN`, which hardly limits anything.
         number: the node's index.
         nodes: number of nodes.
-        warm_ms: time in which a server that starts warms up.
+        warm_ms: time after its start at which a server has its full capacity.
     """
 
     servers: int = 4
@@ -81,10 +81,10 @@
 
 
 class Host:
-    """Hosts one gateway and is its `DecisionSink`.
+    """Hosts one gateway and implements its `DecisionSink`.
 
     Args:
-        values: fields of `HostOptions`; all others are limits of the deployment.
+        values: fields of `HostOptions` and `GatewayLimits`, by name.
     """
 
     def __init__(self, **values: Any) -> None:
@@ -100,15 +100,15 @@
     def row(
         self, index: int, state: EndpointState = EndpointState.READY, started: float = 0.0
     ) -> EndpointStatus:
-        """Returns what discovery reports of one server."""
+        """Returns the status of one server, as discovery reports it."""
         return EndpointStatus(f"s{index}", f"h{index % 3}", index % 2, state, 1.0, started)
 
     def update_endpoints(self, *rows: EndpointStatus, complete: bool = True) -> None:
-        """Reports endpoints."""
+        """Passes an update from discovery."""
         self.feed(EndpointsUpdated(complete, list(rows)))
 
     def feed(self, event: Event) -> list[Decision]:
-        """Handles one event; returns what was decided."""
+        """Passes one event to the gateway; returns its decisions."""
         before = len(self.done)
         self.gateway.handle(self.now, [event], self)
         return self.done[before:]
@@ -116,7 +116,7 @@
     def arrive(
         self, units: int = 1, key: str = "c", client_timeout_ms: float = 5000.0, spread: int = 3
     ) -> list[Decision]:
-        """Lets a request arrive; returns what was decided."""
+        """Passes the arrival of a request; returns the decisions."""
         self._request_count += 1
         request_id = f"r{self._request_count}"
         deadline = self.now + client_timeout_ms
@@ -131,12 +131,12 @@
         settled: bool | None = None,
         actual: int = 0,
     ) -> list[Decision]:
-        """Ends an attempt of a request; returns what was decided."""
+        """Passes the end of an attempt; returns the decisions."""
         over = result is AttemptResult.OK if settled is None else settled
         return self.feed(AttemptFinished(request_id, number, result, waited, over, actual))
 
     def run(self, ms: float) -> list[Decision]:
-        """Lets time pass, with the timer's events; returns what was decided."""
+        """Advances the clock and fires the timer every 25 ms; returns the decisions."""
         before = len(self.done)
         until = self.now + ms
         while self.now < until:
@@ -145,7 +145,7 @@
         return self.done[before:]
 
     def start_attempt(self, request_id: str, server: str, timeout: float, begin_before: float) -> None:
-        """Records an attempt."""
+        """Records the start of an attempt."""
         self.done.append(("attempt", request_id, server, timeout))
         self.begin_before = begin_before
 
@@ -154,11 +154,11 @@
         self.done.append(("deny", *args))
 
     def abort(self, *args: Any) -> None:
-        """Records that a request was aborted."""
+        """Records an abort."""
         self.done.append(("abort", *args))
 
     def cancel_attempt(self, *args: Any) -> None:
-        """Records that an attempt was cancelled."""
+        """Records the cancellation of an attempt."""
         self.done.append(("cancel", *args))
 
     def send_peer_message(self, *args: Any) -> None:
@@ -174,11 +174,11 @@
         self.done.append(("subscribe",))
 
     def report_units_spent(self, *args: Any) -> None:
-        """Records a report of units to the planner."""
+        """Records a report of units to the planners."""
         self.done.append(("report", *args))
 
     def return_lease(self, *args: Any) -> None:
-        """Records that a lease was returned."""
+        """Records the return of a lease."""
         self.done.append(("return", *args))
 
     def start_timer(self, *args: Any) -> None:
@@ -186,5 +186,5 @@
 
 
 def kinds(done: list[Decision]) -> list[str]:
-    """Returns the kinds of the decisions, log lines left out."""
+    """Returns the kinds of the decisions without log lines."""
     return [decision[0] for decision in done if decision[0] != "log"]
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -1,4 +1,4 @@
-"""The limit on attempts in flight."""
+"""The concurrency limit: when it is decreased and increased, and which attempts count towards it."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_constant_names.py
+++ b/tests/policy/test_constant_names.py
@@ -1,4 +1,4 @@
-"""Names by which trials set constants of the decisions (`--with Class.NAME=value`), also earlier ones."""
+"""Current and earlier names by which `--with Class.NAME=value` sets constants of the policy."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_latency_model.py
+++ b/tests/policy/test_latency_model.py
@@ -11,7 +11,7 @@
 
 
 def fitted(*periods: Period) -> LatencyModel:
-    """Returns a model that starts with the published coefficients and has observed the periods."""
+    """Returns a model with the published coefficients after it has observed the periods."""
     model = LatencyModel(PUBLISHED_COEFFICIENTS, RATE, MAX_ERROR)
     for period in periods:
         model.observe(period)
--- a/tests/policy/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases of quota units: spent before the node's own tokens, kept and returned."""
+"""Leases of quota units: how they are spent before the node's own tokens, granted, revoked and returned."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def customers() -> CustomerTable:
-    """A table with one customer that has ten tokens of its own."""
+    """A table with one customer whose two buckets hold ten tokens each."""
     table = CustomerTable(NOW)
     customer = table.get(CUSTOMER_KEY)
     customer.set_plan(Plan("p", 1.0, 10.0, 0, 1.0, 1.0, 10.0), 1.0, 1.0, 1000.0)
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -1,4 +1,4 @@
-"""Which servers get requests."""
+"""Selection of the server for each attempt."""
 
 from __future__ import annotations
 
@@ -16,9 +16,10 @@
     host.now += 60.0
     host.end(request_id, AttemptResult.OK, 60.0)
     host.feed(EndpointsStale())
-    ((_, again, same, _),) = host.arrive()  # half of the grace is not over since it was sent the first
+    # Less than half of the drain grace period has passed since the successful attempt was sent.
+    ((_, again, same, _),) = host.arrive()
     assert same == server
-    assert kinds(host.end(again, AttemptResult.ERROR)) == ["deny"]  # and nobody else does
+    assert kinds(host.end(again, AttemptResult.ERROR)) == ["deny"]  # no other server is trusted
     host.now += 65.0
     assert kinds(host.arrive()) == ["deny"]
     host.update_endpoints(complete=False)
@@ -26,8 +27,10 @@
 
 
 def test_where_endpoints_are_polled_a_success_counts_as_recent_for_longer() -> None:
-    """A drain begun since then does not count as reports yet: most nodes of a fleet that an overbooked
-    discovery had turned away denied nearly all."""
+    """Polls may report a drain late, so a node that polls must trust servers for longer than the drain grace.
+
+    Without this, most nodes whose polls an overloaded discovery had refused rejected nearly all requests.
+    """
     host = Host(servers=1, drain_grace_ms=250.0, polls_endpoints=True)
     ((_, request_id, _, _),) = host.arrive()
     host.now += 60.0
@@ -97,4 +100,4 @@
 def test_a_request_rejected_for_lack_of_capacity_may_return_within_its_objective() -> None:
     host = Host(servers=1, max_retry_after_ms=2000.0)
     denied = [d for _ in range(40) for d in host.arrive() if d[0] == "deny"]
-    assert denied[-1][2] < 100.0  # a tenth of the response target
+    assert denied[-1][2] < 100.0  # a tenth of the latency objective
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""The rejection probability."""
+"""Control of the rejection probability by latency."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Which servers are ejected."""
+"""Which servers outlier detection ejects."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_peer_usage.py
+++ b/tests/policy/test_peer_usage.py
@@ -1,4 +1,4 @@
-"""How the usage that peers report counts towards a customer's concurrency limit."""
+"""How peers' reports and corrections count in a customer's bucket and towards its concurrency limit."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def customer_with_limit(concurrency_limit: int) -> CustomerQuota:
-    """Returns a customer of this node whose plan limits attempts in flight."""
+    """Returns a customer with a concurrency limit and 50 tokens."""
     customer = CustomerQuota(1, NOW)
     customer.set_plan(Plan("p", 10.0, 50.0, concurrency_limit, 1.0, 0.0, 0.0), 1.0, 1.0, 1000.0)
     customer.quota.tokens = 50.0
@@ -42,7 +42,7 @@
     for incarnation, units_used in (("a", 10), ("a", 14), ("b", 3)):
         report = UsageReport(1, units_used, 0, 1, 0, PLACEMENT)
         accounting.apply_report(customer, NOW, 1, incarnation, report)
-    assert customer.quota.tokens == 50.0 - 1 - 4 - 3  # of the first report only what is new
+    assert customer.quota.tokens == 50.0 - 1 - 4 - 3  # of the first report only the new units count
 
 
 def test_a_correction_sets_the_bucket_less_what_is_not_reported_yet() -> None:
--- a/tests/policy/test_policy_package.py
+++ b/tests/policy/test_policy_package.py
@@ -1,4 +1,4 @@
-"""The package of the decisions as a whole: its files, its imports, its events."""
+"""Checks of the whole package `onyxpost.policy`: its files, its imports and the events that it handles."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_preference_order.py
+++ b/tests/policy/test_preference_order.py
@@ -1,4 +1,4 @@
-"""The hashed order in which a customer's requests prefer servers."""
+"""The order in which a customer's requests prefer servers, which hashes determine."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def preferred(host: Host, customer: CustomerQuota) -> list[str]:
-    """Returns the ids of the servers in the customer's order."""
+    """Returns the ids of the ready servers in the customer's order."""
     return [server.id for server in host.gateway.selection.order.servers_for(customer)]
 
 
--- a/tests/policy/test_quota_gossip.py
+++ b/tests/policy/test_quota_gossip.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of customers' usage."""
+"""The messages in which nodes exchange customers' usage."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     tokens = customer.quota.tokens
     for _ in range(2):
         host.feed(PeerMessageReceived(1, reports[0][2]))
-    assert customer.quota.tokens == tokens - 6  # what is not new was drawn, and refilled, long ago
+    assert customer.quota.tokens == tokens - 6  # units that are not new were used and refilled long ago
 
 
 def test_a_peer_that_has_forgotten_a_customer_gives_no_units_back() -> None:
@@ -36,7 +36,7 @@
     host.feed(PeerMessageReceived(1, f"a {crc}:5:0:5:0:0:0:3"))
     assert customer.quota.tokens == tokens - 5
     host.feed(PeerMessageReceived(1, f"a {crc}:8:0:2:0:0:0:3"))
-    # One that came late is put right by the next.
+    # A report that arrives out of order is corrected by the next one.
     host.feed(PeerMessageReceived(1, f"a {crc}:7:0:1:0:0:0:3"))
     host.feed(PeerMessageReceived(1, f"a {crc}:8:0:2:0:0:0:3"))
     assert customer.quota.tokens == tokens - 8
@@ -66,7 +66,7 @@
     host = Host(plan=Plan("p", 0.001, 400.0, 0, 1.0, 0.0, 0.0), number=(crc32(b"c") + 1) % 12, nodes=12)
     host.arrive(spread=12)
     admitted = []
-    for gone in (100, 300):  # of 400 units
+    for gone in (100, 300):  # missing from a burst of 400
         host.feed(PeerMessageReceived(crc32(b"c") % 12, f"1 {crc32(b'c'):x}:{gone:x}:0"))
         admitted.append(0)
         for _ in range(8):
@@ -91,5 +91,5 @@
     for body in ("", "x", "1 2:3", "1 zz:1:0", "1 a:1:0 b", "1 a:1:0:1:0:7:0:3"):
         assert host.feed(PeerMessageReceived(1, body)) == []
     assert host.gateway.state.customers.by_key == {}
-    host.feed(PeerMessageReceived(1, "1 a:1:0:1:0:0:0:fffff"))  # a set larger than all nodes together
+    host.feed(PeerMessageReceived(1, "1 a:1:0:1:0:0:0:fffff"))  # a set size above the number of nodes
     assert len(host.gateway.state.customers.by_key[10].peers) < 3
--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -1,4 +1,4 @@
-"""Customers' token buckets."""
+"""Customers' quotas: rejections, the state of unused customers, and new nodes in large sets."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_request_completion.py
+++ b/tests/policy/test_request_completion.py
@@ -1,4 +1,4 @@
-"""When attempts in flight are cancelled, and which requests count as possibly executed."""
+"""Cancellation of attempts in flight, and which results leave a request possibly executed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     host = Host()
     ((_, request_id, _, _),) = host.arrive()
     assert host.feed(RequestCancelled(request_id)) == [("cancel", request_id, 0)]
-    assert request_id in host.gateway.state.requests  # until the attempt has ended
+    assert request_id in host.gateway.state.requests  # the request is kept until its attempt has ended
     host.end(request_id, AttemptResult.CANCELLED, settled=True)
     assert host.gateway.state.requests == {}
 
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -1,4 +1,4 @@
-"""When requests are retried, aborted or rejected."""
+"""When requests whose attempts have failed are retried, aborted or rejected."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 
 
 def test_a_lost_request_with_a_key_is_retried_only_within_the_deduplication_window() -> None:
-    for waited, then in ((300.0, "attempt"), (2900.0, "deny")):  # late: the servers are about to forget
+    # After 2.9 s, the servers are about to forget the key: the window is 3 s.
+    for waited, then in ((300.0, "attempt"), (2900.0, "deny")):
         host = Host(effect=Idempotency.IDEMPOTENCY_KEY, late=0.2)
         ((_, request_id, _, _),) = host.arrive()
         host.now += waited
@@ -31,7 +32,7 @@
 def test_a_request_with_a_key_of_its_zone_is_retried_in_its_zone_or_aborted() -> None:
     host = Host(
         servers=3, effect=Idempotency.IDEMPOTENCY_KEY, group=DeduplicationScope.ZONE
-    )  # one server a zone
+    )  # one server per zone
     ((_, request_id, _, _),) = host.arrive()
     assert kinds(host.end(request_id, AttemptResult.ERROR)) == ["abort"]
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""How requests are spread while servers warm up."""
+"""Slow start at one node, or at nodes in step: how requests are spread while servers warm up."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         sent.append(server)
         host.run(25.0)
         host.end(request_id, AttemptResult.OK)
-    assert sent.count("s3") in range(5, 50)  # of 300; a warm one's even part is 75
+    assert sent.count("s3") in range(5, 50)  # of 300 requests; an even share of a warm server is 75
 
 
 def test_nodes_do_not_all_send_to_a_new_server_when_half_of_the_warm_ones_are_removed() -> None:
@@ -25,7 +25,7 @@
     ticks = []
     for tick in range(400):
         for host in hosts:
-            if tick in (300, 360):  # a new one comes, then four of eight warm ones go
+            if tick in (300, 360):  # a new server starts, then four of the eight warm ones are removed
                 warm = [host.row(i) for i in range(8 if tick == 300 else 4)]
                 host.update_endpoints(*warm, host.row(8, started=host.now - 25.0 * (tick - 300)))
             turn = tick % 4 == host.gateway.state.options.node_index % 4
@@ -36,7 +36,7 @@
             host.run(25.0)
     before, after = (sum(1 for tick in ticks if first <= tick < first + 20) for first in (340, 360))
     assert before > 0
-    assert after <= 3 * before  # each warm one gets twice as many
+    assert after <= 3 * before  # each remaining warm server gets twice as many requests
 
 
 def test_without_warm_servers_those_that_warm_up_take_turns() -> None:
--- a/tests/policy/test_slow_start_across_nodes.py
+++ b/tests/policy/test_slow_start_across_nodes.py
@@ -1,4 +1,4 @@
-"""Many gateways that know nothing of each other send to servers in slow start."""
+"""Slow start across many independent gateways, which do not coordinate their requests."""
 
 from random import Random
 
@@ -6,16 +6,20 @@
 from tests.policy.gateway_host import Host
 
 TICK_MS = 25.0
-WINDOW_TICKS = 80  # two seconds
+WINDOW_TICKS = 80  # number of ticks in two seconds
 
 
 def test_first_attempts_of_thirty_nodes_reach_a_starting_server_evenly() -> None:
-    """Ten servers start at once; each gets an attempt from each node in turn, three in two seconds."""
+    """Nodes that send their first attempts at the same time would overload a server that has just started.
+
+    Ten servers start at once. Each of them should get about three attempts from all nodes together in any two
+    seconds, spread evenly.
+    """
     hosts = [Host(servers=10, number=index, nodes=30, warm_ms=1e9) for index in range(30)]
     rng = Random(5)
     attempt_ticks: dict[str, list[int]] = {f"s{index}": [] for index in range(10, 20)}
     for host in hosts:
-        host.gateway.random.seed = rng.getrandbits(48)  # as processes that know nothing of each other
+        host.gateway.random.seed = rng.getrandbits(48)  # independent random numbers, as in separate processes
         host.run(5000.0)
     for tick in range(360):
         for host in hosts:
@@ -45,4 +49,5 @@
         host.run(900.0)
         ((_, _, server, _),) = host.arrive(key=f"c{index}")
         sent_to_starting_servers += int(server[1:]) >= 5
-    assert sent_to_starting_servers in range(5, 30)  # the certain share of five that start at a fifth is 17
+    # The share of five starting servers at a fifth of their capacity, beside five warm ones, is 17 of 100.
+    assert sent_to_starting_servers in range(5, 30)
