--- a/tests/policy/gateway_host.py
+++ b/tests/policy/gateway_host.py
@@ -34,8 +34,8 @@
         late: late weight of the frontend.
         polls_endpoints: whether the gateway must poll discovery.
         plan: the customers' plan; None for `DEFAULT_PLAN`, which hardly limits anything.
-        number: the node's index.
-        nodes: number of nodes.
+        node_index: index of this node.
+        node_count: number of nodes.
         warm_ms: time after its start at which a server has its full capacity.
     """
 
@@ -45,8 +45,8 @@
     late: float = 0.0
     polls_endpoints: bool = False
     plan: Plan | None = None
-    number: int = 0
-    nodes: int = 3
+    node_index: int = 0
+    node_count: int = 3
     warm_ms: float = 10000.0
 
 
@@ -68,9 +68,9 @@
         "peer_messages_per_second": 50.0,
     }
     return GatewayOptions(
-        seed=7 + options.number,
-        node_index=options.number,
-        node_count=options.nodes,
+        seed=7 + options.node_index,
+        node_index=options.node_index,
+        node_count=options.node_count,
         tick_ms=1.0,
         frontends=[frontend],
         plans=[options.plan or DEFAULT_PLAN],
@@ -109,9 +109,9 @@
 
     def feed(self, event: Event) -> list[Decision]:
         """Passes one event to the gateway; returns its decisions."""
-        before = len(self.done)
+        decision_count = len(self.done)
         self.gateway.handle(self.now, [event], self)
-        return self.done[before:]
+        return self.done[decision_count:]
 
     def arrive(
         self, units: int = 1, key: str = "c", client_timeout_ms: float = 5000.0, spread: int = 3
@@ -126,23 +126,23 @@
         self,
         request_id: str,
         result: AttemptResult,
-        waited: float = 50.0,
+        latency_ms: float = 50.0,
         number: int = 0,
         settled: bool | None = None,
-        actual: int = 0,
+        actual_units: int = 0,
     ) -> list[Decision]:
         """Passes the end of an attempt; returns the decisions."""
-        over = result is AttemptResult.OK if settled is None else settled
-        return self.feed(AttemptFinished(request_id, number, result, waited, over, actual))
+        is_settled = result is AttemptResult.OK if settled is None else settled
+        return self.feed(AttemptFinished(request_id, number, result, latency_ms, is_settled, actual_units))
 
     def run(self, ms: float) -> list[Decision]:
         """Advances the clock and fires the timer every 25 ms; returns the decisions."""
-        before = len(self.done)
-        until = self.now + ms
-        while self.now < until:
+        decision_count = len(self.done)
+        end = self.now + ms
+        while self.now < end:
             self.now += 25.0
             self.feed(TimerFired(0))
-        return self.done[before:]
+        return self.done[decision_count:]
 
     def start_attempt(self, request_id: str, server: str, timeout: float, begin_before: float) -> None:
         """Records the start of an attempt."""
@@ -163,7 +163,7 @@
 
     def send_peer_message(self, *args: Any) -> None:
         """Records a message to a peer."""
-        self.done.append(("tell", *args))
+        self.done.append(("message", *args))
 
     def log(self, *args: Any) -> None:
         """Records a log line."""
@@ -171,7 +171,7 @@
 
     def watch_endpoints(self) -> None:
         """Records a poll of discovery."""
-        self.done.append(("subscribe",))
+        self.done.append(("watch",))
 
     def report_units_spent(self, *args: Any) -> None:
         """Records a report of units to the planners."""
--- a/tests/policy/test_hard_limit.py
+++ b/tests/policy/test_hard_limit.py
@@ -32,7 +32,7 @@
     host.arrive(1)
     assert kinds(host.feed(RequestCancelled("r1"))) == []
     host.gateway.state.customers.by_key[crc32(b"c")].quota.tokens = -500.0  # spent at other nodes
-    assert [d[:2] for d in host.run(900.0) if d[0] != "tell"] == [("deny", "r2")]
+    assert [d[:2] for d in host.run(900.0) if d[0] != "message"] == [("deny", "r2")]
     assert (host.gateway.state.requests, len(host.gateway.quota_control.queue)) == ({}, 0)
 
 
--- a/tests/policy/test_latency_model.py
+++ b/tests/policy/test_latency_model.py
@@ -26,8 +26,8 @@
     model = fitted(Period(1.2, 0.9, 0.0), Period(1.1, 0.8, 0.1), Period(1.3, 0.7, 0.1))
     predicted = 1.1 * (0.3464 + 0.1313 * 0.8) + 1.2 * (0.2527 + 0.1187 * 0.9) - 0.1 * (-0.035 + 2.215 * 0.8)
     step = RATE * (1.3 - predicted) * -0.1
-    fit = Coefficient(-0.035 + step, 2.215 + step * 0.8)
-    assert model.input_coefficient(0.6) == pytest.approx(fit.at(0.6))
+    expected = Coefficient(-0.035 + step, 2.215 + step * 0.8)
+    assert model.input_coefficient(0.6) == pytest.approx(expected.at(0.6))
     assert model.input_coefficient(0.6) != pytest.approx(fitted().input_coefficient(0.6))
 
 
@@ -45,6 +45,6 @@
 
 def test_a_large_error_is_bounded() -> None:
     periods = (Period(1.0, 0.9, 0.0), Period(1.0, 0.8, 0.1))
-    far = fitted(*periods, Period(50.0, 0.7, 0.1))
-    farther = fitted(*periods, Period(5000.0, 0.7, 0.1))
-    assert far.input_coefficient(0.6) == farther.input_coefficient(0.6)
+    large_error_model = fitted(*periods, Period(50.0, 0.7, 0.1))
+    larger_error_model = fitted(*periods, Period(5000.0, 0.7, 0.1))
+    assert large_error_model.input_coefficient(0.6) == larger_error_model.input_coefficient(0.6)
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -17,9 +17,9 @@
     host.end(request_id, AttemptResult.OK, 60.0)
     host.feed(EndpointsStale())
     # Less than half of the drain grace period has passed since the successful attempt was sent.
-    ((_, again, same, _),) = host.arrive()
-    assert same == server
-    assert kinds(host.end(again, AttemptResult.ERROR)) == ["deny"]  # no other server is trusted
+    ((_, second_request_id, second_server, _),) = host.arrive()
+    assert second_server == server
+    assert kinds(host.end(second_request_id, AttemptResult.ERROR)) == ["deny"]  # no other server is trusted
     host.now += 65.0
     assert kinds(host.arrive()) == ["deny"]
     host.update_endpoints(complete=False)
@@ -36,17 +36,17 @@
     host.now += 60.0
     host.end(request_id, AttemptResult.OK, 60.0)
     host.feed(EndpointsStale())
-    for since, more in ((5124.0, "attempt"), (5125.0, "deny")):
-        host.now = 1_000_000.0 + since
-        assert kinds(host.arrive()) == [more]
+    for elapsed_ms, expected in ((5124.0, "attempt"), (5125.0, "deny")):
+        host.now = 1_000_000.0 + elapsed_ms
+        assert kinds(host.arrive()) == [expected]
 
 
 def test_an_expired_attempt_is_not_a_recent_success() -> None:
     host = Host(servers=1, drain_grace_ms=250.0)
-    for result, wait in ((AttemptResult.OK, 60.0), (AttemptResult.EXPIRED, 65.0)):
+    for result, latency_ms in ((AttemptResult.OK, 60.0), (AttemptResult.EXPIRED, 65.0)):
         ((_, request_id, _, _),) = host.arrive()
-        host.now += wait
-        host.end(request_id, result, wait)
+        host.now += latency_ms
+        host.end(request_id, result, latency_ms)
     host.feed(EndpointsStale())
     assert kinds(host.arrive()) == ["deny"]
 
@@ -79,7 +79,7 @@
     assert list(host.gateway.state.servers.known) == ["s1"]
 
 
-def test_a_request_does_not_cost_a_look_at_the_statistics_of_all_servers() -> None:
+def test_a_request_does_not_read_the_statistics_of_all_servers() -> None:
     host = Host(servers=40)
     host.run(200.0)
     with mock.patch.object(SlidingWindowCounter, "totals", side_effect=AssertionError):
@@ -91,9 +91,9 @@
     for servers in (4, 80):
         host = Host(servers=servers)
         host.end(host.arrive()[0][1], AttemptResult.OK)
-        with mock.patch.object(SlidingWindowCounter, "advance") as turn:
+        with mock.patch.object(SlidingWindowCounter, "advance") as advance:
             host.run(1000.0)
-        calls.append(turn.call_count)
+        calls.append(advance.call_count)
     assert calls[1] <= calls[0] + 1
 
 
--- a/tests/policy/test_preference_order.py
+++ b/tests/policy/test_preference_order.py
@@ -25,9 +25,13 @@
 
 def test_nodes_of_a_small_set_share_an_order_and_those_of_a_large_set_do_not() -> None:
     customer = CustomerQuota(crc32(b"c"), 0.0)
-    small = {tuple(preferred(Host(servers=9, number=index, nodes=12), customer)) for index in range(6)}
+    small = {
+        tuple(preferred(Host(servers=9, node_index=index, node_count=12), customer)) for index in range(6)
+    }
     customer.coordinator = 3
-    large = {tuple(preferred(Host(servers=9, number=index, nodes=12), customer)) for index in range(6)}
+    large = {
+        tuple(preferred(Host(servers=9, node_index=index, node_count=12), customer)) for index in range(6)
+    }
     assert len(small) == 1
     assert len(large) == 6
 
--- a/tests/policy/test_quota_gossip.py
+++ b/tests/policy/test_quota_gossip.py
@@ -12,13 +12,13 @@
 
 
 def test_a_repeated_report_counts_once() -> None:
-    host = Host(plan=PLAN, number=0)
-    peer = Host(plan=PLAN, number=1)
+    host = Host(plan=PLAN, node_index=0)
+    peer = Host(plan=PLAN, node_index=1)
     for each in (host, peer):
         each.arrive(1)
         each.run(10000.0)
     peer.arrive(6)
-    reports = [d for d in peer.run(1500.0) if d[0] == "tell" and d[1] == 0]
+    reports = [d for d in peer.run(1500.0) if d[0] == "message" and d[1] == 0]
     (customer,) = host.gateway.state.customers.by_key.values()
     customer.refill(host.now)
     tokens = customer.quota.tokens
@@ -44,34 +44,40 @@
 
 def test_in_a_large_set_a_coordinator_receives_all_reports_and_sends_corrections() -> None:
     plan = Plan("p", 1.0, 20.0, 0, 1.0, 0.0, 0.0)
-    at = crc32(b"c") % 12
-    coordinator, member, other = (Host(plan=plan, number=(at + i) % 12, nodes=12) for i in range(3))
+    coordinator_index = crc32(b"c") % 12
+    coordinator, member, other = (
+        Host(plan=plan, node_index=(coordinator_index + i) % 12, node_count=12) for i in range(3)
+    )
     for host in (coordinator, member, other):
         host.run(20000.0)
     for _ in range(2):
         member.end(member.arrive(8, spread=12)[0][1], AttemptResult.OK)
-    reports = [d for d in member.run(500.0) if d[0] == "tell"]
-    assert {d[1] for d in reports} == {at}
+    reports = [d for d in member.run(500.0) if d[0] == "message"]
+    assert {d[1] for d in reports} == {coordinator_index}
     for _, _, body in reports:
         coordinator.feed(PeerMessageReceived(member.gateway.state.options.node_index, body))
-    back = [
-        d for d in coordinator.run(500.0) if d[0] == "tell" and d[1] == other.gateway.state.options.node_index
+    corrections = [
+        d
+        for d in coordinator.run(500.0)
+        if d[0] == "message" and d[1] == other.gateway.state.options.node_index
     ]
-    other.feed(PeerMessageReceived(at, back[-1][2]))
+    other.feed(PeerMessageReceived(coordinator_index, corrections[-1][2]))
     assert kinds(other.arrive(6, spread=12)) == ["deny"]
     assert ["attempt"] in [kinds(other.arrive(3, spread=12)) for _ in range(9)]
 
 
 def test_a_large_set_that_runs_short_admits_at_random() -> None:
-    host = Host(plan=Plan("p", 0.001, 400.0, 0, 1.0, 0.0, 0.0), number=(crc32(b"c") + 1) % 12, nodes=12)
+    host = Host(
+        plan=Plan("p", 0.001, 400.0, 0, 1.0, 0.0, 0.0), node_index=(crc32(b"c") + 1) % 12, node_count=12
+    )
     host.arrive(spread=12)
     admitted = []
-    for gone in (100, 300):  # missing from a burst of 400
-        host.feed(PeerMessageReceived(crc32(b"c") % 12, f"1 {crc32(b'c'):x}:{gone:x}:0"))
+    for missing_tokens in (100, 300):  # of a burst of 400
+        host.feed(PeerMessageReceived(crc32(b"c") % 12, f"1 {crc32(b'c'):x}:{missing_tokens:x}:0"))
         admitted.append(0)
         for _ in range(8):
-            ((what, request_id, *_),) = host.arrive(spread=12)
-            admitted[-1] += what == "attempt"
+            ((decision, request_id, *_),) = host.arrive(spread=12)
+            admitted[-1] += decision == "attempt"
             host.end(request_id, AttemptResult.OK)
     assert admitted[0] == 8
     assert admitted[1] in range(1, 8)
@@ -82,8 +88,8 @@
     for _ in range(40):
         host.feed(PeerMessageReceived(1, "1 ab:1:0:1:0:0:0:3"))
     host.arrive()
-    assert "tell" not in kinds(host.run(200.0))
-    assert "tell" in kinds(host.run(2000.0))
+    assert "message" not in kinds(host.run(200.0))
+    assert "message" in kinds(host.run(2000.0))
 
 
 def test_a_malformed_message_is_dropped() -> None:
--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -45,5 +45,5 @@
 
 
 def test_a_new_node_in_a_large_set_serves_a_customer_at_once() -> None:
-    host = Host(plan=Plan("p", 1.0, 16.0, 0, 1.0, 0.0, 0.0), nodes=40, number=1)
+    host = Host(plan=Plan("p", 1.0, 16.0, 0, 1.0, 0.0, 0.0), node_count=40, node_index=1)
     assert kinds(host.arrive(8, spread=30)) == ["attempt"]
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -9,11 +9,11 @@
 
 def test_a_lost_request_with_a_key_is_retried_only_within_the_deduplication_window() -> None:
     # After 2.9 s, the servers are about to forget the key: the window is 3 s.
-    for waited, then in ((300.0, "attempt"), (2900.0, "deny")):
+    for elapsed_ms, expected in ((300.0, "attempt"), (2900.0, "deny")):
         host = Host(effect=Idempotency.IDEMPOTENCY_KEY, late=0.2)
         ((_, request_id, _, _),) = host.arrive()
-        host.now += waited
-        assert kinds(host.end(request_id, AttemptResult.LOST, waited)) == [then]
+        host.now += elapsed_ms
+        assert kinds(host.end(request_id, AttemptResult.LOST, elapsed_ms)) == [expected]
 
 
 def test_a_non_idempotent_request_that_was_possibly_executed_is_aborted() -> None:
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -21,17 +21,17 @@
 
 
 def test_nodes_do_not_all_send_to_a_new_server_when_half_of_the_warm_ones_are_removed() -> None:
-    hosts = [Host(servers=8, number=index, nodes=30, warm_ms=60000.0) for index in range(30)]
+    hosts = [Host(servers=8, node_index=index, node_count=30, warm_ms=60000.0) for index in range(30)]
     ticks = []
     for tick in range(400):
         for host in hosts:
             if tick in (300, 360):  # a new server starts, then four of the eight warm ones are removed
-                warm = [host.row(i) for i in range(8 if tick == 300 else 4)]
-                host.update_endpoints(*warm, host.row(8, started=host.now - 25.0 * (tick - 300)))
-            turn = tick % 4 == host.gateway.state.options.node_index % 4
-            for what, request_id, *to in host.arrive(key=f"c{tick}") if turn else []:
-                if what == "attempt":
-                    ticks += [tick] * (to[0] == "s8")
+                warm_endpoints = [host.row(i) for i in range(8 if tick == 300 else 4)]
+                host.update_endpoints(*warm_endpoints, host.row(8, started=host.now - 25.0 * (tick - 300)))
+            is_due = tick % 4 == host.gateway.state.options.node_index % 4
+            for decision, request_id, *target in host.arrive(key=f"c{tick}") if is_due else []:
+                if decision == "attempt":
+                    ticks += [tick] * (target[0] == "s8")
                     host.end(request_id, AttemptResult.OK)
             host.run(25.0)
     before, after = (sum(1 for tick in ticks if first <= tick < first + 20) for first in (340, 360))
@@ -45,9 +45,9 @@
     for tick in range(300):
         if tick == 100:
             host.update_endpoints(*(host.row(n, started=host.now) for n in range(4)))
-        for what, request_id, *to in host.arrive():
-            if what == "attempt":
-                sent += [to[0]] * (tick >= 100)
+        for decision, request_id, *target in host.arrive():
+            if decision == "attempt":
+                sent += [target[0]] * (tick >= 100)
                 host.end(request_id, AttemptResult.OK)
         host.run(25.0)
     assert len(sent) > 100
--- a/tests/policy/test_slow_start_across_nodes.py
+++ b/tests/policy/test_slow_start_across_nodes.py
@@ -15,7 +15,7 @@
     Ten servers start at once. Each of them should get about three attempts from all nodes together in any two
     seconds, spread evenly.
     """
-    hosts = [Host(servers=10, number=index, nodes=30, warm_ms=1e9) for index in range(30)]
+    hosts = [Host(servers=10, node_index=index, node_count=30, warm_ms=1e9) for index in range(30)]
     rng = Random(5)
     attempt_ticks: dict[str, list[int]] = {f"s{index}": [] for index in range(10, 20)}
     for host in hosts:
@@ -43,7 +43,7 @@
 def test_a_new_cluster_does_not_take_its_first_request_for_its_usual_rate() -> None:
     sent_to_starting_servers = 0
     for index in range(100):
-        host = Host(servers=0, number=index, nodes=100)
+        host = Host(servers=0, node_index=index, node_count=100)
         host.gateway.random.seed = index * 7919
         host.update_endpoints(*(host.row(i, started=host.now if i >= 5 else 0.0) for i in range(10)))
         host.run(900.0)
