--- a/onyxpost/core/event_dispatcher.py
+++ b/onyxpost/core/event_dispatcher.py
@@ -10,7 +10,7 @@
     from onyxpost.core.sink import DecisionSink
 
 EventT = TypeVar("EventT")
-EventHandler = Callable[[float, EventT, "DecisionSink"], None]  # time in ms, event, sink for the decisions
+EventHandler = Callable[[float, EventT, "DecisionSink"], None]  # arguments: time in ms, event, sink
 
 
 class EventDispatcher:
--- a/onyxpost/core/server_records.py
+++ b/onyxpost/core/server_records.py
@@ -48,8 +48,8 @@
 
     Attributes:
         open_until: the time until which the server gets no attempts, in ms.
-        successes_to_close: successful attempts until the circuit breaker closes; 0 if it is closed. Each trip
-            adds one.
+        successes_to_close: number of successful trial attempts until the circuit breaker closes; 0 if it is
+            closed. Each trip adds one.
     """
 
     __slots__ = ("open_until", "successes_to_close")
--- a/onyxpost/core/server_registry.py
+++ b/onyxpost/core/server_registry.py
@@ -43,7 +43,7 @@
                 is set.
         """
         if update.complete:
-            for server in self.known.values():  # unless the update contains the server
+            for server in self.known.values():  # servers that the update omits are gone
                 server.endpoint = replace(server.endpoint, state=EndpointState.GONE)
         for status in update.endpoints:
             server = self.known.get(status.server) or create_server(status.server)
--- a/onyxpost/policy/concurrency.py
+++ b/onyxpost/policy/concurrency.py
@@ -31,7 +31,7 @@
 class ConcurrencyLimit:
     """A limit on attempts in flight per server: decreased while answers are late, else increased when used.
 
-    Answers that are late for another reason than load decrease the limit, too, and leave it too low.
+    The limit becomes too low if answers are late for a reason other than load.
 
     Attributes:
         limit: attempts in flight that this node may have per available server, with fractions.
@@ -47,11 +47,11 @@
     QUICK_FRACTION = 0.5  # answers that take a smaller fraction of the time of a late answer count as quick
     MAX_LATE_SHARE = 0.3  # share of late answers above which the limit is decreased
     MIN_LATE_ANSWERS = 2.0  # ignore single late answers, which are no sign of overload
-    # Factor of each decrease. Attempts sent before a decrease do not count towards the next one.
+    # Factor of each decrease. Attempts that were sent before a decrease do not count towards the next one.
     DECREASE_FACTOR = 0.6
     INCREASE_FACTOR = 1.08  # factor per period in which load is shed or enough of the limit is used
-    # Smallest used share of the limit at which it is increased. At lower use, quick answers do not show that
-    # the servers could take more.
+    # The limit is increased only if at least this share of it is used. At lower use, quick answers do not
+    # show that the servers could take more attempts.
     MIN_USED_SHARE = 0.5
 
     def __init__(
--- a/onyxpost/policy/hard_limit_wait.py
+++ b/onyxpost/policy/hard_limit_wait.py
@@ -27,8 +27,8 @@
         may_wait: whether requests may wait at all; False where planners grant leases.
     """
 
-    # A queued request is sent at least this many mean latencies before its latency deadline, for an answer
-    # in time.
+    # Margin between the latest start of a queued request and its latency deadline, in mean latencies, so that
+    # the answer is in time.
     START_MARGIN_LATENCIES = 2.0
     MAX_WAIT_FRACTION = 0.5  # longest wait, as a fraction of the time that the client waits
 
--- a/onyxpost/policy/load_shedding.py
+++ b/onyxpost/policy/load_shedding.py
@@ -39,7 +39,7 @@
         self._random = random
         self._arrivals = 0
         self._completed_requests = 0
-        self._next_update_at = now + self.PERIOD_MS * (1.0 + random.next())  # staggered over nodes
+        self._next_update_at = now + self.PERIOD_MS * (1.0 + random.next())  # nodes update at different times
         self._completions = SlidingWindowCounter(self.PERIOD_MS, self.CAPACITY_PERIODS, CompletionCounts)
         self._latency_ratios: dict[Frontend, list[float]] = {}
         self._model = LatencyModel(PUBLISHED_COEFFICIENTS, self.LEARNING_RATE, self.MAX_MODEL_ERROR)
--- a/onyxpost/policy/outlier_detection.py
+++ b/onyxpost/policy/outlier_detection.py
@@ -23,7 +23,7 @@
         return not breaker.successes_to_close or (now >= breaker.open_until and not server.in_flight)
 
     def on_success(self, now: float, server: UpstreamServer) -> bool:
-        """Counts a success of an ejected server; returns whether this closes its circuit breaker."""
+        """Counts a successful trial of an ejected server; returns whether its circuit breaker closes."""
         breaker = server.circuit_breaker
         if not breaker.successes_to_close or now < breaker.open_until:
             return False
--- a/onyxpost/policy/quota_gossip.py
+++ b/onyxpost/policy/quota_gossip.py
@@ -28,7 +28,8 @@
         changed: customers with usage that is not yet reported to peers, in the order of their first change.
     """
 
-    # Share of the messages per second that a node can receive; a node that receives as many does not send.
+    # Share of the messages per second that a node can receive. A node that receives at least this share does
+    # not send any.
     MAX_RECEIVED_SHARE = 0.7
     MAX_MESSAGE_BYTES = 256  # size limit of one peer message
     RECEIVED_INTERVAL_MS = 250.0  # length of a counting interval; received messages are counted per second
@@ -61,7 +62,7 @@
             self.changed[customer] = None
             is_counted = is_counted or not customer.has_coordinator
             on_report(customer)
-        if is_counted:  # reports to a coordinator do not, as they would defer its corrections
+        if is_counted:  # reports to a coordinator are not counted, as they would defer its corrections
             self._received.add(now, ONE_MESSAGE)
         for correction in message.corrections:
             customer = self._quotas.customers.get(correction.customer)
--- a/onyxpost/policy/quotas.py
+++ b/onyxpost/policy/quotas.py
@@ -11,7 +11,7 @@
 from onyxpost.policy.leases import leased_units
 from onyxpost.policy.peer_usage import PeerUsageAccounting
 
-CapacityRule = Callable[[float, Request], bool]  # time in ms, request
+CapacityRule = Callable[[float, Request], bool]  # arguments: time in ms, request
 
 
 class QuotaPolicy:
--- a/onyxpost/policy/slow_start.py
+++ b/onyxpost/policy/slow_start.py
@@ -69,5 +69,5 @@
         # Remaining intervals are reduced in steps, each by the interval at that time. If they were computed
         # from the time of the last request, the loss of half of the warm servers, which halves the interval,
         # would make the server due at all nodes at once.
-        for server, fraction in server_fractions:  # the value of a warm server is never read
+        for server, fraction in server_fractions:  # a warm server's `intervals_left` is never read
             server.slow_start.intervals_left -= elapsed_ms * fraction / interval_ms
--- a/tests/policy/test_quota_gossip.py
+++ b/tests/policy/test_quota_gossip.py
@@ -72,7 +72,7 @@
     )
     host.arrive(spread=12)
     admitted = []
-    for missing_tokens in (100, 300):  # of a burst of 400
+    for missing_tokens in (100, 300):  # the burst is 400
         host.feed(PeerMessageReceived(crc32(b"c") % 12, f"1 {crc32(b'c'):x}:{missing_tokens:x}:0"))
         admitted.append(0)
         for _ in range(8):
