--- a/onyxpost/core/event_dispatcher.py
+++ b/onyxpost/core/event_dispatcher.py
@@ -10,17 +10,17 @@
     from onyxpost.core.sink import DecisionSink
 
 EventT = TypeVar("EventT")
-EventHandler = Callable[[float, EventT, "DecisionSink"], None]  # time in ms, event, sink for the decisions
+EventHandler = Callable[[float, EventT, "DecisionSink"], None]  # arguments: time in ms, event, sink
 
 
 class EventDispatcher:
-    """Calls the handlers that are registered for an event's type, in the order of their registration."""
+    """Calls the handlers of an event's type in the order of their registration."""
 
     def __init__(self) -> None:
         self._handlers: dict[type[Any], list[EventHandler[Any]]] = {}
 
     def register(self, event_type: type[EventT], *handlers: EventHandler[EventT]) -> None:
-        """Adds handlers for events of one type."""
+        """Appends handlers for events of one type."""
         self._handlers.setdefault(event_type, []).extend(handlers)
 
     def handled_types(self) -> set[type[Any]]:
--- a/onyxpost/policy/admission.py
+++ b/onyxpost/policy/admission.py
@@ -1,4 +1,4 @@
-"""Which requests the customers' quotas admit: at once, or after a wait for tokens of the hard limit."""
+"""Admits requests by their customers' quotas: at once, or after a wait for hard-limit tokens."""
 
 from zlib import crc32
 
@@ -15,14 +15,14 @@
 
 
 class Admission:
-    """Admits requests, lets them wait, or rejects them over their quota."""
+    """Admits a request, queues it for hard-limit tokens, or rejects it over quota."""
 
     def __init__(
         self,
         state: NodeState,
         random: SeededRandom,
         quotas: QuotaPolicy,
-        waiting: HardLimitWait,
+        hard_limit_wait: HardLimitWait,
         router: RequestRouter,
         rejections: Rejections,
     ) -> None:
@@ -30,20 +30,22 @@
         self._frontends = {frontend.name: frontend for frontend in state.options.frontends}
         self._random = random
         self._quotas = quotas
-        self._waiting = waiting
+        self._hard_limit_wait = hard_limit_wait
         self._router = router
         self._rejections = rejections
 
     def on_request_arrived(self, now: float, event: RequestArrived, sink: DecisionSink) -> None:
-        """Decides on a request that has just arrived."""
+        """Routes, queues or rejects a request that has just arrived."""
         request = self._new_request(now, event)
         customer = request.customer
-        has_capacity = not self._waiting.has_waiting(customer) and self._quotas.has_capacity(now, request)
-        if not has_capacity and self._waiting.should_wait(now, request):
+        has_capacity = not self._hard_limit_wait.has_waiting(customer) and self._quotas.has_capacity(
+            now, request
+        )
+        if not has_capacity and self._hard_limit_wait.should_wait(now, request):
             self._state.requests[request.id] = request
-            self._waiting.add(request)
-        elif not has_capacity or self._random.next() > self._quotas.admission_probability(customer):
-            self._rejections.reject_over_quota(request, sink)
+            self._hard_limit_wait.add(request)
+        elif not has_capacity or self._random.next() > self._quotas.quota_admission_probability(customer):
+            self._rejections.reject_over_limit(request, sink)
         else:
             self._router.route(now, request, sink)
 
@@ -54,15 +56,15 @@
         return Request(event.request_id, now, event.deadline, frontend, customer, event.units)
 
     def on_timer(self, now: float, _event: TimerFired, sink: DecisionSink) -> None:
-        """Decides on all requests that need not wait any more."""
-        for customer in self._waiting.customers():
+        """Routes or rejects the queued requests of all customers whose wait is over."""
+        for customer in self._hard_limit_wait.customers():
             self.release(now, customer, sink)
 
     def release(self, now: float, customer: CustomerQuota, sink: DecisionSink) -> None:
-        """Decides on the customer's requests that need not wait any more."""
-        for request, is_admitted in self._waiting.release(now, customer):
+        """Routes or rejects the customer's queued requests whose wait is over."""
+        for request, is_admitted in self._hard_limit_wait.release(now, customer):
             del self._state.requests[request.id]
             if is_admitted:
                 self._router.route(now, request, sink)
             else:
-                self._rejections.reject_over_quota(request, sink)
+                self._rejections.reject_over_limit(request, sink)
--- a/onyxpost/policy/request_handling.py
+++ b/onyxpost/policy/request_handling.py
@@ -1,10 +1,10 @@
-"""Builds the collaborators that decide on a request from its arrival to its end."""
+"""Builds the components that handle a request from its arrival to its end."""
 
 from onyxpost.core.node_state import NodeState
 from onyxpost.core.seeded_random import SeededRandom
-from onyxpost.policy.abandonment import Abandonment
+from onyxpost.policy.abandonment import FailureResponder
 from onyxpost.policy.admission import Admission
-from onyxpost.policy.attempt_results import AttemptResults
+from onyxpost.policy.attempt_results import AttemptResultHandler
 from onyxpost.policy.attempts import AttemptStarter
 from onyxpost.policy.hard_limit_wait import HardLimitWait
 from onyxpost.policy.load_shedding import LatencyLoadShedder
@@ -19,14 +19,14 @@
 
 
 class RequestHandling:
-    """The collaborators that deal with requests and their attempts.
+    """The components that handle requests and their attempts.
 
     Attributes:
-        retry_budget: how many retries the node may send.
-        constraints: what the routing rules permit.
-        admission: which requests the quotas admit.
-        completion: how requests end.
-        results: what follows from the end of an attempt.
+        retry_budget: limits the retries that the node may send.
+        constraints: looks up the constraint that routing rules put on a request.
+        admission: admits requests by their customers' quotas.
+        completion: finishes requests.
+        results: handles the ends of attempts.
     """
 
     def __init__(
@@ -49,13 +49,13 @@
         self.retry_budget = RetryBudget()
         self.constraints = RoutingConstraints(state)
         router = RequestRouter(state, self.constraints, shedder, balancer, attempts, usage, rejections)
-        waiting = HardLimitWait(quotas, quota_control.queue, latency, may_wait=not limits.local_share)
-        self.admission = Admission(state, random, quotas, waiting, router, rejections)
+        hard_limit_wait = HardLimitWait(quotas, quota_control.queue, latency, may_wait=not limits.local_share)
+        self.admission = Admission(state, random, quotas, hard_limit_wait, router, rejections)
         self.completion = RequestCompletion(state)
         retries = RetryDispatcher(
             retry_policy, self.retry_budget, balancer, latency, attempts, limits.max_attempts
         )
-        abandonment = Abandonment(shedder, self.completion, execution, rejections)
-        self.results = AttemptResults(
-            state, selection.assessment, shedder, usage, self.completion, retries, abandonment
+        failure_responder = FailureResponder(shedder, self.completion, execution, rejections)
+        self.results = AttemptResultHandler(
+            state, selection.assessment, shedder, usage, self.completion, retries, failure_responder
         )
--- a/tests/policy/gateway_host.py
+++ b/tests/policy/gateway_host.py
@@ -1,4 +1,4 @@
-"""A host for one gateway: keeps the clock and records what was decided."""
+"""A host for one gateway that keeps the clock and records the decisions."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 )
 from onyxpost.policy.gateway import Gateway
 
-Decision = tuple[Any, ...]  # what was decided, and the arguments of `DecisionSink`
+Decision = tuple[Any, ...]  # the kind of the decision and the arguments of the `DecisionSink` method
 
 
 @dataclass(frozen=True)
 class HostOptions:
-    """What a host's gateway is built with.
+    """Options of a host's gateway.
 
     Attributes:
         servers: number of app servers, all ready and warm.
         effect: idempotency of the frontend's requests.
-        group: which servers drop duplicates.
-        late: weight of a late answer.
+        group: deduplication scope of the frontend's requests.
+        late: late weight of the frontend.
         polls_endpoints: whether the gateway must poll discovery.
-        plan: the customers' plan; None: one that hardly limits anything.
-        number: the node's index.
-        nodes: number of nodes.
-        warm_ms: time in which a server that starts warms up.
+        plan: the customers' plan; None for `DEFAULT_PLAN`, which hardly limits anything.
+        node_index: index of this node.
+        node_count: number of nodes.
+        warm_ms: time after its start at which a server has its full capacity.
     """
 
     servers: int = 4
@@ -45,8 +45,8 @@
     late: float = 0.0
     polls_endpoints: bool = False
     plan: Plan | None = None
-    number: int = 0
-    nodes: int = 3
+    node_index: int = 0
+    node_count: int = 3
     warm_ms: float = 10000.0
 
 
@@ -68,9 +68,9 @@
         "peer_messages_per_second": 50.0,
     }
     return GatewayOptions(
-        seed=7 + options.number,
-        node_index=options.number,
-        node_count=options.nodes,
+        seed=7 + options.node_index,
+        node_index=options.node_index,
+        node_count=options.node_count,
         tick_ms=1.0,
         frontends=[frontend],
         plans=[options.plan or DEFAULT_PLAN],
@@ -81,10 +81,10 @@
 
 
 class Host:
-    """Hosts one gateway and is its `DecisionSink`.
+    """Hosts one gateway and implements its `DecisionSink`.
 
     Args:
-        values: fields of `HostOptions`; all others are limits of the deployment.
+        values: fields of `HostOptions` and `GatewayLimits`, by name.
     """
 
     def __init__(self, **values: Any) -> None:
@@ -100,23 +100,23 @@
     def row(
         self, index: int, state: EndpointState = EndpointState.READY, started: float = 0.0
     ) -> EndpointStatus:
-        """Returns what discovery reports of one server."""
+        """Returns the status of one server, as discovery reports it."""
         return EndpointStatus(f"s{index}", f"h{index % 3}", index % 2, state, 1.0, started)
 
     def update_endpoints(self, *rows: EndpointStatus, complete: bool = True) -> None:
-        """Reports endpoints."""
+        """Passes an update from discovery."""
         self.feed(EndpointsUpdated(complete, list(rows)))
 
     def feed(self, event: Event) -> list[Decision]:
-        """Handles one event; returns what was decided."""
-        before = len(self.done)
+        """Passes one event to the gateway; returns its decisions."""
+        decision_count = len(self.done)
         self.gateway.handle(self.now, [event], self)
-        return self.done[before:]
+        return self.done[decision_count:]
 
     def arrive(
         self, units: int = 1, key: str = "c", client_timeout_ms: float = 5000.0, spread: int = 3
     ) -> list[Decision]:
-        """Lets a request arrive; returns what was decided."""
+        """Passes the arrival of a request; returns the decisions."""
         self._request_count += 1
         request_id = f"r{self._request_count}"
         deadline = self.now + client_timeout_ms
@@ -126,26 +126,26 @@
         self,
         request_id: str,
         result: AttemptResult,
-        waited: float = 50.0,
+        latency_ms: float = 50.0,
         number: int = 0,
         settled: bool | None = None,
-        actual: int = 0,
+        actual_units: int = 0,
     ) -> list[Decision]:
-        """Ends an attempt of a request; returns what was decided."""
-        over = result is AttemptResult.OK if settled is None else settled
-        return self.feed(AttemptFinished(request_id, number, result, waited, over, actual))
+        """Passes the end of an attempt; returns the decisions."""
+        is_settled = result is AttemptResult.OK if settled is None else settled
+        return self.feed(AttemptFinished(request_id, number, result, latency_ms, is_settled, actual_units))
 
     def run(self, ms: float) -> list[Decision]:
-        """Lets time pass, with the timer's events; returns what was decided."""
-        before = len(self.done)
-        until = self.now + ms
-        while self.now < until:
+        """Advances the clock and fires the timer every 25 ms; returns the decisions."""
+        decision_count = len(self.done)
+        end = self.now + ms
+        while self.now < end:
             self.now += 25.0
             self.feed(TimerFired(0))
-        return self.done[before:]
+        return self.done[decision_count:]
 
     def start_attempt(self, request_id: str, server: str, timeout: float, begin_before: float) -> None:
-        """Records an attempt."""
+        """Records the start of an attempt."""
         self.done.append(("attempt", request_id, server, timeout))
         self.begin_before = begin_before
 
@@ -154,16 +154,16 @@
         self.done.append(("deny", *args))
 
     def abort(self, *args: Any) -> None:
-        """Records that a request was aborted."""
+        """Records an abort."""
         self.done.append(("abort", *args))
 
     def cancel_attempt(self, *args: Any) -> None:
-        """Records that an attempt was cancelled."""
+        """Records the cancellation of an attempt."""
         self.done.append(("cancel", *args))
 
     def send_peer_message(self, *args: Any) -> None:
         """Records a message to a peer."""
-        self.done.append(("tell", *args))
+        self.done.append(("message", *args))
 
     def log(self, *args: Any) -> None:
         """Records a log line."""
@@ -171,14 +171,14 @@
 
     def watch_endpoints(self) -> None:
         """Records a poll of discovery."""
-        self.done.append(("subscribe",))
+        self.done.append(("watch",))
 
     def report_units_spent(self, *args: Any) -> None:
-        """Records a report of units to the planner."""
+        """Records a report of units to the planners."""
         self.done.append(("report", *args))
 
     def return_lease(self, *args: Any) -> None:
-        """Records that a lease was returned."""
+        """Records the return of a lease."""
         self.done.append(("return", *args))
 
     def start_timer(self, *args: Any) -> None:
@@ -186,5 +186,5 @@
 
 
 def kinds(done: list[Decision]) -> list[str]:
-    """Returns the kinds of the decisions, log lines left out."""
+    """Returns the kinds of the decisions without log lines."""
     return [decision[0] for decision in done if decision[0] != "log"]
--- a/tests/policy/test_leases.py
+++ b/tests/policy/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases of quota units: spent before the node's own tokens, kept and returned."""
+"""Leases of quota units: how they are spent before the node's own tokens, granted, revoked and returned."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from onyxpost.core.customer_table import CustomerTable
 from onyxpost.core.events import LeaseGranted, LeaseRevoked
 from onyxpost.core.types import Plan
-from onyxpost.policy.leases import OWN_SHARE, LeaseHolder, leased_units, spend
+from onyxpost.policy.leases import OWN_SHARE_LEASE_ID, LeaseHolder, leased_units, spend
 
 NOW = 1000.0
 CUSTOMER_KEY = 7
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def customers() -> CustomerTable:
-    """A table with one customer that has ten tokens of its own."""
+    """A table with one customer whose two buckets hold ten tokens each."""
     table = CustomerTable(NOW)
     customer = table.get(CUSTOMER_KEY)
     customer.set_plan(Plan("p", 1.0, 10.0, 0, 1.0, 1.0, 10.0), 1.0, 1.0, 1000.0)
@@ -41,7 +41,7 @@
 
 def test_leases_that_do_not_hold_all_units_are_not_touched(customer: CustomerQuota) -> None:
     customer.leases = {1: Lease(3.0, NOW + 1.0)}
-    assert spend(customer, NOW, 4) == [(OWN_SHARE, 4)]
+    assert spend(customer, NOW, 4) == [(OWN_SHARE_LEASE_ID, 4)]
     assert customer.leases[1].units == 3.0
     assert (customer.quota.tokens, customer.hard_limit.tokens, customer.units_used) == (6.0, 6.0, 4)
 
--- a/tests/policy/test_preference_order.py
+++ b/tests/policy/test_preference_order.py
@@ -1,4 +1,4 @@
-"""The hashed order in which a customer's requests prefer servers."""
+"""The order in which a customer's requests prefer servers, which hashes determine."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def preferred(host: Host, customer: CustomerQuota) -> list[str]:
-    """Returns the ids of the servers in the customer's order."""
+    """Returns the ids of the ready servers in the customer's order."""
     return [server.id for server in host.gateway.selection.order.servers_for(customer)]
 
 
@@ -25,9 +25,13 @@
 
 def test_nodes_of_a_small_set_share_an_order_and_those_of_a_large_set_do_not() -> None:
     customer = CustomerQuota(crc32(b"c"), 0.0)
-    small = {tuple(preferred(Host(servers=9, number=index, nodes=12), customer)) for index in range(6)}
+    small = {
+        tuple(preferred(Host(servers=9, node_index=index, node_count=12), customer)) for index in range(6)
+    }
     customer.coordinator = 3
-    large = {tuple(preferred(Host(servers=9, number=index, nodes=12), customer)) for index in range(6)}
+    large = {
+        tuple(preferred(Host(servers=9, node_index=index, node_count=12), customer)) for index in range(6)
+    }
     assert len(small) == 1
     assert len(large) == 6
 
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -1,4 +1,4 @@
-"""When requests are retried, aborted or rejected."""
+"""When requests whose attempts have failed are retried, aborted or rejected."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 
 
 def test_a_lost_request_with_a_key_is_retried_only_within_the_deduplication_window() -> None:
-    for waited, then in ((300.0, "attempt"), (2900.0, "deny")):  # late: the servers are about to forget
+    # After 2.9 s, the servers are about to forget the key: the window is 3 s.
+    for elapsed_ms, expected in ((300.0, "attempt"), (2900.0, "deny")):
         host = Host(effect=Idempotency.IDEMPOTENCY_KEY, late=0.2)
         ((_, request_id, _, _),) = host.arrive()
-        host.now += waited
-        assert kinds(host.end(request_id, AttemptResult.LOST, waited)) == [then]
+        host.now += elapsed_ms
+        assert kinds(host.end(request_id, AttemptResult.LOST, elapsed_ms)) == [expected]
 
 
 def test_a_non_idempotent_request_that_was_possibly_executed_is_aborted() -> None:
@@ -31,7 +32,7 @@
 def test_a_request_with_a_key_of_its_zone_is_retried_in_its_zone_or_aborted() -> None:
     host = Host(
         servers=3, effect=Idempotency.IDEMPOTENCY_KEY, group=DeduplicationScope.ZONE
-    )  # one server a zone
+    )  # one server per zone
     ((_, request_id, _, _),) = host.arrive()
     assert kinds(host.end(request_id, AttemptResult.ERROR)) == ["abort"]
 
