--- a/onyxpost/leadership/__init__.py
+++ b/onyxpost/leadership/__init__.py
@@ -1,6 +1,9 @@
 """Leader election by leases: at most one node at a time leads each named role (docs/leadership.md).
 
-A majority of acceptors grants the lease of a role, with a fencing token that only grows and a small record
-that the next leader reads. The modules that decide are pure state machines (`acceptor`, `candidate`,
-`leader`, `participant`, `registry`); `service` runs them on the cluster's connections.
+A majority of acceptors grants the lease of a role. Each grant has a higher fencing token than all earlier
+ones, and carries a small record that the previous leader wrote.
+
+`acceptor`, `candidate`, `leader`, `participant` and `registry` are state machines; `service` runs them on the
+cluster's connections. A module that is called pure neither does I/O nor reads a clock: its callers pass the
+time in, and execute the effects that it returns.
 """
--- a/onyxpost/leadership/acceptor.py
+++ b/onyxpost/leadership/acceptor.py
@@ -1,7 +1,10 @@
-"""One acceptor of one role: its promises, what it accepted, and its silence after a restart. Pure.
+"""An acceptor of one role: it promises ballots, grants the lease and accepts the record. Pure.
 
-Times are of the node's own clock, in milliseconds: the Unix time at the start of the process, from then on
-counted monotonically. docs/leadership.md has the proofs.
+After a restart an acceptor does not vote for `LeaseTiming.restart_silence_ms`, until every lease that it may
+have granted before has ended. This is its restart wait.
+
+Times are readings of the node's own clock in milliseconds: Unix time at the start of the process, counted
+monotonically from then on. docs/leadership.md proves that at most one node leads a role.
 """
 
 from __future__ import annotations
@@ -36,14 +39,14 @@
     from onyxpost.leadership.lease_timing import LeaseTiming
     from onyxpost.leadership.membership import AcceptorSet
 
-REASON_LIMIT_CHARACTERS = 100  # of a reason that names a remote node, in a log line
+REASON_LIMIT_CHARACTERS = 100  # longest reason in a log line that contains the name of a remote node
 
 
 class Acceptor:
     """Grants the lease of one role and accepts its record.
 
-    `saved` is the state from the log, if there is one; without it (a restart without a log, or an acceptor
-    that was just added) the acceptor must recover its state from the others.
+    `saved` is the state read from the log. It is None after a restart without a log and for an acceptor that
+    was just added: the acceptor then has to recover its state from the other acceptors.
     """
 
     def __init__(
@@ -61,7 +64,7 @@
         self.acceptors = acceptors
         self.is_voting = False
         self.lease = GrantedLease()
-        self.promised_at_ms = now_ms - timing.restart_silence_ms  # so long ago that it keeps nobody away
+        self.promised_at_ms = now_ms - timing.restart_silence_ms  # too long ago to delay a candidate
         self.recovery: AcceptorRecovery | None = None
         if saved is not None:
             self.promised = saved.promised
@@ -70,8 +73,9 @@
             self.settled_version = saved.settled_version
             self.silent_until_ms = now_ms + timing.acceptor_lease_ms
             return
-        # Before its restart this acceptor promised no ballot more than `skew_ms` above its clock, and the
-        # clock was set back by at most `skew_ms` since: whatever it promised is at most this number.
+        # Before its restart this acceptor promised no ballot number more than `skew_ms` above its clock, and
+        # the clock was set back by at most `skew_ms` since. So this number is at least as high as any that it
+        # promised.
         self.promised = Ballot(int(now_ms + 2.0 * timing.skew_ms), NO_BALLOT.node, 0)
         self.record = EMPTY_RECORD
         self.record_epoch_ms = 0
@@ -81,11 +85,14 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether a majority of this acceptor set is known to have accepted the record, if there is one."""
+        """Whether a majority of the current acceptor set is known to have the record; True if there is none.
+
+        Always False while the acceptor does not vote.
+        """
         return self.is_voting and self._state().is_settled
 
     def tick(self, now_ms: float) -> list[Effect]:
-        """Ends the silence, or sends the recovery queries that are due; to be called every 50 ms or so."""
+        """Ends the restart wait or returns recovery queries, when due. Called about every 50 ms."""
         if self.is_voting or now_ms < self.silent_until_ms:
             return []
         if self.recovery is None:
@@ -93,14 +100,14 @@
         return self.recovery.tick(now_ms)
 
     def start_voting(self, reason: str) -> list[Effect]:
-        """Ends the silence after a restart."""
+        """Starts to promise and accept ballots; `reason` is for the log."""
         self.is_voting = True
         self.recovery = None
         ready = Diagnostic(self.role, DiagnosticKind.ACCEPTOR_VOTING, reason)
         return [ready, PersistState(self._state())]
 
     def handle(self, now_ms: float, sender: str, message: Message) -> list[Effect]:
-        """Handles a message of any kind and version; those that are not for acceptors are ignored."""
+        """Handles a message of any type and acceptor set version; ignores types not meant for acceptors."""
         if isinstance(message, Prepare | Accept | Release) and message.ballot.node != sender:
             reason = f"{sender} sent a ballot of {message.ballot.node}"[:REASON_LIMIT_CHARACTERS]
             return [Diagnostic(self.role, DiagnosticKind.MESSAGE_DROPPED, reason)]
@@ -131,7 +138,7 @@
         return self._accept(now_ms, sender, message)
 
     def _reject_reason(self, now_ms: float, message: Prepare | Accept) -> RejectReason | None:
-        """Why the proposal is rejected; None if it is not."""
+        """Returns why the proposal is rejected, or None if it is acceptable."""
         if message.version != self.acceptors.version:
             return RejectReason.OTHER_VERSION
         if not self.is_voting:
@@ -152,8 +159,9 @@
         remaining_ms = self.lease.ends_at_ms - now_ms
         leader = self.lease.ballot.node
         if remaining_ms <= 0.0 and self.promised.node != sender:
-            # No lease runs, but another candidate may have just got a promise: for the response timeout after
-            # it the role counts as taken, so that the two do not outbid each other.
+            # No lease is active, but another candidate may have just received a promise. The role is reported
+            # as taken for one response timeout after the promise, so that two candidates do not keep
+            # superseding each other's ballots.
             remaining_ms = self.promised_at_ms + self.timing.response_timeout_ms - now_ms
             leader = ""
         return StatusReply(
@@ -224,7 +232,10 @@
         return self.start_voting(recovered.reason)
 
     def change_acceptors(self, now_ms: float, acceptors: AcceptorSet) -> None:
-        """Applies the next acceptor set, which `membership.validate_transition` allowed."""
+        """Applies the next acceptor set and restarts an unfinished recovery with it.
+
+        The caller has checked the set with `membership.validate_transition`.
+        """
         self.acceptors = acceptors
         if self.recovery is not None:
             starts_at_ms = max(now_ms, self.silent_until_ms)
--- a/onyxpost/leadership/acceptor_log.py
+++ b/onyxpost/leadership/acceptor_log.py
@@ -1,8 +1,9 @@
-"""The state of acceptors on disk: an append-only file, synced before the state is acted upon. I/O.
+"""Log of acceptor states: an append-only file, synced before any message that depends on a state is sent.
 
-An entry is its length, a CRC-32 of the length, a CRC-32 of the body, and the body in MessagePack; numbers
-are of four bytes, big-endian. A last entry that is truncated by the end of the file was never acted upon, and
-is removed; anything else that does not match is damage, and the file is refused.
+An entry consists of the body's length, a CRC-32 of the length, a CRC-32 of the body, and the body in
+MessagePack. The three numbers have four bytes each, big-endian. A last entry that is cut off by the end of
+the file was never synced, so no message depended on it, and it is removed. A file with any other mismatch is
+damaged and is refused.
 """
 
 from __future__ import annotations
@@ -16,8 +17,8 @@
 from onyxpost.leadership.acceptor_state import AcceptorState
 from onyxpost.leadership.errors import AcceptorLogError
 
-COMPACT_AT_BYTES = 4 * 1024 * 1024  # above this size the file is rewritten with the last state of each role
-ENTRY_LIMIT_BYTES = 128 * 1024  # well above a record of 64 KiB and its envelope: longer ones are damage
+COMPACT_AT_BYTES = 4 * 1024 * 1024  # a larger file is rewritten with only the last state of each role
+ENTRY_LIMIT_BYTES = 128 * 1024  # well above a record of 64 KiB and its envelope; a greater length is damage
 FILE_MODE = 0o600
 READ_CHUNK_BYTES = 1 << 20
 INTEGER_BYTES = 4
@@ -38,10 +39,12 @@
 
 
 def read_entries(data: bytes, path: str) -> tuple[dict[str, AcceptorState], int]:
-    """Returns the last state of each role, and how many bytes of `data` are complete entries.
+    """Returns the last state of each role, and the total length in bytes of the complete entries in `data`.
+
+    `path` is named in errors.
 
     Raises:
-        AcceptorLogError: the data is damaged or of another version.
+        AcceptorLogError: the data is damaged, or was written in another version's format.
     """
     states: dict[str, AcceptorState] = {}
     offset = 0
@@ -59,7 +62,7 @@
 
 
 def _read_body(data: bytes, offset: int, path: str) -> bytes | None:
-    """The body of the entry at `offset`; None if it is truncated. Raises AcceptorLogError."""
+    """Returns the body of the entry at `offset`, or None if it is truncated. Raises AcceptorLogError."""
     body_offset = offset + HEADER_BYTES
     length_bytes = data[offset : offset + INTEGER_BYTES]
     length = int.from_bytes(length_bytes, "big")
@@ -76,10 +79,12 @@
 
 
 class AcceptorLog:
-    """The log at `path`, which is created if it does not exist; `states` is its last state of each role.
+    """Reads the log at `path`, creating it if it does not exist, and appends to it.
+
+    `states` has the last state of each role.
 
     Raises:
-        AcceptorLogError: the file cannot be used.
+        AcceptorLogError: the file is damaged, or cannot be opened, read or synced.
     """
 
     def __init__(self, path: str) -> None:
@@ -96,10 +101,10 @@
             raise AcceptorLogError(str(error.strerror), path) from error
 
     def append(self, state: AcceptorState) -> None:
-        """Makes the state durable.
+        """Writes the state to disk and syncs it.
 
         Raises:
-            AcceptorLogError: it is not durable, so nothing that depends on it may be sent.
+            AcceptorLogError: the state may not be durable, so no message that depends on it may be sent.
         """
         self.states[state.role] = state
         try:
@@ -115,7 +120,7 @@
             raise AcceptorLogError(str(error.strerror), self.path) from error
 
     def close(self) -> None:
-        """Closes the file."""
+        """Closes the file; `append` must not be called afterwards."""
         os.close(self.descriptor)
 
     def _compact(self) -> None:
--- a/onyxpost/leadership/acceptor_recovery.py
+++ b/onyxpost/leadership/acceptor_recovery.py
@@ -1,9 +1,11 @@
-"""Recovery of an acceptor that restarted without state: it reads from the others after its silence. Pure.
+"""Recovery of an acceptor that restarted without state: after its restart wait it queries the others. Pure.
 
-A write is committed by a majority. Of any `required_replies` acceptors that kept their state, at least one
-took part in it: at most `acceptors - majority` of them did not. Replies to queries from before the end of the
-silence do not count: an acceptance from before the restart could still help to commit a write that no other
-acceptor has yet.
+A committed write was accepted by a majority, so at most `acceptors - majority` acceptors lack it. Of
+`required_replies` acceptors with state, which is one more, at least one has it.
+
+Replies to queries sent before the end of the restart wait do not count. Until then, a message in which this
+acceptor accepted a write before its restart may still be on its way to the leader, and commit a write that no
+other acceptor has accepted yet.
 """
 
 from __future__ import annotations
@@ -18,12 +20,14 @@
     from onyxpost.leadership.lease_timing import LeaseTiming
     from onyxpost.leadership.membership import AcceptorSet
 
-INCOMPLETE_RECOVERY_SILENCES = 2.0  # further silences to wait for all replies when a majority has no state
+# When a majority has lost its state, the acceptor waits for the replies of all others, but no longer than
+# this many further restart waits.
+INCOMPLETE_RECOVERY_SILENCES = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveredState:
-    """The state with which the acceptor votes again."""
+    """The state with which the acceptor starts to vote; `reason` is for the log."""
 
     record: Record
     record_epoch_ms: int
@@ -32,7 +36,7 @@
 
 
 class AcceptorRecovery:
-    """Queries the other acceptors from `starts_at_ms` on, until their replies suffice."""
+    """Queries the other acceptors from `starts_at_ms` on, until enough of them have replied."""
 
     def __init__(
         self, node: str, role: str, timing: LeaseTiming, acceptors: AcceptorSet, starts_at_ms: float
@@ -47,22 +51,23 @@
 
     @property
     def required_replies(self) -> int:
-        """How many acceptors with state must reply."""
+        """The number of acceptors with state that must reply: enough to include one that has each write."""
         return len(self.acceptors.names) - self.acceptors.majority + 1
 
     def tick(self, now_ms: float) -> list[Effect]:
-        """Returns the queries that are due."""
+        """Returns queries to all other acceptors, once per response timeout."""
         if now_ms < self.next_query_at_ms:
             return []
         self.next_query_at_ms = now_ms + self.timing.response_timeout_ms
-        # Rounded up, past the clock: `handle_reply` counts only queries that are later than `starts_at_ms`.
+        # Rounded up, because `handle_reply` counts only queries that are later than `starts_at_ms`.
         query = RecoveryQuery(role=self.role, version=self.acceptors.version, queried_at_ms=int(now_ms) + 1)
         return [SendMessage(name, query) for name in self.acceptors.names if name != self.node]
 
     def handle_reply(self, now_ms: float, sender: str, reply: RecoveryReply) -> RecoveredState | None:
-        """Returns the state with which to vote again, or None while the replies do not suffice.
+        """Returns the recovered state, or None while there are too few replies.
 
-        Query times are of this node's clock: those from before its restart are lower.
+        A reply repeats the time of its query by this node's clock. Queries from before the restart are
+        recognized by their earlier time.
         """
         is_other_acceptor = sender in self.acceptors.names and sender != self.node
         if not is_other_acceptor or reply.queried_at_ms <= self.starts_at_ms:
@@ -86,7 +91,10 @@
 
 
 def _newest(replies: list[RecoveryReply], record_epoch_ms: int, reason: str) -> RecoveredState:
-    """The newest record of the replies; `record_epoch_ms` is now if records may be lost, else 0."""
+    """Returns the newest state in the replies.
+
+    `record_epoch_ms` is the current time if committed records may be lost, else 0.
+    """
     records = (reply.record for reply in replies)
     return RecoveredState(
         record=max(records, key=Record.recency, default=EMPTY_RECORD),
--- a/onyxpost/leadership/acceptor_state.py
+++ b/onyxpost/leadership/acceptor_state.py
@@ -1,4 +1,4 @@
-"""What an acceptor must not forget of one role: the content of a log entry. Pure."""
+"""The state of an acceptor that must survive a restart: the content of a log entry. Pure."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 
 class AcceptorState(msgspec.Struct, frozen=True):
-    """The promise and the acceptance of one acceptor for one role.
+    """The highest ballot that one acceptor promised for one role, and the record that it accepted last.
 
-    `field(name=...)` gives the names on disk, which are older than those here and are kept.
+    `field(name=...)` gives the key on disk, where it differs from the attribute. The keys must not change, as
+    existing files have them.
     """
 
     role: str = msgspec.field(name="duty")
@@ -23,5 +24,5 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether a majority of this acceptor set is known to have accepted the record, if there is one."""
+        """Whether a majority of the acceptor set is known to have the record; True if there is none."""
         return not self.record.ballot_number or self.settled_version >= self.acceptor_set_version
--- a/onyxpost/leadership/ballots.py
+++ b/onyxpost/leadership/ballots.py
@@ -1,8 +1,8 @@
 """Ballots, as in Paxos: a number, which is also the fencing token, and the node that proposes it. Pure.
 
-Acceptors compare the number alone, and promise one number to one proposer only, so no two grants share a
-fencing token. A number is the proposer's clock in Unix milliseconds, or one above the highest number known if
-that is more. So numbers grow even when every acceptor has lost its state, as the clock has moved on.
+Acceptors compare only the numbers, and promise each number to at most one proposer, so no two leases have the
+same fencing token. The number of a new ballot is the proposer's clock in Unix milliseconds, or the highest
+number known plus one if that is greater. So numbers increase even after all acceptors have lost their state.
 """
 
 from __future__ import annotations
@@ -19,14 +19,17 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeIdentity:
-    """A node and its incarnation: a number that is higher after each restart."""
+    """A node's name and its incarnation, a number that increases with each restart."""
 
     name: str
     incarnation: int
 
 
 class Ballot(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """A proposal to lead a role. The incarnation distinguishes ballots before and after a node's restart."""
+    """A proposal of a node to lead a role.
+
+    The incarnation distinguishes a node's ballots from those that it proposed before a restart.
+    """
 
     number: Number
     node: Name
@@ -48,10 +51,10 @@
         self.highest_known = highest_known
 
     def observe(self, number: int) -> None:
-        """Takes note of a number that another node has used."""
+        """Makes later ballots exceed `number`, which another node has used."""
         self.highest_known = max(self.highest_known, number)
 
     def next_number(self, now_ms: float) -> int:
-        """Returns the number of a new ballot."""
+        """Returns a number for a new ballot, higher than all that were observed or returned before."""
         self.highest_known = max(int(now_ms), self.highest_known + 1)
         return self.highest_known
--- a/onyxpost/leadership/candidate.py
+++ b/onyxpost/leadership/candidate.py
@@ -1,4 +1,4 @@
-"""One node that may become the leader of a role: query, prepare, have the record accepted. Pure."""
+"""A node that tries to become the leader of a role: it queries, prepares and requests acceptance. Pure."""
 
 from __future__ import annotations
 
@@ -31,13 +31,14 @@
     from onyxpost.leadership.lease_timing import LeaseTiming
     from onyxpost.leadership.membership import AcceptorSet
 
-# No acceptor can have promised a ballot further ahead of this node's clock: one that starts without state
-# counts 2 skews above its own clock as promised, and that clock is at most 1 skew ahead; 1 more is margin.
+# No acceptor can have promised a ballot number further ahead of this node's clock than this many times
+# `skew_ms`: an acceptor without state treats numbers up to 2 skews above its own clock as promised, and its
+# clock is at most 1 skew ahead of this node's. The fourth skew is a margin.
 PLAUSIBLE_BALLOT_SKEWS = 4.0
 
 
 class Phase(Enum):
-    """What a candidate waits for."""
+    """The phase of a candidate's attempt to be elected."""
 
     IDLE = auto()
     QUERYING = auto()
@@ -46,10 +47,10 @@
 
 
 class Candidate:
-    """Runs the election of this node, once a majority says that the role is free and its turn has come.
+    """Tries to get this node elected, once a majority reports that the role is free and it is its turn.
 
-    `rejected_by` are the acceptors that rejected the ballot in the current phase; `free_since_ms` is
-    since when the role is known to be free, None if it is not.
+    `rejected_by` has the acceptors that rejected the ballot in the current phase. `free_since_ms` is when
+    this node learned that the role is free; None if the role is not known to be free.
     """
 
     def __init__(
@@ -85,7 +86,7 @@
         return self.phase in (Phase.PREPARING, Phase.ACCEPTING)
 
     def tick(self, now_ms: float) -> list[Effect]:
-        """Does what is due: sends a query, or abandons a query or ballot without enough replies in time."""
+        """Sends a status query when one is due; abandons a query or ballot that has timed out."""
         if now_ms < self.next_action_at_ms:
             return []
         if self.phase is Phase.IDLE:
@@ -96,12 +97,12 @@
         return self._abandon_ballot(now_ms)
 
     def wait_until(self, now_ms: float, until_ms: float) -> None:
-        """Is idle until then; a query or ballot that is open is forgotten."""
+        """Does nothing until `until_ms`; an open query or ballot is dropped without a message."""
         self.phase = Phase.IDLE
         self.next_action_at_ms = max(now_ms, until_ms)
 
     def query_status(self, now_ms: float) -> list[Effect]:
-        """Asks all acceptors whether the role is free."""
+        """Returns status queries to all acceptors, which reply whether the role is free."""
         self._start_phase(Phase.QUERYING, now_ms, self.timing.response_timeout_ms)
         self.status_poll = StatusPoll(self.acceptors)
         return self._broadcast(
@@ -109,17 +110,20 @@
         )
 
     def set_rank(self, rank: int) -> None:
-        """Sets how many nodes are to try before this one."""
+        """Sets how many nodes have precedence over this one."""
         self.schedule.set_rank(rank)
 
     def on_leader_resigned(self, now_ms: float) -> None:
-        """The role is free: the nodes that are preferred query at once."""
+        """Schedules a query for this node's turn, if it is preferred: the leader has released the role."""
         if not self.has_open_ballot and self.schedule.is_preferred:
             self.free_since_ms = now_ms
             self.wait_until(now_ms, self.schedule.turn_at_ms(now_ms))
 
     def handle(self, now_ms: float, sender: str, message: Message) -> list[Effect] | ElectionWon:
-        """Handles an acceptor's reply; replies to earlier queries and ballots are ignored."""
+        """Handles an acceptor's reply; ignores replies to earlier queries and ballots.
+
+        Returns effects, or the result of the election once a majority has accepted the ballot.
+        """
         if sender not in self.acceptors.names or message.version != self.acceptors.version:
             return []
         match message:
@@ -136,9 +140,9 @@
         return []
 
     def request_acceptance(self, now_ms: float) -> list[Effect]:
-        """With promises of a majority: has the newest record they know accepted under this ballot.
+        """Asks the acceptors to accept the newest record of the promises under this ballot.
 
-        What any majority committed is among their records.
+        Called with promises of a majority: at least one of them has the last committed record.
         """
         newest = max((promise.record for promise in self.promises.values()), key=Record.recency)
         self.record = replace(newest, ballot_number=self.ballot.number)
@@ -168,7 +172,7 @@
         return self._evaluate_status(now_ms)
 
     def _evaluate_status(self, now_ms: float) -> list[Effect]:
-        """Prepares if the role is free with a majority and it is this node's turn; else waits for that."""
+        """Prepares a ballot if a majority reports the role as free and it is this node's turn; else waits."""
         if self.status_poll.is_role_free:
             if self.free_since_ms is None:
                 self.free_since_ms = now_ms
@@ -218,7 +222,7 @@
         return effects
 
     def _abandon_ballot(self, now_ms: float) -> list[Effect]:
-        """Too few accepted: acceptors are released at once, and the next attempt backs off with jitter."""
+        """Releases the acceptors of a ballot that failed, and schedules the next query after a backoff."""
         release = Release(
             role=self.role, version=self.acceptors.version, ballot=self.ballot, was_leader=False
         )
@@ -228,7 +232,7 @@
         return self._broadcast(release)
 
     def _observe_ballot_number(self, now_ms: float, number: int) -> None:
-        """Takes note of a number; ignores a faulty one, which no acceptor can have promised."""
+        """Makes later ballots exceed `number`; ignores a number too high for any acceptor to promise."""
         if number <= now_ms + PLAUSIBLE_BALLOT_SKEWS * self.timing.skew_ms:
             self.ballot_numbers.observe(number)
 
--- a/onyxpost/leadership/config.py
+++ b/onyxpost/leadership/config.py
@@ -1,4 +1,4 @@
-"""The section `duties` of a node's file. Every error names the key at fault."""
+"""The section `duties` of a node's file: roles, acceptors and timing. Every error names the invalid key."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class LeadershipSection(Settings):
-    """The section as it is written; the keys are those of `field(name=...)`."""
+    """The section as written in the file; `field(name=...)` gives a key that differs from the attribute."""
 
     version: Annotated[int, Meta(ge=1, lt=2**53)]
     acceptors: Annotated[list[Name], Meta(min_length=3, max_length=7)] = field(name="voters")
@@ -37,10 +37,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipConfig:
-    """The section, checked.
+    """The validated section.
 
-    `nodes` are the members of the cluster, each of which may lead a role that it is not barred from. Each
-    leader reports to `fenced_resource`, if there is one. Acceptors keep a log at `log_path`, if it is given.
+    `nodes` are the members of the cluster; each may lead any role that `barred` does not exclude it from.
+    Leaders report to `fenced_resource` every `report_interval_ms`; None: no reports. Acceptors keep a log at
+    `log_path`; None: their state is lost at a restart.
     """
 
     acceptors: AcceptorSet
@@ -54,11 +55,11 @@
 
 
 def read_section(data: Any, nodes: tuple[str, ...]) -> LeadershipConfig:  # noqa: ANN401  decoded JSON
-    """Checks the decoded section; `nodes` are the members of the cluster.
+    """Validates the section, given as decoded JSON; `nodes` are the members of the cluster.
 
     Raises:
-        LeadershipConfigError: a key has a value that cannot be used.
-        MembershipChangeError: the acceptors cannot follow those before.
+        LeadershipConfigError: a key is missing, unknown or has an invalid value.
+        MembershipChangeError: the acceptor set must not follow the previous one that the section names.
     """
     try:
         section = decode_as(data, LeadershipSection, SECTION)
--- a/onyxpost/leadership/effect_runner.py
+++ b/onyxpost/leadership/effect_runner.py
@@ -1,4 +1,4 @@
-"""Executes the state machines' effects: sends, persists, logs, and notifies the listeners of roles. I/O."""
+"""Executes the state machines' effects: sends messages, persists states, logs, and calls listeners."""
 
 from __future__ import annotations
 
@@ -34,16 +34,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Leadership:
-    """A role that this node leads, by the last change."""
+    """The lease of a role that this node acquired and has not been reported to have lost."""
 
     fencing_token: int
     acquired_at_ms: float
 
 
 class EffectRunner:
-    """Executes effects in their order.
+    """Executes effects in the given order.
 
-    `listeners` get the changes of their role; `acceptor_log` is None where acceptors keep none.
+    `acceptor_log` is None if acceptors keep no log. `leaderships` has the roles that this node leads.
     """
 
     def __init__(
@@ -63,19 +63,19 @@
         self.leaderships: dict[str, Leadership] = {}
 
     def subscribe(self, role: str, listener: Callable[[LeadershipChange], None]) -> None:
-        """Sets the one listener of a role."""
+        """Sets the listener of a role's leadership changes; replaces an earlier one."""
         self.listeners[role] = listener
 
     def apply(self, effects: list[Effect], sender: str = "") -> None:
-        """Executes the effects in order; `sender` sent the message that caused them, empty if none did."""
+        """Executes the effects in order; `sender` sent the message that caused them, empty for no message."""
         for index, effect in enumerate(effects):
             match effect:
                 case SendMessage():
                     self._send(effect)
                 case PersistState():
                     if not self._persist(effect.state):
-                        # The state is not durable: what depends on it may neither be sent nor acquired.
-                        # Leases that were lost, and diagnostics, do not depend on it.
+                        # The state is not durable, so messages and leases that depend on it are dropped.
+                        # Lost leases and diagnostics do not depend on it.
                         rest = effects[index + 1 :]
                         self.apply([e for e in rest if isinstance(e, LeaseLost | Diagnostic)])
                         return
@@ -101,14 +101,14 @@
             return
         try:
             listener(change)
-        except Exception as error:  # the other roles and the effects that follow must go on
+        except Exception as error:  # a faulty listener must not stop other roles or the following effects
             self.log.write(fault_event(f"role {change.role}", error))
 
     def _log_loss(self, change: LeaseLost) -> None:
         now_ms = self.net.clock()
         leadership = self.leaderships.pop(change.role, None)
         held_ms = now_ms - leadership.acquired_at_ms if leadership is not None else 0.0
-        ago_ms = max(0.0, now_ms - change.ended_at_ms)  # an expiry is noticed only at the next tick
+        ago_ms = max(0.0, now_ms - change.ended_at_ms)  # an expiry is detected at the next tick
         self.log.lease_lost(change, held_ms, ago_ms)
 
     def _send(self, effect: SendMessage) -> None:
@@ -116,7 +116,7 @@
         self.log.count_sent(effect.message, is_sent=is_sent)
 
     def _persist(self, state: AcceptorState) -> bool:
-        """Returns whether the state is durable. If not, its acceptors stop and it resigns from every role."""
+        """Returns whether the state is durable; if not, stops the acceptors and resigns from all roles."""
         if self.acceptor_log is None:
             return True
         try:
--- a/onyxpost/leadership/effects.py
+++ b/onyxpost/leadership/effects.py
@@ -1,4 +1,4 @@
-"""Effects: what the state machines have their environment do, in the order given. Pure."""
+"""Effects: actions that the state machines return, for their caller to execute in the given order. Pure."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message to a node, which may be this one."""
+    """Requests to send a message to a node, which may be this one."""
 
     recipient: str
     message: Message
@@ -21,16 +21,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistState:
-    """Make an acceptor's state durable before any effect that follows."""
+    """Requests to make an acceptor's state durable before any of the following effects is executed."""
 
     state: AcceptorState
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseAcquired:
-    """This node leads the role now.
+    """Reports that this node has acquired the lease of the role.
 
-    Where `record_epoch_ms` is later than `record.fencing_token`, committed writes may be missing.
+    If `record_epoch_ms` is greater than `record.fencing_token`, a majority of acceptors has lost its state
+    since the record was written, and later committed writes may be missing.
     """
 
     role: str
@@ -41,10 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseLost:
-    """This node no longer leads the role.
+    """Reports that this node no longer leads the role.
 
-    `ended_at_ms` is when the lease was to end by this node's clock: past if it expired, still to come if the
-    node resigned before.
+    `ended_at_ms` is the scheduled end of the lease by this node's clock: in the past if the lease expired, in
+    the future if the node resigned before.
     """
 
     role: str
@@ -55,7 +56,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordCommitted:
-    """A majority of acceptors has the record with this sequence number, which replaces all earlier ones."""
+    """Reports that a majority of acceptors has accepted the record with this sequence number.
+
+    The record replaces all earlier ones of its role.
+    """
 
     role: str
     fencing_token: int
@@ -63,7 +67,7 @@
 
 
 class DiagnosticKind(Enum):
-    """What a diagnostic reports; the value is the name of the event in the log."""
+    """The kinds of diagnostics; the value is the name of the log event."""
 
     ACCEPTOR_VOTING = "leadership acceptor voting"
     MESSAGE_DROPPED = "leadership message dropped"
@@ -72,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Diagnostic:
-    """Something for the log; `ballot_number` is 0 where no ballot is concerned."""
+    """An event to be logged; `ballot_number` is 0 if the event does not concern a ballot."""
 
     role: str
     kind: DiagnosticKind
--- a/onyxpost/leadership/election.py
+++ b/onyxpost/leadership/election.py
@@ -9,12 +9,18 @@
     from onyxpost.leadership.ballots import Ballot
     from onyxpost.leadership.protocol import Record
 
-FIRST_ROUND = 1  # that of the election; a leader counts on from here. 0 stands for a prepare
+# The round of the election; a leader's rounds have the following numbers. Round 0 in a Reject stands for a
+# Prepare.
+FIRST_ROUND = 1
 
 
 @dataclass(frozen=True, slots=True)
 class ElectionWon:
-    """A majority accepted the ballot: the lease counts from `requested_at_ms`."""
+    """The ballot that a majority accepted.
+
+    The lease begins at `requested_at_ms`, when the candidate requested acceptance. `record` is the role's
+    current record; `accepted_by` names the acceptors that have it.
+    """
 
     ballot: Ballot
     record: Record
--- a/onyxpost/leadership/fenced_call.py
+++ b/onyxpost/leadership/fenced_call.py
@@ -1,7 +1,8 @@
-"""Calls by which a leader acts on a fenced resource outside the cluster: HTTP with the fencing token. I/O.
+"""Fenced calls: HTTP requests of a leader to a resource outside the cluster, with the fencing token.
 
-`POST /acts/ROLE` with the headers `Fence` and `Holder`. Status 200: executed. Status 409 with a higher
-`Fence`: rejected, as another node leads the role.
+The request is `POST /acts/ROLE` with the token in the header `Fence` and the leader's name in `Holder`.
+Status 200 means that the call was executed. Status 409 with a higher `Fence` means that it was rejected, as
+the resource has received a call of a later leader.
 """
 
 from __future__ import annotations
@@ -24,13 +25,13 @@
     from onyxpost.runtime.transport import Transport
 
 RESPONSE_LIMIT_BYTES = 65536
-CAUSE_LIMIT_CHARACTERS = 200  # of an error's text in a log line
-TOKEN_LIMIT_DIGITS = 19  # a 64-bit number; a longer header value is no token
+CAUSE_LIMIT_CHARACTERS = 200  # longest text of a cause in an error
+TOKEN_LIMIT_DIGITS = 19  # the digits of a 64-bit number; a longer header value is not a token
 
 
 @dataclass(frozen=True, slots=True)
 class FencedCall:
-    """One call; `timeout_ms` bounds all of it."""
+    """A call; `timeout_ms` limits the time from the dial to the end of the response."""
 
     address: Address
     role: str
@@ -41,12 +42,15 @@
 
 
 async def execute(net: Transport, call: FencedCall, is_leading: Callable[[], bool]) -> None:
-    """Returns once the call was executed. `is_leading` is called right before the first byte is sent.
+    """Makes the call, and returns when the resource has confirmed that it was executed.
+
+    `is_leading` is checked again immediately before the request is written, as the lease may end while the
+    connection is established.
 
     Raises:
-        NotLeaderError: the lease ended before; nothing was sent.
-        HigherFencingTokenError: the resource knows a higher token.
-        FencedCallError: there was no answer, or an unexpected one: the call may have been executed.
+        NotLeaderError: the lease ended before the request was written; nothing was sent.
+        HigherFencingTokenError: the resource rejected the call, as it has received a higher token.
+        FencedCallError: there was no response, or an unexpected one; the call may have been executed.
     """
     location = "{}:{}/acts/{}".format(*call.address, call.role)
     http = h11.Connection(h11.CLIENT)
@@ -91,6 +95,6 @@
 
 
 def _fencing_token(response: h11.Response) -> int:
-    """The token that the resource knows; 0 if it names none."""
+    """Returns the highest token that the resource has received; 0 if the response has no valid token."""
     value = dict(response.headers).get(b"fence", b"")
     return int(value) if value.isdigit() and len(value) <= TOKEN_LIMIT_DIGITS else 0
--- a/onyxpost/leadership/granted_lease.py
+++ b/onyxpost/leadership/granted_lease.py
@@ -1,4 +1,4 @@
-"""The lease that one acceptor granted last, counted by its own clock. Pure."""
+"""The lease of a role that one acceptor granted last, measured by its own clock. Pure."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @dataclass(slots=True)
 class GrantedLease:
-    """One acceptor's last lease of a role.
+    """The last lease that one acceptor granted for a role.
 
-    `highest_released` is the highest ballot number that its owner released: no ballot up to it is accepted
-    again, though messages of it may still arrive.
+    `highest_released` is the highest ballot number that a node has released. The acceptor rejects ballots up
+    to this number, as a delayed message could otherwise grant a released lease again.
     """
 
     ballot: Ballot = NO_BALLOT
@@ -20,17 +20,17 @@
     highest_released: int = 0
 
     def excludes(self, now_ms: float, ballot: Ballot) -> bool:
-        """Whether the lease runs and belongs to another node, or to an earlier incarnation of this one."""
+        """Whether the lease is active and belongs to another node or incarnation than that of `ballot`."""
         is_same_owner = (self.ballot.node, self.ballot.incarnation) == (ballot.node, ballot.incarnation)
         return now_ms < self.ends_at_ms and not is_same_owner
 
     def grant(self, ballot: Ballot, ends_at_ms: float) -> None:
-        """Grants or renews the lease."""
+        """Grants the lease to the ballot's node, or renews it, until `ends_at_ms`."""
         self.ballot = ballot
         self.ends_at_ms = ends_at_ms
 
     def release(self, now_ms: float, ballot: Ballot) -> None:
-        """Ends the lease if it is of this ballot or an earlier one."""
+        """Ends the lease, if it was granted to this ballot or an earlier one."""
         self.highest_released = max(self.highest_released, ballot.number)
         if self.ballot.number <= ballot.number:
             self.ends_at_ms = now_ms
--- a/onyxpost/leadership/leader.py
+++ b/onyxpost/leadership/leader.py
@@ -1,4 +1,4 @@
-"""The leader of a role: renewals, writes, and resigning at the latest when the lease ends. Pure."""
+"""The leader of a role: it renews its lease, writes the record, and resigns when the lease ends. Pure."""
 
 from __future__ import annotations
 
@@ -16,12 +16,15 @@
     from onyxpost.leadership.membership import AcceptorSet
 
 LEASE_EXPIRED = "no majority renewed the lease"
-UNKNOWN_SEQUENCE = -1  # below every sequence number: an acceptor that may have no record of this ballot
+UNKNOWN_SEQUENCE = -1  # for an acceptor that may have no record of this ballot; below all sequence numbers
 
 
 @dataclass(slots=True)
 class Round:
-    """One request to all acceptors to accept a record and extend the lease."""
+    """A request to all acceptors to accept the record with `sequence` and to extend the lease.
+
+    The extended lease counts from `requested_at_ms`.
+    """
 
     requested_at_ms: float
     sequence: int
@@ -29,7 +32,7 @@
 
 
 class Leader:
-    """Holds the lease that `election` won, from the moment at which it was requested."""
+    """Holds the lease of a role that this node won in `election`."""
 
     def __init__(self, role: str, timing: LeaseTiming, acceptors: AcceptorSet, election: ElectionWon) -> None:
         self.role = role
@@ -40,7 +43,7 @@
         self.record_epoch_ms = election.record_epoch_ms
         self.lease_ends_at_ms = election.requested_at_ms + timing.lease_ms
         self.next_renewal_at_ms = election.requested_at_ms + timing.renew_interval_ms
-        # The sequence of the newest record that each acceptor certainly has.
+        # For each acceptor, the sequence number of the newest record that it is known to have.
         self.acceptor_sequences = {name: election.record.sequence for name in election.accepted_by}
         self.committed_sequence = election.record.sequence
         self.settled_version = acceptors.version
@@ -49,25 +52,25 @@
 
     @property
     def fencing_token(self) -> int:
-        """The number of the ballot that was elected."""
+        """The number of the elected ballot, sent with each fenced call."""
         return self.ballot.number
 
     def holds_lease(self, now_ms: float) -> bool:
-        """Whether the lease certainly holds at this moment."""
+        """Whether the lease is valid at `now_ms`, also at the worst clock rates that are allowed."""
         return now_ms < self.lease_ends_at_ms
 
     def tick(self, now_ms: float) -> list[Effect]:
-        """Renews the lease when that is due; resigns when it is over."""
+        """Requests a renewal of the lease when one is due; resigns if the lease has ended."""
         if not self.holds_lease(now_ms):
             return self.resign(LEASE_EXPIRED)
         return self._start_round(now_ms) if now_ms >= self.next_renewal_at_ms else []
 
     def write(self, now_ms: float, body: bytes) -> list[Effect]:
-        """Starts to replace the record; `RecordCommitted` with its sequence number confirms it.
+        """Requests acceptance of a new record; `RecordCommitted` with its sequence number reports success.
 
         Raises:
-            NotLeaderError: the lease is over.
-            RecordTooLongError: the body is over the limit.
+            NotLeaderError: the lease has ended.
+            RecordTooLongError: the body exceeds `RECORD_LIMIT_BYTES`.
         """
         if len(body) > RECORD_LIMIT_BYTES:
             raise RecordTooLongError(f"a record of {len(body)} bytes", self.role)
@@ -77,7 +80,7 @@
         return self._start_round(now_ms)
 
     def handle(self, now_ms: float, sender: str, message: Message) -> list[Effect]:
-        """Handles an acceptor's reply."""
+        """Handles an acceptor's reply; resigns if the lease has ended."""
         if not self.holds_lease(now_ms):
             return self.resign(LEASE_EXPIRED)
         if sender not in self.acceptors.names or message.version != self.acceptors.version:
@@ -94,8 +97,9 @@
         known = self.acceptor_sequences.get(sender, UNKNOWN_SEQUENCE)
         self.acceptor_sequences[sender] = max(known, reply.sequence)
         renewal = self.rounds.get(reply.round_id)
-        # A reply a lease or more after its request does not count. An acceptor that restarted without state
-        # relies on that: once it has waited for a lease, no reply from before its restart commits a write.
+        # A reply does not count if it arrives a lease duration or more after its request. An acceptor that
+        # restarted without state relies on this: after its restart wait, which is longer, none of its replies
+        # from before the restart can commit a write.
         if renewal is None or now_ms >= renewal.requested_at_ms + self.timing.lease_ms:
             return []
         renewal.accepted_by.add(sender)
@@ -109,7 +113,7 @@
         return [RecordCommitted(self.role, self.fencing_token, renewal.sequence)]
 
     def resign(self, reason: str) -> list[Effect]:
-        """Ends the lease at once and releases the acceptors; `Participant.resign` notifies other nodes."""
+        """Ends the lease immediately and releases the acceptors; `Participant.resign` notifies the others."""
         ended_at_ms = self.lease_ends_at_ms
         self.lease_ends_at_ms = float("-inf")
         release = Release(role=self.role, version=self.acceptors.version, ballot=self.ballot, was_leader=True)
@@ -117,7 +121,7 @@
         return [lost, *(SendMessage(name, release) for name in self.acceptors.names)]
 
     def change_acceptors(self, acceptors: AcceptorSet) -> None:
-        """Applies the next acceptor set. The lease that the old one granted runs to its end.
+        """Applies the next acceptor set. The lease that the previous set granted stays valid until its end.
 
         Open rounds are dropped, so that replies of two sets are never counted together.
         """
@@ -126,7 +130,7 @@
         self.acceptor_sequences = {}
 
     def _start_round(self, now_ms: float) -> list[Effect]:
-        """Requests a lease from now on, and sends the record to each acceptor that may not have it."""
+        """Requests a lease that begins now, and sends the record to each acceptor that may not have it."""
         self.round_id += 1
         self.next_renewal_at_ms = now_ms + self.timing.renew_interval_ms
         self.rounds = {
--- a/onyxpost/leadership/lease_timing.py
+++ b/onyxpost/leadership/lease_timing.py
@@ -1,4 +1,4 @@
-"""The durations by which leases are counted. All acceptors and leaders must agree on them. Pure."""
+"""The durations of leases and timeouts. They must be the same at all acceptors and leaders. Pure."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 RECORD_LIMIT_BYTES = 64 * 1024
 
-RENEWALS_PER_LEASE = 4.0  # two renewals in a row may fail before the lease ends
-RESPONSE_TIMEOUTS_PER_LEASE = 8.0  # a timeout of 250 ms at the default lease of 2 s
-RANK_DELAYS_PER_LEASE = 40.0  # a delay of 50 ms at the default lease: one tick of the service
+RENEWALS_PER_LEASE = 4.0  # the lease survives two consecutive failed renewals
+RESPONSE_TIMEOUTS_PER_LEASE = 8.0  # makes the timeout 250 ms at the default lease of 2 s
+RANK_DELAYS_PER_LEASE = 40.0  # makes the delay 50 ms at the default lease, one tick of the service
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTiming:
-    """Durations in milliseconds.
+    """The duration of a lease and the assumed limits of clock errors, with the durations derived from them.
 
-    `drift` bounds how far each clock's rate is from the true rate (0.01: 1%); `skew_ms` bounds the difference
-    between the readings of two clocks, and how far a clock is set back over a restart.
+    `drift` limits the relative error of each clock's rate (0.01: 1%). `skew_ms` limits the difference between
+    the readings of two nodes' clocks, and how far a node's clock may be set back across a restart.
     """
 
     lease_ms: float = 2000.0
@@ -25,14 +25,18 @@
 
     @property
     def acceptor_lease_ms(self) -> float:
-        """The lease as an acceptor counts it: at the worst clock rates no shorter than the leader's count."""
+        """The duration for which an acceptor grants a lease.
+
+        It is longer than `lease_ms`, so that the acceptor's lease does not end before the leader's, even if
+        the acceptor's clock is as fast and the leader's as slow as `drift` allows.
+        """
         return self.lease_ms * (1.0 + self.drift) / (1.0 - self.drift)
 
     @property
     def restart_silence_ms(self) -> float:
-        """How long an acceptor that restarted without state must not vote.
+        """The restart wait: how long an acceptor that restarted without state must not vote.
 
-        This is the longest lease that it can have granted, and `skew_ms` as a margin.
+        This is the duration of the last lease that it may have granted, with `skew_ms` as a margin.
         """
         return self.acceptor_lease_ms + self.skew_ms
 
@@ -43,13 +47,13 @@
 
     @property
     def response_timeout_ms(self) -> float:
-        """The time to wait for replies to a status query; prepare and accept wait twice as long.
+        """How long a candidate waits for replies to a status query; to a Prepare or Accept, twice as long.
 
-        A promise keeps other candidates away for the same time.
+        For the same time after a promise, an acceptor reports the role as taken to other candidates.
         """
         return self.lease_ms / RESPONSE_TIMEOUTS_PER_LEASE
 
     @property
     def rank_delay_ms(self) -> float:
-        """When a role is free, how much later a node tries than the node of the rank before it."""
+        """The interval between the times at which nodes of consecutive ranks may prepare a ballot."""
         return self.lease_ms / RANK_DELAYS_PER_LEASE
--- a/onyxpost/leadership/membership.py
+++ b/onyxpost/leadership/membership.py
@@ -1,4 +1,4 @@
-"""The set of acceptors, by version, and which version may follow which. Pure."""
+"""The versioned set of acceptors, and the check whether one version may replace another. Pure."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptorSet:
-    """One version of the set; `previous_names` are the acceptors of the version before (none: the first)."""
+    """One version of the acceptor set.
+
+    `previous_names` has the acceptors of the previous version; it is empty for the first version.
+    """
 
     version: int
     names: tuple[str, ...]
@@ -17,7 +20,7 @@
 
     @property
     def majority(self) -> int:
-        """The number of acceptors that form a quorum."""
+        """The number of acceptors that make a majority."""
         return _majority(self.names)
 
 
@@ -31,10 +34,13 @@
 
 
 def validate_acceptor_set(acceptors: AcceptorSet, section: str) -> None:
-    """Checks an acceptor set without knowing the one in force; `section` is its path in the file.
+    """Checks an acceptor set by itself, without the set in force.
+
+    `section` is the path of the section `duties` in the file, for errors.
 
     Raises:
-        MembershipChangeError: the version before is missing, or its majorities might not intersect these.
+        MembershipChangeError: the previous acceptors are missing, or a majority of them might not intersect a
+            majority of the new ones.
     """
     if acceptors.version > 1 and not acceptors.previous_names:
         raise MembershipChangeError("version above 1 without the voters before it", f"{section}.before")
@@ -43,13 +49,14 @@
 
 
 def validate_transition(old: AcceptorSet, new: AcceptorSet, section: str, *, is_settled: bool) -> None:
-    """Checks whether `new` may replace `old` at this node.
+    """Checks whether `new` may replace `old` at this node; a set equal to `old` may.
 
-    `is_settled`: whether a majority of `old` is known to have accepted every record of which this node is an
-    acceptor; `section` is the section's path in the file. A file with the set in force is accepted as well.
+    `is_settled` is whether a majority of `old` is known to have accepted every record of which this node is
+    an acceptor; otherwise a majority of `new` might lack a committed record. `section` is the path of the
+    section `duties` in the file, for errors.
 
     Raises:
-        MembershipChangeError: `new` must not follow `old`, or not yet.
+        MembershipChangeError: `new` must not replace `old`, or not yet.
     """
     validate_acceptor_set(new, section)
     if new.version == old.version and set(new.names) == set(old.names):
--- a/onyxpost/leadership/participant.py
+++ b/onyxpost/leadership/participant.py
@@ -1,4 +1,4 @@
-"""One node and one role: a candidate until it is elected, the leader until it resigns. Pure."""
+"""A node's part in the election of one role: candidate until elected, then leader until it resigns. Pure."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoleSettings:
-    """A role's settings. A leader that resigns notifies all `nodes`; those not barred may lead the role."""
+    """A role's settings: all nodes of the cluster, and those that are barred from leading the role."""
 
     name: str
     timing: LeaseTiming
@@ -34,7 +34,7 @@
 
 
 class Participant:
-    """Runs for the role's leadership, unless the node is barred or leaving."""
+    """Takes part in the election of a role, unless this node is barred from it or is leaving the cluster."""
 
     def __init__(
         self, now_ms: float, identity: NodeIdentity, settings: RoleSettings, acceptors: AcceptorSet
@@ -45,16 +45,19 @@
         self.ranking = rank_nodes(settings.name, settings.nodes, settings.barred)
         self.candidate = self._new_candidate(now_ms, BallotCounter())
         self.leader: Leader | None = None
-        self.resigned_at_ms: dict[str, float] = {}  # by node: for some time others are preferred to it
+        self.resigned_at_ms: dict[str, float] = {}  # by node; one that resigned lately has a lower rank
         self.is_leaving = False
 
     @property
     def is_eligible(self) -> bool:
-        """Whether this node may lead the role."""
+        """Whether this node may lead the role: it is not barred."""
         return self.identity.name in self.ranking
 
     def fencing_token(self, now_ms: float) -> int | None:
-        """The token of the lease that certainly holds now; None if this node must not act as the leader."""
+        """Returns the fencing token if this node holds the lease at `now_ms`, else None.
+
+        Without a token this node must not act as the leader.
+        """
         if self.leader is None or not self.leader.holds_lease(now_ms):
             return None
         return self.leader.fencing_token
@@ -62,7 +65,11 @@
     def tick(
         self, now_ms: float, unreachable: Collection[str] = (), other_roles_led: int = 0
     ) -> list[Effect]:
-        """Does what is due. Each of the `other_roles_led` by this node counts as one rank: roles spread."""
+        """Runs the leader's or candidate's periodic work.
+
+        Nodes that are `unreachable` or resigned lately are ignored in the ranking. Each of the
+        `other_roles_led` by this node lowers its rank by one, so that roles spread over the nodes.
+        """
         if self.leader is not None:
             return self._demote_if_expired(now_ms, self.leader.tick(now_ms))
         if not self.is_eligible or self.is_leaving:
@@ -79,7 +86,7 @@
         return self.candidate.tick(now_ms)
 
     def handle(self, now_ms: float, sender: str, message: Message) -> list[Effect]:
-        """Handles a reply of an acceptor, or a release."""
+        """Handles an acceptor's reply, or a release by another node."""
         if self.leader is not None:
             return self._demote_if_expired(now_ms, self.leader.handle(now_ms, sender, message))
         if isinstance(message, Release):
@@ -95,18 +102,18 @@
         return [LeaseAcquired(settings.name, outcome.ballot.number, outcome.record, outcome.record_epoch_ms)]
 
     def write(self, now_ms: float, body: bytes) -> list[Effect]:
-        """Starts to replace the role's record; `RecordCommitted` confirms it.
+        """Requests acceptance of a new record; `RecordCommitted` reports success.
 
         Raises:
             NotLeaderError: this node does not lead the role.
-            RecordTooLongError: the body is over the limit.
+            RecordTooLongError: the body exceeds `RECORD_LIMIT_BYTES`.
         """
         if self.leader is None:
             raise NotLeaderError("this node does not lead it", self.settings.name)
         return self.leader.write(now_ms, body)
 
     def resign(self, now_ms: float, reason: str) -> list[Effect]:
-        """Gives the role up and notifies all nodes, so that the next one queries at once."""
+        """Resigns from the role if this node leads it; notifies all nodes, so that the next one queries."""
         if self.leader is None:
             return []
         ballot = self.leader.ballot
@@ -114,10 +121,10 @@
         return [*effects, *self._release_to_non_acceptors(ballot)]
 
     def leave(self, now_ms: float, reason: str) -> list[Effect]:
-        """Gives the role up for good, as this node ends (SIGTERM).
+        """Resigns and takes part in no further election: the process is about to end (SIGTERM).
 
-        An open ballot is released too: a majority may have accepted it already, and this node will be gone
-        when their replies arrive.
+        An open ballot is released as well. A majority may already have accepted it, and their replies would
+        arrive after the process has ended.
         """
         self.is_leaving = True
         if self.leader is not None or not self.candidate.has_open_ballot:
@@ -129,11 +136,11 @@
         return [*to_acceptors, *self._release_to_non_acceptors(ballot)]
 
     def raise_ballot_numbers(self, number: int) -> None:
-        """Makes this node's next ballot exceed `number`."""
+        """Makes the number of this node's next ballot exceed `number`."""
         self.candidate.ballot_numbers.observe(number)
 
     def change_acceptors(self, now_ms: float, acceptors: AcceptorSet) -> None:
-        """Applies the next acceptor set; an open ballot is forgotten, a lease runs on."""
+        """Applies the next acceptor set; drops an open ballot and keeps the lease of a leader."""
         self.acceptors = acceptors
         self.candidate = self._new_candidate(now_ms, self.candidate.ballot_numbers)
         if self.leader is not None:
@@ -157,12 +164,15 @@
         return [SendMessage(name, self._release(ballot)) for name in sorted(others)]
 
     def _rank_without(self, absent: Collection[str]) -> int:
-        """How many nodes that are not absent are preferred to this one."""
+        """Returns the number of nodes with precedence over this one, without those in `absent`."""
         preferred = self.ranking[: self.ranking.index(self.identity.name)]
         return sum(node not in absent for node in preferred)
 
     def _demote_if_expired(self, now_ms: float, effects: list[Effect]) -> list[Effect]:
-        """A leader without a lease is a candidate again, and lets others try first."""
+        """Makes a leader without a lease a candidate again, which waits so that other nodes try first.
+
+        Returns `effects` unchanged.
+        """
         if self.leader is not None and not self.leader.holds_lease(now_ms):
             ballot_numbers = BallotCounter(self.leader.fencing_token)
             self.leader = None
--- a/onyxpost/leadership/proposal_validation.py
+++ b/onyxpost/leadership/proposal_validation.py
@@ -1,4 +1,4 @@
-"""Whether an acceptor may promise or accept a ballot. Pure."""
+"""The check whether an acceptor may promise or accept a ballot. Pure."""
 
 from __future__ import annotations
 
@@ -20,9 +20,10 @@
     lease: GrantedLease,
     timing: LeaseTiming,
 ) -> RejectReason | None:
-    """Returns why a voting acceptor with this state and lease rejects the proposal; None if it does not.
+    """Returns why an acceptor with this state and lease must reject the proposal, or None.
 
-    The proposal is of the acceptor's own set. `now_ms` is of the acceptor's clock.
+    The caller has checked that the acceptor votes and that the proposal is for its acceptor set. `now_ms` is
+    the reading of the acceptor's clock.
     """
     ballot = proposal.ballot
     if ballot.number > now_ms + timing.skew_ms:
--- a/onyxpost/leadership/protocol.py
+++ b/onyxpost/leadership/protocol.py
@@ -1,6 +1,7 @@
-"""The messages of leader election between nodes, version 1 (docs/leadership.md), and their encoding.
+"""Messages of leader election between nodes, protocol version 1 (docs/leadership.md), and their encoding.
 
-`tag` and `field(name=...)` give the names on the wire. They are older than those here, and are kept.
+`tag` and `field(name=...)` give the names on the wire. They differ from the names of classes and attributes,
+and must not change, as nodes of other releases use them.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 from onyxpost.leadership.lease_timing import RECORD_LIMIT_BYTES
 
 TOPIC = "duties"
-MESSAGE_LIMIT_BYTES = RECORD_LIMIT_BYTES + 1024  # a record and its envelope
-CAUSE_LIMIT_CHARACTERS = 200  # of a decoder's error in a log line
+MESSAGE_LIMIT_BYTES = RECORD_LIMIT_BYTES + 1024  # the largest record and its envelope
+CAUSE_LIMIT_CHARACTERS = 200  # longest text of a decoder's error in an error
 
 Body = Annotated[bytes, Meta(max_length=RECORD_LIMIT_BYTES)]
 Milliseconds = Annotated[float, Meta(ge=0.0, le=600_000.0)]
 
 
 class RejectReason(Enum):
-    """Why an acceptor rejects a ballot; the value is the one on the wire."""
+    """Why an acceptor rejects a ballot; the values are those on the wire."""
 
     HIGHER_PROMISE = "promised"
     LEASE_ACTIVE = "busy"
@@ -36,10 +37,10 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """What a role's leader wrote last.
+    """A small value that the leader of a role writes and its next leader reads.
 
-    `ballot_number` is that of the ballot under which it was last accepted; `sequence` counts writes over all
-    leaders; `fencing_token` is that of the leader that wrote it.
+    `ballot_number` is of the ballot under which the record was last accepted. `sequence` counts the writes of
+    all leaders of the role. `fencing_token` is of the leader that wrote the record.
     """
 
     ballot_number: Number = 0
@@ -48,7 +49,7 @@
     body: Body = b""
 
     def recency(self) -> tuple[int, int]:
-        """The order by which the newest of several records is chosen."""
+        """Returns a key that is greater for a newer record."""
         return self.ballot_number, self.sequence
 
 
@@ -56,23 +57,23 @@
 
 
 class RoleMessage(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag_field="say", kw_only=True):
-    """The base of all messages: the role, and the version of the sender's acceptor set."""
+    """Base class of all messages; `version` is that of the sender's acceptor set."""
 
     role: Name = field(name="duty")
     version: Number
 
 
 class StatusQuery(RoleMessage, tag="look", frozen=True, kw_only=True):
-    """Candidate to acceptor: is the role free? Changes nothing there."""
+    """Candidate to acceptor: asks whether the role is free. The acceptor's state does not change."""
 
     queried_at_ms: Number = field(name="asked")
 
 
 class StatusReply(RoleMessage, tag="seen", frozen=True, kw_only=True):
-    """Acceptor to candidate.
+    """Acceptor to candidate: answers a StatusQuery and repeats its `queried_at_ms`.
 
-    `remaining_ms` is what is left of a lease, or of the time for which a promise keeps other candidates away;
-    0 if the role is free. `is_voting` is false for an acceptor that restarted and may not vote yet.
+    `remaining_ms` is the remaining time of a lease, or the time for which the role counts as taken after a
+    promise; 0 if the role is free. `is_voting` is false if the acceptor has restarted and must not vote yet.
     """
 
     queried_at_ms: Number = field(name="asked")
@@ -83,16 +84,16 @@
 
 
 class Prepare(RoleMessage, tag="prepare", frozen=True, kw_only=True):
-    """Candidate to acceptor: promise this ballot (Paxos phase 1a)."""
+    """Candidate to acceptor: asks to promise this ballot (Paxos phase 1a)."""
 
     ballot: Ballot
 
 
 class Promise(RoleMessage, tag="promise", frozen=True, kw_only=True):
-    """Acceptor to candidate: the ballot is promised; the record is the last one accepted (phase 1b).
+    """Acceptor to candidate: promises the ballot, and reports the record it accepted last (phase 1b).
 
-    `record_epoch_ms` is when acceptors last voted again after a majority had lost its state (Unix ms); 0:
-    never. Records written before that moment may be missing.
+    `record_epoch_ms` is the Unix time at which acceptors last resumed voting after a majority had lost its
+    state; 0 if that never happened. Records written before that time may be missing.
     """
 
     ballot: Ballot
@@ -101,10 +102,10 @@
 
 
 class Accept(RoleMessage, tag="accept", frozen=True, kw_only=True):
-    """Candidate or leader to acceptor: accept this record and count a lease from now (phase 2a).
+    """Candidate or leader to acceptor: asks to accept the record and to grant or renew the lease (phase 2a).
 
     `settled_version` is the version of the acceptor set of which a majority is known to have accepted the
-    record, 0 if not known; `record` is None where the acceptor has it already.
+    record; 0 if none is known. `record` is None if the acceptor is known to have it.
     """
 
     ballot: Ballot
@@ -117,7 +118,7 @@
 
 
 class Accepted(RoleMessage, tag="accepted", frozen=True, kw_only=True):
-    """Acceptor to candidate or leader: accepted (phase 2b)."""
+    """Acceptor to candidate or leader: confirms an Accept and repeats its `sequence` (phase 2b)."""
 
     ballot: Ballot
     round_id: Number = field(name="round")
@@ -125,7 +126,10 @@
 
 
 class Reject(RoleMessage, tag="refuse", frozen=True, kw_only=True):
-    """Acceptor to candidate or leader: the ballot is rejected. `round_id` is 0 in answer to a Prepare."""
+    """Acceptor to candidate or leader: rejects the ballot. `round_id` is 0 in reply to a Prepare.
+
+    `highest_ballot` is the highest ballot number that the acceptor has promised.
+    """
 
     ballot: Ballot
     round_id: Number = field(name="round")
@@ -134,10 +138,11 @@
 
 
 class Release(RoleMessage, tag="release", frozen=True, kw_only=True):
-    """The sender has no more use for its ballot, or for the lease granted to it.
+    """Gives up the sender's ballot and the lease granted to it.
 
-    With `was_leader` it goes to all nodes: a leader resigned, or a node that leaves released its ballot; if
-    the lease expired, to the acceptors alone. Without, to the acceptors: a candidate abandoned its ballot.
+    A candidate that abandons its ballot sends it to the acceptors, with `was_leader` false. Otherwise
+    `was_leader` is true: a leader that resigns and a candidate whose node is leaving send it to all nodes, a
+    leader whose lease has expired to the acceptors only.
     """
 
     ballot: Ballot
@@ -145,13 +150,13 @@
 
 
 class RecoveryQuery(RoleMessage, tag="learn", frozen=True, kw_only=True):
-    """Acceptor without state, after its silence, to the other acceptors: requests their state of the role."""
+    """Acceptor without state, after its restart wait, to the others: asks for their state of the role."""
 
     queried_at_ms: Number = field(name="asked")
 
 
 class RecoveryReply(RoleMessage, tag="told", frozen=True, kw_only=True):
-    """Acceptor to an acceptor without state; `is_voting` is false if the sender has none either."""
+    """Acceptor to acceptor: answers a RecoveryQuery; `is_voting` is false if the sender lacks its state."""
 
     queried_at_ms: Number = field(name="asked")
     is_voting: bool = field(name="votes")
@@ -178,15 +183,15 @@
 
 
 def encode(message: Message) -> bytes:
-    """Returns the message as MessagePack."""
+    """Returns the message encoded as MessagePack."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes, sender: str = "") -> Message:
-    """Reads a message; `sender` is named in the error.
+    """Decodes a message; `sender` is named in errors.
 
     Raises:
-        MalformedMessageError: it is too long, or not a message of this version.
+        MalformedMessageError: the data is too long, or is not a message of this protocol version.
     """
     if len(data) > MESSAGE_LIMIT_BYTES:
         raise MalformedMessageError(f"a message of {len(data)} bytes", sender)
--- a/onyxpost/leadership/registry.py
+++ b/onyxpost/leadership/registry.py
@@ -1,4 +1,4 @@
-"""All roles of one node: its acceptors and participants, and the messages between them. Pure."""
+"""The acceptors and participants of one node, for all roles, and the routing of messages to them. Pure."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
 
 
 class RoleRegistry:
-    """Routes messages to the acceptor and the participant of their role.
+    """Creates the acceptors and participants of all roles, and routes messages to them.
 
-    `saved_states` are those of the acceptors' log, by role.
+    `saved_states` has the states from the acceptors' log, by role.
 
     Raises:
-        MembershipChangeError: the saved states are of an acceptor set that the file's must not follow.
+        MembershipChangeError: the acceptor set of `config` must not replace the one of the saved states.
     """
 
     def __init__(
@@ -66,12 +66,12 @@
                 self.acceptors[role] = self._restored_acceptor(now_ms, role, saved_states.get(role))
 
     def fencing_tokens(self, now_ms: float) -> dict[str, int]:
-        """The tokens of the roles that this node certainly leads now."""
+        """Returns the fencing tokens of the roles whose lease this node holds at `now_ms`."""
         tokens = {role: one.fencing_token(now_ms) for role, one in self.participants.items()}
         return {role: token for role, token in tokens.items() if token is not None}
 
     def tick(self, now_ms: float, unreachable: Collection[str]) -> list[Effect]:
-        """Does what is due for every role."""
+        """Runs the periodic work of all acceptors and participants; `unreachable` names unreachable nodes."""
         effects: list[Effect] = []
         for acceptor in self.acceptors.values():
             effects += self._deliver_local(now_ms, acceptor.tick(now_ms))
@@ -81,43 +81,44 @@
         return effects
 
     def handle_encoded(self, now_ms: float, sender: str, data: bytes) -> list[Effect]:
-        """Handles a message of another member.
+        """Decodes and handles a message of another member.
 
         Raises:
-            MalformedMessageError: it is not one.
+            MalformedMessageError: the data is not a message of this protocol version.
         """
         message = protocol.decode(data, sender)
         if message.role not in self.participants:
             return [_dropped(message.role, f"unknown role, from {sender}")]
         effects: list[Effect] = []
         own_version = self.acceptor_set.version
-        if message.version != own_version:  # handled all the same: a rejection gives the sender this version
+        if message.version != own_version:  # still handled, so that a rejection tells the sender this version
             reason = f"acceptor set version {message.version}, here {own_version}, from {sender}"
             effects.append(_dropped(message.role, reason))
         return effects + self._deliver_local(now_ms, self._dispatch(now_ms, sender, message))
 
     def write(self, now_ms: float, role: str, body: bytes) -> list[Effect]:
-        """Starts to replace the role's record.
+        """Requests acceptance of a new record of the role; `RecordCommitted` reports success.
 
         Raises:
-            NotLeaderError: this node does not lead the role.
-            RecordTooLongError: the body is over the limit.
+            NotLeaderError: this node does not lead the role, or no role has this name.
+            RecordTooLongError: the body exceeds `RECORD_LIMIT_BYTES`.
         """
         if role not in self.participants:
             raise NotLeaderError("unknown role", role)
         return self._deliver_local(now_ms, self.participants[role].write(now_ms, body))
 
     def resign_all(self, now_ms: float) -> list[Effect]:
-        """Resigns from every role, for good: the node is leaving."""
+        """Resigns from all roles and takes part in no further election: the node is leaving."""
         effects: list[Effect] = []
         for participant in self.participants.values():
             effects += self._deliver_local(now_ms, participant.leave(now_ms, "leaving"))
         return effects
 
     def on_higher_fencing_token(self, now_ms: float, role: str, fencing_token: int) -> list[Effect]:
-        """A fenced resource knows a higher token: this node resigns, and its next ballot must be above.
+        """Resigns from the role, and makes this node's next ballot exceed the token of a fenced resource.
 
-        A token further ahead of the clock than `skew_ms` counts as that far ahead: acceptors reject more.
+        A token more than `skew_ms` ahead of the clock is reduced to that limit, as acceptors reject higher
+        ballot numbers.
         """
         participant = self.participants[role]
         resignation = participant.resign(now_ms, "a higher fencing token is known")
@@ -127,23 +128,23 @@
         return effects
 
     def stop_acceptors(self) -> None:
-        """Takes this node's acceptors out until its restart: their promises may not be durable."""
+        """Stops this node's acceptors until it restarts, as their promises may not be durable."""
         self.acceptors = {}
 
     def validate_change(self, config: LeadershipConfig) -> None:
-        """Checks whether the acceptor set of `config` may follow; changes nothing.
+        """Checks whether the acceptor set of `config` may replace the one in force; changes nothing.
 
         Raises:
-            MembershipChangeError: it must not follow, or not yet.
+            MembershipChangeError: it must not, or not yet.
         """
         is_settled = all(acceptor.is_settled for acceptor in self.acceptors.values())
         validate_transition(self.acceptor_set, config.acceptors, SECTION_PATH, is_settled=is_settled)
 
     def change_acceptors(self, now_ms: float, config: LeadershipConfig) -> None:
-        """Applies the acceptor set of `config` at this node.
+        """Puts the acceptor set of `config` into force at this node.
 
         Raises:
-            MembershipChangeError: it must not follow, or not yet.
+            MembershipChangeError: it must not replace the one in force, or not yet.
         """
         self.validate_change(config)
         acceptors = config.acceptors
@@ -183,9 +184,9 @@
         return effects
 
     def _deliver_local(self, now_ms: float, effects: list[Effect]) -> list[Effect]:
-        """Handles at once what this node sends to itself, and returns all other effects.
+        """Handles the messages that this node sends to itself, and returns all other effects.
 
-        The order stays: a state is persisted before any message that depends on it is sent.
+        Effects keep their order, so that a state is persisted before a message that depends on it is sent.
         """
         own_name = self.identity.name
         remaining: list[Effect] = []
--- a/onyxpost/leadership/rendezvous.py
+++ b/onyxpost/leadership/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: which node should lead which role; and jitter that differs from node to node. Pure."""
+"""Rendezvous hashing, which ranks the nodes of each role, and deterministic jitter. Pure."""
 
 from __future__ import annotations
 
@@ -11,14 +11,17 @@
 
 
 def rank_nodes(role: str, nodes: Iterable[str], barred: Iterable[str] = ()) -> list[str]:
-    """Returns the nodes that may lead the role, the preferred one first.
+    """Returns the nodes that may lead the role, the most preferred one first.
 
-    A node that is added or removed does not change the order of the others.
+    Adding or removing a node does not change the order of the others.
     """
     eligible = set(nodes) - set(barred)
     return sorted(eligible, key=lambda node: (stable_hash(f"{node}/{role}"), node), reverse=True)
 
 
 def deterministic_jitter(*seed: object) -> float:
-    """Returns a number from 0 to 1, the same for the same seed, so that nodes do not go on colliding."""
+    """Returns a number from 0 to 1 that depends only on the seed.
+
+    Seeds contain the node's name, so that nodes that collided retry at different times.
+    """
     return stable_hash("/".join(map(str, seed))) / 2.0**32
--- a/onyxpost/leadership/service.py
+++ b/onyxpost/leadership/service.py
@@ -1,4 +1,4 @@
-"""Leader election in a running node: timer, messages, acceptors' log, log lines. I/O; `registry` decides."""
+"""Leader election in a running node: runs the state machines of `registry` on timer, network and disk."""
 
 from __future__ import annotations
 
@@ -40,17 +40,20 @@
     from onyxpost.leadership.effects import LeadershipChange
     from onyxpost.runtime.transport import Transport
 
-TICK_SECONDS = 0.05  # a quarter of the shortest lease that the file may set
+TICK_SECONDS = 0.05  # a quarter of the shortest lease that a node's file may set
 STATISTICS_INTERVAL_MS = 10_000.0
 REPORT_BODY = b"held"
 
 
 class LeadershipService:
-    """The roles of one node. Parts of the program subscribe to a role, and write and call as its leader.
+    """Elects the leaders of all roles together with the other nodes.
+
+    Components of this node subscribe to a role; while the node leads it, they write the role's record and
+    make fenced calls.
 
     Raises:
-        AcceptorLogError: the acceptors' log cannot be used.
-        MembershipChangeError: the log is of acceptors that these must not follow.
+        AcceptorLogError: the acceptors' log is damaged, or cannot be opened, read or synced.
+        MembershipChangeError: the acceptor set of `config` must not replace the one of the log.
     """
 
     def __init__(
@@ -79,11 +82,11 @@
 
     @property
     def counters(self) -> Counters:
-        """Counts since the start."""
+        """The counters since the start of the process."""
         return self.log.counters
 
     def start(self) -> None:
-        """Starts the timer, in the running event loop."""
+        """Starts the timer; requires a running event loop."""
         self._spawn(self._run())
 
     def close(self) -> None:
@@ -93,33 +96,36 @@
         if self.acceptor_log is not None:
             self.acceptor_log.close()
 
-    # Interface for the parts of the program that lead a role
+    # Interface for the components that act while this node leads a role
 
     def subscribe(self, role: str, listener: Callable[[LeadershipChange], None]) -> None:
-        """Sets the one listener of a role: it gets every later change of its leadership at this node."""
+        """Sets the listener of a role's later leadership changes at this node; replaces an earlier one."""
         self.effects.subscribe(role, listener)
 
     def fencing_token(self, role: str) -> int | None:
-        """The token of the lease that certainly holds now; None if this node must not act as the leader."""
+        """Returns the fencing token if this node holds the lease now, else None.
+
+        Without a token this node must not act as the leader.
+        """
         participant = self.registry.participants.get(role)
         return None if participant is None else participant.fencing_token(self.net.clock())
 
     def write(self, role: str, body: bytes) -> None:
-        """Starts to replace the role's record; `RecordCommitted` confirms it.
+        """Requests acceptance of a new record of the role; `RecordCommitted` reports success.
 
         Raises:
-            NotLeaderError: this node does not lead the role.
-            RecordTooLongError: the body is over the limit.
+            NotLeaderError: this node does not lead the role, or no role has this name.
+            RecordTooLongError: the body exceeds `RECORD_LIMIT_BYTES`.
         """
         self.effects.apply(self.registry.write(self.net.clock(), role, body))
 
     async def call(self, address: Address, role: str, body: bytes, timeout_ms: float) -> None:
-        """Makes a fenced call as the role's leader; a higher token ends the leadership here.
+        """Makes a fenced call as the role's leader; resigns if the resource has received a higher token.
 
         Raises:
             NotLeaderError: this node does not lead the role; nothing was sent.
-            HigherFencingTokenError: the resource knows a higher token.
-            FencedCallError: the call may have been executed.
+            HigherFencingTokenError: the resource rejected the call, as it has received a higher token.
+            FencedCallError: there was no response, or an unexpected one; the call may have been executed.
         """
         token = self.fencing_token(role)
         if token is None:
@@ -138,7 +144,7 @@
     # Messages, reload and shutdown
 
     def handle_message(self, sender: str, data: bytes) -> None:
-        """Handles a message of another member; one that is malformed is dropped with a line in the log."""
+        """Handles a message of another member; logs and drops a malformed one."""
         self.log.count_received()
         try:
             self.effects.apply(self.registry.handle_encoded(self.net.clock(), sender, data), sender)
@@ -146,15 +152,18 @@
             self.log.limited(f"malformed/{sender}", MESSAGE_MALFORMED, error.fields())
 
     def validate_reload(self, config: LeadershipConfig) -> None:
-        """Checks whether the acceptors of `config` may follow; changes nothing.
+        """Checks whether the acceptor set of `config` may replace the one in force; changes nothing.
 
         Raises:
-            MembershipChangeError: they must not follow, or not yet.
+            MembershipChangeError: it must not, or not yet.
         """
         self.registry.validate_change(config)
 
     def reload(self, config: LeadershipConfig) -> bool:
-        """Applies the acceptors of a later file. Returns whether its other changes take a restart."""
+        """Applies the acceptor set of a reloaded file, or logs why it must not be applied.
+
+        Returns whether the file has other changes in its section, which take effect only after a restart.
+        """
         before = self.registry.acceptor_set
         try:
             self.registry.change_acceptors(self.net.clock(), config)
@@ -167,7 +176,7 @@
         return replace(config, acceptors=self.config.acceptors) != self.config
 
     def resign_all(self) -> None:
-        """Resigns from every role; acceptors go on voting until the connections end."""
+        """Resigns from all roles; this node's acceptors vote until its connections are closed."""
         self.effects.apply(self.registry.resign_all(self.net.clock()))
 
     # Timer
@@ -193,7 +202,10 @@
         task.add_done_callback(self.tasks.discard)
 
     def _unreachable_nodes(self, now_ms: float) -> set[str]:
-        """Returns the nodes that are unreachable from here; none at the start, before connections are up."""
+        """Returns the nodes that this node cannot reach.
+
+        Returns none during the first `restart_silence_ms`, while connections are still being established.
+        """
         if now_ms < self.started_at_ms + self.config.timing.restart_silence_ms:
             return set()
         return {
@@ -204,7 +216,10 @@
         }
 
     async def _report(self, role: str, address: Address) -> None:
-        """Reports to the fenced resource who leads. The record of a role without listener counts reports."""
+        """Reports this node's leadership of the role to the fenced resource.
+
+        If the role has no listener, its record is set to the number of reports first.
+        """
         has_listener = role in self.effects.listeners
         try:
             if not has_listener and role in self.effects.leaderships:
--- a/onyxpost/leadership/service_log.py
+++ b/onyxpost/leadership/service_log.py
@@ -1,4 +1,4 @@
-"""What the leadership service counts and writes to the log."""
+"""Log lines and counters of the leadership service."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     from onyxpost.leadership.protocol import Message, Record
     from onyxpost.runtime.transport import Transport
 
-RATE_LIMIT_MS = 1000.0  # between two lines of one kind
-RATE_LIMITED_KINDS_LIMIT = 256  # above this all kinds are forgotten, which bounds the memory
-RECORD_PREFIX_BYTES = 100  # of a record's body in a log line
+RATE_LIMIT_MS = 1000.0  # shortest interval between two rate-limited lines of one kind
+RATE_LIMITED_KINDS_LIMIT = 256  # the kinds are cleared above this number, to limit the memory
+RECORD_PREFIX_BYTES = 100  # how much of a record's body a log line contains
 
 LEASE_ACQUIRED = "leadership acquired"
 LEASE_LOST = "leadership lost"
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True)
 class Counters:
-    """Counts since the start, in the statistics line under these names."""
+    """Counts since the start of the process; the statistics line has them under these names."""
 
     acquired: int = 0
     lost: int = 0
@@ -48,7 +48,7 @@
 
 
 class ServiceLog:
-    """Writes log lines with `write`, and limits the rate of those that messages of others cause."""
+    """Writes log lines with `write`; limits the rate of lines that messages of other nodes can cause."""
 
     def __init__(self, net: Transport, write: Callable[[LogEvent], None]) -> None:
         self.net = net
@@ -57,35 +57,38 @@
         self._written_at_ms: dict[str, float] = {}
 
     def lease_acquired(self, change: LeaseAcquired) -> None:
-        """This node leads a role now."""
+        """Logs that this node acquired the lease of a role."""
         self.counters.acquired += 1
         more = {**_record_fields(change.record), "era": change.record_epoch_ms}
         self._role_event(LEASE_ACQUIRED, change.role, change.fencing_token, more)
 
     def lease_lost(self, change: LeaseLost, held_ms: float, ago_ms: float) -> None:
-        """This node no longer leads a role, after `held_ms`. Its lease ended `ago_ms` ago; 0: not yet."""
+        """Logs that this node no longer leads a role, which it led for `held_ms`.
+
+        The lease ended `ago_ms` ago; 0 if this node resigned before its end.
+        """
         self.counters.lost += 1
         more = {"reason": change.reason, "held_ms": round(held_ms), "ended_ms_ago": round(ago_ms, 1)}
         self._role_event(LEASE_LOST, change.role, change.fencing_token, more)
 
     def record_committed(self, role: str, fencing_token: int, record: Record) -> None:
-        """A majority has the record that this node wrote."""
+        """Logs that a majority of acceptors has accepted the record that this node wrote."""
         self.counters.records_committed += 1
         self._role_event(RECORD_COMMITTED, role, fencing_token, _record_fields(record))
 
     def fencing_token_rejected(self, role: str, fencing_token: int, reason: str) -> None:
-        """A fenced resource knows a higher token."""
+        """Logs that a fenced resource rejected a call, as it has received a higher fencing token."""
         self.counters.calls_rejected += 1
         self._role_event(CALL_REJECTED, role, fencing_token, {"reason": reason})
 
     def count_sent(self, message: Message, *, is_sent: bool) -> None:
-        """Counts a message to another node, which was dropped unless `is_sent`."""
+        """Counts a message to another node as sent or, unless `is_sent`, as failed."""
         self.counters.sent += is_sent
         self.counters.send_failed += not is_sent
         self.counters.ballots += isinstance(message, Prepare)
 
     def count_received(self) -> None:
-        """Counts a message of another node."""
+        """Counts a message from another node, also a malformed one."""
         self.counters.received += 1
 
     def count_call(self) -> None:
@@ -93,7 +96,7 @@
         self.counters.calls += 1
 
     def diagnostic(self, diagnostic: Diagnostic, sender: str) -> None:
-        """Logs a state machine's diagnostic; `sender` sent the message that caused it, empty if none did."""
+        """Logs a diagnostic; `sender` sent the message that caused it, empty if no message did."""
         is_drop = diagnostic.kind is DiagnosticKind.MESSAGE_DROPPED
         kind = f"dropped/{sender}" if is_drop else f"{diagnostic.role}/{diagnostic.reason}"
         fields = {
@@ -104,7 +107,7 @@
         self.limited(kind, diagnostic.kind.value, fields)
 
     def limited(self, kind: str, event: str, fields: Mapping[str, object]) -> None:
-        """Writes a warning, unless one of this kind was written within the last second."""
+        """Writes a warning, unless one of the same kind was written less than `RATE_LIMIT_MS` ago."""
         now_ms = self.net.clock()
         if now_ms - self._written_at_ms.get(kind, -RATE_LIMIT_MS) < RATE_LIMIT_MS:
             return
@@ -114,7 +117,7 @@
         self.write(LogEvent(event, dict(fields), logging.WARNING))
 
     def statistics(self, roles_led: Mapping[str, object], version: int, voting: int) -> None:
-        """Writes which roles this node leads, in how many its acceptors vote, and the counters."""
+        """Writes the roles that this node leads, how many of its acceptors vote, and the counters."""
         fields = {"leads": roles_led, "version": version, "voting": voting, **asdict(self.counters)}
         self.write(LogEvent(STATISTICS, fields))
 
--- a/onyxpost/leadership/status_poll.py
+++ b/onyxpost/leadership/status_poll.py
@@ -1,4 +1,4 @@
-"""One status query of a candidate: the acceptors' replies, and whether the role is free by them. Pure."""
+"""The replies to one status query of a candidate, and their evaluation. Pure."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 
 class StatusPoll:
-    """The replies to one query, by acceptor; those of acceptors that do not vote yet count for nothing."""
+    """Evaluates the replies to one query; ignores acceptors that do not vote yet."""
 
     def __init__(self, acceptors: AcceptorSet) -> None:
         self._acceptors = acceptors
         self.replies: dict[str, StatusReply] = {}
 
     def record(self, acceptor: str, reply: StatusReply) -> None:
-        """Keeps the reply of an acceptor."""
+        """Adds the reply of an acceptor; replaces an earlier one."""
         self.replies[acceptor] = reply
 
     @property
     def is_complete(self) -> bool:
-        """Whether every acceptor has replied."""
+        """Whether all acceptors have replied, including those that do not vote yet."""
         return len(self.replies) == len(self._acceptors.names)
 
     @property
     def is_role_free(self) -> bool:
-        """Whether a majority says that no lease runs."""
+        """Whether a majority of the acceptors votes and reports that the role is free."""
         return sum(left_ms <= 0.0 for left_ms in self._remaining_ms()) >= self._acceptors.majority
 
     def free_in_ms(self) -> float | None:
-        """Time until a majority's leases may be over; None without the votes of a majority."""
+        """Returns the time until a majority may report the role as free; None if no majority votes."""
         remaining_ms = self._remaining_ms()
         majority = self._acceptors.majority
         return remaining_ms[majority - 1] if len(remaining_ms) >= majority else None
