--- a/onyxpost/leadership/acceptor.py
+++ b/onyxpost/leadership/acceptor.py
@@ -96,7 +96,7 @@
         if self.is_voting or now_ms < self.silent_until_ms:
             return []
         if self.recovery is None:
-            return self.start_voting("state kept on disk")
+            return self.start_voting("state read from the log")
         return self.recovery.tick(now_ms)
 
     def start_voting(self, reason: str) -> list[Effect]:
@@ -109,7 +109,7 @@
     def handle(self, now_ms: float, sender: str, message: Message) -> list[Effect]:
         """Handles a message of any type and acceptor set version; ignores types not meant for acceptors."""
         if isinstance(message, Prepare | Accept | Release) and message.ballot.node != sender:
-            reason = f"{sender} sent a ballot of {message.ballot.node}"[:REASON_LIMIT_CHARACTERS]
+            reason = f"ballot of {message.ballot.node} received from {sender}"[:REASON_LIMIT_CHARACTERS]
             return [Diagnostic(self.role, DiagnosticKind.MESSAGE_DROPPED, reason)]
         if isinstance(message, Prepare | Accept):
             return self._handle_proposal(now_ms, sender, message)
--- a/onyxpost/leadership/acceptor_log.py
+++ b/onyxpost/leadership/acceptor_log.py
@@ -55,7 +55,7 @@
         try:
             state = _decoder.decode(body)
         except msgspec.DecodeError as error:
-            raise AcceptorLogError(f"not of this version at byte {offset}: {error}", path) from error
+            raise AcceptorLogError(f"entry of another format at byte {offset}: {error}", path) from error
         states[state.role] = state
         offset += HEADER_BYTES + len(body)
     return states, offset
@@ -69,12 +69,12 @@
     length_checksum = int.from_bytes(data[offset + INTEGER_BYTES : offset + 2 * INTEGER_BYTES], "big")
     body_checksum = int.from_bytes(data[offset + 2 * INTEGER_BYTES : body_offset], "big")
     if crc32(length_bytes) != length_checksum or length > ENTRY_LIMIT_BYTES:
-        raise AcceptorLogError(f"damaged at byte {offset}", path)
+        raise AcceptorLogError(f"damaged entry at byte {offset}: invalid length {length}", path)
     body = data[body_offset : body_offset + length]
     if len(body) < length:
         return None
     if crc32(body) != body_checksum:
-        raise AcceptorLogError(f"damaged at byte {offset}", path)
+        raise AcceptorLogError(f"damaged entry at byte {offset}: wrong checksum of {length} bytes", path)
     return body
 
 
@@ -113,7 +113,7 @@
                 return
             data = _entry(state)
             if os.write(self.descriptor, data) != len(data):
-                raise AcceptorLogError("the disk is full", self.path)
+                raise AcceptorLogError(f"incomplete write of {len(data)} bytes: the disk is full", self.path)
             os.fsync(self.descriptor)
             self.size += len(data)
         except OSError as error:
@@ -129,7 +129,7 @@
         flags = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND
         new_descriptor = os.open(new_path, flags, FILE_MODE)
         if os.write(new_descriptor, data) != len(data):
-            raise AcceptorLogError("the disk is full", new_path)
+            raise AcceptorLogError(f"incomplete write of {len(data)} bytes: the disk is full", new_path)
         os.fsync(new_descriptor)
         Path(new_path).replace(self.path)
         self._sync_directory()
--- a/onyxpost/leadership/acceptor_recovery.py
+++ b/onyxpost/leadership/acceptor_recovery.py
@@ -84,7 +84,11 @@
         have_all_replied = len(self.replies) == len(self.acceptors.names) - 1
         if not have_all_replied and now_ms < self._incomplete_recovery_at_ms():
             return None
-        return _newest(with_state, int(now_ms), "a majority lost its state: records may be missing")
+        return _newest(
+            with_state,
+            int(now_ms),
+            "a majority of acceptors lost its state; committed records may be missing",
+        )
 
     def _incomplete_recovery_at_ms(self) -> float:
         return self.starts_at_ms + INCOMPLETE_RECOVERY_SILENCES * self.timing.restart_silence_ms
--- a/onyxpost/leadership/config.py
+++ b/onyxpost/leadership/config.py
@@ -85,20 +85,22 @@
     lists = {"voters": section.acceptors, "names": section.roles, "before": section.previous_acceptors}
     for key, names in lists.items():
         if len(set(names)) < len(names):
-            raise _error("a name twice", key)
+            raise _error("a name occurs more than once", key)
     unknown = set(section.acceptors) - set(nodes)
     if unknown:
-        raise _error(f"{min(unknown)} is no member of the fleet", "voters")
+        raise _error(f"{min(unknown)} is not one of the members in `fleet.members`", "voters")
     if len(section.acceptors) % 2 == 0 and not section.previous_acceptors:
-        raise _error("3, 5 or 7 voters; 4 or 6 only on the way there", "voters")
+        raise _error(
+            f"expected 3, 5 or 7 voters (4 or 6 if `before` is set), got {len(section.acceptors)}", "voters"
+        )
 
 
 def _check_barred(section: LeadershipSection, nodes: tuple[str, ...]) -> None:
     for role, barred in section.barred.items():
         if role not in section.roles:
-            raise _error("no such role", f"barred.{role}")
+            raise _error("the role is not listed in `names`", f"barred.{role}")
         if set(nodes) <= set(barred):
-            raise _error("all nodes are barred", f"barred.{role}")
+            raise _error(f"all {len(nodes)} nodes are barred, so no node can lead the role", f"barred.{role}")
 
 
 def _resource_address(section: LeadershipSection) -> Address | None:
--- a/onyxpost/leadership/fenced_call.py
+++ b/onyxpost/leadership/fenced_call.py
@@ -69,15 +69,17 @@
             finally:
                 writer.transport.abort()
     except (TimeoutError, OSError, h11.ProtocolError) as error:
-        cause = f"no answer: {type(error).__name__} {error}"[:CAUSE_LIMIT_CHARACTERS]
+        cause = f"no valid response: {type(error).__name__} {error}"[:CAUSE_LIMIT_CHARACTERS]
         raise FencedCallError(cause, location) from error
     if response.status_code == HTTPStatus.CONFLICT:
         higher = _fencing_token(response)
         raise HigherFencingTokenError(
-            f"fencing token {call.fencing_token} is below {higher}", location, higher
+            f"fencing token {call.fencing_token} was rejected; the highest token received is {higher}",
+            location,
+            higher,
         )
     if response.status_code != HTTPStatus.OK:
-        raise FencedCallError(f"status {response.status_code}", location)
+        raise FencedCallError(f"unexpected status {response.status_code}", location)
 
 
 def _request(call: FencedCall) -> h11.Request:
--- a/onyxpost/leadership/leader.py
+++ b/onyxpost/leadership/leader.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from onyxpost.leadership.membership import AcceptorSet
 
-LEASE_EXPIRED = "no majority renewed the lease"
+LEASE_EXPIRED = "no majority of acceptors renewed the lease"
 UNKNOWN_SEQUENCE = -1  # for an acceptor that may have no record of this ballot; below all sequence numbers
 
 
@@ -73,9 +73,9 @@
             RecordTooLongError: the body exceeds `RECORD_LIMIT_BYTES`.
         """
         if len(body) > RECORD_LIMIT_BYTES:
-            raise RecordTooLongError(f"a record of {len(body)} bytes", self.role)
+            raise RecordTooLongError(f"record of {len(body)} bytes, limit {RECORD_LIMIT_BYTES}", self.role)
         if not self.holds_lease(now_ms):
-            raise NotLeaderError("the lease is over", self.role)
+            raise NotLeaderError("the lease has ended", self.role)
         self.record = Record(self.fencing_token, self.record.sequence + 1, self.fencing_token, body)
         return self._start_round(now_ms)
 
--- a/onyxpost/leadership/membership.py
+++ b/onyxpost/leadership/membership.py
@@ -43,9 +43,14 @@
             majority of the new ones.
     """
     if acceptors.version > 1 and not acceptors.previous_names:
-        raise MembershipChangeError("version above 1 without the voters before it", f"{section}.before")
+        raise MembershipChangeError(
+            f"version {acceptors.version} requires the voters of the previous version", f"{section}.before"
+        )
     if acceptors.previous_names and not majorities_intersect(acceptors.previous_names, acceptors.names):
-        raise MembershipChangeError("majorities before and after might not meet", f"{section}.voters")
+        raise MembershipChangeError(
+            "a majority of these voters might not intersect a majority of those in `before`",
+            f"{section}.voters",
+        )
 
 
 def validate_transition(old: AcceptorSet, new: AcceptorSet, section: str, *, is_settled: bool) -> None:
@@ -63,10 +68,14 @@
         return
     if new.version != old.version + 1:
         raise MembershipChangeError(
-            f"version {new.version} does not follow {old.version}", f"{section}.version"
+            f"version {new.version} does not follow version {old.version}, which is in force",
+            f"{section}.version",
         )
     if set(new.previous_names) != set(old.names):
-        raise MembershipChangeError("the voters before it are not those in force", f"{section}.before")
+        raise MembershipChangeError(
+            f"expected the voters in force, {', '.join(old.names)}; got {', '.join(new.previous_names)}",
+            f"{section}.before",
+        )
     if not is_settled:
-        message = f"version {old.version} is not yet in force for all records"
+        message = f"version {old.version} is not known to be in force for all records yet"
         raise MembershipChangeError(message, f"{section}.version")
--- a/onyxpost/leadership/participant.py
+++ b/onyxpost/leadership/participant.py
@@ -109,7 +109,7 @@
             RecordTooLongError: the body exceeds `RECORD_LIMIT_BYTES`.
         """
         if self.leader is None:
-            raise NotLeaderError("this node does not lead it", self.settings.name)
+            raise NotLeaderError("this node does not lead the role", self.settings.name)
         return self.leader.write(now_ms, body)
 
     def resign(self, now_ms: float, reason: str) -> list[Effect]:
--- a/onyxpost/leadership/protocol.py
+++ b/onyxpost/leadership/protocol.py
@@ -194,7 +194,7 @@
         MalformedMessageError: the data is too long, or is not a message of this protocol version.
     """
     if len(data) > MESSAGE_LIMIT_BYTES:
-        raise MalformedMessageError(f"a message of {len(data)} bytes", sender)
+        raise MalformedMessageError(f"message of {len(data)} bytes, limit {MESSAGE_LIMIT_BYTES}", sender)
     try:
         message: Message = _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/onyxpost/leadership/registry.py
+++ b/onyxpost/leadership/registry.py
@@ -88,11 +88,11 @@
         """
         message = protocol.decode(data, sender)
         if message.role not in self.participants:
-            return [_dropped(message.role, f"unknown role, from {sender}")]
+            return [_dropped(message.role, f"unknown role in a message from {sender}")]
         effects: list[Effect] = []
         own_version = self.acceptor_set.version
         if message.version != own_version:  # still handled, so that a rejection tells the sender this version
-            reason = f"acceptor set version {message.version}, here {own_version}, from {sender}"
+            reason = f"acceptor set version {message.version} from {sender}, expected {own_version}"
             effects.append(_dropped(message.role, reason))
         return effects + self._deliver_local(now_ms, self._dispatch(now_ms, sender, message))
 
@@ -104,14 +104,14 @@
             RecordTooLongError: the body exceeds `RECORD_LIMIT_BYTES`.
         """
         if role not in self.participants:
-            raise NotLeaderError("unknown role", role)
+            raise NotLeaderError("no role has this name", role)
         return self._deliver_local(now_ms, self.participants[role].write(now_ms, body))
 
     def resign_all(self, now_ms: float) -> list[Effect]:
         """Resigns from all roles and takes part in no further election: the node is leaving."""
         effects: list[Effect] = []
         for participant in self.participants.values():
-            effects += self._deliver_local(now_ms, participant.leave(now_ms, "leaving"))
+            effects += self._deliver_local(now_ms, participant.leave(now_ms, "this node is leaving"))
         return effects
 
     def on_higher_fencing_token(self, now_ms: float, role: str, fencing_token: int) -> list[Effect]:
@@ -121,7 +121,7 @@
         ballot numbers.
         """
         participant = self.participants[role]
-        resignation = participant.resign(now_ms, "a higher fencing token is known")
+        resignation = participant.resign(now_ms, "a fenced resource has received a higher fencing token")
         effects = self._deliver_local(now_ms, resignation)
         plausible = min(fencing_token, int(now_ms + self.config.timing.skew_ms))
         participant.raise_ballot_numbers(plausible)
--- a/onyxpost/leadership/rejections.py
+++ b/onyxpost/leadership/rejections.py
@@ -11,5 +11,5 @@
 
 def rejection_diagnostic(sender: str, reject: Reject) -> Diagnostic:
     """Returns the diagnostic of a ballot that the acceptor `sender` rejected."""
-    reason = f"{sender}: {reject.reason.value}"
+    reason = f"rejected by {sender}: {reject.reason.value}"
     return Diagnostic(reject.role, DiagnosticKind.BALLOT_REJECTED, reason, reject.ballot.number)
--- a/onyxpost/leadership/service.py
+++ b/onyxpost/leadership/service.py
@@ -129,7 +129,7 @@
         """
         token = self.fencing_token(role)
         if token is None:
-            raise NotLeaderError("this node does not lead it", role)
+            raise NotLeaderError("this node does not lead the role", role)
         call = FencedCall(address, role, token, self.name, body, timeout_ms)
         try:
             await fenced_call.execute(self.net, call, lambda: self.fencing_token(role) == token)
--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -101,6 +101,18 @@
         "retry-possibly-executed, ignore-drains, lose-answers, ignore-limits, treat-lost-as-not-sent, "
         "ignore-disconnects, never-repeat-silent-polls, skip-slow-start",
     ),
+    (
+        "mend the key that is named in `duties`; `check FILE` says the same",
+        "correct the named key in `duties`; `onyxpost check FILE` validates the file",
+    ),
+    (
+        "add or remove one voter a step, version one higher, once the step before is in force",
+        "add or remove one voter at a time, with the next `version`, when the last change is in force",
+    ),
+    (
+        "move the file away while most other voters run: the voter learns from them; look at the disk",
+        "check the disk; move a damaged file away while most other voters run, to recover from them",
+    ),
     # Descriptions of violations in result files.
     (" ms after it was told", " ms after its node was notified of the drain"),
 )
--- a/tests/compatibility/test_files.py
+++ b/tests/compatibility/test_files.py
@@ -76,7 +76,11 @@
     """A voter knows the same from an earlier build's file, and refuses a damaged one."""
     path = tmp_path / "voter"
     path.write_bytes(bytes.fromhex(VOTER_FILES["read"][case]["bytes"]))
-    assert voter_files.read_voter_file(path) == VOTER_FILES["read"][case]["meaning"]
+    expected = VOTER_FILES["read"][case]["meaning"]
+    if "refused" in expected:
+        remedy = command_line.current_wording(expected["refused"]["remedy"])
+        expected = {"refused": {**expected["refused"], "remedy": remedy}}
+    assert voter_files.read_voter_file(path) == expected
 
 
 @pytest.mark.parametrize("case", ["emulator", "real processes"])
--- a/tests/leadership/test_races.py
+++ b/tests/leadership/test_races.py
@@ -82,7 +82,7 @@
         assert service.registry.fencing_tokens(service.net.clock()) == before
         logs = [log.event for log in cluster.logs if log.node == "n00"]
         (dropped,) = [log.fields for log in logs if log.event == DiagnosticKind.MESSAGE_DROPPED.value]
-        assert dropped["reason"] == "acceptor set version 2, here 1, from n01"
+        assert dropped["reason"] == "acceptor set version 2 from n01, expected 1"
 
     run_cluster(scenario, roles=20)
 
