--- a/onyxpost/cluster/connection.py
+++ b/onyxpost/cluster/connection.py
@@ -10,36 +10,39 @@
 from onyxpost.cluster.incarnation import Incarnation
 from onyxpost.cluster.protocol import Hello, Message
 
-READ_BUFFER_BYTES = 65536  # of one read; asyncio stops reading while more than twice that waits to be handled
+READ_BUFFER_BYTES = 65536  # size of one read; asyncio pauses reading above twice this many unhandled bytes
 
 RunConnection = Callable[[Hello, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
-"""Runs a connection whose hello was accepted, until it ends."""
+"""Runs a connection with an accepted hello until it ends, and raises the error that ended it."""
 
 
 class PeerConnection:
-    """One connection, from the peer's hello on."""
+    """A connection whose peer has identified itself by its hello."""
 
     def __init__(self, hello: Hello, writer: asyncio.StreamWriter) -> None:
         self.member = hello.sender
         self.incarnation = Incarnation.parse(hello.incarnation)
         self.writer = writer
-        self.end_reason = ""  # the first one given
+        self.end_reason = ""  # the first reason that was given; empty while the connection is open
         self.is_finished = False
 
     def send(self, message: Message) -> bool:
-        """Returns False, with nothing sent, if the connection has ended or its buffer is full."""
+        """Sends a message without waiting.
+
+        Returns False, and sends nothing, if the connection has ended or its buffer is full.
+        """
         return self.send_frame(encode_frame(message))
 
     def send_frame(self, frame: bytes) -> bool:
-        """Sends an encoded message; returns as `send`."""
+        """Sends an encoded message; returns the same as `send`."""
         return not self.is_finished and try_write(self.writer, frame)
 
     def on_ended(self, reason: str) -> None:
-        """The connection ended; an earlier reason stays."""
+        """Records why the connection ended, unless a reason was recorded before."""
         self.end_reason = self.end_reason or reason
 
     def finish(self, reason: str) -> None:
-        """Sends nothing more. What still arrives is discarded until the peer ends the connection."""
+        """Ends this node's side; received messages are discarded until the peer ends the connection."""
         self.on_ended(reason)
         self.is_finished = True
         with contextlib.suppress(OSError):
--- a/onyxpost/cluster/connections.py
+++ b/onyxpost/cluster/connections.py
@@ -1,8 +1,8 @@
-"""One connection to each other member of the cluster, kept open and bounded. I/O only.
+"""Keeps one connection to each other member of the cluster open, with a limit on its unsent bytes.
 
-In each pair the lower name dials, so one side is responsible for each connection. Socket addresses are never
-compared: a relay may stand between two nodes. Sending never waits: a message is dropped and counted if there
-is no connection, or if too much is unsent because the peer reads slowly.
+In each pair of members the one with the lower name dials, so exactly one side opens each connection. Socket
+addresses are never compared, as there may be a relay between two nodes. Sending never waits: a message is
+dropped and counted if there is no connection, or if too many bytes are unsent because the peer reads slowly.
 """
 
 from __future__ import annotations
@@ -34,15 +34,15 @@
     from onyxpost.runtime.log_event import LogEvent
     from onyxpost.runtime.transport import Transport
 
-LEAVE_TIMEOUT_SECONDS = 0.2  # for the peers to read what was sent to them and end their side
+LEAVE_TIMEOUT_SECONDS = 0.2  # how long a leaving node waits for its peers to read and end their side
 LEAVE_POLL_SECONDS = 0.01
 
 
 class PeerConnections:
-    """Sends and receives the messages of this node's components, and knows which members are reachable.
+    """Sends and receives the messages of this node's components, and tracks the state of each member.
 
-    `on_message(sender, topic, body)` is called for each message of a topic in `topics`; others are dropped.
-    It must not block. What it raises is logged, the connection goes on.
+    `on_message(sender, topic, body)` is called for each message whose topic is in `topics`; other messages
+    are dropped. It must not block. An exception that it raises is logged, and the connection stays open.
     """
 
     def __init__(
@@ -82,11 +82,11 @@
         return self.handshake.membership
 
     async def listen(self, address: Address) -> None:
-        """Binds the address. Raises OSError or ListenError if that fails."""
+        """Listens at the address. Raises OSError or ListenError if it cannot be bound."""
         await self.listener.listen(address)
 
     def start(self) -> None:
-        """Begins to dial the other members and to check them."""
+        """Starts to dial and check the other members; requires a running event loop."""
         self._heartbeat_task = asyncio.get_running_loop().create_task(self._heartbeats.run())
         self._apply_membership()
 
@@ -94,11 +94,11 @@
         """Sends a message without waiting.
 
         Returns:
-            False if the message was dropped: there is no connection, or its buffer is full. True does not
-            mean that the receiver got it.
+            False if the message was dropped, as there is no connection or its buffer is full. True does not
+            mean that the receiver has received it.
 
         Raises:
-            FrameTooLongError: the message exceeds a frame.
+            FrameTooLongError: the message exceeds the largest frame.
         """
         frame = encode_frame(Payload(topic, body))
         connection = self.established.get(receiver)
@@ -110,20 +110,23 @@
         return is_sent
 
     def state_of(self, member: str) -> PeerState:
-        """Returns the state of a member; DISCONNECTED for a name that is not one."""
+        """Returns the state of a member; DISCONNECTED for a name that is not a member."""
         return self.monitor.state_of(member)
 
     def incarnation_of(self, member: str) -> Incarnation | None:
-        """Returns the incarnation that is connected, or None without a connection."""
+        """Returns the incarnation of a connected member, or None without a connection."""
         connection = self.established.get(member)
         return None if connection is None else connection.incarnation
 
     def descriptor_count(self) -> int:
-        """Returns the number of descriptors in use, for the budget of the process."""
+        """Returns the number of open descriptors, which count against the limit of the process."""
         return len(self.established) + len(self.listener.unidentified)
 
     def update_membership(self, membership: Membership) -> bool:
-        """Puts a later membership into force, as after SIGHUP. Returns whether it was applied."""
+        """Applies a membership of a later version; logs why an invalid one is rejected.
+
+        Returns whether it was applied. Called when the node's file is reloaded after SIGHUP.
+        """
         try:
             if self._is_leaving or not supersedes(membership, self.membership):
                 return False
@@ -142,11 +145,11 @@
         return True
 
     async def leave(self) -> None:
-        """Ends all connections once their peers have read what was sent.
+        """Ends all connections after their peers have read all sent messages, or after a timeout.
 
-        A socket that is closed while it has unread bytes, or that receives more afterwards, is reset, and
-        what the kernel has not sent yet is lost. So this node first ends its own direction only, and waits a
-        short time for its peers to close.
+        If a socket is closed while it has unread bytes, or receives bytes after it was closed, the kernel
+        resets the connection and drops the bytes that are not sent yet. So this node first ends only its own
+        side of each connection, and waits up to `LEAVE_TIMEOUT_SECONDS` for the peers to end theirs.
         """
         self._stop()
         self.dialer.cancel_except(self.established)
@@ -154,14 +157,14 @@
             connection.finish("this node leaves")
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LEAVE_TIMEOUT_SECONDS):
-                while self.established:  # noqa: ASYNC110 - a poll for at most 0.2 s, simpler than an event
+                while self.established:  # noqa: ASYNC110 - polls for at most 0.2 s, which is simpler than an event
                     await asyncio.sleep(LEAVE_POLL_SECONDS)
         for connection in self.established.values():
             connection.writer.close()
         self.dialer.cancel_all()
 
     def close(self) -> None:
-        """Aborts everything at once. No message is delivered any more, even one that was already read."""
+        """Aborts all connections and stops listening; messages that were read already are not delivered."""
         self._stop()
         self.listener.close()
         if self._heartbeat_task is not None:
@@ -174,7 +177,7 @@
     def handle_message(self, connection: PeerConnection, message: PeerMessage) -> None:
         """Handles a message read from `connection`. Raises MalformedFrameError for a second hello."""
         if self.established.get(connection.member) is not connection or connection.is_finished:
-            return  # read from a connection that was replaced or has ended
+            return  # the connection was replaced or has ended since the message was read
         now_ms = self._network.clock()
         detector = self.monitor.detectors[connection.member]
         detector.on_message(now_ms)
@@ -198,7 +201,10 @@
         return [name for name in self.membership.members if name != self.name]
 
     def _apply_membership(self) -> None:
-        """Monitors and dials the members in force; nobody if this node was removed."""
+        """Starts to monitor and dial new members and stops for removed ones.
+
+        If this node itself was removed, it monitors and dials no member.
+        """
         now_ms = self._network.clock()
         others = self._other_members() if self.name in self.membership.members else []
         for name in [name for name in self.monitor.detectors if name not in others]:
@@ -220,7 +226,7 @@
     async def _run_connection(
         self, hello: Hello, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Runs one connection to its end; a later one of the same member ends it."""
+        """Runs a connection until it ends; it is aborted when the same member opens a later one."""
         connection = PeerConnection(hello, writer)
         name = connection.member
         replaced = self.established.get(name)
--- a/onyxpost/cluster/dialer.py
+++ b/onyxpost/cluster/dialer.py
@@ -1,4 +1,4 @@
-"""Outgoing connections: in each pair of members the one with the lower name dials."""
+"""Outgoing connections; in each pair of members the one with the lower name dials."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Dialer:
-    """Keeps a connection to each member with a higher name than this node's."""
+    """Keeps a connection open to each member whose name is higher than this node's."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self.dial_count = 0
 
     def start(self, member: str) -> None:
-        """Begins to dial a member, unless it is dialed already or dials this node."""
+        """Starts to dial a member, unless it is being dialed already or it dials this node."""
         own_name = self._handshake.own_name
         if member in self.tasks or member < own_name:
             return
@@ -50,26 +50,31 @@
         self.tasks[member] = asyncio.get_running_loop().create_task(connecting)
 
     def cancel(self, member: str) -> None:
-        """Ends the dialing of one member and its connection."""
+        """Stops dialing a member and ends the connection that was dialed to it."""
         if (task := self.tasks.pop(member, None)) is not None:
             task.cancel()
 
     def cancel_except(self, members: Container[str]) -> None:
-        """Ends the dialing of all but the given members."""
+        """Stops dialing all members except the given ones, and ends the connections dialed to them."""
         for member, task in self.tasks.items():
             if member not in members:
                 task.cancel()
 
     def cancel_all(self) -> None:
-        """Ends all dialing and the dialed connections."""
+        """Stops dialing all members and ends all dialed connections."""
         self.cancel_except(())
 
     def stop(self) -> None:
-        """Dials nobody any more; established connections go on."""
+        """Opens no further connections; established ones stay open."""
         self._is_stopped = True
 
     async def _dial(self, member: str) -> None:
-        """Runs one connection. Raises ClusterError, OSError (also for a timeout) or EOFError at its end."""
+        """Dials a member and runs the connection until it ends.
+
+        Raises:
+            ClusterError: the handshake or the connection failed.
+            OSError, EOFError: the connection could not be established, timed out or ended.
+        """
         if self._is_stopped:
             return
         self.dial_count += 1
--- a/onyxpost/cluster/failure_detector.py
+++ b/onyxpost/cluster/failure_detector.py
@@ -1,7 +1,7 @@
-"""Failure detector for one peer. Pure: the caller passes the time in, state changes are returned as values.
+"""Failure detector for one peer. Pure: the caller passes the time in, and state changes are returned.
 
-The states say how a peer is reachable from here, not what its process does. A suspected or disconnected peer
-may still be running and acting: excluding that takes a lease and a fencing token.
+A state tells how the peer can be reached from this node, not whether its process runs. A suspected or
+disconnected peer may still be running and act as a leader; only a lease with a fencing token prevents that.
 """
 
 from __future__ import annotations
@@ -11,18 +11,20 @@
 
 from onyxpost.cluster.heartbeat_timing import HEARTBEAT_INTERVAL_MS
 
-MAX_PING_INTERVAL_MS = 4 * HEARTBEAT_INTERVAL_MS  # between pings on a busy connection, for its round trip
-# Three intervals: one heartbeat that is missing and another that is late do not make a peer suspected.
+# A busy connection is pinged at this interval to measure its round trip, although its messages show that the
+# peer is alive.
+MAX_PING_INTERVAL_MS = 4 * HEARTBEAT_INTERVAL_MS
+# Three intervals, so that a peer is not suspected after one missing and one late heartbeat.
 SUSPICION_TIMEOUT_MS = 3 * HEARTBEAT_INTERVAL_MS
-DISCONNECT_TIMEOUT_MS = 6 * HEARTBEAT_INTERVAL_MS  # then the connection is aborted; TCP alone takes minutes
-# A hundred times the round trip within one site; reached by a peer that is overloaded.
+DISCONNECT_TIMEOUT_MS = 6 * HEARTBEAT_INTERVAL_MS  # aborts the connection; TCP alone would take minutes
+# About a hundred times the round trip within one site; an overloaded peer exceeds it.
 SLOW_ROUND_TRIP_MS = HEARTBEAT_INTERVAL_MS / 2
-PONG_TIMEOUT_MS = HEARTBEAT_INTERVAL_MS  # a ping unanswered for longer counts as slow
-ROUND_TRIP_GAIN = 1.0 / 8.0  # weight of a new sample, as TCP's smoothed round-trip time (RFC 6298)
+PONG_TIMEOUT_MS = HEARTBEAT_INTERVAL_MS  # a peer that leaves a ping unanswered for longer is slow
+ROUND_TRIP_GAIN = 1.0 / 8.0  # weight of a new sample, as in TCP's smoothed round-trip time (RFC 6298)
 
 
 class PeerState(Enum):
-    """How a peer is reachable from this node. The values are those of log lines and statistics."""
+    """How a peer can be reached from this node. The values are used in log lines and statistics."""
 
     ALIVE = "live"
     SLOW = "slow"  # messages arrive, but pings are answered late
@@ -37,37 +39,37 @@
     previous: PeerState
     current: PeerState
     previous_duration_ms: float
-    round_trip_ms: float  # 0: not measured
+    round_trip_ms: float  # 0 if not measured
     reason: str
 
 
 class CheckResult(NamedTuple):
-    """What is to be done after the periodic check of a peer."""
+    """The actions that follow from the periodic check of a peer; None means no action."""
 
     ping_number: int | None = None  # send a ping with this number
-    abort_reason: str | None = None  # abort the connection
-    change: PeerStateChange | None = None
+    abort_reason: str | None = None  # abort the connection for this reason
+    change: PeerStateChange | None = None  # log this change
 
 
 class PeerFailureDetector:
-    """Tracks one peer by the messages and pongs received from it. All times are milliseconds."""
+    """Tracks the state of one peer by the messages and pongs received from it."""
 
     def __init__(self, name: str, now_ms: float) -> None:
         self.name = name
         self.state = PeerState.DISCONNECTED
         self.state_since_ms = now_ms
-        # Whether a change to DISCONNECTED was returned. A peer starts in that state, without a change: one is
-        # returned when its first dial fails or the timeout is over.
+        # Whether a change to DISCONNECTED has been returned. A peer starts in that state without a change; it
+        # is returned when the first dial fails or the disconnect timeout passes without a connection.
         self.disconnect_reported = False
         self.last_check_at_ms = now_ms
         self.last_message_at_ms = now_ms
         self.last_ping_at_ms = now_ms
         self.last_ping_number = 0
         self.awaited_pong: int | None = None
-        self.round_trip_ms = 0.0  # smoothed; 0: not measured
+        self.round_trip_ms = 0.0  # smoothed; 0 if not measured
 
     def on_connected(self, now_ms: float) -> PeerStateChange | None:
-        """A connection was established: the peer's hello was accepted."""
+        """Enters ALIVE and restarts all timers: a connection was established."""
         self.last_message_at_ms = now_ms
         self.last_ping_at_ms = now_ms
         self.last_check_at_ms = now_ms
@@ -76,7 +78,7 @@
         return self._enter(now_ms, PeerState.ALIVE, "connected")
 
     def on_disconnected(self, now_ms: float, reason: str) -> PeerStateChange | None:
-        """The connection ended, or none could be established."""
+        """Enters DISCONNECTED: the connection ended, or none could be established."""
         self.awaited_pong = None
         if self.state is PeerState.DISCONNECTED and not self.disconnect_reported:
             self.disconnect_reported = True
@@ -85,16 +87,16 @@
         return self._enter(now_ms, PeerState.DISCONNECTED, reason)
 
     def on_message(self, now_ms: float) -> None:
-        """Any message was received from the peer."""
+        """Restarts the timers of suspicion and disconnection: a message of any type was received."""
         self.last_message_at_ms = now_ms
 
     def on_pong(self, now_ms: float, number: int) -> None:
-        """A pong was received. One that answers an earlier ping than the last is ignored."""
+        """Updates the round trip by a pong; ignores a pong that does not answer the last ping."""
         if number != self.awaited_pong:
             return
         self.awaited_pong = None
         if now_ms - self.last_check_at_ms > HEARTBEAT_INTERVAL_MS:
-            return  # this process was paused: how long the pong waited to be read is unknown
+            return  # this process was paused, so the pong may have arrived long before it was read
         sample_ms = now_ms - self.last_ping_at_ms
         if self.round_trip_ms:
             self.round_trip_ms += (sample_ms - self.round_trip_ms) * ROUND_TRIP_GAIN
@@ -102,7 +104,7 @@
             self.round_trip_ms = sample_ms
 
     def check(self, now_ms: float) -> CheckResult:
-        """Evaluates the peer; to be called several times per heartbeat interval."""
+        """Updates the peer's state and returns what to do; called several times per heartbeat interval."""
         since_last_check_ms = now_ms - self.last_check_at_ms
         self.last_check_at_ms = now_ms
         if self.state is PeerState.DISCONNECTED:
@@ -132,10 +134,10 @@
         return None
 
     def _discount_own_pause(self, now_ms: float, pause_ms: float) -> None:
-        """Moves the peer's last times on by a pause of this process: what arrived meanwhile may be unread.
+        """Shifts the times of the last message and ping by a pause of this process.
 
-        A message that was read after the pause but before this check has a time close to now; the minimum
-        keeps it from moving into the future.
+        Messages that arrived during the pause may not have been read yet. A message that was read between the
+        pause and this check has a recent time already, so the shifted time is limited to now.
         """
         self.last_message_at_ms = min(now_ms, self.last_message_at_ms + pause_ms)
         self.last_ping_at_ms = min(now_ms, self.last_ping_at_ms + pause_ms)
@@ -150,7 +152,7 @@
             return self._enter(now_ms, PeerState.SUSPECTED, _no_message(idle_ms))
         if unanswered_ms > PONG_TIMEOUT_MS:
             return self._enter(now_ms, PeerState.SLOW, _no_answer(unanswered_ms))
-        # Hysteresis: a peer near the limit does not change state with every ping.
+        # Hysteresis, so that a peer near the limit does not change its state with every ping.
         was_slow = self.state is PeerState.SLOW
         round_trip_limit_ms = SLOW_ROUND_TRIP_MS / 2.0 if was_slow else SLOW_ROUND_TRIP_MS
         if self.round_trip_ms > round_trip_limit_ms:
--- a/onyxpost/cluster/frames.py
+++ b/onyxpost/cluster/frames.py
@@ -1,7 +1,7 @@
-"""Frames: a big-endian length of four bytes, then one message in MessagePack, decoded by its msgspec type.
+"""Frames: a big-endian length of four bytes, followed by one message in MessagePack.
 
-A malformed or oversized frame ends its connection and affects no other. Writes never wait: a peer that does
-not read costs at most `MAX_UNSENT_BYTES`.
+A malformed or oversized frame ends its connection and affects no other. Writes never wait; a peer that does
+not read takes up at most `MAX_UNSENT_BYTES` of memory.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 MessageT = TypeVar("MessageT")
 
 LENGTH_BYTES = 4
-MAX_FRAME_BYTES = 80 * 1024  # a record of 64 KiB and its envelope
-MAX_UNSENT_BYTES = 256 * 1024  # on one connection, for a slow reader: three frames of the largest size
+MAX_FRAME_BYTES = 80 * 1024  # has room for a record of 64 KiB and its envelope
+MAX_UNSENT_BYTES = 256 * 1024  # limit of one connection; has room for three frames of the largest size
 
 _encoder = msgspec.msgpack.Encoder()
 
 
 def encode_frame(message: msgspec.Struct, limit: int = MAX_FRAME_BYTES) -> bytes:
-    """Encodes a message with its length. Raises FrameTooLongError above `limit` bytes."""
+    """Returns the frame of a message. Raises FrameTooLongError if the message exceeds `limit` bytes."""
     data = _encoder.encode(message)
     if len(data) > limit:
         raise FrameTooLongError(f"a message of {len(data)} bytes, {limit} at most", type(message).__name__)
@@ -35,10 +35,10 @@
 async def read_frame(
     reader: asyncio.StreamReader, decoder: msgspec.msgpack.Decoder[MessageT], limit: int = MAX_FRAME_BYTES
 ) -> MessageT:
-    """Reads the next message.
+    """Reads the next frame and decodes its message.
 
     Raises:
-        MalformedFrameError: the length or the message is not valid.
+        MalformedFrameError: the length is 0 or above `limit`, or the decoder rejects the message.
         OSError, EOFError: the connection ended.
     """
     length = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
@@ -52,12 +52,12 @@
 
 
 def has_buffer_space(writer: asyncio.StreamWriter, byte_count: int) -> bool:
-    """Returns whether `byte_count` more bytes may wait to be sent on this connection."""
+    """Returns whether `byte_count` more bytes fit into the buffer of unsent bytes of this connection."""
     return writer.transport.get_write_buffer_size() + byte_count <= MAX_UNSENT_BYTES
 
 
 def try_write(writer: asyncio.StreamWriter, data: bytes) -> bool:
-    """Writes without waiting; returns False, with nothing written, if the connection is closing or full."""
+    """Writes without waiting; returns False and writes nothing if the connection is closing or full."""
     if writer.transport.is_closing() or not has_buffer_space(writer, len(data)):
         return False
     writer.write(data)
--- a/onyxpost/cluster/handshake.py
+++ b/onyxpost/cluster/handshake.py
@@ -1,4 +1,4 @@
-"""The first messages of a connection between two members."""
+"""The handshake of a connection: each side sends a hello, and validates that of the other."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
         self.own_name = own_name
         self.incarnation = incarnation
         self.membership = membership
-        self.latest: dict[str, ConnectionOrder] = {}  # the latest accepted connection of each member
+        self.latest: dict[str, ConnectionOrder] = {}  # the last accepted connection of each member
 
     def update_membership(self, membership: Membership) -> None:
-        """Validates later hellos against another membership."""
+        """Sets the membership against which later hellos are validated."""
         self.membership = membership
 
     def send_hello(self, writer: asyncio.StreamWriter, receiver: str, dial_number: int) -> None:
-        """Sends this node's hello."""
+        """Sends this node's hello; `dial_number` is the dialer's count of its dials."""
         hello = Hello(
             protocol_version=PROTOCOL_VERSION,
             sender=self.own_name,
@@ -52,8 +52,8 @@
         """Reads and validates the peer's hello.
 
         Raises:
-            ClusterError: the connection may not begin.
-            TimeoutError: no hello was received in time.
+            ClusterError: the message is not a valid hello, or the peer must not connect to this node.
+            TimeoutError: no hello was received within `HELLO_TIMEOUT_SECONDS`.
             OSError, EOFError: the connection ended.
         """
         async with asyncio.timeout(HELLO_TIMEOUT_SECONDS):
@@ -64,9 +64,9 @@
             return message
 
     def accept(self, hello: Hello) -> None:
-        """Records an accepted connection: from now on only later ones of its sender are accepted."""
+        """Records an accepted connection, so that only later ones of its sender are accepted."""
         self.latest[hello.sender] = connection_order(hello)
 
     def forget(self, member: str) -> None:
-        """Forgets the connections of a member that was removed."""
+        """Removes the record of a removed member, which may return with an earlier incarnation."""
         self.latest.pop(member, None)
--- a/onyxpost/cluster/heartbeat_timing.py
+++ b/onyxpost/cluster/heartbeat_timing.py
@@ -1,4 +1,4 @@
-"""How often a node shows that it is alive: members of a cluster to each other, forwarders to planners."""
+"""The interval of heartbeats between members of a cluster, and between forwarders and planners."""
 
 from __future__ import annotations
 
--- a/onyxpost/cluster/heartbeats.py
+++ b/onyxpost/cluster/heartbeats.py
@@ -1,4 +1,4 @@
-"""The periodic check of all other members: heartbeats, timeouts and statistics."""
+"""The periodic check of all other members, which sends heartbeats and detects timeouts."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     from onyxpost.cluster.statistics import ConnectionStatistics
     from onyxpost.runtime.transport import Transport
 
-CHECK_INTERVAL_SECONDS = 0.1  # a fifth of a heartbeat interval
+CHECK_INTERVAL_SECONDS = 0.1  # one fifth of a heartbeat interval
 STATISTICS_INTERVAL_MS = 10_000.0
 
 
 class HeartbeatSender:
-    """Pings the peers when their failure detectors ask for it and aborts connections that timed out."""
+    """Sends the pings that the failure detectors request, aborts timed-out connections, logs statistics."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self._on_rejected = on_rejected
 
     async def run(self) -> None:
-        """Checks all peers until it is cancelled."""
+        """Checks all peers every `CHECK_INTERVAL_SECONDS` until the task is cancelled."""
         logged_at_ms = self._network.clock()
         while True:
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
@@ -62,4 +62,4 @@
             connection.abort(result.abort_reason)
         elif result.ping_number is not None:
             self._statistics.count_ping()
-            connection.send(Ping(result.ping_number))  # not sent if the buffer is full: counts as unanswered
+            connection.send(Ping(result.ping_number))  # dropped if the buffer is full, and then not answered
--- a/onyxpost/cluster/incarnation.py
+++ b/onyxpost/cluster/incarnation.py
@@ -1,7 +1,7 @@
-"""Incarnations: which start of a node's process a connection belongs to, ordered by time. Pure.
+"""Incarnations, which identify the starts of a node's process and order them by time.
 
-If a node's clock is set back across a restart, its new incarnation sorts before the previous one. Peers
-reject it with `StaleIncarnationError` until the node is started with a later clock.
+If a node's clock is set back before a restart, its new incarnation is lower than the previous one. Its peers
+then reject it with `StaleIncarnationError`, until the node is started with a later clock.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 
 class Incarnation(NamedTuple):
-    """One start of a node, as in SWIM; later incarnations compare greater.
+    """One start of a node, as in the SWIM protocol; later incarnations compare greater.
 
-    Written `<started_at_ms>-<token>`, as in `1700000000000-1a2b3c4d`.
+    The text form is `<started_at_ms>-<token>`, for example `1700000000000-1a2b3c4d`.
     """
 
     started_at_ms: int  # Unix time
@@ -26,12 +26,12 @@
 
     @classmethod
     def starting_at(cls, now_ms: float) -> Self:
-        """Creates an incarnation that starts at `now_ms` (Unix time) with a random token."""
+        """Returns an incarnation that starts at `now_ms` (Unix time), with a random token."""
         return cls(int(now_ms), secrets.token_hex(TOKEN_BYTES))
 
     @classmethod
     def parse(cls, text: str) -> Self:
-        """Reads the written form. Raises MalformedFrameError."""
+        """Parses the text form. Raises MalformedFrameError if it is invalid."""
         digits, dash, token = text.partition("-")
         is_number = digits.isascii() and digits.isdigit() and len(digits) <= MAX_TIMESTAMP_DIGITS
         if not dash or not token or not is_number:
--- a/onyxpost/cluster/listener.py
+++ b/onyxpost/cluster/listener.py
@@ -1,4 +1,4 @@
-"""Incoming connections, with a bound on those whose peer has not sent its hello yet."""
+"""Incoming connections, with a limit on those whose peer has not sent its hello yet."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     from onyxpost.config.address import Address
     from onyxpost.runtime.transport import Listener, Transport
 
-MAX_UNIDENTIFIED = 64  # connections without a hello; one more aborts the oldest
+MAX_UNIDENTIFIED = 64  # limit of connections without a hello; a further one aborts the oldest
 
 
 class PeerListener:
-    """Accepts connections of the members with a lower name than this node's."""
+    """Accepts connections of members whose name is lower than this node's."""
 
     def __init__(
         self,
@@ -40,17 +40,17 @@
         self.unidentified = UnidentifiedConnections()
 
     async def listen(self, address: Address) -> None:
-        """Binds the address. Raises OSError or ListenError if that fails."""
+        """Listens at the address. Raises OSError or ListenError if it cannot be bound."""
         self.server = await self._network.listen(
             self._serve, address, READ_BUFFER_BYTES, MAX_ACCEPTS_PER_TURN
         )
 
     def stop(self) -> None:
-        """Begins no connection any more; the address stays bound."""
+        """Rejects further connections; the address stays bound and established connections stay open."""
         self._is_stopped = True
 
     def close(self) -> None:
-        """Frees the address."""
+        """Stops listening and releases the address."""
         if self.server is not None:
             self.server.close()
 
@@ -59,7 +59,7 @@
         limit_read_size(writer, READ_BUFFER_BYTES)
         try:
             hello = await self._handshake.receive_hello(reader)
-            # The connection may have been aborted to make room while its hello was not read yet.
+            # `unidentified` may have aborted the connection before its hello was read.
             if self._is_stopped or writer.transport.is_closing():
                 return
             if hello.sender > self._handshake.own_name:
@@ -72,7 +72,8 @@
         except ClusterError as err:
             self._on_rejected(err)
         except (OSError, EOFError, asyncio.CancelledError):
-            # The peer's state change is logged. asyncio's own callback reports a cancelled task as a fault.
+            # The change of the peer's state is logged elsewhere. Cancellation is not propagated, because the
+            # callback of asyncio's streams would log a cancelled task as an error.
             pass
         finally:
             self.unidentified.discard(writer)
--- a/onyxpost/cluster/log_rate_limit.py
+++ b/onyxpost/cluster/log_rate_limit.py
@@ -1,4 +1,4 @@
-"""Limits log lines that any remote host can cause. Pure."""
+"""Limits the rate of log lines that any remote host can cause. Pure."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 
 class LogRateLimiter:
-    """Allows one line of each kind per interval and counts the suppressed ones.
+    """Allows one line of each kind per interval, and counts the suppressed ones.
 
-    Kinds must come from a small fixed set, never from a name that a remote host chose.
+    Kinds must be from a small fixed set, as each takes up memory, and must not be names that a remote host
+    chooses.
     """
 
     def __init__(self, interval_ms: float = DEFAULT_INTERVAL_MS) -> None:
@@ -17,7 +18,11 @@
         self.suppressed: dict[str, int] = {}
 
     def allow(self, now_ms: float, kind: str) -> int:
-        """Returns how many events the line stands for, with the suppressed ones; 0: do not write it."""
+        """Returns 0 if the line must be suppressed.
+
+        Otherwise returns the number of events that the line stands for: itself and the lines of its kind
+        suppressed since the last one that was allowed.
+        """
         if now_ms - self.last_allowed_at_ms.get(kind, -self.interval_ms) < self.interval_ms:
             self.suppressed[kind] = self.suppressed.get(kind, 0) + 1
             return 0
--- a/onyxpost/cluster/membership.py
+++ b/onyxpost/cluster/membership.py
@@ -1,4 +1,4 @@
-"""The members of a cluster: a versioned list from a node's file, replaced only by a later version. Pure."""
+"""The members of a cluster: a versioned list in the nodes' files, replaced only by a later version. Pure."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """All members by name, this node included.
+    """The addresses of all members by name, including this node.
 
-    The addresses of one member may differ from node to node: a relay may stand between two nodes.
+    Two nodes may have different addresses for one member, as there may be a relay between nodes.
     """
 
     version: int
@@ -26,14 +26,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterConfig:
-    """Where this node accepts connections of other members, and who they are."""
+    """The address at which this node accepts connections of other members, and the membership."""
 
     listen: Address
     membership: Membership
 
 
 def decode_cluster_config(data: object, own_name: str) -> ClusterConfig:
-    """Reads a `fleet` section, as JSON text or decoded, for one node. Raises InvalidMembershipError."""
+    """Decodes and validates a `fleet` section for the node `own_name`.
+
+    `data` is JSON text or decoded JSON.
+
+    Raises:
+        InvalidMembershipError: a key is missing, unknown or has an invalid value.
+    """
     try:
         settings = decode_as(data, ClusterSettings, "fleet")
     except InvalidInputError as err:
@@ -42,7 +48,7 @@
 
 
 def build_cluster_config(settings: ClusterSettings, own_name: str) -> ClusterConfig:
-    """Validates the settings for one node. Raises InvalidMembershipError with the path of the wrong key."""
+    """Validates the settings for one node. Raises InvalidMembershipError with the path of the invalid key."""
     members: dict[str, Address] = {}
     owners: dict[Address, str] = {}
     for member, text in settings.members.items():
@@ -63,7 +69,7 @@
 
 
 def supersedes(new: Membership, current: Membership) -> bool:
-    """Returns whether `new` replaces `current`; an equal one does not.
+    """Returns whether `new` has a later version than `current` and so replaces it.
 
     Raises:
         StaleMembershipError: `new` has an earlier version.
@@ -79,10 +85,10 @@
 
 
 def members_to_disconnect(old: Membership, new: Membership, own_name: str) -> list[str]:
-    """Returns the members whose connections end when `new` replaces `old`.
+    """Returns the members whose connections must be closed when `new` replaces `old`.
 
     These are the removed members and those that this node dials at another address than before. The address
-    of a member that dials this node does not matter here. If this node is removed, all connections end.
+    of a member that dials this node does not matter. If this node itself is removed, the result is all members.
     """
     is_removed = own_name not in new.members
     return [
--- a/onyxpost/cluster/payload_delivery.py
+++ b/onyxpost/cluster/payload_delivery.py
@@ -1,4 +1,4 @@
-"""Passes the received payloads on to the components of this node, by topic."""
+"""Delivers received payloads to the components of this node, by topic."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class PayloadDelivery:
-    """Calls `on_message(sender, topic, body)` for each payload of a topic in `topics`; others are dropped."""
+    """Calls `on_message(sender, topic, body)` for payloads whose topic is in `topics`; drops all others."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         self._peer_log = peer_log
 
     def deliver(self, sender: str, payload: Payload) -> None:
-        """Delivers one payload. What its handler raises is logged, and goes no further."""
+        """Delivers a payload; logs an exception of its handler and does not raise it."""
         if payload.topic not in self.topics:
             self._statistics.count_unknown_topic()
             return
--- a/onyxpost/cluster/peer_log.py
+++ b/onyxpost/cluster/peer_log.py
@@ -1,4 +1,4 @@
-"""Log lines about peers and their connections. No I/O."""
+"""Log lines about peers and their connections."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class PeerLog:
-    """Writes one line for each state change, and a limited number for what any remote host can cause."""
+    """Logs state changes, and at a limited rate rejected connections, which any remote host can cause."""
 
     def __init__(self, log: Callable[[LogEvent], None]) -> None:
         self._log = log
@@ -28,11 +28,11 @@
         self._suppresses_state_changes = False
 
     def suppress_state_changes(self) -> None:
-        """Logs no further state changes, as this node leaves and its connections end."""
+        """Stops logging state changes, as this node is leaving and ends its connections itself."""
         self._suppresses_state_changes = True
 
     def log_state_change(self, change: PeerStateChange | None) -> None:
-        """Logs a change of a peer's state; nothing for None."""
+        """Logs a change of a peer's state; None stands for no change."""
         if change is None or self._suppresses_state_changes:
             return
         fields = {
@@ -46,14 +46,14 @@
         self._log(LogEvent(f"cluster peer {change.current.value}", fields, level))
 
     def log_rejected_connection(self, now_ms: float, err: ClusterError) -> None:
-        """Logs why a connection was rejected or ended. Any host can cause this, so lines are limited."""
+        """Logs why a connection was rejected or ended, at a limited rate per type of error."""
         kind = type(err).__name__
         if occurrences := self._rate_limiter.allow(now_ms, kind):
             fields = {"kind": kind, **err.fields(), "times": occurrences}
             self._log(LogEvent("cluster connection rejected", fields, logging.WARNING))
 
     def log_membership_change(self, membership: Membership) -> None:
-        """Logs that a later membership is in force."""
+        """Logs that a later membership has come into force."""
         fields = {"version": membership.version, "members": len(membership.members)}
         self._log(LogEvent("cluster membership changed", fields))
 
@@ -63,9 +63,9 @@
         self._log(LogEvent("cluster membership rejected", fields, logging.WARNING))
 
     def log_statistics(self, fields: dict[str, int]) -> None:
-        """Logs the periodic statistics."""
+        """Logs the number of peers in each state, and the counters that are not zero."""
         self._log(LogEvent("cluster statistics", dict(fields)))
 
     def log_handler_fault(self, topic: str, err: Exception) -> None:
-        """Logs an error that a component raised for a message."""
+        """Logs an exception that a component raised while it handled a message."""
         self._log(fault_event(f"cluster topic {topic}", err))
--- a/onyxpost/cluster/peer_monitor.py
+++ b/onyxpost/cluster/peer_monitor.py
@@ -1,4 +1,4 @@
-"""The states of all other members, and the log lines of their changes. No I/O."""
+"""The states of all other members."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class PeerMonitor:
-    """Keeps a failure detector for each other member and logs each change of its state."""
+    """Has a failure detector for each other member, and logs each change of a state."""
 
     def __init__(self, members: Iterable[str], peer_log: PeerLog, now_ms: float) -> None:
         self._peer_log = peer_log
@@ -22,31 +22,31 @@
         self.add(members, now_ms)
 
     def add(self, members: Iterable[str], now_ms: float) -> None:
-        """Adds those members that are not monitored yet."""
+        """Starts to monitor the given members, except those that are monitored already."""
         for name in members:
             if name not in self.detectors:
                 self.detectors[name] = PeerFailureDetector(name, now_ms)
 
     def remove(self, member: str, now_ms: float) -> None:
-        """Removes a member that left the cluster."""
+        """Stops monitoring a member that was removed from the membership."""
         change = self.detectors.pop(member).on_disconnected(now_ms, "another membership")
         self._peer_log.log_state_change(change)
 
     def state_of(self, member: str) -> PeerState:
-        """Returns the state of a member; DISCONNECTED for a name that is not one."""
+        """Returns the state of a member; DISCONNECTED for a name that is not a member."""
         detector = self.detectors.get(member)
         return PeerState.DISCONNECTED if detector is None else detector.state
 
     def on_connected(self, member: str, now_ms: float) -> None:
-        """A connection to the member was established."""
+        """Updates the state of a member whose connection was established."""
         self._peer_log.log_state_change(self.detectors[member].on_connected(now_ms))
 
     def on_disconnected(self, member: str, now_ms: float, reason: str) -> None:
-        """The member's connection ended."""
+        """Updates the state of a member whose connection ended."""
         self._peer_log.log_state_change(self.detectors[member].on_disconnected(now_ms, reason))
 
     def on_dial_ended(self, member: str, now_ms: float, cause: Exception | None) -> None:
-        """A dial ended. Logged for a member that was never connected, and only the first time."""
+        """Reports a member as disconnected when its first dial fails; later failures are not logged."""
         detector = self.detectors.get(member)
         if detector is None or detector.state is not PeerState.DISCONNECTED or detector.disconnect_reported:
             return
@@ -54,12 +54,12 @@
         self._peer_log.log_state_change(change)
 
     def check(self, member: str, now_ms: float) -> CheckResult:
-        """Evaluates one member; see `PeerFailureDetector.check`."""
+        """Runs `PeerFailureDetector.check` for one member."""
         result = self.detectors[member].check(now_ms)
         self._peer_log.log_state_change(result.change)
         return result
 
     def count_by_state(self) -> dict[str, int]:
-        """Returns the number of members in each state, for the log."""
+        """Returns the number of other members by the name of their state, zeros included."""
         counts = Counter(detector.state for detector in self.detectors.values())
         return {state.value: counts[state] for state in PeerState}
--- a/onyxpost/cluster/protocol.py
+++ b/onyxpost/cluster/protocol.py
@@ -1,6 +1,6 @@
-"""Messages between two members of a cluster: protocol version 1, documented in `docs/cluster.md`. Pure.
+"""Messages between two members of a cluster, protocol version 1 (`docs/cluster.md`).
 
-Messages are MessagePack arrays: the tag first, then the fields in the order given here.
+A message is a MessagePack array of the tag and the fields, in the order in which they are declared here.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     from onyxpost.cluster.membership import Membership
 
 PROTOCOL_VERSION = 1
-MAX_BODY_BYTES = 72 * 1024  # a record of 64 KiB and the message around it
+MAX_BODY_BYTES = 72 * 1024  # has room for a record of 64 KiB and the message that contains it
 MAX_TOPIC_CHARS = 32
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
@@ -33,22 +33,22 @@
 
 
 class Message(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    """Base of all messages between members."""
+    """Base class of all messages between members."""
 
 
 class Hello(Message, tag="hello"):
-    """The first message of both sides; the dialer sends its own first."""
+    """The first message of each side of a connection; the dialer sends its hello first."""
 
     protocol_version: Number
     sender: Name
-    incarnation: Name  # the written form of an `Incarnation`
-    receiver: Name  # the member that the sender means to be connected to
-    dial_number: Number  # counts the sender's dials in one incarnation; the receiver returns it
+    incarnation: Name  # the text form of an `Incarnation`
+    receiver: Name  # the member to which the sender intends to connect
+    dial_number: Number  # the count of the dialer's dials in its incarnation; the reply repeats it
     membership_version: Number
 
 
 class Ping(Message, tag="ping"):
-    """A heartbeat, to be answered by a pong with the same number."""
+    """A heartbeat, which the receiver answers by a pong with the same number."""
 
     number: Number
 
@@ -60,7 +60,7 @@
 
 
 class Payload(Message, tag="word"):
-    """A message of a component that uses the connection; opaque here."""
+    """A message of a component of the sending node; only the component of `topic` decodes the body."""
 
     topic: Annotated[str, Meta(min_length=1, max_length=MAX_TOPIC_CHARS)]
     body: Annotated[bytes, Meta(max_length=MAX_BODY_BYTES)]
@@ -68,11 +68,11 @@
 
 PeerMessage = Hello | Ping | Pong | Payload
 
-_decoder: Any = msgspec.msgpack.Decoder(PeerMessage)  # Any: the type of a union is no `type[PeerMessage]`
+_decoder: Any = msgspec.msgpack.Decoder(PeerMessage)  # Any, as mypy does not accept a union here
 
 
 class ConnectionOrder(NamedTuple):
-    """Orders the connections of one member: by its incarnation, then by the number of the dial."""
+    """The order of one member's connections: by incarnation, then by the number of the dial."""
 
     incarnation: Incarnation
     dial_number: int
@@ -85,26 +85,29 @@
 
 
 def connection_order(hello: Hello) -> ConnectionOrder:
-    """Returns the order of the connection that begins with `hello`. Raises MalformedFrameError."""
+    """Returns the order of the connection that starts with `hello`.
+
+    Raises MalformedFrameError if its incarnation cannot be parsed.
+    """
     return ConnectionOrder(Incarnation.parse(hello.incarnation), hello.dial_number)
 
 
 def validate_hello(
     hello: Hello, own_name: str, membership: Membership, latest: ConnectionOrder | None
 ) -> None:
-    """Checks whether a connection may begin with this hello.
+    """Checks whether the sender of this hello may connect to this node.
 
     Args:
-        hello: as received.
+        hello: the received hello.
         own_name: the name of this node.
-        membership: the current membership.
-        latest: the order of the sender's latest accepted connection.
+        membership: the membership in force.
+        latest: the order of the sender's last accepted connection, or None if there was none.
 
     Raises:
-        ProtocolVersionError: the sender speaks another version.
-        UnknownSenderError: the sender is not a member, or this node is not one any more.
+        ProtocolVersionError: the sender uses another version of the protocol.
+        UnknownSenderError: the sender is not a member, or this node is no longer a member.
         MemberNameMismatchError: the hello is addressed to another member.
-        StaleIncarnationError: a later connection of the sender was accepted before.
+        StaleIncarnationError: this connection or a later one of the sender was accepted before.
         MalformedFrameError: the incarnation cannot be parsed.
     """
     if hello.protocol_version != PROTOCOL_VERSION:
--- a/onyxpost/cluster/reconnect.py
+++ b/onyxpost/cluster/reconnect.py
@@ -1,4 +1,4 @@
-"""Reconnects to a peer whenever the connection ends or fails: exponential backoff with jitter."""
+"""Reconnects to a peer after its connection ended or failed, with exponential backoff and jitter."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-INITIAL_DELAY_SECONDS = 0.2  # a process that restarts is back in about that time
-MAX_DELAY_SECONDS = 2.0  # with 256 members one node has at most 170 failing dials a second
+INITIAL_DELAY_SECONDS = 0.2  # about the time that a process takes to restart
+MAX_DELAY_SECONDS = 2.0  # limits a node of 256 members to 170 failing dials per second
 MIN_JITTER_FACTOR = 0.75
 
 
 class ReconnectBackoff:
-    """Delays that double up to a limit, each shortened by up to a quarter.
+    """Delays that double up to a limit, each shortened by a random part of up to one quarter.
 
-    The jitter is drawn from `seed`, so that nodes that lost the same peer do not reconnect at the same moment
-    and a simulation can be repeated.
+    `seed` determines the random numbers. It differs between nodes, so that nodes that lost the same peer do
+    not reconnect at the same time, and it makes simulations reproducible.
     """
 
     def __init__(self, seed: str) -> None:
@@ -28,11 +28,11 @@
         self._next_seconds = INITIAL_DELAY_SECONDS
 
     def reset(self) -> None:
-        """Starts again from the initial delay, after a connection that lasted."""
+        """Sets the next delay to the initial one; called after a connection that lasted long enough."""
         self._next_seconds = INITIAL_DELAY_SECONDS
 
     def next_delay_seconds(self) -> float:
-        """Returns the time to wait before the next attempt."""
+        """Returns the time to wait before the next attempt, and doubles the following delay."""
         delay_seconds = self._next_seconds
         self._next_seconds = min(MAX_DELAY_SECONDS, 2.0 * self._next_seconds)
         return delay_seconds * self._rng.uniform(MIN_JITTER_FACTOR, 1.0)
@@ -41,11 +41,11 @@
 async def keep_connected(
     connect: Callable[[], Awaitable[None]], on_ended: Callable[[Exception | None], float]
 ) -> None:
-    """Runs one connection after the other until it is cancelled.
+    """Runs one connection after another until the task is cancelled.
 
     Args:
-        connect: runs one connection from its dial to its end.
-        on_ended: is given the error that ended it, or None, and returns the seconds to wait.
+        connect: dials and runs a connection until it ends.
+        on_ended: receives the error that ended the connection, or None, and returns the seconds to wait.
     """
     while True:
         cause: Exception | None = None
--- a/onyxpost/cluster/statistics.py
+++ b/onyxpost/cluster/statistics.py
@@ -1,4 +1,4 @@
-"""Counters of the connections of one node."""
+"""Counters of messages, pings and rejected connections of one node."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 @dataclass(slots=True)
 class ConnectionStatistics:
-    """Counts since the start of the process."""
+    """Counts since the start of the process; log lines have them under these names."""
 
-    sent: int = 0  # messages
-    dropped: int = 0  # messages without a connection, or with a full buffer
+    sent: int = 0  # sent messages of components
+    dropped: int = 0  # messages that were not sent, as there was no connection or its buffer was full
     received: int = 0
-    unknown_topic: int = 0  # messages received for a topic that no component registered
-    rejected: int = 0  # connections: at their hello, or ended by a malformed frame or a timeout
+    unknown_topic: int = 0  # received messages with a topic that no component has registered
+    rejected: int = 0  # connections that were rejected at the handshake, or ended by a bad frame or a timeout
     pings: int = 0
 
     def count_received(self) -> None:
-        """Counts a message that is delivered."""
+        """Counts a message that is delivered to a component."""
         self.received += 1
 
     def count_unknown_topic(self) -> None:
-        """Counts a message that no component of this node receives."""
+        """Counts a message with a topic that no component has registered."""
         self.unknown_topic += 1
 
     def count_ping(self) -> None:
@@ -29,5 +29,5 @@
         self.pings += 1
 
     def non_zero(self) -> dict[str, int]:
-        """Returns the counters that have counted something, for the log."""
+        """Returns the counters that are not zero, by name."""
         return {name: count for name, count in asdict(self).items() if count}
--- a/onyxpost/cluster/unidentified.py
+++ b/onyxpost/cluster/unidentified.py
@@ -1,4 +1,4 @@
-"""A bound on accepted connections whose peer has not identified itself."""
+"""A limit on accepted connections whose peer has not identified itself yet."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
     from collections.abc import Iterator
 
 
-# Connections that a listener accepts in one turn of the event loop.
+# The number of connections that a listener accepts in one iteration of the event loop.
 MAX_ACCEPTS_PER_TURN = 128
 
 
 class UnidentifiedConnections:
-    """Accepted connections without a hello; above a limit the oldest is aborted."""
+    """The accepted connections without a hello; above a limit the oldest one is aborted."""
 
     def __init__(self) -> None:
         self._writers: dict[asyncio.StreamWriter, None] = {}  # oldest first
@@ -26,18 +26,18 @@
         return iter(self._writers)
 
     def add(self, writer: asyncio.StreamWriter, limit: int) -> None:
-        """Adds an accepted connection; with more than `limit` the oldest is aborted."""
+        """Adds an accepted connection, and aborts the oldest if there are more than `limit`."""
         self._writers[writer] = None
         if len(self._writers) > limit:
             oldest = next(iter(self._writers))
-            self.discard(oldest)  # at once: its task may end only after more connections were accepted
+            self.discard(oldest)  # now, as its task may end only after more connections are accepted
             oldest.transport.abort()
 
     def discard(self, writer: asyncio.StreamWriter) -> None:
-        """Removes a connection that was identified or has ended."""
+        """Removes a connection whose peer was identified, or that has ended."""
         self._writers.pop(writer, None)
 
     def abort_all(self) -> None:
-        """Aborts all connections; each is removed when its task ends."""
+        """Aborts all connections; each one is removed when its task ends."""
         for writer in list(self._writers):
             writer.transport.abort()
