--- a/onyxpost/cluster/connections.py
+++ b/onyxpost/cluster/connections.py
@@ -138,7 +138,7 @@
         for name in members_to_disconnect(previous, membership, self.name):
             self.dialer.cancel(name)
             if (connection := self.established.pop(name, None)) is not None:
-                connection.abort("another membership")
+                connection.abort("closed by a membership change")
                 self.monitor.on_disconnected(name, self._network.clock(), connection.end_reason)
         self._apply_membership()
         self._peer_log.log_membership_change(membership)
@@ -154,7 +154,7 @@
         self._stop()
         self.dialer.cancel_except(self.established)
         for connection in self.established.values():
-            connection.finish("this node leaves")
+            connection.finish("this node is leaving")
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LEAVE_TIMEOUT_SECONDS):
                 while self.established:  # noqa: ASYNC110 - polls for at most 0.2 s, which is simpler than an event
@@ -171,7 +171,7 @@
             self._heartbeat_task.cancel()
         self.dialer.cancel_all()
         for name in list(self.established):
-            self.established.pop(name).abort("closed")
+            self.established.pop(name).abort("closed by this node")
         self.listener.unidentified.abort_all()
 
     def handle_message(self, connection: PeerConnection, message: PeerMessage) -> None:
@@ -189,7 +189,7 @@
             case Payload():
                 self.payloads.deliver(connection.member, message)
             case Hello():
-                raise MalformedFrameError("a second hello", connection.member)
+                raise MalformedFrameError("unexpected second hello", connection.member)
 
     def _stop(self) -> None:
         self._is_leaving = True
@@ -245,4 +245,6 @@
         finally:
             if self.established.get(name) is connection:
                 del self.established[name]
-                self.monitor.on_disconnected(name, self._network.clock(), connection.end_reason or "ended")
+                self.monitor.on_disconnected(
+                    name, self._network.clock(), connection.end_reason or "connection ended"
+                )
--- a/onyxpost/cluster/dialer.py
+++ b/onyxpost/cluster/dialer.py
@@ -87,7 +87,9 @@
             self._handshake.send_hello(writer, member, dial_number)
             hello = await self._handshake.receive_hello(reader)
             if hello.sender != member:
-                raise MemberNameMismatchError(f"{hello.sender} answers at its address", member)
+                raise MemberNameMismatchError(
+                    f"expected this member at the dialed address, got {hello.sender}", member
+                )
             self._connected_since_ms[member] = self._network.clock()
             await self._run_connection(hello, reader, writer)
         finally:
--- a/onyxpost/cluster/failure_detector.py
+++ b/onyxpost/cluster/failure_detector.py
@@ -130,7 +130,7 @@
 
     def _check_never_connected(self, now_ms: float) -> PeerStateChange | None:
         if now_ms - self.state_since_ms > DISCONNECT_TIMEOUT_MS:
-            return self.on_disconnected(now_ms, "never connected")
+            return self.on_disconnected(now_ms, "no connection established")
         return None
 
     def _discount_own_pause(self, now_ms: float, pause_ms: float) -> None:
@@ -156,8 +156,8 @@
         was_slow = self.state is PeerState.SLOW
         round_trip_limit_ms = SLOW_ROUND_TRIP_MS / 2.0 if was_slow else SLOW_ROUND_TRIP_MS
         if self.round_trip_ms > round_trip_limit_ms:
-            return self._enter(now_ms, PeerState.SLOW, f"answers after {self.round_trip_ms:.0f} ms")
-        return self._enter(now_ms, PeerState.ALIVE, "answers")
+            return self._enter(now_ms, PeerState.SLOW, f"round trip of {self.round_trip_ms:.0f} ms")
+        return self._enter(now_ms, PeerState.ALIVE, "pings are answered in time")
 
     def _enter(self, now_ms: float, state: PeerState, reason: str) -> PeerStateChange | None:
         if state is self.state:
@@ -175,4 +175,4 @@
 
 
 def _no_answer(unanswered_ms: float) -> str:
-    return f"no answer for {unanswered_ms:.0f} ms"
+    return f"no answer to a ping for {unanswered_ms:.0f} ms"
--- a/onyxpost/cluster/frames.py
+++ b/onyxpost/cluster/frames.py
@@ -28,7 +28,7 @@
     """Returns the frame of a message. Raises FrameTooLongError if the message exceeds `limit` bytes."""
     data = _encoder.encode(message)
     if len(data) > limit:
-        raise FrameTooLongError(f"a message of {len(data)} bytes, {limit} at most", type(message).__name__)
+        raise FrameTooLongError(f"message of {len(data)} bytes, limit {limit}", type(message).__name__)
     return len(data).to_bytes(LENGTH_BYTES, "big") + data
 
 
@@ -43,7 +43,7 @@
     """
     length = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
     if not 0 < length <= limit:
-        raise MalformedFrameError(f"a frame of {length} bytes")
+        raise MalformedFrameError(f"frame length of {length} bytes, expected 1 to {limit}")
     data = await reader.readexactly(length)
     try:
         return decoder.decode(data)
--- a/onyxpost/cluster/handshake.py
+++ b/onyxpost/cluster/handshake.py
@@ -59,7 +59,7 @@
         async with asyncio.timeout(HELLO_TIMEOUT_SECONDS):
             message = await read_message(reader)
             if not isinstance(message, Hello):
-                raise MalformedFrameError("no hello")
+                raise MalformedFrameError(f"handshake: expected a hello, got {type(message).__name__}")
             validate_hello(message, self.own_name, self.membership, self.latest.get(message.sender))
             return message
 
--- a/onyxpost/cluster/incarnation.py
+++ b/onyxpost/cluster/incarnation.py
@@ -35,7 +35,7 @@
         digits, dash, token = text.partition("-")
         is_number = digits.isascii() and digits.isdigit() and len(digits) <= MAX_TIMESTAMP_DIGITS
         if not dash or not token or not is_number:
-            raise MalformedFrameError(f"not an incarnation: {text[:40]!r}")
+            raise MalformedFrameError(f"invalid incarnation {text[:40]!r}, expected MILLISECONDS-TOKEN")
         return cls(int(digits), token)
 
     def __str__(self) -> str:
--- a/onyxpost/cluster/listener.py
+++ b/onyxpost/cluster/listener.py
@@ -64,7 +64,8 @@
                 return
             if hello.sender > self._handshake.own_name:
                 raise WrongDialerError(
-                    f"{self._handshake.own_name} has the lower name and dials", hello.sender
+                    f"connected to {self._handshake.own_name}, which has the lower name and must dial",
+                    hello.sender,
                 )
             self.unidentified.discard(writer)
             self._handshake.send_hello(writer, hello.sender, hello.dial_number)
--- a/onyxpost/cluster/membership.py
+++ b/onyxpost/cluster/membership.py
@@ -54,17 +54,17 @@
     for member, text in settings.members.items():
         path = f"members.{member[:MAX_NAME_CHARS]}"
         if not 0 < len(member) <= MAX_NAME_CHARS:
-            raise _invalid(f"a name of {len(member)} characters, {MAX_NAME_CHARS} at most", path)
+            raise _invalid(f"name of {len(member)} characters, expected 1 to {MAX_NAME_CHARS}", path)
         address = _parse_address(text, path)
         _, port = address
         if not port:
-            raise _invalid(f"a member without a port: {text!r}", path)
+            raise _invalid(f"address without a port: {text!r}", path)
         if address in owners:
-            raise _invalid(f"the address of {owners[address]} again: {text!r}", path)
+            raise _invalid(f"same address as {owners[address]}: {text!r}", path)
         members[member] = address
         owners[address] = member
     if own_name not in members:
-        raise _invalid(f"{own_name} is none of the members", "members")
+        raise _invalid(f"{own_name} is not one of the members", "members")
     return ClusterConfig(_parse_address(settings.listen, "listen"), Membership(settings.version, members))
 
 
@@ -76,7 +76,7 @@
         MembershipConflictError: `new` has the same version and other members.
     """
     if new.version < current.version:
-        message = f"version {new.version} is earlier than {current.version}"
+        message = f"version {new.version} is earlier than version {current.version}, which is in force"
         raise StaleMembershipError(message, "fleet.version")
     if new.version == current.version and new.members != current.members:
         message = f"version {new.version} is in force with other members"
@@ -88,7 +88,7 @@
     """Returns the members whose connections must be closed when `new` replaces `old`.
 
     These are the removed members and those that this node dials at another address than before. The address
-    of a member that dials this node does not matter. If this node itself is removed, the result is all members.
+    of a member that dials this node does not matter. If this node itself is removed, all are returned.
     """
     is_removed = own_name not in new.members
     return [
--- a/onyxpost/cluster/peer_monitor.py
+++ b/onyxpost/cluster/peer_monitor.py
@@ -29,7 +29,7 @@
 
     def remove(self, member: str, now_ms: float) -> None:
         """Stops monitoring a member that was removed from the membership."""
-        change = self.detectors.pop(member).on_disconnected(now_ms, "another membership")
+        change = self.detectors.pop(member).on_disconnected(now_ms, "removed by a membership change")
         self._peer_log.log_state_change(change)
 
     def state_of(self, member: str) -> PeerState:
--- a/onyxpost/cluster/protocol.py
+++ b/onyxpost/cluster/protocol.py
@@ -111,20 +111,26 @@
         MalformedFrameError: the incarnation cannot be parsed.
     """
     if hello.protocol_version != PROTOCOL_VERSION:
-        message = f"protocol {hello.protocol_version}, this is {PROTOCOL_VERSION}"
+        message = f"protocol version {hello.protocol_version}, expected {PROTOCOL_VERSION}"
         raise ProtocolVersionError(message, hello.sender)
     if own_name not in membership.members:
-        message = f"{own_name} is not in membership version {membership.version}: it has no peers"
+        message = (
+            f"{own_name} is not a member in membership version {membership.version} and accepts no peers"
+        )
         raise UnknownSenderError(message, hello.sender)
     if hello.sender not in membership.members or hello.sender == own_name:
-        message = f"not in membership version {membership.version}; the sender has {hello.membership_version}"
+        message = (
+            f"not a member in version {membership.version}; the sender has version {hello.membership_version}"
+        )
         raise UnknownSenderError(message, hello.sender)
     if hello.receiver != own_name:
-        raise MemberNameMismatchError(f"the hello is for {hello.receiver}, this is {own_name}", hello.sender)
+        raise MemberNameMismatchError(
+            f"hello addressed to {hello.receiver}, expected {own_name}", hello.sender
+        )
     order = connection_order(hello)
     if latest is not None and order <= latest:
         message = (
-            f"incarnation {order.incarnation} dial {order.dial_number},"
-            f" seen {latest.incarnation} dial {latest.dial_number}"
+            f"incarnation {order.incarnation} dial {order.dial_number} is not later than the accepted"
+            f" incarnation {latest.incarnation} dial {latest.dial_number}"
         )
         raise StaleIncarnationError(message, hello.sender)
--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -113,6 +113,10 @@
         "move the file away while most other voters run: the voter learns from them; look at the disk",
         "check the disk; move a damaged file away while most other voters run, to recover from them",
     ),
+    (
+        "mend the named key; `onyxpost check FILE` says the same",
+        "correct the named key in `fleet`; `onyxpost check FILE` validates the file",
+    ),
     # Descriptions of violations in result files.
     (" ms after it was told", " ms after its node was notified of the drain"),
 )
