--- a/onyxpost/leadership/acceptor.py
+++ b/onyxpost/leadership/acceptor.py
@@ -1,7 +1,7 @@
 """An acceptor of one role: it promises ballots, grants the lease and accepts the record. Pure.
 
-After a restart an acceptor does not vote for `LeaseTiming.restart_silence_ms`, until every lease that it may
-have granted before has ended. This is its restart wait.
+After a restart an acceptor does not vote until every lease that it may have granted before has ended. This
+time is its restart wait.
 
 Times are readings of the node's own clock in milliseconds: Unix time at the start of the process, counted
 monotonically from then on. docs/leadership.md proves that at most one node leads a role.
@@ -64,14 +64,14 @@
         self.acceptors = acceptors
         self.is_voting = False
         self.lease = GrantedLease()
-        self.promised_at_ms = now_ms - timing.restart_silence_ms  # too long ago to delay a candidate
+        self.promised_at_ms = now_ms - timing.restart_wait_ms  # too long ago to delay a candidate
         self.recovery: AcceptorRecovery | None = None
         if saved is not None:
             self.promised = saved.promised
             self.record = saved.record
             self.record_epoch_ms = saved.record_epoch_ms
             self.settled_version = saved.settled_version
-            self.silent_until_ms = now_ms + timing.acceptor_lease_ms
+            self.restart_wait_ends_at_ms = now_ms + timing.acceptor_lease_ms
             return
         # Before its restart this acceptor promised no ballot number more than `skew_ms` above its clock, and
         # the clock was set back by at most `skew_ms` since. So this number is at least as high as any that it
@@ -80,20 +80,20 @@
         self.record = EMPTY_RECORD
         self.record_epoch_ms = 0
         self.settled_version = 0
-        self.silent_until_ms = now_ms + timing.restart_silence_ms
-        self.recovery = AcceptorRecovery(node, role, timing, acceptors, self.silent_until_ms)
+        self.restart_wait_ends_at_ms = now_ms + timing.restart_wait_ms
+        self.recovery = AcceptorRecovery(node, role, timing, acceptors, self.restart_wait_ends_at_ms)
 
     @property
-    def is_settled(self) -> bool:
+    def is_record_committed(self) -> bool:
         """Whether a majority of the current acceptor set is known to have the record; True if there is none.
 
         Always False while the acceptor does not vote.
         """
-        return self.is_voting and self._state().is_settled
+        return self.is_voting and self._state().is_record_committed
 
     def tick(self, now_ms: float) -> list[Effect]:
         """Ends the restart wait or returns recovery queries, when due. Called about every 50 ms."""
-        if self.is_voting or now_ms < self.silent_until_ms:
+        if self.is_voting or now_ms < self.restart_wait_ends_at_ms:
             return []
         if self.recovery is None:
             return self.start_voting("state read from the log")
@@ -209,7 +209,7 @@
     def _handle_release(self, now_ms: float, ballot: Ballot) -> None:
         if ballot in (self.lease.ballot, self.promised):
             self.lease.release(now_ms, ballot)
-            self.promised_at_ms = now_ms - self.timing.restart_silence_ms
+            self.promised_at_ms = now_ms - self.timing.restart_wait_ms
 
     def _recovery_reply(self, query: RecoveryQuery) -> RecoveryReply:
         return RecoveryReply(
@@ -238,7 +238,7 @@
         """
         self.acceptors = acceptors
         if self.recovery is not None:
-            starts_at_ms = max(now_ms, self.silent_until_ms)
+            starts_at_ms = max(now_ms, self.restart_wait_ends_at_ms)
             self.recovery = AcceptorRecovery(self.node, self.role, self.timing, acceptors, starts_at_ms)
 
     def _state(self) -> AcceptorState:
--- a/onyxpost/leadership/acceptor_log.py
+++ b/onyxpost/leadership/acceptor_log.py
@@ -28,14 +28,14 @@
 _decoder: msgspec.msgpack.Decoder[AcceptorState] = msgspec.msgpack.Decoder(AcceptorState)
 
 
-def _integer(value: int) -> bytes:
+def _encode_integer(value: int) -> bytes:
     return value.to_bytes(INTEGER_BYTES, "big")
 
 
-def _entry(state: AcceptorState) -> bytes:
+def _encode_entry(state: AcceptorState) -> bytes:
     body = _encoder.encode(state)
-    length = _integer(len(body))
-    return length + _integer(crc32(length)) + _integer(crc32(body)) + body
+    length = _encode_integer(len(body))
+    return length + _encode_integer(crc32(length)) + _encode_integer(crc32(body)) + body
 
 
 def read_entries(data: bytes, path: str) -> tuple[dict[str, AcceptorState], int]:
@@ -111,7 +111,7 @@
             if self.size > COMPACT_AT_BYTES:
                 self._compact()
                 return
-            data = _entry(state)
+            data = _encode_entry(state)
             if os.write(self.descriptor, data) != len(data):
                 raise AcceptorLogError(f"incomplete write of {len(data)} bytes: the disk is full", self.path)
             os.fsync(self.descriptor)
@@ -124,7 +124,7 @@
         os.close(self.descriptor)
 
     def _compact(self) -> None:
-        data = b"".join(_entry(state) for state in self.states.values())
+        data = b"".join(_encode_entry(state) for state in self.states.values())
         new_path = f"{self.path}.new"
         flags = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND
         new_descriptor = os.open(new_path, flags, FILE_MODE)
--- a/onyxpost/leadership/acceptor_recovery.py
+++ b/onyxpost/leadership/acceptor_recovery.py
@@ -22,7 +22,7 @@
 
 # When a majority has lost its state, the acceptor waits for the replies of all others, but no longer than
 # this many further restart waits.
-INCOMPLETE_RECOVERY_SILENCES = 2.0
+INCOMPLETE_RECOVERY_WAITS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,26 +75,26 @@
         last = self.replies.get(sender)
         if last is None or reply.queried_at_ms >= last.queried_at_ms:
             self.replies[sender] = reply
-        with_state = [known for known in self.replies.values() if known.is_voting]
-        if len(with_state) >= self.required_replies:
-            return _newest(with_state, 0, "state recovered from other acceptors")
-        without_state = 1 + len(self.replies) - len(with_state)
-        if without_state < self.acceptors.majority:
+        replies_with_state = [received for received in self.replies.values() if received.is_voting]
+        if len(replies_with_state) >= self.required_replies:
+            return _newest_state(replies_with_state, 0, "state recovered from other acceptors")
+        acceptors_without_state = 1 + len(self.replies) - len(replies_with_state)
+        if acceptors_without_state < self.acceptors.majority:
             return None
         have_all_replied = len(self.replies) == len(self.acceptors.names) - 1
         if not have_all_replied and now_ms < self._incomplete_recovery_at_ms():
             return None
-        return _newest(
-            with_state,
+        return _newest_state(
+            replies_with_state,
             int(now_ms),
             "a majority of acceptors lost its state; committed records may be missing",
         )
 
     def _incomplete_recovery_at_ms(self) -> float:
-        return self.starts_at_ms + INCOMPLETE_RECOVERY_SILENCES * self.timing.restart_silence_ms
+        return self.starts_at_ms + INCOMPLETE_RECOVERY_WAITS * self.timing.restart_wait_ms
 
 
-def _newest(replies: list[RecoveryReply], record_epoch_ms: int, reason: str) -> RecoveredState:
+def _newest_state(replies: list[RecoveryReply], record_epoch_ms: int, reason: str) -> RecoveredState:
     """Returns the newest state in the replies.
 
     `record_epoch_ms` is the current time if committed records may be lost, else 0.
--- a/onyxpost/leadership/acceptor_state.py
+++ b/onyxpost/leadership/acceptor_state.py
@@ -23,6 +23,6 @@
     settled_version: int = msgspec.field(name="settled")
 
     @property
-    def is_settled(self) -> bool:
+    def is_record_committed(self) -> bool:
         """Whether a majority of the acceptor set is known to have the record; True if there is none."""
         return not self.record.ballot_number or self.settled_version >= self.acceptor_set_version
--- a/onyxpost/leadership/candidate.py
+++ b/onyxpost/leadership/candidate.py
@@ -34,7 +34,7 @@
 # No acceptor can have promised a ballot number further ahead of this node's clock than this many times
 # `skew_ms`: an acceptor without state treats numbers up to 2 skews above its own clock as promised, and its
 # clock is at most 1 skew ahead of this node's. The fourth skew is a margin.
-PLAUSIBLE_BALLOT_SKEWS = 4.0
+MAX_BALLOT_LEAD_SKEWS = 4.0
 
 
 class Phase(Enum):
@@ -233,7 +233,7 @@
 
     def _observe_ballot_number(self, now_ms: float, number: int) -> None:
         """Makes later ballots exceed `number`; ignores a number too high for any acceptor to promise."""
-        if number <= now_ms + PLAUSIBLE_BALLOT_SKEWS * self.timing.skew_ms:
+        if number <= now_ms + MAX_BALLOT_LEAD_SKEWS * self.timing.skew_ms:
             self.ballot_numbers.observe(number)
 
     def _start_phase(self, phase: Phase, now_ms: float, timeout_ms: float) -> None:
--- a/onyxpost/leadership/effect_runner.py
+++ b/onyxpost/leadership/effect_runner.py
@@ -76,11 +76,13 @@
                     if not self._persist(effect.state):
                         # The state is not durable, so messages and leases that depend on it are dropped.
                         # Lost leases and diagnostics do not depend on it.
-                        rest = effects[index + 1 :]
-                        self.apply([e for e in rest if isinstance(e, LeaseLost | Diagnostic)])
+                        following = effects[index + 1 :]
+                        self.apply(
+                            [other for other in following if isinstance(other, LeaseLost | Diagnostic)]
+                        )
                         return
                 case Diagnostic():
-                    self.log.diagnostic(effect, sender)
+                    self.log.log_diagnostic(effect, sender)
                 case _:
                     self.handle_change(effect)
 
@@ -89,13 +91,13 @@
         match change:
             case LeaseAcquired():
                 self.leaderships[change.role] = Leadership(change.fencing_token, self.net.clock())
-                self.log.lease_acquired(change)
+                self.log.log_lease_acquired(change)
             case LeaseLost():
                 self._log_loss(change)
             case RecordCommitted():
                 leader = self.registry.participants[change.role].leader
                 if leader is not None and leader.record.sequence == change.sequence:
-                    self.log.record_committed(change.role, change.fencing_token, leader.record)
+                    self.log.log_record_committed(change.role, change.fencing_token, leader.record)
         listener = self.listeners.get(change.role)
         if listener is None:
             return
@@ -108,8 +110,8 @@
         now_ms = self.net.clock()
         leadership = self.leaderships.pop(change.role, None)
         held_ms = now_ms - leadership.acquired_at_ms if leadership is not None else 0.0
-        ago_ms = max(0.0, now_ms - change.ended_at_ms)  # an expiry is detected at the next tick
-        self.log.lease_lost(change, held_ms, ago_ms)
+        ended_ago_ms = max(0.0, now_ms - change.ended_at_ms)  # an expiry is detected at the next tick
+        self.log.log_lease_lost(change, held_ms, ended_ago_ms)
 
     def _send(self, effect: SendMessage) -> None:
         is_sent = self.connections.send(effect.recipient, protocol.TOPIC, protocol.encode(effect.message))
--- a/onyxpost/leadership/election_schedule.py
+++ b/onyxpost/leadership/election_schedule.py
@@ -14,7 +14,7 @@
 # The three nodes of the lowest rank query again as soon as a lease may have ended. The others wait longer, so
 # that the number of messages grows slowly with the size of the cluster.
 PREFERRED_RANKS = 3
-SELDOM_QUERY_LEASES = 4.0  # delay of nodes that are not preferred, in lease durations
+NON_PREFERRED_QUERY_DELAY_LEASES = 4.0  # delay of nodes that are not preferred, in lease durations
 BACKOFF_DOUBLINGS_LIMIT = 5  # limits the backoff after failed ballots to 32 rank delays
 
 
@@ -62,7 +62,7 @@
     def query_delay_ms(self) -> float:
         """Returns the delay of the next query after the time at which the role may be free."""
         if not self.is_preferred:
-            return SELDOM_QUERY_LEASES * self.timing.lease_ms
+            return NON_PREFERRED_QUERY_DELAY_LEASES * self.timing.lease_ms
         return self.timing.rank_delay_ms * self._rank_jitter()
 
     def backoff_ms(self) -> float:
--- a/onyxpost/leadership/granted_lease.py
+++ b/onyxpost/leadership/granted_lease.py
@@ -19,7 +19,7 @@
     ends_at_ms: float = 0.0
     highest_released: int = 0
 
-    def excludes(self, now_ms: float, ballot: Ballot) -> bool:
+    def is_held_by_other(self, now_ms: float, ballot: Ballot) -> bool:
         """Whether the lease is active and belongs to another node or incarnation than that of `ballot`."""
         is_same_owner = (self.ballot.node, self.ballot.incarnation) == (ballot.node, ballot.incarnation)
         return now_ms < self.ends_at_ms and not is_same_owner
--- a/onyxpost/leadership/lease_timing.py
+++ b/onyxpost/leadership/lease_timing.py
@@ -33,7 +33,7 @@
         return self.lease_ms * (1.0 + self.drift) / (1.0 - self.drift)
 
     @property
-    def restart_silence_ms(self) -> float:
+    def restart_wait_ms(self) -> float:
         """The restart wait: how long an acceptor that restarted without state must not vote.
 
         This is the duration of the last lease that it may have granted, with `skew_ms` as a margin.
--- a/onyxpost/leadership/membership.py
+++ b/onyxpost/leadership/membership.py
@@ -53,12 +53,14 @@
         )
 
 
-def validate_transition(old: AcceptorSet, new: AcceptorSet, section: str, *, is_settled: bool) -> None:
+def validate_transition(
+    old: AcceptorSet, new: AcceptorSet, section: str, *, are_records_committed: bool
+) -> None:
     """Checks whether `new` may replace `old` at this node; a set equal to `old` may.
 
-    `is_settled` is whether a majority of `old` is known to have accepted every record of which this node is
-    an acceptor; otherwise a majority of `new` might lack a committed record. `section` is the path of the
-    section `duties` in the file, for errors.
+    `are_records_committed` is whether a majority of `old` is known to have accepted every record of which
+    this node is an acceptor; otherwise a majority of `new` might lack a committed record. `section` is the
+    path of the section `duties` in the file, for errors.
 
     Raises:
         MembershipChangeError: `new` must not replace `old`, or not yet.
@@ -76,6 +78,6 @@
             f"expected the voters in force, {', '.join(old.names)}; got {', '.join(new.previous_names)}",
             f"{section}.before",
         )
-    if not is_settled:
+    if not are_records_committed:
         message = f"version {old.version} is not known to be in force for all records yet"
         raise MembershipChangeError(message, f"{section}.version")
--- a/onyxpost/leadership/participant.py
+++ b/onyxpost/leadership/participant.py
@@ -77,7 +77,7 @@
         self.resigned_at_ms = {
             node: at_ms
             for node, at_ms in self.resigned_at_ms.items()
-            if now_ms < at_ms + self.settings.timing.restart_silence_ms
+            if now_ms < at_ms + self.settings.timing.restart_wait_ms
         }
         absent = set(unreachable) | set(self.resigned_at_ms)
         has_resigned = self.identity.name in self.resigned_at_ms
--- a/onyxpost/leadership/proposal_validation.py
+++ b/onyxpost/leadership/proposal_validation.py
@@ -32,7 +32,7 @@
         return RejectReason.HIGHER_PROMISE
     if isinstance(proposal, Accept):
         return _find_accept_reject_reason(proposal, state.record, timing)
-    return RejectReason.LEASE_ACTIVE if lease.excludes(now_ms, ballot) else None
+    return RejectReason.LEASE_ACTIVE if lease.is_held_by_other(now_ms, ballot) else None
 
 
 def _find_accept_reject_reason(accept: Accept, known: Record, timing: LeaseTiming) -> RejectReason | None:
--- a/onyxpost/leadership/registry.py
+++ b/onyxpost/leadership/registry.py
@@ -67,7 +67,7 @@
 
     def fencing_tokens(self, now_ms: float) -> dict[str, int]:
         """Returns the fencing tokens of the roles whose lease this node holds at `now_ms`."""
-        tokens = {role: one.fencing_token(now_ms) for role, one in self.participants.items()}
+        tokens = {role: participant.fencing_token(now_ms) for role, participant in self.participants.items()}
         return {role: token for role, token in tokens.items() if token is not None}
 
     def tick(self, now_ms: float, unreachable: Collection[str]) -> list[Effect]:
@@ -88,12 +88,12 @@
         """
         message = protocol.decode(data, sender)
         if message.role not in self.participants:
-            return [_dropped(message.role, f"unknown role in a message from {sender}")]
+            return [_message_dropped(message.role, f"unknown role in a message from {sender}")]
         effects: list[Effect] = []
         own_version = self.acceptor_set.version
         if message.version != own_version:  # still handled, so that a rejection tells the sender this version
             reason = f"acceptor set version {message.version} from {sender}, expected {own_version}"
-            effects.append(_dropped(message.role, reason))
+            effects.append(_message_dropped(message.role, reason))
         return effects + self._deliver_local(now_ms, self._dispatch(now_ms, sender, message))
 
     def write(self, now_ms: float, role: str, body: bytes) -> list[Effect]:
@@ -137,8 +137,10 @@
         Raises:
             MembershipChangeError: it must not, or not yet.
         """
-        is_settled = all(acceptor.is_settled for acceptor in self.acceptors.values())
-        validate_transition(self.acceptor_set, config.acceptors, SECTION_PATH, is_settled=is_settled)
+        are_records_committed = all(acceptor.is_record_committed for acceptor in self.acceptors.values())
+        validate_transition(
+            self.acceptor_set, config.acceptors, SECTION_PATH, are_records_committed=are_records_committed
+        )
 
     def change_acceptors(self, now_ms: float, config: LeadershipConfig) -> None:
         """Puts the acceptor set of `config` into force at this node.
@@ -171,7 +173,9 @@
     def _restored_acceptor(self, now_ms: float, role: str, saved: AcceptorState | None) -> Acceptor:
         if saved is not None and saved.acceptor_set_version != self.acceptor_set.version:
             old = AcceptorSet(saved.acceptor_set_version, self.acceptor_set.previous_names)
-            validate_transition(old, self.acceptor_set, SECTION_PATH, is_settled=saved.is_settled)
+            validate_transition(
+                old, self.acceptor_set, SECTION_PATH, are_records_committed=saved.is_record_committed
+            )
         return self._new_acceptor(now_ms, role, saved)
 
     def _dispatch(self, now_ms: float, sender: str, message: protocol.Message) -> list[Effect]:
@@ -200,5 +204,5 @@
         return remaining
 
 
-def _dropped(role: str, reason: str) -> Diagnostic:
+def _message_dropped(role: str, reason: str) -> Diagnostic:
     return Diagnostic(role, DiagnosticKind.MESSAGE_DROPPED, reason)
--- a/onyxpost/leadership/service.py
+++ b/onyxpost/leadership/service.py
@@ -134,7 +134,7 @@
         try:
             await fenced_call.execute(self.net, call, lambda: self.fencing_token(role) == token)
         except HigherFencingTokenError as error:
-            self.log.fencing_token_rejected(role, token, error.message)
+            self.log.log_fencing_token_rejected(role, token, error.message)
             if self.fencing_token(role) == token:
                 now_ms = self.net.clock()
                 self.effects.apply(self.registry.on_higher_fencing_token(now_ms, role, error.fencing_token))
@@ -149,7 +149,7 @@
         try:
             self.effects.apply(self.registry.handle_encoded(self.net.clock(), sender, data), sender)
         except MalformedMessageError as error:
-            self.log.limited(f"malformed/{sender}", MESSAGE_MALFORMED, error.fields())
+            self.log.log_rate_limited(f"malformed/{sender}", MESSAGE_MALFORMED, error.fields())
 
     def validate_reload(self, config: LeadershipConfig) -> None:
         """Checks whether the acceptor set of `config` may replace the one in force; changes nothing.
@@ -204,9 +204,9 @@
     def _unreachable_nodes(self, now_ms: float) -> set[str]:
         """Returns the nodes that this node cannot reach.
 
-        Returns none during the first `restart_silence_ms`, while connections are still being established.
+        Returns none during the first `restart_wait_ms`, while connections are still being established.
         """
-        if now_ms < self.started_at_ms + self.config.timing.restart_silence_ms:
+        if now_ms < self.started_at_ms + self.config.timing.restart_wait_ms:
             return set()
         return {
             node
@@ -230,7 +230,7 @@
         except (NotLeaderError, HigherFencingTokenError):
             return
         except FencedCallError as error:
-            self.log.limited(f"call/{role}", CALL_FAILED, error.fields())
+            self.log.log_rate_limited(f"call/{role}", CALL_FAILED, error.fields())
 
     def _log_statistics(self, now_ms: float) -> None:
         leads = {
@@ -238,4 +238,4 @@
             for role, leadership in self.effects.leaderships.items()
         }
         voting = sum(acceptor.is_voting for acceptor in self.registry.acceptors.values())
-        self.log.statistics(leads, self.registry.acceptor_set.version, voting)
+        self.log.log_statistics(leads, self.registry.acceptor_set.version, voting)
--- a/onyxpost/leadership/service_log.py
+++ b/onyxpost/leadership/service_log.py
@@ -16,8 +16,8 @@
     from onyxpost.leadership.protocol import Message, Record
     from onyxpost.runtime.transport import Transport
 
-RATE_LIMIT_MS = 1000.0  # shortest interval between two rate-limited lines of one kind
-RATE_LIMITED_KINDS_LIMIT = 256  # the kinds are cleared above this number, to limit the memory
+RATE_LIMIT_INTERVAL_MS = 1000.0  # shortest interval between two rate-limited lines of one kind
+MAX_RATE_LIMITED_KINDS = 256  # the kinds are cleared above this number, to limit the memory
 RECORD_PREFIX_BYTES = 100  # how much of a record's body a log line contains
 
 LEASE_ACQUIRED = "leadership acquired"
@@ -56,30 +56,34 @@
         self.counters = Counters()
         self._written_at_ms: dict[str, float] = {}
 
-    def lease_acquired(self, change: LeaseAcquired) -> None:
+    def log_lease_acquired(self, change: LeaseAcquired) -> None:
         """Logs that this node acquired the lease of a role."""
         self.counters.acquired += 1
-        more = {**_record_fields(change.record), "era": change.record_epoch_ms}
-        self._role_event(LEASE_ACQUIRED, change.role, change.fencing_token, more)
+        extra_fields = {**_record_fields(change.record), "era": change.record_epoch_ms}
+        self._log_role_event(LEASE_ACQUIRED, change.role, change.fencing_token, extra_fields)
 
-    def lease_lost(self, change: LeaseLost, held_ms: float, ago_ms: float) -> None:
+    def log_lease_lost(self, change: LeaseLost, held_ms: float, ended_ago_ms: float) -> None:
         """Logs that this node no longer leads a role, which it led for `held_ms`.
 
-        The lease ended `ago_ms` ago; 0 if this node resigned before its end.
+        The lease ended `ended_ago_ms` ago; 0 if this node resigned before its end.
         """
         self.counters.lost += 1
-        more = {"reason": change.reason, "held_ms": round(held_ms), "ended_ms_ago": round(ago_ms, 1)}
-        self._role_event(LEASE_LOST, change.role, change.fencing_token, more)
+        extra_fields = {
+            "reason": change.reason,
+            "held_ms": round(held_ms),
+            "ended_ms_ago": round(ended_ago_ms, 1),
+        }
+        self._log_role_event(LEASE_LOST, change.role, change.fencing_token, extra_fields)
 
-    def record_committed(self, role: str, fencing_token: int, record: Record) -> None:
+    def log_record_committed(self, role: str, fencing_token: int, record: Record) -> None:
         """Logs that a majority of acceptors has accepted the record that this node wrote."""
         self.counters.records_committed += 1
-        self._role_event(RECORD_COMMITTED, role, fencing_token, _record_fields(record))
+        self._log_role_event(RECORD_COMMITTED, role, fencing_token, _record_fields(record))
 
-    def fencing_token_rejected(self, role: str, fencing_token: int, reason: str) -> None:
+    def log_fencing_token_rejected(self, role: str, fencing_token: int, reason: str) -> None:
         """Logs that a fenced resource rejected a call, as it has received a higher fencing token."""
         self.counters.calls_rejected += 1
-        self._role_event(CALL_REJECTED, role, fencing_token, {"reason": reason})
+        self._log_role_event(CALL_REJECTED, role, fencing_token, {"reason": reason})
 
     def count_sent(self, message: Message, *, is_sent: bool) -> None:
         """Counts a message to another node as sent or, unless `is_sent`, as failed."""
@@ -95,7 +99,7 @@
         """Counts a fenced call that was executed."""
         self.counters.calls += 1
 
-    def diagnostic(self, diagnostic: Diagnostic, sender: str) -> None:
+    def log_diagnostic(self, diagnostic: Diagnostic, sender: str) -> None:
         """Logs a diagnostic; `sender` sent the message that caused it, empty if no message did."""
         is_drop = diagnostic.kind is DiagnosticKind.MESSAGE_DROPPED
         kind = f"dropped/{sender}" if is_drop else f"{diagnostic.role}/{diagnostic.reason}"
@@ -104,29 +108,31 @@
             "reason": diagnostic.reason,
             "ballot_number": diagnostic.ballot_number,
         }
-        self.limited(kind, diagnostic.kind.value, fields)
+        self.log_rate_limited(kind, diagnostic.kind.value, fields)
 
-    def limited(self, kind: str, event: str, fields: Mapping[str, object]) -> None:
-        """Writes a warning, unless one of the same kind was written less than `RATE_LIMIT_MS` ago."""
+    def log_rate_limited(self, kind: str, event: str, fields: Mapping[str, object]) -> None:
+        """Writes a warning, unless the last one of its kind is newer than `RATE_LIMIT_INTERVAL_MS`."""
         now_ms = self.net.clock()
-        if now_ms - self._written_at_ms.get(kind, -RATE_LIMIT_MS) < RATE_LIMIT_MS:
+        if now_ms - self._written_at_ms.get(kind, -RATE_LIMIT_INTERVAL_MS) < RATE_LIMIT_INTERVAL_MS:
             return
-        if len(self._written_at_ms) > RATE_LIMITED_KINDS_LIMIT:
+        if len(self._written_at_ms) > MAX_RATE_LIMITED_KINDS:
             self._written_at_ms.clear()
         self._written_at_ms[kind] = now_ms
         self.write(LogEvent(event, dict(fields), logging.WARNING))
 
-    def statistics(self, roles_led: Mapping[str, object], version: int, voting: int) -> None:
+    def log_statistics(self, roles_led: Mapping[str, object], version: int, voting: int) -> None:
         """Writes the roles that this node leads, how many of its acceptors vote, and the counters."""
         fields = {"leads": roles_led, "version": version, "voting": voting, **asdict(self.counters)}
         self.write(LogEvent(STATISTICS, fields))
 
-    def _role_event(self, event: str, role: str, fencing_token: int, more: Mapping[str, object]) -> None:
+    def _log_role_event(
+        self, event: str, role: str, fencing_token: int, extra_fields: Mapping[str, object]
+    ) -> None:
         fields = {
             "role": role,
             "fencing_token": fencing_token,
             "monotonic_ms": round(self.net.monotonic(), 1),
-            **more,
+            **extra_fields,
         }
         self.write(LogEvent(event, fields))
 
--- a/tests/leadership/mutants.py
+++ b/tests/leadership/mutants.py
@@ -10,7 +10,7 @@
 from onyxpost.leadership.protocol import EMPTY_RECORD, Accepted, Message, Promise
 
 
-class AcceptorWithoutSilence(Acceptor):
+class AcceptorWithoutRestartWait(Acceptor):
     """Votes at once after a restart without state."""
 
     def __init__(self, *args: Any) -> None:
@@ -22,7 +22,7 @@
     """Waits after a restart, but reads nothing from the others."""
 
     def tick(self, now_ms: float) -> list[Effect]:
-        if self.is_voting or now_ms < self.silent_until_ms:
+        if self.is_voting or now_ms < self.restart_wait_ends_at_ms:
             return []
         return self.start_voting("hasty")
 
--- a/tests/leadership/test_membership.py
+++ b/tests/leadership/test_membership.py
@@ -13,30 +13,30 @@
 
 
 @pytest.mark.parametrize(
-    ("new", "settled"),
+    ("new", "are_records_committed"),
     [
         pytest.param(AcceptorSet(5, ("a", "b", "c", "d"), OLD.names), True, id="one added"),
         pytest.param(AcceptorSet(4, ("c", "b", "a"), OLD.names), False, id="the same again"),
     ],
 )
-def test_allows_a_step(new: AcceptorSet, settled: bool) -> None:
-    validate_transition(OLD, new, "duties", is_settled=settled)
+def test_allows_a_step(new: AcceptorSet, are_records_committed: bool) -> None:
+    validate_transition(OLD, new, "duties", are_records_committed=are_records_committed)
 
 
 @pytest.mark.parametrize(
-    ("new", "settled"),
+    ("new", "are_records_committed"),
     [
         pytest.param(AcceptorSet(5, ("a", "b", "d"), OLD.names), True, id="one replaced"),
         pytest.param(AcceptorSet(5, ("a", "b", "c", "d", "e"), OLD.names), True, id="two added"),
         pytest.param(AcceptorSet(6, ("a", "b", "c", "d"), OLD.names), True, id="version left out"),
         pytest.param(AcceptorSet(3, ("a", "b"), OLD.names), True, id="earlier version"),
         pytest.param(AcceptorSet(5, ("a", "b", "c", "d"), ("a", "b", "x")), True, id="other previous set"),
-        pytest.param(AcceptorSet(5, ("a", "b", "c", "d"), OLD.names), False, id="not settled"),
+        pytest.param(AcceptorSet(5, ("a", "b", "c", "d"), OLD.names), False, id="records not committed"),
     ],
 )
-def test_refuses_a_step(new: AcceptorSet, settled: bool) -> None:
+def test_refuses_a_step(new: AcceptorSet, are_records_committed: bool) -> None:
     with pytest.raises(MembershipChangeError):
-        validate_transition(OLD, new, "duties", is_settled=settled)
+        validate_transition(OLD, new, "duties", are_records_committed=are_records_committed)
 
 
 def test_acceptors_change_while_the_leader_is_cut_off() -> None:
@@ -46,7 +46,7 @@
     model.clock_rates["v3"] = 1.0 + TIMING.drift
     model.acceptor_set = new
     for name, acceptor in model.acceptors.items():
-        validate_transition(acceptor.acceptors, new, name, is_settled=acceptor.is_settled)
+        validate_transition(acceptor.acceptors, new, name, are_records_committed=acceptor.is_record_committed)
         acceptor.change_acceptors(model.clock_ms(name), new)
     model.acceptors["v3"] = model.create_acceptor("v3")
     model.participants["c1"].change_acceptors(model.clock_ms("c1"), new)
--- a/tests/leadership/test_model_checking.py
+++ b/tests/leadership/test_model_checking.py
@@ -18,7 +18,7 @@
 from onyxpost.simulation.model_checking.leadership_model import TIMING, LeadershipModel
 from tests.leadership.mutants import (
     AcceptorWithoutRecovery,
-    AcceptorWithoutSilence,
+    AcceptorWithoutRestartWait,
     ParticipantCountingFromReply,
     ParticipantWithoutRecord,
 )
@@ -79,7 +79,7 @@
 def test_finds_an_acceptor_that_votes_at_once_after_a_restart() -> None:
     result = explore_mutant(
         6,
-        acceptor_type=AcceptorWithoutSilence,
+        acceptor_type=AcceptorWithoutRestartWait,
         action_types=(Tick, Exchange, RestartAcceptor),
         unreachable_acceptors=("",),
     )
--- a/tests/leadership/test_random_runs.py
+++ b/tests/leadership/test_random_runs.py
@@ -29,7 +29,7 @@
 from onyxpost.simulation.model_checking.initial_states import elect_leader
 from onyxpost.simulation.model_checking.leadership_model import TIMING, LeadershipModel
 from onyxpost.simulation.model_checking.messages import RESOURCE
-from tests.leadership.mutants import AcceptorWithoutSilence, ParticipantWithoutRecord
+from tests.leadership.mutants import AcceptorWithoutRestartWait, ParticipantWithoutRecord
 
 RUN_SETTINGS = settings(
     max_examples=25,
@@ -129,7 +129,7 @@
     ("attributes", "violation"),
     [
         pytest.param(
-            {"acceptor_type": AcceptorWithoutSilence, "restarts": 40},
+            {"acceptor_type": AcceptorWithoutRestartWait, "restarts": 40},
             "hold|lost|granted",
             id="acceptor votes at once after a restart",
         ),
