--- a/onyxpost/cluster/connection.py
+++ b/onyxpost/cluster/connection.py
@@ -24,7 +24,7 @@
         self.incarnation = Incarnation.parse(hello.incarnation)
         self.writer = writer
         self.end_reason = ""  # the first reason that was given; empty while the connection is open
-        self.is_finished = False
+        self.is_write_closed = False
 
     def send(self, message: Message) -> bool:
         """Sends a message without waiting.
@@ -35,21 +35,21 @@
 
     def send_frame(self, frame: bytes) -> bool:
         """Sends an encoded message; returns the same as `send`."""
-        return not self.is_finished and try_write(self.writer, frame)
+        return not self.is_write_closed and try_write(self.writer, frame)
 
-    def on_ended(self, reason: str) -> None:
+    def record_end(self, reason: str) -> None:
         """Records why the connection ended, unless a reason was recorded before."""
         self.end_reason = self.end_reason or reason
 
-    def finish(self, reason: str) -> None:
+    def close_write(self, reason: str) -> None:
         """Ends this node's side; received messages are discarded until the peer ends the connection."""
-        self.on_ended(reason)
-        self.is_finished = True
+        self.record_end(reason)
+        self.is_write_closed = True
         with contextlib.suppress(OSError):
             self.writer.write_eof()
 
     def abort(self, reason: str) -> None:
         """Closes the connection at once; unsent data is lost."""
-        self.on_ended(reason)
+        self.record_end(reason)
         with contextlib.suppress(OSError):
             self.writer.transport.abort()
--- a/onyxpost/cluster/connections.py
+++ b/onyxpost/cluster/connections.py
@@ -154,7 +154,7 @@
         self._stop()
         self.dialer.cancel_except(self.established)
         for connection in self.established.values():
-            connection.finish("this node is leaving")
+            connection.close_write("this node is leaving")
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LEAVE_TIMEOUT_SECONDS):
                 while self.established:  # noqa: ASYNC110 - polls for at most 0.2 s, which is simpler than an event
@@ -176,7 +176,7 @@
 
     def handle_message(self, connection: PeerConnection, message: PeerMessage) -> None:
         """Handles a message read from `connection`. Raises MalformedFrameError for a second hello."""
-        if self.established.get(connection.member) is not connection or connection.is_finished:
+        if self.established.get(connection.member) is not connection or connection.is_write_closed:
             return  # the connection was replaced or has ended since the message was read
         now_ms = self._network.clock()
         detector = self.monitor.detectors[connection.member]
@@ -240,7 +240,7 @@
                 self.handle_message(connection, await read_message(reader))
         except (OSError, EOFError, ClusterError) as err:
             cause = "closed by the peer" if isinstance(err, EOFError) else str(err)
-            connection.on_ended(cause or type(err).__name__)
+            connection.record_end(cause or type(err).__name__)
             raise
         finally:
             if self.established.get(name) is connection:
--- a/onyxpost/cluster/failure_detector.py
+++ b/onyxpost/cluster/failure_detector.py
@@ -60,7 +60,7 @@
         self.state_since_ms = now_ms
         # Whether a change to DISCONNECTED has been returned. A peer starts in that state without a change; it
         # is returned when the first dial fails or the disconnect timeout passes without a connection.
-        self.disconnect_reported = False
+        self.is_disconnect_reported = False
         self.last_check_at_ms = now_ms
         self.last_message_at_ms = now_ms
         self.last_ping_at_ms = now_ms
@@ -75,16 +75,16 @@
         self.last_check_at_ms = now_ms
         self.awaited_pong = None
         self.round_trip_ms = 0.0
-        return self._enter(now_ms, PeerState.ALIVE, "connected")
+        return self._change_state(now_ms, PeerState.ALIVE, "connected")
 
     def on_disconnected(self, now_ms: float, reason: str) -> PeerStateChange | None:
         """Enters DISCONNECTED: the connection ended, or none could be established."""
         self.awaited_pong = None
-        if self.state is PeerState.DISCONNECTED and not self.disconnect_reported:
-            self.disconnect_reported = True
+        if self.state is PeerState.DISCONNECTED and not self.is_disconnect_reported:
+            self.is_disconnect_reported = True
             duration_ms = now_ms - self.state_since_ms
             return PeerStateChange(self.name, self.state, self.state, duration_ms, 0.0, reason)
-        return self._enter(now_ms, PeerState.DISCONNECTED, reason)
+        return self._change_state(now_ms, PeerState.DISCONNECTED, reason)
 
     def on_message(self, now_ms: float) -> None:
         """Restarts the timers of suspicion and disconnection: a message of any type was received."""
@@ -110,15 +110,15 @@
         if self.state is PeerState.DISCONNECTED:
             return CheckResult(change=self._check_never_connected(now_ms))
         if since_last_check_ms > HEARTBEAT_INTERVAL_MS:
-            self._discount_own_pause(now_ms, since_last_check_ms)
+            self._shift_times_by_pause(now_ms, since_last_check_ms)
         idle_ms = now_ms - self.last_message_at_ms
         unanswered_ms = 0.0 if self.awaited_pong is None else now_ms - self.last_ping_at_ms
         if idle_ms >= DISCONNECT_TIMEOUT_MS:
             change = self._evaluate(now_ms, idle_ms, unanswered_ms)
-            return CheckResult(abort_reason=_no_message(idle_ms), change=change)
+            return CheckResult(abort_reason=_idle_reason(idle_ms), change=change)
         if unanswered_ms >= DISCONNECT_TIMEOUT_MS:
             change = self._evaluate(now_ms, idle_ms, unanswered_ms)
-            return CheckResult(abort_reason=_no_answer(unanswered_ms), change=change)
+            return CheckResult(abort_reason=_unanswered_reason(unanswered_ms), change=change)
         ping_number = None
         if self._is_ping_due(now_ms, idle_ms):
             self.last_ping_number += 1
@@ -133,7 +133,7 @@
             return self.on_disconnected(now_ms, "no connection established")
         return None
 
-    def _discount_own_pause(self, now_ms: float, pause_ms: float) -> None:
+    def _shift_times_by_pause(self, now_ms: float, pause_ms: float) -> None:
         """Shifts the times of the last message and ping by a pause of this process.
 
         Messages that arrived during the pause may not have been read yet. A message that was read between the
@@ -149,30 +149,30 @@
 
     def _evaluate(self, now_ms: float, idle_ms: float, unanswered_ms: float) -> PeerStateChange | None:
         if idle_ms > SUSPICION_TIMEOUT_MS:
-            return self._enter(now_ms, PeerState.SUSPECTED, _no_message(idle_ms))
+            return self._change_state(now_ms, PeerState.SUSPECTED, _idle_reason(idle_ms))
         if unanswered_ms > PONG_TIMEOUT_MS:
-            return self._enter(now_ms, PeerState.SLOW, _no_answer(unanswered_ms))
+            return self._change_state(now_ms, PeerState.SLOW, _unanswered_reason(unanswered_ms))
         # Hysteresis, so that a peer near the limit does not change its state with every ping.
         was_slow = self.state is PeerState.SLOW
         round_trip_limit_ms = SLOW_ROUND_TRIP_MS / 2.0 if was_slow else SLOW_ROUND_TRIP_MS
         if self.round_trip_ms > round_trip_limit_ms:
-            return self._enter(now_ms, PeerState.SLOW, f"round trip of {self.round_trip_ms:.0f} ms")
-        return self._enter(now_ms, PeerState.ALIVE, "pings are answered in time")
+            return self._change_state(now_ms, PeerState.SLOW, f"round trip of {self.round_trip_ms:.0f} ms")
+        return self._change_state(now_ms, PeerState.ALIVE, "pings are answered in time")
 
-    def _enter(self, now_ms: float, state: PeerState, reason: str) -> PeerStateChange | None:
+    def _change_state(self, now_ms: float, state: PeerState, reason: str) -> PeerStateChange | None:
         if state is self.state:
             return None
         duration_ms = now_ms - self.state_since_ms
         change = PeerStateChange(self.name, self.state, state, duration_ms, self.round_trip_ms, reason)
         self.state = state
         self.state_since_ms = now_ms
-        self.disconnect_reported = state is PeerState.DISCONNECTED
+        self.is_disconnect_reported = state is PeerState.DISCONNECTED
         return change
 
 
-def _no_message(idle_ms: float) -> str:
+def _idle_reason(idle_ms: float) -> str:
     return f"no message for {idle_ms:.0f} ms"
 
 
-def _no_answer(unanswered_ms: float) -> str:
+def _unanswered_reason(unanswered_ms: float) -> str:
     return f"no answer to a ping for {unanswered_ms:.0f} ms"
--- a/onyxpost/cluster/handshake.py
+++ b/onyxpost/cluster/handshake.py
@@ -30,7 +30,7 @@
         self.own_name = own_name
         self.incarnation = incarnation
         self.membership = membership
-        self.latest: dict[str, ConnectionOrder] = {}  # the last accepted connection of each member
+        self.latest_accepted: dict[str, ConnectionOrder] = {}  # the last accepted connection of each member
 
     def update_membership(self, membership: Membership) -> None:
         """Sets the membership against which later hellos are validated."""
@@ -60,13 +60,13 @@
             message = await read_message(reader)
             if not isinstance(message, Hello):
                 raise MalformedFrameError(f"handshake: expected a hello, got {type(message).__name__}")
-            validate_hello(message, self.own_name, self.membership, self.latest.get(message.sender))
+            validate_hello(message, self.own_name, self.membership, self.latest_accepted.get(message.sender))
             return message
 
     def accept(self, hello: Hello) -> None:
         """Records an accepted connection, so that only later ones of its sender are accepted."""
-        self.latest[hello.sender] = connection_order(hello)
+        self.latest_accepted[hello.sender] = connection_order(hello)
 
     def forget(self, member: str) -> None:
         """Removes the record of a removed member, which may return with an earlier incarnation."""
-        self.latest.pop(member, None)
+        self.latest_accepted.pop(member, None)
--- a/onyxpost/cluster/membership.py
+++ b/onyxpost/cluster/membership.py
@@ -54,17 +54,17 @@
     for member, text in settings.members.items():
         path = f"members.{member[:MAX_NAME_CHARS]}"
         if not 0 < len(member) <= MAX_NAME_CHARS:
-            raise _invalid(f"name of {len(member)} characters, expected 1 to {MAX_NAME_CHARS}", path)
+            raise _membership_error(f"name of {len(member)} characters, expected 1 to {MAX_NAME_CHARS}", path)
         address = _parse_address(text, path)
         _, port = address
         if not port:
-            raise _invalid(f"address without a port: {text!r}", path)
+            raise _membership_error(f"address without a port: {text!r}", path)
         if address in owners:
-            raise _invalid(f"same address as {owners[address]}: {text!r}", path)
+            raise _membership_error(f"same address as {owners[address]}: {text!r}", path)
         members[member] = address
         owners[address] = member
     if own_name not in members:
-        raise _invalid(f"{own_name} is not one of the members", "members")
+        raise _membership_error(f"{own_name} is not one of the members", "members")
     return ClusterConfig(_parse_address(settings.listen, "listen"), Membership(settings.version, members))
 
 
@@ -102,8 +102,8 @@
     try:
         return parse_address(text)
     except ValueError as err:
-        raise _invalid(str(err), path) from err
+        raise _membership_error(str(err), path) from err
 
 
-def _invalid(message: str, path: str) -> InvalidMembershipError:
+def _membership_error(message: str, path: str) -> InvalidMembershipError:
     return InvalidMembershipError(at_key(message, f"fleet.{path}"))
--- a/onyxpost/cluster/peer_log.py
+++ b/onyxpost/cluster/peer_log.py
@@ -25,15 +25,15 @@
     def __init__(self, log: Callable[[LogEvent], None]) -> None:
         self._log = log
         self._rate_limiter = LogRateLimiter()
-        self._suppresses_state_changes = False
+        self._are_state_changes_suppressed = False
 
     def suppress_state_changes(self) -> None:
         """Stops logging state changes, as this node is leaving and ends its connections itself."""
-        self._suppresses_state_changes = True
+        self._are_state_changes_suppressed = True
 
     def log_state_change(self, change: PeerStateChange | None) -> None:
         """Logs a change of a peer's state; None stands for no change."""
-        if change is None or self._suppresses_state_changes:
+        if change is None or self._are_state_changes_suppressed:
             return
         fields = {
             "peer": change.peer,
--- a/onyxpost/cluster/peer_monitor.py
+++ b/onyxpost/cluster/peer_monitor.py
@@ -48,7 +48,11 @@
     def on_dial_ended(self, member: str, now_ms: float, cause: Exception | None) -> None:
         """Reports a member as disconnected when its first dial fails; later failures are not logged."""
         detector = self.detectors.get(member)
-        if detector is None or detector.state is not PeerState.DISCONNECTED or detector.disconnect_reported:
+        if (
+            detector is None
+            or detector.state is not PeerState.DISCONNECTED
+            or detector.is_disconnect_reported
+        ):
             return
         change = detector.on_disconnected(now_ms, f"{type(cause).__name__}: {cause}")
         self._peer_log.log_state_change(change)
--- a/tests/cluster/test_races.py
+++ b/tests/cluster/test_races.py
@@ -84,7 +84,7 @@
             line.writer.close()
             await asyncio.sleep(0.1)
             assert member.state_of("n0") is PeerState.DISCONNECTED
-            assert member.handshake.latest["n0"] == ConnectionOrder(FORGED_INCARNATION, length)
+            assert member.handshake.latest_accepted["n0"] == ConnectionOrder(FORGED_INCARNATION, length)
 
     cluster = run_scenario(scenario, first=1)
     assert [message.body for message in cluster.received] == [b"complete"]
@@ -123,7 +123,7 @@
         old_transport.reset()
         await asyncio.sleep(0.1)
         assert member.state_of("n0") is PeerState.ALIVE
-        assert member.handshake.latest["n0"].dial_number == 2
+        assert member.handshake.latest_accepted["n0"].dial_number == 2
         assert len(member.listener.unidentified) == 0
         first.writer.close()
         second.writer.close()
