--- a/tests/leadership/cluster.py
+++ b/tests/leadership/cluster.py
@@ -1,4 +1,4 @@
-"""Runs of whole nodes on the virtual clock and network, and a fenced resource there."""
+"""Runs scenarios with whole nodes on a virtual clock and network, and a fenced resource on that network."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -18,7 +18,10 @@
 def run_cluster(
     scenario: Callable[[VirtualCluster], Coroutine[Any, Any, None]], size: int = 5, **options: Any
 ) -> None:
-    """Runs `scenario` in a settled cluster; no two nodes may lead a role at once, and tokens grow."""
+    """Runs `scenario` in a cluster that has elected its leaders.
+
+    At the end, checks that no two nodes led a role at the same time and that fencing tokens increased.
+    """
 
     async def main() -> None:
         cluster = VirtualCluster(1, size, **options)
@@ -33,7 +36,7 @@
 
 
 class FencedResource:
-    """Keeps the highest fencing token and rejects lower ones; `is_stuck`: it never answers."""
+    """Keeps the highest fencing token and rejects calls with a lower one; sends no response if `is_stuck`."""
 
     def __init__(self) -> None:
         self.highest = 0
--- a/tests/leadership/mutants.py
+++ b/tests/leadership/mutants.py
@@ -1,4 +1,4 @@
-"""Faulty versions of the state machines, which the model checks must find."""
+"""State machines with known bugs, which the model checks must find."""
 
 from typing import Any
 
@@ -11,24 +11,24 @@
 
 
 class AcceptorWithoutRestartWait(Acceptor):
-    """Votes at once after a restart without state."""
+    """Votes immediately after a restart without state."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.start_voting("forgot")
+        self.start_voting("no restart wait")
 
 
 class AcceptorWithoutRecovery(Acceptor):
-    """Waits after a restart, but reads nothing from the others."""
+    """Waits after a restart without state, but does not recover the state from the other acceptors."""
 
     def tick(self, now_ms: float) -> list[Effect]:
         if self.is_voting or now_ms < self.restart_wait_ends_at_ms:
             return []
-        return self.start_voting("hasty")
+        return self.start_voting("no recovery")
 
 
 class LeaderCountingFromReply(Leader):
-    """Counts its lease from the reply, not from the request."""
+    """Counts its lease from the reply instead of the request."""
 
     def handle_accepted(self, now_ms: float, sender: str, reply: Accepted) -> list[Effect]:
         for renewal in self.rounds.values():
@@ -45,7 +45,7 @@
 
 
 class CandidateWithoutRecord(Candidate):
-    """Ignores the records that the acceptors had accepted."""
+    """Ignores the records in the promises, and requests acceptance of an empty one."""
 
     def request_acceptance(self, now_ms: float) -> list[Effect]:
         for name, promise in self.promises.items():
--- a/tests/leadership/test_acceptor_log.py
+++ b/tests/leadership/test_acceptor_log.py
@@ -1,4 +1,4 @@
-"""The log of acceptors on disk: complete, truncated and damaged files."""
+"""The log of acceptors: complete, truncated and damaged files."""
 
 from collections.abc import Callable, Iterator
 from pathlib import Path
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def data(path: Path) -> bytes:
-    """A file of two earlier states and the last one."""
+    """The content of a file with two earlier states and the last one."""
     acceptor_log = AcceptorLog(str(path))
     for state in (earlier_state(1), earlier_state(2), LAST_STATE):
         acceptor_log.append(state)
--- a/tests/leadership/test_config.py
+++ b/tests/leadership/test_config.py
@@ -1,4 +1,4 @@
-"""The section `duties` of a node's file, in edge nodes too, and the package's errors."""
+"""The section `duties` of a node's file, its use by edge nodes, and the errors of the package."""
 
 import asyncio
 import subprocess
@@ -49,10 +49,10 @@
         config.decode(node_fields(duties=SECTION))
 
 
-def test_an_edge_node_reads_its_section_and_refuses_an_acceptor_change_too_far() -> None:
+def test_an_edge_node_reads_its_section_and_rejects_the_replacement_of_an_acceptor() -> None:
     members = {name: f"127.0.0.1:{index + 1}" for index, name in enumerate(NODES)}
     fleet = {"version": 1, "listen": "localhost:0", "members": members}
-    too_far = SECTION | {"version": 2, "voters": ["n1", "n2", "n3"], "before": ["n0", "n1", "n2"]}
+    with_replacement = SECTION | {"version": 2, "voters": ["n1", "n2", "n3"], "before": ["n0", "n1", "n2"]}
 
     async def main() -> None:
         async with (
@@ -64,7 +64,7 @@
             assert cluster is not None
             service = cluster.leadership
             assert service is not None
-            edge.file = node_fields(fleet=fleet, duties=too_far)
+            edge.file = node_fields(fleet=fleet, duties=with_replacement)
             edge.program.reload()
             assert b"reload refused" in edge.out.getvalue()
             assert service.registry.acceptor_set.version == 1
--- a/tests/leadership/test_fenced_calls.py
+++ b/tests/leadership/test_fenced_calls.py
@@ -1,4 +1,4 @@
-"""Calls of leaders to a fenced resource, on the virtual network."""
+"""Fenced calls of leaders on the virtual network."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
     await cluster.nodes[name].leadership.call(FENCED_RESOURCE_ADDRESS, ROLE, b"x", TIMEOUT_MS)
 
 
-def test_calls_carry_the_token_and_a_higher_one_ends_the_leadership(resource: FencedResource) -> None:
+def test_calls_have_the_token_and_a_higher_one_ends_the_leadership(resource: FencedResource) -> None:
     async def scenario(cluster: VirtualCluster) -> None:
         await resource.listen(cluster)
         (leader,) = cluster.leaders_of(ROLE)
@@ -48,6 +48,8 @@
 
 
 def test_a_lease_that_ends_while_the_call_connects_sends_nothing(resource: FencedResource) -> None:
+    """Without the check before the write, a former leader would call the resource with its old token."""
+
     async def scenario(cluster: VirtualCluster) -> None:
         await resource.listen(cluster)
         (leader,) = cluster.leaders_of(ROLE)
@@ -61,27 +63,29 @@
     run_cluster(scenario)
 
 
-def test_a_call_in_flight_when_its_leader_was_stopped_is_rejected(resource: FencedResource) -> None:
+def test_a_call_in_flight_when_its_leader_was_paused_is_rejected(resource: FencedResource) -> None:
+    """The resource must reject a call that it receives after a call of the next leader."""
+
     async def scenario(cluster: VirtualCluster) -> None:
         await resource.listen(cluster)
         (leader,) = cluster.leaders_of(ROLE)
-        stopped = cluster.nodes[leader]
-        token = stopped.leadership.fencing_token(ROLE)
+        paused = cluster.nodes[leader]
+        token = paused.leadership.fencing_token(ROLE)
         assert token is not None
         cluster.nodes[leader].pause()
         await call_as(cluster, await cluster.wait_for_leader(ROLE, other_than=leader))
         late_call = FencedCall(FENCED_RESOURCE_ADDRESS, ROLE, token, leader, b"x", TIMEOUT_MS)
-        with pytest.raises(HigherFencingTokenError):  # its bytes were written before the stop
-            await execute(stopped.host, late_call, lambda: True)
+        with pytest.raises(HigherFencingTokenError):  # its bytes were written before the pause
+            await execute(paused.host, late_call, lambda: True)
         cluster.nodes[leader].resume()
-        assert stopped.leadership.fencing_token(ROLE) is None
+        assert paused.leadership.fencing_token(ROLE) is None
         assert resource.rejected == 1
         assert len(resource.accepted) == 1
 
     run_cluster(scenario)
 
 
-def test_the_resource_gets_reports_of_each_leader(resource: FencedResource) -> None:
+def test_each_leader_reports_to_the_resource(resource: FencedResource) -> None:
     async def scenario(cluster: VirtualCluster) -> None:
         await resource.listen(cluster)
         await asyncio.sleep(2.0)
--- a/tests/leadership/test_membership.py
+++ b/tests/leadership/test_membership.py
@@ -1,4 +1,4 @@
-"""Which acceptor set may follow which."""
+"""The check whether an acceptor set may replace another, and a change of acceptors."""
 
 import pytest
 
@@ -16,10 +16,10 @@
     ("new", "are_records_committed"),
     [
         pytest.param(AcceptorSet(5, ("a", "b", "c", "d"), OLD.names), True, id="one added"),
-        pytest.param(AcceptorSet(4, ("c", "b", "a"), OLD.names), False, id="the same again"),
+        pytest.param(AcceptorSet(4, ("c", "b", "a"), OLD.names), False, id="unchanged"),
     ],
 )
-def test_allows_a_step(new: AcceptorSet, are_records_committed: bool) -> None:
+def test_allows_a_change_of_one_acceptor(new: AcceptorSet, are_records_committed: bool) -> None:
     validate_transition(OLD, new, "duties", are_records_committed=are_records_committed)
 
 
@@ -28,18 +28,19 @@
     [
         pytest.param(AcceptorSet(5, ("a", "b", "d"), OLD.names), True, id="one replaced"),
         pytest.param(AcceptorSet(5, ("a", "b", "c", "d", "e"), OLD.names), True, id="two added"),
-        pytest.param(AcceptorSet(6, ("a", "b", "c", "d"), OLD.names), True, id="version left out"),
+        pytest.param(AcceptorSet(6, ("a", "b", "c", "d"), OLD.names), True, id="version skipped"),
         pytest.param(AcceptorSet(3, ("a", "b"), OLD.names), True, id="earlier version"),
         pytest.param(AcceptorSet(5, ("a", "b", "c", "d"), ("a", "b", "x")), True, id="other previous set"),
         pytest.param(AcceptorSet(5, ("a", "b", "c", "d"), OLD.names), False, id="records not committed"),
     ],
 )
-def test_refuses_a_step(new: AcceptorSet, are_records_committed: bool) -> None:
+def test_rejects_another_change(new: AcceptorSet, are_records_committed: bool) -> None:
     with pytest.raises(MembershipChangeError):
         validate_transition(OLD, new, "duties", are_records_committed=are_records_committed)
 
 
 def test_acceptors_change_while_the_leader_is_cut_off() -> None:
+    """A leader that has missed the change loses its lease; the next one has the committed record."""
     model = elect_leader(LeadershipModel())
     run_for(model, TIMING.renew_interval_ms, lambda: model.apply(Exchange("c0")))
     new = AcceptorSet(2, ("v0", "v1", "v2", "v3"), model.acceptor_set.names)
@@ -50,9 +51,9 @@
         acceptor.change_acceptors(model.clock_ms(name), new)
     model.acceptors["v3"] = model.create_acceptor("v3")
     model.participants["c1"].change_acceptors(model.clock_ms("c1"), new)
-    confirmed = model.history.committed
+    committed = model.history.committed
     run_for(model, 5 * TIMING.lease_ms, lambda: model.apply(Exchange("c1")))
     assert token_of(model, "c0") is None
     assert token_of(model, "c1") is not None
     assert model.acceptors["v3"].is_voting
-    assert model.history.committed == confirmed
+    assert model.history.committed == committed
--- a/tests/leadership/test_model_checking.py
+++ b/tests/leadership/test_model_checking.py
@@ -1,4 +1,4 @@
-"""Every order of actions in small models of one role, to a depth; and mutants, which must be found."""
+"""Explores all orders of actions in small models of one role up to a depth; known bugs must be found."""
 
 import pytest
 
@@ -30,7 +30,7 @@
 
 
 class LimitedModel(LeadershipModel):
-    """Starts with a leader and a committed write; has the few actions by which a mutant could show."""
+    """A model with fewer actions, so that the exploration reaches the depth at which a mutant is found."""
 
     unreachable_acceptors: tuple[str, ...] = ("", "v1")
     action_types: tuple[ActionType, ...] = (Tick, Exchange, DeliverRequests, RestartAcceptor, WriteRecord)
@@ -47,9 +47,12 @@
 
 
 def explore_mutant(depth: int, *first_actions: Action, **attributes: object) -> ExplorationResult[Action]:
-    """Explores from a settled model after `first_actions`; `attributes` replace those of its class."""
+    """Explores a model with a leader and a committed record, after `first_actions`.
+
+    `attributes` replace those of `LimitedModel`.
+    """
     kind = type("MutatedModel", (LimitedModel,), attributes)
-    kind.__module__ = __name__  # pickling finds the class by its name
+    kind.__module__ = __name__  # the class is pickled by its name
     kind.__qualname__ = "MutatedModel"
     globals()["MutatedModel"] = kind
 
@@ -76,7 +79,7 @@
     assert result.states > 500
 
 
-def test_finds_an_acceptor_that_votes_at_once_after_a_restart() -> None:
+def test_finds_an_acceptor_that_votes_immediately_after_a_restart() -> None:
     result = explore_mutant(
         6,
         acceptor_type=AcceptorWithoutRestartWait,
@@ -113,7 +116,7 @@
             [],
             {"participant_type": ParticipantWithoutRecord, "action_types": (Tick, Exchange)},
             "lost",
-            id="record not carried on",
+            id="record of the promises ignored",
         ),
         pytest.param(
             6,
--- a/tests/leadership/test_protocol.py
+++ b/tests/leadership/test_protocol.py
@@ -1,4 +1,4 @@
-"""Messages of leader election that cannot be decoded."""
+"""Malformed messages of leader election."""
 
 import pytest
 
@@ -14,12 +14,12 @@
     "data",
     [
         pytest.param(b"", id="empty"),
-        pytest.param(b"\xff", id="no map"),
+        pytest.param(b"\xff", id="not a map"),
         pytest.param(COMPLETE[:-1], id="truncated"),
         pytest.param(b"\x80" * 70000, id="too long"),
         pytest.param(COMPLETE.replace(b"look", b"lock"), id="unknown tag"),
     ],
 )
-def test_a_malformed_message_is_refused(data: bytes) -> None:
+def test_a_malformed_message_is_rejected(data: bytes) -> None:
     with pytest.raises(MalformedMessageError):
         protocol.decode(data, "n1")
--- a/tests/leadership/test_races.py
+++ b/tests/leadership/test_races.py
@@ -1,4 +1,4 @@
-"""Two events that cross: a shutdown, an acceptor change, a lost lease or disk, and messages under way."""
+"""Shutdowns, changes of acceptors, lost leases and failing disks that coincide with messages in flight."""
 
 import asyncio
 from unittest import mock
@@ -46,7 +46,12 @@
 
 
 @pytest.mark.parametrize("phase", [Phase.PREPARING, Phase.ACCEPTING])
-def test_a_node_that_leaves_before_it_hears_of_its_election_is_followed_at_once(phase: Phase) -> None:
+def test_a_candidate_that_leaves_before_its_replies_arrive_is_succeeded_immediately(phase: Phase) -> None:
+    """The acceptors may have granted its ballot a lease, which the leaving node must release.
+
+    Otherwise the role has no leader until the lease ends.
+    """
+
     async def scenario(cluster: VirtualCluster) -> None:
         await cluster.kill(cluster.leaders_of(ROLE)[0])
         participants = {
@@ -56,7 +61,7 @@
         while not in_phase:
             await asyncio.sleep(0.0001)
             in_phase = [name for name, one in participants.items() if one.candidate.phase is phase]
-        await asyncio.sleep(0.002)  # its messages are under way, no answer is here
+        await asyncio.sleep(0.002)  # its requests are in flight, and no reply has arrived
         assert participants[in_phase[0]].candidate.phase is phase
         await cluster.terminate(in_phase[0])
         left_at_ms = cluster.now_ms()
@@ -67,7 +72,7 @@
 
 
 def test_messages_of_another_acceptor_set_cause_one_log_line_and_change_nothing() -> None:
-    """As while a file with other acceptors is brought to one node after the other."""
+    """Such messages arrive while nodes reload a file with other acceptors one after another."""
 
     async def scenario(cluster: VirtualCluster) -> None:
         service = cluster.nodes["n00"].leadership
@@ -87,8 +92,11 @@
     run_cluster(scenario, roles=20)
 
 
-def test_a_release_that_overtakes_the_request_it_releases_is_not_undone_by_it() -> None:
-    """As over a connection that was replaced between the two."""
+def test_an_accept_that_arrives_after_its_release_is_rejected() -> None:
+    """Messages change their order if the connection is replaced between them.
+
+    An accepted request would grant the released lease again, with no node that leads the role.
+    """
     ballot = Ballot(900_000, "n1", 1)
     acceptor = Acceptor(0.0, "n0", "d", LeaseTiming(), ACCEPTORS)
     acceptor.is_voting = True
@@ -106,14 +114,14 @@
         record_epoch_ms=0,
         record=EMPTY_RECORD,
     )
-    (answer,) = acceptor.handle(now_ms, "n1", accept)
-    assert isinstance(answer, SendMessage)
-    assert isinstance(answer.message, Reject)
-    assert answer.message.reason is RejectReason.HIGHER_PROMISE
+    (reply,) = acceptor.handle(now_ms, "n1", accept)
+    assert isinstance(reply, SendMessage)
+    assert isinstance(reply.message, Reject)
+    assert reply.message.reason is RejectReason.HIGHER_PROMISE
     assert acceptor.lease.ends_at_ms <= now_ms
 
 
-def test_a_listener_that_fails_stops_neither_the_timer_nor_the_hand_over() -> None:
+def test_an_exception_of_a_listener_stops_neither_the_timer_nor_the_election() -> None:
     def fail(change: LeadershipChange) -> None:
         raise ZeroDivisionError(change)
 
@@ -136,6 +144,8 @@
 
 
 def test_a_lease_lost_in_the_step_in_which_the_disk_fails_is_reported() -> None:
+    """Effects after a failed write are dropped, but a listener must not miss that its lease was lost."""
+
     async def main() -> None:
         cluster = VirtualCluster(1, 3)
         await cluster.start()
@@ -168,6 +178,7 @@
 def test_a_write_whose_last_reply_comes_at_the_end_of_the_lease_is_not_committed(
     last_reply_at_ms: float, is_committed: bool
 ) -> None:
+    """An acceptor that restarts without state relies on this: its restart wait is longer than a lease."""
     ballot = Ballot(5, "n0", 1)
     election = ElectionWon(ballot, EMPTY_RECORD, 0, 0.0, frozenset(("n0", "n1")))
     leader = Leader("d", LeaseTiming(), ACCEPTORS, election)
--- a/tests/leadership/test_random_runs.py
+++ b/tests/leadership/test_random_runs.py
@@ -1,4 +1,4 @@
-"""Random runs of one role by hypothesis: five acceptors, three candidates, messages late, twice or never."""
+"""Random runs of one role with hypothesis; messages are delayed, repeated and lost."""
 
 from typing import Any
 
@@ -41,7 +41,7 @@
     phases=[Phase.generate],
     print_blob=False,
 )
-SEED = 1  # fixed, so that the runs do not depend on the names and the text of this file
+SEED = 1  # a fixed seed keeps the runs independent of the names and the text of this file
 RUNS = 30
 MUTANT_RUNS = 200
 ACCEPTORS = [f"v{index}" for index in range(5)]
@@ -84,7 +84,7 @@
 
     @rule(candidate=st.sampled_from(CANDIDATES))
     def only_one_connected(self, candidate: str) -> None:
-        """For three leases no other candidate is heard."""
+        """Delivers no messages of other candidates for three lease durations."""
         for _ in range(12):
             self.model.apply(Tick(TIMING.renew_interval_ms))
             self.model.apply(Exchange(candidate))
@@ -131,9 +131,11 @@
         pytest.param(
             {"acceptor_type": AcceptorWithoutRestartWait, "restarts": 40},
             "hold|lost|granted",
-            id="acceptor votes at once after a restart",
+            id="acceptor votes immediately after a restart",
+        ),
+        pytest.param(
+            {"participant_type": ParticipantWithoutRecord}, "lost", id="record of the promises ignored"
         ),
-        pytest.param({"participant_type": ParticipantWithoutRecord}, "lost", id="record not carried on"),
         pytest.param({"model_type": ModelWithoutFencing}, "call with token", id="fencing token not checked"),
     ],
 )
--- a/tests/leadership/test_rendezvous.py
+++ b/tests/leadership/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""Which nodes should lead which roles."""
+"""The ranking of nodes by rendezvous hashing."""
 
 from collections import Counter
 
@@ -14,7 +14,7 @@
     assert min(preferred.values()) > 20
 
 
-def test_a_node_that_is_barred_moves_only_its_own_roles() -> None:
+def test_barring_a_node_changes_the_preferred_node_of_its_own_roles_only() -> None:
     before = {role: rank_nodes(role, NODES)[0] for role in ROLES}
     after = {role: rank_nodes(role, NODES, ["n3"])[0] for role in ROLES}
     assert all(after[role] == before[role] for role in ROLES if before[role] != "n3")
--- a/tests/leadership/test_service.py
+++ b/tests/leadership/test_service.py
@@ -1,4 +1,4 @@
-"""Whole nodes with roles on the virtual clock and network: faults, messages, changes of acceptors."""
+"""Leader election of whole nodes on a virtual clock and network."""
 
 import asyncio
 from dataclasses import replace
@@ -23,14 +23,14 @@
 
 
 @pytest.mark.parametrize(("fault", "limit_ms"), list(zip(FAULTS, FAILOVER_LIMITS_MS, strict=True)))
-def test_another_node_leads_in_time_after_a_fault_of_the_leader(fault: str, limit_ms: float) -> None:
+def test_another_node_leads_within_the_limit_after_a_fault_of_the_leader(fault: str, limit_ms: float) -> None:
     failover_ms, overlaps, is_record_kept = virtual_time.run(measure_failover(7, 5, fault))
     assert failover_ms < limit_ms
     assert overlaps == 0
     assert is_record_kept is True
 
 
-def test_roles_are_spread_and_a_node_that_returns_takes_none_back() -> None:
+def test_roles_are_spread_and_a_restarted_node_does_not_take_over_roles() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
         before = leaders(cluster)
         assert len(set(before.values())) >= 3
@@ -46,7 +46,7 @@
     run_cluster(scenario, roles=10)
 
 
-def test_a_cluster_killed_at_once_elects_again_with_a_higher_token() -> None:
+def test_a_cluster_whose_nodes_are_all_killed_elects_with_a_higher_token() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
         before = cluster.nodes[cluster.leaders_of(ROLE)[0]].leadership.fencing_token(ROLE)
         for name in list(cluster.nodes):
