--- a/tests/cluster/slow_socket.py
+++ b/tests/cluster/slow_socket.py
@@ -1,4 +1,4 @@
-"""A peer on a socket of this machine that reads late, and sends something just before it does."""
+"""A peer on a local socket that sends a frame and then reads slowly."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def limit_receive_buffer(sock: socket.socket) -> None:
-    """Makes the socket accept few bytes before they are read: the rest waits in the sender's system."""
+    """Limits the bytes that the socket receives before it is read; the others stay with the sender."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     sock.setblocking(False)
 
 
 async def send_and_read_to_end(sock: socket.socket, frame: bytes) -> asyncio.StreamReader:
-    """Sends a frame, and reads all that arrives until the other side ends the connection."""
+    """Sends a frame, then reads until the other side ends the connection; returns the received bytes."""
     loop = asyncio.get_running_loop()
     received = asyncio.StreamReader(limit=1 << 20)
     with contextlib.suppress(ConnectionResetError, BrokenPipeError):
@@ -35,7 +35,7 @@
 async def count_messages(
     reader: asyncio.StreamReader, read: Callable[[asyncio.StreamReader], Awaitable[object]], kind: type
 ) -> int:
-    """The number of complete messages of one type in what was received."""
+    """The number of complete messages of one type in the received bytes."""
     count = 0
     with contextlib.suppress(EOFError):
         while True:
--- a/tests/cluster/test_connections.py
+++ b/tests/cluster/test_connections.py
@@ -1,4 +1,4 @@
-"""Delivery, backpressure and reconnection between members on the virtual clock."""
+"""Delivery, backpressure and reconnection between members on a virtual clock and network."""
 
 import asyncio
 from typing import Any
@@ -60,11 +60,11 @@
     assert cluster.members["n1"].dialer.dial_count == 1
 
 
-def test_a_peer_that_does_not_read_is_bounded_and_delays_no_other() -> None:
+def test_unsent_messages_to_a_peer_that_does_not_read_are_limited_and_delay_no_other() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
-        line = await cluster.dial_as_n0("n2")
-        await read_message(line.reader)
-        pause_reading(line.writer)
+        dialed = await cluster.dial_as_n0("n2")
+        await read_message(dialed.reader)
+        pause_reading(dialed.writer)
         member = cluster.members["n2"]
         transport = member.established["n0"].writer.transport
         largest_buffer = 0
@@ -85,7 +85,7 @@
     assert cluster.rejection_kinds("n2")[0] == "PeerTimeoutError"
 
 
-def test_a_killed_peer_is_disconnected_at_once_and_its_next_incarnation_is_connected() -> None:
+def test_a_killed_peer_is_disconnected_immediately_and_its_next_incarnation_is_connected() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
         cluster.kill("n1")
         await asyncio.sleep(0.1)
@@ -111,7 +111,7 @@
         await asyncio.sleep(1.5)
         assert cluster.members["n1"].state_of("n0") is PeerState.DISCONNECTED
         assert cluster.members["n1"].state_of("n2") is PeerState.ALIVE
-        cluster.blocked.clear()
+        cluster.blocked_links.clear()
         await asyncio.sleep(3.2)
         assert cluster.states_seen_by("n0") == {PeerState.ALIVE}
         assert cluster.states_seen_by("n1") == {PeerState.ALIVE}
@@ -119,34 +119,34 @@
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize(("blocked", "audible"), [("n0", "n1"), ("n1", "n0")])
-def test_a_path_that_works_one_way_only_disconnects_both_sides(blocked: str, audible: str) -> None:
+@pytest.mark.parametrize(("blocked_sender", "receiver"), [("n0", "n1"), ("n1", "n0")])
+def test_a_path_that_works_one_way_only_disconnects_both_sides(blocked_sender: str, receiver: str) -> None:
     async def scenario(cluster: VirtualCluster) -> None:
-        cluster.blocked.add((blocked, audible))
-        for _ in range(40):  # messages all the time the other way
-            cluster.members[audible].send(blocked, TOPIC, b"")
+        cluster.blocked_links.add((blocked_sender, receiver))
+        for _ in range(40):  # messages arrive continuously in the other direction
+            cluster.members[receiver].send(blocked_sender, TOPIC, b"")
             await asyncio.sleep(0.1)
-        assert cluster.members[blocked].state_of(audible) is PeerState.DISCONNECTED
-        assert cluster.members[audible].state_of(blocked) is PeerState.DISCONNECTED
+        assert cluster.members[blocked_sender].state_of(receiver) is PeerState.DISCONNECTED
+        assert cluster.members[receiver].state_of(blocked_sender) is PeerState.DISCONNECTED
 
     run_scenario(scenario)
 
 
-def test_a_leaving_member_delivers_what_it_sent_and_stays_disconnected() -> None:
+def test_a_leaving_member_delivers_its_sent_messages_and_stays_disconnected() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
         cluster.members["n1"].send("n0", TOPIC, b"last")
         await cluster.members["n1"].leave()
         await asyncio.sleep(0.1)
         assert cluster.members["n0"].state_of("n1") is PeerState.DISCONNECTED
         await asyncio.sleep(5.0)
-        assert cluster.members["n0"].state_of("n1") is PeerState.DISCONNECTED  # though it still listens
-        assert cluster.members["n2"].state_of("n1") is PeerState.DISCONNECTED  # nor does it dial
+        assert cluster.members["n0"].state_of("n1") is PeerState.DISCONNECTED  # although n1 still listens
+        assert cluster.members["n2"].state_of("n1") is PeerState.DISCONNECTED  # n1 does not dial either
 
     assert Received("n0", "n1", TOPIC, b"last") in run_scenario(scenario).received
 
 
 async def measure_leave_seconds(cluster: VirtualCluster, resume_after_seconds: float) -> float:
-    """The time that n0 takes to leave while n1 does not read for so long."""
+    """The time that n0 takes to leave while n1 does not read for `resume_after_seconds`."""
     loop = asyncio.get_running_loop()
     reader: Any = cluster.members["n1"].established["n0"].writer.transport
     reader.pause_reading()
@@ -158,7 +158,7 @@
     return loop.time() - started_at_seconds
 
 
-def test_a_leaving_member_waits_for_a_peer_that_reads_within_its_time() -> None:
+def test_a_leaving_member_waits_for_a_peer_that_reads_within_the_timeout() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
         leave_seconds = await measure_leave_seconds(cluster, LEAVE_TIMEOUT_SECONDS - 0.1)
         assert LEAVE_TIMEOUT_SECONDS - 0.1 < leave_seconds < LEAVE_TIMEOUT_SECONDS
@@ -168,7 +168,7 @@
     assert [message.body for message in received if message.receiver == "n1"] == [b"0", b"1", b"2"]
 
 
-def test_a_leaving_member_does_not_wait_longer_for_a_peer_that_does_not_read() -> None:
+def test_a_leaving_member_waits_no_longer_than_the_timeout_for_a_peer_that_does_not_read() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
         leave_seconds = await measure_leave_seconds(cluster, 1.0)
         assert leave_seconds == pytest.approx(0.2, abs=0.02)
--- a/tests/cluster/test_failure_detector.py
+++ b/tests/cluster/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""The failure detector of one peer, with the time passed in by hand."""
+"""The failure detector of one peer, with a simulated peer and clock."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 
 
 class SimulatedPeer:
-    """A connected peer that answers pings, and the detector that watches it."""
+    """A connected peer that answers pings, and its failure detector."""
 
     def __init__(self) -> None:
         self.now_ms = 0.0
@@ -29,7 +29,9 @@
     def run(
         self, duration_ms: float, answer_delay_ms: float | None, *, sends_messages: bool = False
     ) -> str | None:
-        """Lets time pass until the detector asks to abort the connection; returns its reason.
+        """Advances the clock, at most until the detector requests to abort the connection.
+
+        Returns the reason to abort, or None.
 
         Pings are answered after `answer_delay_ms`, or not at all if it is None.
         """
@@ -70,9 +72,11 @@
     assert peer.detector.round_trip_ms == 50.0
 
 
-def test_a_peer_that_answers_late_is_slow_until_it_is_well_below_the_limit(peer: SimulatedPeer) -> None:
+def test_a_peer_that_answers_late_is_slow_until_its_round_trip_is_well_below_the_limit(
+    peer: SimulatedPeer,
+) -> None:
     peer.run(10_000.0, SLOW_ROUND_TRIP_MS + 100.0)
-    peer.run(20_000.0, SLOW_ROUND_TRIP_MS - 50.0)  # near the limit the state does not change to and fro
+    peer.run(20_000.0, SLOW_ROUND_TRIP_MS - 50.0)  # too close to the limit to change the state
     assert peer.states() == [PeerState.ALIVE, PeerState.SLOW]
     peer.run(20_000.0, 50.0)
     assert peer.states() == [PeerState.ALIVE, PeerState.SLOW, PeerState.ALIVE]
@@ -99,23 +103,25 @@
     assert peer.states() == [PeerState.ALIVE, PeerState.SLOW]
 
 
-def test_a_pause_of_this_process_is_not_held_against_the_peer(peer: SimulatedPeer) -> None:
+def test_a_pause_of_this_process_does_not_change_the_state_of_the_peer(peer: SimulatedPeer) -> None:
     peer.run(5000.0, 50.0)
-    peer.now_ms += 3 * DISCONNECT_TIMEOUT_MS  # nothing was read meanwhile
+    peer.now_ms += 3 * DISCONNECT_TIMEOUT_MS  # nothing was read during the pause
     assert peer.run(5000.0, 50.0) is None
     assert peer.states() == [PeerState.ALIVE]
 
 
-def test_messages_read_between_a_pause_and_the_next_check_do_not_mislead(peer: SimulatedPeer) -> None:
+def test_messages_read_between_a_pause_and_the_next_check_do_not_change_the_state(
+    peer: SimulatedPeer,
+) -> None:
     peer.run(5000.0, 50.0)
     while (ping_number := peer.detector.check(peer.now_ms).ping_number) is None:
         peer.now_ms += CHECK_INTERVAL_MS
     peer.now_ms += 600_000.0
-    peer.detector.on_message(peer.now_ms)  # connections are read before the check is due
+    peer.detector.on_message(peer.now_ms)  # connections are read before the next check
     peer.detector.on_pong(peer.now_ms, ping_number)
     assert peer.detector.check(peer.now_ms) == CheckResult()
     assert peer.detector.round_trip_ms == 50.0
-    reason = peer.run(DISCONNECT_TIMEOUT_MS + HEARTBEAT_INTERVAL_MS, None)  # detection works at once again
+    reason = peer.run(DISCONNECT_TIMEOUT_MS + HEARTBEAT_INTERVAL_MS, None)  # a silent peer is detected again
     assert reason is not None
     assert "no message for" in reason
 
@@ -132,6 +138,6 @@
 
 def test_a_peer_that_never_connected_is_reported_once() -> None:
     detector = PeerFailureDetector("n1", 0.0)
-    changes = [detector.check(i * CHECK_INTERVAL_MS).change for i in range(100)]
+    changes = [detector.check(index * CHECK_INTERVAL_MS).change for index in range(100)]
     assert [change.current for change in changes if change is not None] == [PeerState.DISCONNECTED]
     assert DISCONNECT_TIMEOUT_MS > SUSPICION_TIMEOUT_MS
--- a/tests/cluster/test_handshake.py
+++ b/tests/cluster/test_handshake.py
@@ -1,4 +1,4 @@
-"""Validation of a hello, and the order of incarnations."""
+"""Validation of hellos, and the order of incarnations."""
 
 from typing import Any
 
@@ -42,7 +42,7 @@
 
 
 def test_a_later_incarnation_restarts_the_count_of_dials() -> None:
-    """The start of an incarnation is compared as a number: 9 is earlier than 20."""
+    """Incarnations are compared by number, as 9 is earlier than 20 but sorts after it as text."""
     validate_hello(ConnectionOrder(Incarnation(9, "z"), 50), dial_number=1)
 
 
--- a/tests/cluster/test_log_rate_limit.py
+++ b/tests/cluster/test_log_rate_limit.py
@@ -1,4 +1,4 @@
-"""The limit on log lines that remote hosts can cause."""
+"""The rate limit of log lines that remote hosts can cause."""
 
 from onyxpost.cluster.log_rate_limit import LogRateLimiter
 
--- a/tests/cluster/test_loopback.py
+++ b/tests/cluster/test_loopback.py
@@ -1,4 +1,4 @@
-"""Connections over sockets of this machine."""
+"""Connections over local sockets."""
 
 import asyncio
 import socket
@@ -28,15 +28,15 @@
 TOPIC = "t"
 UNUSED_ADDRESS = ("127.0.0.1", 1)
 LONG_LEAVE_SECONDS = 20.0
-PEER_SECONDS = 10.0  # in which a peer ends its connection, however busy the machine is
+PEER_SECONDS = 10.0  # a peer ends its connection within this time, even on a busy machine
 
 
 Messages = list[tuple[str, str, bytes]]
-"""Sender, topic and body of each message that a member was given."""
+"""Sender, topic and body of each message that was delivered to a member."""
 
 
 def discard(*_: object) -> None:
-    """Takes any message or log event."""
+    """Ignores a message or log event."""
 
 
 def peer_connections(
@@ -53,7 +53,7 @@
 
 
 async def listen(member: PeerConnections) -> Address:
-    """Listens at any free port and returns the address."""
+    """Listens at a free port and returns the address."""
     await member.listen(("127.0.0.1", 0))
     assert member.listener.server is not None
     host, port = member.listener.server.sockets[0].getsockname()
@@ -66,7 +66,7 @@
 
 
 async def connect_slowly_as_n0(address: Address) -> socket.socket:
-    """A connection with the hello of n0, whose messages are not read yet."""
+    """Returns a socket that has sent the hello of n0 and reads nothing."""
     loop = asyncio.get_running_loop()
     sock = socket.socket()
     limit_receive_buffer(sock)
@@ -92,18 +92,18 @@
 async def check_messages_both_ways(
     node: ClusterExtension, other: PeerConnections, received: Messages
 ) -> None:
-    """Exchanges a message each way between the edge node n0 and n1, whose messages are `received`."""
-    answers: list[bytes] = []
-    node.subscribe(TOPIC, lambda _, body: answers.append(body))
+    """Sends a message each way between the edge node n0 and n1; `received` has the messages of n1."""
+    received_by_node: list[bytes] = []
+    node.subscribe(TOPIC, lambda _, body: received_by_node.append(body))
     assert node.connections.send("n1", TOPIC, b"to")
     assert other.send("n0", TOPIC, b"from")
-    await wait_until(lambda: received and answers)
+    await wait_until(lambda: received and received_by_node)
     assert received == [("n0", TOPIC, b"to")]
-    assert answers == [b"from"]
+    assert received_by_node == [b"from"]
 
 
 def check_reload(edge: RunningNode, fleet: dict[str, Any], version: int, event: bytes) -> None:
-    """Reloads a file in which n0 is the only member."""
+    """Reloads a file in which n0 is the only member, and checks that `event` is logged."""
     changed = {"version": version, "members": {"n0": "127.0.0.1:1"}}
     edge.file = node_fields(fleet=fleet | changed)
     edge.program.reload()
@@ -135,7 +135,7 @@
             )
             for connection in (own.established["n1"], other.established["n0"]):
                 transport: Any = connection.writer.transport
-                assert transport.max_size == 65536  # or asyncio reads 256 KiB at once
+                assert transport.max_size == 65536  # otherwise asyncio reads 256 KiB at once
             await check_messages_both_ways(cluster, other, received)
             check_reload(edge, fleet, 2, b"cluster membership rejected")
             check_reload(edge, fleet, 4, b"cluster membership changed")
@@ -166,13 +166,13 @@
 
 @pytest.fixture
 def long_leave_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Gives peers as long to read as a busy machine may take; test_connections.py tests the real limit."""
+    """Raises the timeout of leaving, for busy machines; test_connections.py tests the real timeout."""
     monkeypatch.setattr(connections, "LEAVE_TIMEOUT_SECONDS", LONG_LEAVE_SECONDS)
 
 
 @pytest.mark.usefixtures("long_leave_timeout")
 @pytest.mark.parametrize("sender_name", ["n0", "n1"])
-def test_what_a_leaving_node_sent_to_a_slow_reader_arrives_whoever_dialed(sender_name: str) -> None:
+def test_messages_of_a_leaving_node_reach_a_slow_reader_whichever_side_dialed(sender_name: str) -> None:
     received: Messages = []
 
     async def main() -> int:
@@ -202,7 +202,7 @@
     assert len(received) == sent_count
 
 
-def test_many_connections_without_a_hello_at_once_are_bounded() -> None:
+def test_simultaneous_connections_without_a_hello_are_limited() -> None:
     async def main() -> int:
         member = peer_connections("n1", {"n1": ("", 1)})
         address = await listen(member)
@@ -220,7 +220,9 @@
 
 
 @pytest.mark.usefixtures("long_leave_timeout")
-def test_the_last_messages_of_a_leaving_node_arrive_though_the_peer_sends_just_then() -> None:
+def test_the_last_messages_of_a_leaving_node_arrive_although_the_peer_sends_at_that_time() -> None:
+    """A socket that is closed with unread bytes is reset, and its unsent bytes are lost."""
+
     async def main() -> int:
         loop = asyncio.get_running_loop()
         member = peer_connections("n1", {"n0": UNUSED_ADDRESS, "n1": ("127.0.0.1", 2)})
@@ -233,7 +235,7 @@
             assert member.send("n0", TOPIC, bytes(4000))
 
         leaving = loop.create_task(leave_and_close(member))
-        for _ in range(50):  # all that it does before it waits for anything
+        for _ in range(50):  # lets `leave` run until it waits
             await asyncio.sleep(0)
         received = await send_and_read_to_end(sock, encode_frame(Ping(1)))
         sock.close()
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -72,6 +72,8 @@
     old = Membership(1, {f"n{i}": ("a", i) for i in range(5)})
     new = Membership(2, {f"n{i}": ("a", i) for i in (1, 2, 4)} | {"n0": ("b", 9), "n3": ("b", 9)})
     only_n1 = Membership(3, {"n1": ("a", 1)})
-    assert members_to_disconnect(old, new, "n2") == ["n3"]  # n0 dials n2: its address does not matter
+    assert members_to_disconnect(old, new, "n2") == [
+        "n3"
+    ]  # n0 dials n2, so n2 does not use the address of n0
     assert members_to_disconnect(old, only_n1, "n1") == ["n0", "n2", "n3", "n4"]
     assert members_to_disconnect(old, only_n1, "n2") == list(old.members)
--- a/tests/cluster/test_membership_change.py
+++ b/tests/cluster/test_membership_change.py
@@ -1,4 +1,4 @@
-"""Members that are added and removed while the cluster runs."""
+"""Members that are added to and removed from a running cluster."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
             assert not cluster.members[name].update_membership(later)
             assert not cluster.members[name].update_membership(Membership(1, {}))
         await asyncio.sleep(0.01)
-        assert cluster.members["n2"].established == {}  # ended at once, without waiting for a timeout
+        assert cluster.members["n2"].established == {}  # ended without waiting for a timeout
         await asyncio.sleep(3.0)
         for name in ("n0", "n1"):
             assert cluster.members[name].state_of("n2") is PeerState.DISCONNECTED
@@ -38,7 +38,7 @@
     run_scenario(scenario)
 
 
-def test_a_removed_member_has_no_connections_though_others_still_dial_it() -> None:
+def test_a_removed_member_has_no_connections_although_others_still_dial_it() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
         member = cluster.members["n1"]
         member.update_membership(membership_of(2, "n0", "n2", "m9"))
@@ -50,7 +50,7 @@
     assert run_scenario(scenario).rejection_kinds("n1")[0] == "UnknownSenderError"
 
 
-def test_another_member_at_a_members_address_is_rejected() -> None:
+def test_a_member_at_the_address_of_another_member_is_rejected() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
         members = cluster.membership.members | {"n1": address_of("n2")}
         cluster.members["n0"].update_membership(Membership(2, members))
@@ -83,14 +83,14 @@
         member = cluster.members["n0"]
         dial_count = member.dialer.dial_count
         pause_reading(cluster.members["n1"].established["n0"].writer)
-        await member.leave()  # waits for n1 until after the first redial of n2 would be due
+        await member.leave()  # takes longer than the backoff of a dial to n2
         assert list(member.established) == ["n1"]
         assert member.dialer.dial_count == dial_count
 
     run_scenario(scenario)
 
 
-def test_a_member_that_is_added_again_may_come_with_an_earlier_incarnation() -> None:
+def test_a_member_that_is_added_again_may_have_an_earlier_incarnation() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
         member = cluster.members["n2"]
         later = await cluster.dial_as_n0("n2", incarnation="2000-later")
--- a/tests/cluster/test_races.py
+++ b/tests/cluster/test_races.py
@@ -21,7 +21,7 @@
 
 
 def test_a_message_that_arrives_as_the_connections_close_is_not_delivered() -> None:
-    """Its component is closed by then: an acceptor would write to a closed file."""
+    """The component is closed already; an acceptor, for example, would write to a closed file."""
 
     async def scenario(cluster: VirtualCluster) -> None:
         member = cluster.members["n1"]
@@ -33,11 +33,13 @@
     assert run_scenario(scenario).received == []
 
 
-def test_a_connection_evicted_as_its_hello_arrives_replaces_none() -> None:
+def test_a_connection_aborted_as_its_hello_arrives_replaces_none() -> None:
+    """A connection without a hello is aborted to make room for others, while its hello is received."""
+
     async def scenario(cluster: VirtualCluster) -> None:
         member = cluster.members["n1"]
         incarnation = member.incarnation_of("n0")
-        line = await cluster.dial_as_stranger("n1")
+        dialed = await cluster.dial_without_hello("n1")
         await asyncio.sleep(0.01)
         (writer,) = member.listener.unidentified
         transport: Any = writer.transport
@@ -46,7 +48,7 @@
         await asyncio.sleep(0.1)
         assert member.incarnation_of("n0") == incarnation
         assert member.state_of("n0") is PeerState.ALIVE
-        line.writer.close()
+        dialed.writer.close()
 
     run_scenario(scenario)
 
@@ -55,7 +57,7 @@
 def test_a_hello_that_coincides_with_its_senders_removal_leaves_no_connection(*, hello_first: bool) -> None:
     async def scenario(cluster: VirtualCluster) -> None:
         member = cluster.members["n2"]
-        line = await cluster.dial_as_stranger("n2")
+        dialed = await cluster.dial_without_hello("n2")
         await asyncio.sleep(0.01)
         (writer,) = member.listener.unidentified
         transport: Any = writer.transport
@@ -68,20 +70,20 @@
         assert member.state_of("n0") is PeerState.DISCONNECTED
         assert len(member.listener.unidentified) == 0
         assert member.state_of("n1") is PeerState.ALIVE
-        line.writer.close()
+        dialed.writer.close()
 
     assert run_scenario(scenario, first=1).logged("n2", "fault") == []
 
 
-def test_a_frame_truncated_at_any_byte_is_no_message_and_the_next_connection_is_accepted() -> None:
+def test_a_frame_truncated_at_any_byte_is_not_delivered_and_the_next_connection_is_accepted() -> None:
     frame = encode_frame(Payload(TOPIC, b"complete"))
 
     async def scenario(cluster: VirtualCluster) -> None:
         member = cluster.members["n2"]
         for length in range(1, len(frame) + 1):
-            line = await cluster.dial_as_n0("n2", dial_number=length)
-            line.writer.write(frame[:length])
-            line.writer.close()
+            dialed = await cluster.dial_as_n0("n2", dial_number=length)
+            dialed.writer.write(frame[:length])
+            dialed.writer.close()
             await asyncio.sleep(0.1)
             assert member.state_of("n0") is PeerState.DISCONNECTED
             assert member.handshake.latest_accepted["n0"] == ConnectionOrder(FORGED_INCARNATION, length)
@@ -95,14 +97,14 @@
     async def scenario(cluster: VirtualCluster) -> None:
         member = cluster.members["n1"]
         hello = hello_frame("n1")
-        line = await cluster.dial_as_stranger("n1")
-        line.writer.write(hello[:10])
+        dialed = await cluster.dial_without_hello("n1")
+        dialed.writer.write(hello[:10])
         await asyncio.sleep(0.01)
-        started_at = asyncio.get_running_loop().time()
+        started_at_seconds = asyncio.get_running_loop().time()
         await member.leave()
-        line.writer.write(hello[10:])
+        dialed.writer.write(hello[10:])
         await asyncio.sleep(0.01)
-        assert asyncio.get_running_loop().time() - started_at < 0.1
+        assert asyncio.get_running_loop().time() - started_at_seconds < 0.1
         assert member.established == {}
         assert len(member.listener.unidentified) == 0
         member.close()
--- a/tests/cluster/test_reconnect.py
+++ b/tests/cluster/test_reconnect.py
@@ -1,4 +1,4 @@
-"""The delays between attempts to connect."""
+"""The backoff between attempts to connect."""
 
 from onyxpost.cluster.reconnect import INITIAL_DELAY_SECONDS, MAX_DELAY_SECONDS, ReconnectBackoff
 
--- a/tests/cluster/test_rejected_connections.py
+++ b/tests/cluster/test_rejected_connections.py
@@ -1,4 +1,4 @@
-"""Connections that may not begin or go on: malformed frames, wrong senders, earlier incarnations."""
+"""Connections that are rejected: malformed frames, wrong senders, earlier incarnations."""
 
 import asyncio
 import contextlib
@@ -23,12 +23,12 @@
 REJECTED_FIRST_FRAMES = {
     "length above the limit": ("MalformedFrameError", b"\xff\xff\xff\xff"),
     "length of zero": ("MalformedFrameError", b"\0\0\0\0"),
-    "no message": ("MalformedFrameError", b"\0\0\0\x03abc"),
-    "no hello": ("MalformedFrameError", encode_frame(Ping(1))),
-    "unknown kind": ("MalformedFrameError", hello_frame("n1").replace(b"hello", b"jello")),
+    "not a message": ("MalformedFrameError", b"\0\0\0\x03abc"),
+    "not a hello": ("MalformedFrameError", encode_frame(Ping(1))),
+    "unknown type": ("MalformedFrameError", hello_frame("n1").replace(b"hello", b"jello")),
     "other protocol version": ("ProtocolVersionError", hello_frame("n1", protocol_version=2)),
-    "sender is no member": ("UnknownSenderError", hello_frame("n1", sender="n9")),
-    "meant for another member": ("MemberNameMismatchError", hello_frame("n2")),
+    "sender is not a member": ("UnknownSenderError", hello_frame("n1", sender="n9")),
+    "addressed to another member": ("MemberNameMismatchError", hello_frame("n2")),
     "dialed by the higher name": ("WrongDialerError", hello_frame("n1", sender="n2")),
     "earlier incarnation": ("StaleIncarnationError", hello_frame("n1", incarnation="9-s", dial_number=99)),
     "earlier dial": ("StaleIncarnationError", hello_frame("n1", incarnation="1001-x", dial_number=0)),
@@ -40,11 +40,11 @@
     kind, data = REJECTED_FIRST_FRAMES[case]
 
     async def scenario(cluster: VirtualCluster) -> None:
-        line = await cluster.dial_as_stranger("n1")
-        line.writer.write(data)
+        dialed = await cluster.dial_without_hello("n1")
+        dialed.writer.write(data)
         async with asyncio.timeout(0.5):
             with contextlib.suppress(ConnectionResetError):
-                assert await line.reader.read(-1) == b""
+                assert await dialed.reader.read(-1) == b""
         assert cluster.members["n0"].send("n1", TOPIC, b"still")
         await asyncio.sleep(0.1)
 
@@ -55,13 +55,13 @@
     assert cluster.logged("n1", "cluster peer gone") == []
 
 
-def test_a_later_incarnation_replaces_the_connection_and_keeps_out_the_earlier_one() -> None:
+def test_a_later_incarnation_replaces_the_connection_and_the_earlier_one_is_rejected() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
         earlier = cluster.members["n0"]
-        line = await cluster.dial_as_n0("n1")
-        await read_message(line.reader)
+        dialed = await cluster.dial_as_n0("n1")
+        await read_message(dialed.reader)
         assert cluster.members["n1"].incarnation_of("n0") == FORGED_INCARNATION
-        line.writer.write(encode_frame(Payload(TOPIC, b"new")))
+        dialed.writer.write(encode_frame(Payload(TOPIC, b"new")))
         await asyncio.sleep(2.5)
         assert earlier.state_of("n1") is PeerState.DISCONNECTED
         assert cluster.members["n1"].incarnation_of("n0") == FORGED_INCARNATION
@@ -73,9 +73,9 @@
 
 def test_a_second_hello_ends_the_connection() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
-        line = await cluster.dial_as_n0("n2")
-        await read_message(line.reader)
-        line.writer.write(hello_frame("n2", dial_number=2))
+        dialed = await cluster.dial_as_n0("n2")
+        await read_message(dialed.reader)
+        dialed.writer.write(hello_frame("n2", dial_number=2))
         await asyncio.sleep(0.1)
         assert cluster.members["n2"].state_of("n0") is PeerState.DISCONNECTED
 
@@ -118,30 +118,30 @@
     async def scenario(cluster: VirtualCluster) -> None:
         member = cluster.members["n1"]
         replaced = member.established["n0"]
-        line = await cluster.dial_as_n0("n1")
+        dialed = await cluster.dial_as_n0("n1")
         await asyncio.sleep(0.1)
         member.handle_message(replaced, Payload(TOPIC, b"old"))
-        line.writer.close()
+        dialed.writer.close()
 
     assert run_scenario(scenario).received == []
 
 
-def test_connections_without_a_hello_are_bounded_and_their_log_lines_limited() -> None:
+def test_connections_without_a_hello_and_their_log_lines_are_limited() -> None:
     unidentified_count = 0
 
     async def scenario(cluster: VirtualCluster) -> None:
         nonlocal unidentified_count
         unidentified = cluster.members["n1"].listener.unidentified
-        lines = [await cluster.dial_as_stranger("n1") for _ in range(3 * MAX_UNIDENTIFIED)]
+        dialed_connections = [await cluster.dial_without_hello("n1") for _ in range(3 * MAX_UNIDENTIFIED)]
         unidentified_count = len(unidentified)
         for _ in range(200):
-            line = await cluster.dial_as_stranger("n1")
-            line.writer.write(b"\xff" * 64)
+            dialed = await cluster.dial_without_hello("n1")
+            dialed.writer.write(b"\xff" * 64)
         await asyncio.sleep(1.5)
         assert len(unidentified) == 0
         assert cluster.states_seen_by("n1") == {PeerState.ALIVE}
-        for line in lines:
-            line.writer.close()
+        for dialed in dialed_connections:
+            dialed.writer.close()
 
     cluster = run_scenario(scenario)
     assert unidentified_count <= MAX_UNIDENTIFIED + 1
--- a/tests/cluster/virtual_cluster.py
+++ b/tests/cluster/virtual_cluster.py
@@ -1,4 +1,4 @@
-"""A cluster on the virtual clock and an in-memory network, for tests."""
+"""A cluster on a virtual clock and an in-memory network, for tests."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 TOPIC = "t"
 READ_LIMIT = 65536
 FORGED_INCARNATION = Incarnation(9999, "s")  # later than those of all started members
-SETTLE_SECONDS = 3.0  # until all members are connected
+SETTLE_SECONDS = 3.0  # the time until all members are connected
 
 
 class Received(NamedTuple):
-    """A message that a member's component was given."""
+    """A message that was delivered to a component of a member."""
 
     receiver: str
     sender: str
@@ -58,7 +58,7 @@
 
 
 class VirtualCluster:
-    """Members n0, n1, ... on one network, with all that they received and logged."""
+    """The members n0, n1 and so on, with the messages and log events of all of them."""
 
     def __init__(self, size: int) -> None:
         self.network = virtual_time.Network(Random("1/net"))
@@ -68,8 +68,8 @@
         self.received: list[Received] = []
         self.logs: dict[str, list[LogEvent]] = {name: [] for name in self.names}
         self.start_count = 0
-        self.blocked: set[tuple[str, str]] = set()  # pairs of a host and one that does not hear it
-        self.network.blocked_links = self.blocked
+        self.blocked_links: set[tuple[str, str]] = set()  # pairs of a sender and a receiver
+        self.network.blocked_links = self.blocked_links
 
     async def start(self, name: str) -> PeerConnections:
         self.start_count += 1
@@ -93,7 +93,7 @@
         self.network.kill_host(name)
 
     def partition(self, one: str, other: str) -> None:
-        self.blocked |= {(one, other), (other, one)}
+        self.blocked_links |= {(one, other), (other, one)}
 
     def logged(self, name: str, event: str) -> list[dict[str, Any]]:
         return [log.fields for log in self.logs[name] if log.event == event]
@@ -104,20 +104,20 @@
     def states_seen_by(self, name: str) -> set[PeerState]:
         return {self.members[name].state_of(other) for other in self.names if other != name}
 
-    async def dial_as_stranger(self, receiver: str) -> DialedConnection:
+    async def dial_without_hello(self, receiver: str) -> DialedConnection:
         return await self.network.host("stranger").dial(address_of(receiver), READ_LIMIT)
 
     async def dial_as_n0(self, receiver: str, **changed: Any) -> DialedConnection:
-        """A connection from another host that says it is a new incarnation of n0."""
-        line = await self.dial_as_stranger(receiver)
-        line.writer.write(hello_frame(receiver, **changed))
-        return line
+        """A connection from another host, with the hello of a new incarnation of n0."""
+        dialed = await self.dial_without_hello(receiver)
+        dialed.writer.write(hello_frame(receiver, **changed))
+        return dialed
 
 
 def run_scenario(
     scenario: Callable[[VirtualCluster], Coroutine[Any, Any, None]], size: int = 3, first: int = 0
 ) -> VirtualCluster:
-    """Starts the members from number `first` on, lets them connect, and runs the scenario."""
+    """Starts the members from number `first` on, waits until they are connected, and runs the scenario."""
 
     async def main() -> VirtualCluster:
         cluster = VirtualCluster(size)
