--- a/onyxpost/cluster/connections.py
+++ b/onyxpost/cluster/connections.py
@@ -110,7 +110,7 @@
         return is_sent
 
     def state_of(self, member: str) -> PeerState:
-        """Returns the state of a member; DISCONNECTED for a name that is not a member."""
+        """Returns the state of a member; GONE for a name that is not a member."""
         return self.monitor.state_of(member)
 
     def incarnation_of(self, member: str) -> Incarnation | None:
--- a/onyxpost/cluster/dialer.py
+++ b/onyxpost/cluster/dialer.py
@@ -8,7 +8,7 @@
 
 from onyxpost.cluster.connection import READ_BUFFER_BYTES, RunConnection
 from onyxpost.cluster.errors import MemberNameMismatchError
-from onyxpost.cluster.failure_detector import DISCONNECT_TIMEOUT_MS
+from onyxpost.cluster.failure_detector import GONE_TIMEOUT_MS
 from onyxpost.cluster.reconnect import ReconnectBackoff, keep_connected
 from onyxpost.runtime.http1 import limit_read_size
 
@@ -98,6 +98,6 @@
     def _on_ended(self, member: str, backoff: ReconnectBackoff, cause: Exception | None) -> float:
         self._on_dial_ended(member, cause)
         now_ms = self._network.clock()
-        if now_ms - self._connected_since_ms.pop(member, now_ms) >= DISCONNECT_TIMEOUT_MS:
+        if now_ms - self._connected_since_ms.pop(member, now_ms) >= GONE_TIMEOUT_MS:
             backoff.reset()
         return backoff.next_delay_seconds()
--- a/onyxpost/cluster/failure_detector.py
+++ b/onyxpost/cluster/failure_detector.py
@@ -1,7 +1,7 @@
 """Failure detector for one peer. Pure: the caller passes the time in, and state changes are returned.
 
-A state tells how the peer can be reached from this node, not whether its process runs. A suspected or
-disconnected peer may still be running and act as a leader; only a lease with a fencing token prevents that.
+A state tells how the peer can be reached from this node, not whether its process runs. A silent or gone
+peer may still be running and act as a leader; only a lease with a fencing token prevents that.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from onyxpost.cluster.heartbeat_timing import HEARTBEAT_INTERVAL_MS
 
 # A busy connection is pinged at this interval to measure its round trip, although its messages show that the
-# peer is alive.
+# peer is live.
 MAX_PING_INTERVAL_MS = 4 * HEARTBEAT_INTERVAL_MS
-# Three intervals, so that a peer is not suspected after one missing and one late heartbeat.
-SUSPICION_TIMEOUT_MS = 3 * HEARTBEAT_INTERVAL_MS
-DISCONNECT_TIMEOUT_MS = 6 * HEARTBEAT_INTERVAL_MS  # aborts the connection; TCP alone would take minutes
+# Three intervals, so that a peer does not become silent after one missing and one late heartbeat.
+SILENT_TIMEOUT_MS = 3 * HEARTBEAT_INTERVAL_MS
+GONE_TIMEOUT_MS = 6 * HEARTBEAT_INTERVAL_MS  # ends the connection; TCP alone would take minutes to do so
 # About a hundred times the round trip within one site; an overloaded peer exceeds it.
 SLOW_ROUND_TRIP_MS = HEARTBEAT_INTERVAL_MS / 2
 PONG_TIMEOUT_MS = HEARTBEAT_INTERVAL_MS  # a peer that leaves a ping unanswered for longer is slow
@@ -26,10 +26,10 @@
 class PeerState(Enum):
     """How a peer can be reached from this node. The values are used in log lines and statistics."""
 
-    ALIVE = "live"
+    LIVE = "live"
     SLOW = "slow"  # messages arrive, but pings are answered late
-    SUSPECTED = "silent"  # connected, but no message arrives
-    DISCONNECTED = "gone"
+    SILENT = "silent"  # connected, but no message arrives
+    GONE = "gone"  # not connected
 
 
 class PeerStateChange(NamedTuple):
@@ -56,11 +56,11 @@
 
     def __init__(self, name: str, now_ms: float) -> None:
         self.name = name
-        self.state = PeerState.DISCONNECTED
+        self.state = PeerState.GONE
         self.state_since_ms = now_ms
-        # Whether a change to DISCONNECTED has been returned. A peer starts in that state without a change; it
-        # is returned when the first dial fails or the disconnect timeout passes without a connection.
-        self.is_disconnect_reported = False
+        # Whether a change to GONE has been returned. A peer starts in that state without a change; it
+        # is returned when the first dial fails or `GONE_TIMEOUT_MS` passes without a connection.
+        self.is_gone_reported = False
         self.last_check_at_ms = now_ms
         self.last_message_at_ms = now_ms
         self.last_ping_at_ms = now_ms
@@ -69,25 +69,25 @@
         self.round_trip_ms = 0.0  # smoothed; 0 if not measured
 
     def on_connected(self, now_ms: float) -> PeerStateChange | None:
-        """Enters ALIVE and restarts all timers: a connection was established."""
+        """Enters LIVE and restarts all timers: a connection was established."""
         self.last_message_at_ms = now_ms
         self.last_ping_at_ms = now_ms
         self.last_check_at_ms = now_ms
         self.awaited_pong = None
         self.round_trip_ms = 0.0
-        return self._change_state(now_ms, PeerState.ALIVE, "connected")
+        return self._change_state(now_ms, PeerState.LIVE, "connected")
 
     def on_disconnected(self, now_ms: float, reason: str) -> PeerStateChange | None:
-        """Enters DISCONNECTED: the connection ended, or none could be established."""
+        """Enters GONE: the connection ended, or none could be established."""
         self.awaited_pong = None
-        if self.state is PeerState.DISCONNECTED and not self.is_disconnect_reported:
-            self.is_disconnect_reported = True
+        if self.state is PeerState.GONE and not self.is_gone_reported:
+            self.is_gone_reported = True
             duration_ms = now_ms - self.state_since_ms
             return PeerStateChange(self.name, self.state, self.state, duration_ms, 0.0, reason)
-        return self._change_state(now_ms, PeerState.DISCONNECTED, reason)
+        return self._change_state(now_ms, PeerState.GONE, reason)
 
     def on_message(self, now_ms: float) -> None:
-        """Restarts the timers of suspicion and disconnection: a message of any type was received."""
+        """Restarts the timeouts of the states silent and gone: a message of any type was received."""
         self.last_message_at_ms = now_ms
 
     def on_pong(self, now_ms: float, number: int) -> None:
@@ -107,16 +107,16 @@
         """Updates the peer's state and returns what to do; called several times per heartbeat interval."""
         since_last_check_ms = now_ms - self.last_check_at_ms
         self.last_check_at_ms = now_ms
-        if self.state is PeerState.DISCONNECTED:
+        if self.state is PeerState.GONE:
             return CheckResult(change=self._check_never_connected(now_ms))
         if since_last_check_ms > HEARTBEAT_INTERVAL_MS:
             self._shift_times_by_pause(now_ms, since_last_check_ms)
         idle_ms = now_ms - self.last_message_at_ms
         unanswered_ms = 0.0 if self.awaited_pong is None else now_ms - self.last_ping_at_ms
-        if idle_ms >= DISCONNECT_TIMEOUT_MS:
+        if idle_ms >= GONE_TIMEOUT_MS:
             change = self._evaluate(now_ms, idle_ms, unanswered_ms)
             return CheckResult(abort_reason=_idle_reason(idle_ms), change=change)
-        if unanswered_ms >= DISCONNECT_TIMEOUT_MS:
+        if unanswered_ms >= GONE_TIMEOUT_MS:
             change = self._evaluate(now_ms, idle_ms, unanswered_ms)
             return CheckResult(abort_reason=_unanswered_reason(unanswered_ms), change=change)
         ping_number = None
@@ -129,7 +129,7 @@
         return CheckResult(ping_number, change=self._evaluate(now_ms, idle_ms, unanswered_ms))
 
     def _check_never_connected(self, now_ms: float) -> PeerStateChange | None:
-        if now_ms - self.state_since_ms > DISCONNECT_TIMEOUT_MS:
+        if now_ms - self.state_since_ms > GONE_TIMEOUT_MS:
             return self.on_disconnected(now_ms, "no connection established")
         return None
 
@@ -148,8 +148,8 @@
         return idle_ms >= HEARTBEAT_INTERVAL_MS or now_ms - self.last_ping_at_ms >= MAX_PING_INTERVAL_MS
 
     def _evaluate(self, now_ms: float, idle_ms: float, unanswered_ms: float) -> PeerStateChange | None:
-        if idle_ms > SUSPICION_TIMEOUT_MS:
-            return self._change_state(now_ms, PeerState.SUSPECTED, _idle_reason(idle_ms))
+        if idle_ms > SILENT_TIMEOUT_MS:
+            return self._change_state(now_ms, PeerState.SILENT, _idle_reason(idle_ms))
         if unanswered_ms > PONG_TIMEOUT_MS:
             return self._change_state(now_ms, PeerState.SLOW, _unanswered_reason(unanswered_ms))
         # Hysteresis, so that a peer near the limit does not change its state with every ping.
@@ -157,7 +157,7 @@
         round_trip_limit_ms = SLOW_ROUND_TRIP_MS / 2.0 if was_slow else SLOW_ROUND_TRIP_MS
         if self.round_trip_ms > round_trip_limit_ms:
             return self._change_state(now_ms, PeerState.SLOW, f"round trip of {self.round_trip_ms:.0f} ms")
-        return self._change_state(now_ms, PeerState.ALIVE, "pings are answered in time")
+        return self._change_state(now_ms, PeerState.LIVE, "pings are answered in time")
 
     def _change_state(self, now_ms: float, state: PeerState, reason: str) -> PeerStateChange | None:
         if state is self.state:
@@ -166,7 +166,7 @@
         change = PeerStateChange(self.name, self.state, state, duration_ms, self.round_trip_ms, reason)
         self.state = state
         self.state_since_ms = now_ms
-        self.is_disconnect_reported = state is PeerState.DISCONNECTED
+        self.is_gone_reported = state is PeerState.GONE
         return change
 
 
--- a/onyxpost/cluster/peer_log.py
+++ b/onyxpost/cluster/peer_log.py
@@ -16,7 +16,7 @@
     from onyxpost.cluster.membership import Membership
 
 MAX_REASON_CHARS = 200
-WARNING_STATES = (PeerState.SUSPECTED, PeerState.DISCONNECTED)
+WARNING_STATES = (PeerState.SILENT, PeerState.GONE)
 
 
 class PeerLog:
--- a/onyxpost/cluster/peer_monitor.py
+++ b/onyxpost/cluster/peer_monitor.py
@@ -33,9 +33,9 @@
         self._peer_log.log_state_change(change)
 
     def state_of(self, member: str) -> PeerState:
-        """Returns the state of a member; DISCONNECTED for a name that is not a member."""
+        """Returns the state of a member; GONE for a name that is not a member."""
         detector = self.detectors.get(member)
-        return PeerState.DISCONNECTED if detector is None else detector.state
+        return PeerState.GONE if detector is None else detector.state
 
     def on_connected(self, member: str, now_ms: float) -> None:
         """Updates the state of a member whose connection was established."""
@@ -46,13 +46,9 @@
         self._peer_log.log_state_change(self.detectors[member].on_disconnected(now_ms, reason))
 
     def on_dial_ended(self, member: str, now_ms: float, cause: Exception | None) -> None:
-        """Reports a member as disconnected when its first dial fails; later failures are not logged."""
+        """Reports a member as gone when its first dial fails; later failures are not logged."""
         detector = self.detectors.get(member)
-        if (
-            detector is None
-            or detector.state is not PeerState.DISCONNECTED
-            or detector.is_disconnect_reported
-        ):
+        if detector is None or detector.state is not PeerState.GONE or detector.is_gone_reported:
             return
         change = detector.on_disconnected(now_ms, f"{type(cause).__name__}: {cause}")
         self._peer_log.log_state_change(change)
--- a/onyxpost/leadership/acceptor.py
+++ b/onyxpost/leadership/acceptor.py
@@ -74,8 +74,7 @@
             self.restart_wait_ends_at_ms = now_ms + timing.acceptor_lease_ms
             return
         # Before its restart this acceptor promised no ballot number more than `skew_ms` above its clock, and
-        # the clock was set back by at most `skew_ms` since. So this number is at least as high as any that it
-        # promised.
+        # the clock was set back by at most `skew_ms` since. So it promised no number above this one.
         self.promised = Ballot(int(now_ms + 2.0 * timing.skew_ms), NO_BALLOT.node, 0)
         self.record = EMPTY_RECORD
         self.record_epoch_ms = 0
--- a/onyxpost/leadership/ballots.py
+++ b/onyxpost/leadership/ballots.py
@@ -2,7 +2,8 @@
 
 Acceptors compare only the numbers, and promise each number to at most one proposer, so no two leases have the
 same fencing token. The number of a new ballot is the proposer's clock in Unix milliseconds, or the highest
-number known plus one if that is greater. So numbers increase even after all acceptors have lost their state.
+number known plus one if that is greater. So numbers increase even after all acceptors have lost their state,
+because the clock has advanced since the last ballot.
 """
 
 from __future__ import annotations
--- a/onyxpost/leadership/fenced_call.py
+++ b/onyxpost/leadership/fenced_call.py
@@ -25,7 +25,7 @@
     from onyxpost.runtime.transport import Transport
 
 RESPONSE_LIMIT_BYTES = 65536
-CAUSE_LIMIT_CHARACTERS = 200  # longest text of a cause in an error
+CAUSE_LIMIT_CHARACTERS = 200  # longest cause in an error message
 TOKEN_LIMIT_DIGITS = 19  # the digits of a 64-bit number; a longer header value is not a token
 
 
--- a/onyxpost/leadership/participant.py
+++ b/onyxpost/leadership/participant.py
@@ -25,7 +25,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RoleSettings:
-    """A role's settings: all nodes of the cluster, and those that are barred from leading the role."""
+    """A role's settings: all nodes of the cluster, and those that are barred from leading the role.
+
+    A leader that resigns notifies all `nodes`, as each one that is not barred may succeed it.
+    """
 
     name: str
     timing: LeaseTiming
--- a/onyxpost/leadership/protocol.py
+++ b/onyxpost/leadership/protocol.py
@@ -18,7 +18,7 @@
 
 TOPIC = "duties"
 MESSAGE_LIMIT_BYTES = RECORD_LIMIT_BYTES + 1024  # the largest record and its envelope
-CAUSE_LIMIT_CHARACTERS = 200  # longest text of a decoder's error in an error
+CAUSE_LIMIT_CHARACTERS = 200  # longest text of a decoder that an error message contains
 
 Body = Annotated[bytes, Meta(max_length=RECORD_LIMIT_BYTES)]
 Milliseconds = Annotated[float, Meta(ge=0.0, le=600_000.0)]
--- a/onyxpost/leadership/service.py
+++ b/onyxpost/leadership/service.py
@@ -211,8 +211,7 @@
         return {
             node
             for node in self.config.nodes
-            if node != self.name
-            and self.connections.state_of(node) in (PeerState.DISCONNECTED, PeerState.SUSPECTED)
+            if node != self.name and self.connections.state_of(node) in (PeerState.GONE, PeerState.SILENT)
         }
 
     async def _report(self, role: str, address: Address) -> None:
--- a/tests/cluster/test_connections.py
+++ b/tests/cluster/test_connections.py
@@ -35,7 +35,7 @@
             connection for of_host in cluster.network.connections.values() for connection in of_host
         ]
         open_connections = sum(not connection.is_broken for connection in connections) // 2
-        assert cluster.states_seen_by("n0") == {PeerState.ALIVE}
+        assert cluster.states_seen_by("n0") == {PeerState.LIVE}
 
     cluster = run_scenario(scenario, size=5)
     bodies = [body for receiver, sender, _, body in cluster.received if (receiver, sender) == ("n1", "n0")]
@@ -53,7 +53,7 @@
         cluster.members["n1"].payloads.on_message = fail
         cluster.members["n0"].send("n1", TOPIC, b"")
         await asyncio.sleep(1.0)
-        assert cluster.members["n1"].state_of("n0") is PeerState.ALIVE
+        assert cluster.members["n1"].state_of("n0") is PeerState.LIVE
 
     cluster = run_scenario(scenario)
     assert len(cluster.logged("n1", "fault")) == 1
@@ -77,44 +77,44 @@
         assert MAX_UNSENT_BYTES - 2000 < largest_buffer <= MAX_UNSENT_BYTES
         assert sent_count < 300
         await asyncio.sleep(3.0)
-        assert member.state_of("n0") is PeerState.DISCONNECTED
-        assert member.state_of("n1") is PeerState.ALIVE
+        assert member.state_of("n0") is PeerState.GONE
+        assert member.state_of("n1") is PeerState.LIVE
 
     cluster = run_scenario(scenario, first=1)
     assert sum(message.receiver == "n1" for message in cluster.received) == 2000
     assert cluster.rejection_kinds("n2")[0] == "PeerTimeoutError"
 
 
-def test_a_killed_peer_is_disconnected_immediately_and_its_next_incarnation_is_connected() -> None:
+def test_a_killed_peer_is_gone_immediately_and_its_next_incarnation_is_connected() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
         cluster.kill("n1")
         await asyncio.sleep(0.1)
         for observer in ("n0", "n2"):
-            assert cluster.members[observer].state_of("n1") is PeerState.DISCONNECTED
+            assert cluster.members[observer].state_of("n1") is PeerState.GONE
         assert not cluster.members["n0"].send("n1", TOPIC, b"")
         await asyncio.sleep(10.0)
         restarted = await cluster.start("n1")
         await asyncio.sleep(2.5)
-        assert cluster.states_seen_by("n1") == {PeerState.ALIVE}
+        assert cluster.states_seen_by("n1") == {PeerState.LIVE}
         assert cluster.members["n0"].incarnation_of("n1") == restarted.incarnation
-        assert cluster.members["n0"].state_of("n2") is PeerState.ALIVE
+        assert cluster.members["n0"].state_of("n2") is PeerState.LIVE
 
     cluster = run_scenario(scenario)
     assert len(cluster.logged("n0", "cluster peer gone")) == 1  # not once per dial
 
 
-def test_a_partitioned_peer_is_suspected_then_disconnected_and_reconnects_soon() -> None:
+def test_a_partitioned_peer_is_silent_then_gone_and_reconnects_soon() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
         cluster.partition("n0", "n1")
         await asyncio.sleep(2.3)
-        assert cluster.members["n0"].state_of("n1") is PeerState.SUSPECTED
+        assert cluster.members["n0"].state_of("n1") is PeerState.SILENT
         await asyncio.sleep(1.5)
-        assert cluster.members["n1"].state_of("n0") is PeerState.DISCONNECTED
-        assert cluster.members["n1"].state_of("n2") is PeerState.ALIVE
+        assert cluster.members["n1"].state_of("n0") is PeerState.GONE
+        assert cluster.members["n1"].state_of("n2") is PeerState.LIVE
         cluster.blocked_links.clear()
         await asyncio.sleep(3.2)
-        assert cluster.states_seen_by("n0") == {PeerState.ALIVE}
-        assert cluster.states_seen_by("n1") == {PeerState.ALIVE}
+        assert cluster.states_seen_by("n0") == {PeerState.LIVE}
+        assert cluster.states_seen_by("n1") == {PeerState.LIVE}
 
     run_scenario(scenario)
 
@@ -126,21 +126,21 @@
         for _ in range(40):  # messages arrive continuously in the other direction
             cluster.members[receiver].send(blocked_sender, TOPIC, b"")
             await asyncio.sleep(0.1)
-        assert cluster.members[blocked_sender].state_of(receiver) is PeerState.DISCONNECTED
-        assert cluster.members[receiver].state_of(blocked_sender) is PeerState.DISCONNECTED
+        assert cluster.members[blocked_sender].state_of(receiver) is PeerState.GONE
+        assert cluster.members[receiver].state_of(blocked_sender) is PeerState.GONE
 
     run_scenario(scenario)
 
 
-def test_a_leaving_member_delivers_its_sent_messages_and_stays_disconnected() -> None:
+def test_a_leaving_member_delivers_its_sent_messages_and_stays_gone() -> None:
     async def scenario(cluster: VirtualCluster) -> None:
         cluster.members["n1"].send("n0", TOPIC, b"last")
         await cluster.members["n1"].leave()
         await asyncio.sleep(0.1)
-        assert cluster.members["n0"].state_of("n1") is PeerState.DISCONNECTED
+        assert cluster.members["n0"].state_of("n1") is PeerState.GONE
         await asyncio.sleep(5.0)
-        assert cluster.members["n0"].state_of("n1") is PeerState.DISCONNECTED  # although n1 still listens
-        assert cluster.members["n2"].state_of("n1") is PeerState.DISCONNECTED  # n1 does not dial either
+        assert cluster.members["n0"].state_of("n1") is PeerState.GONE  # although n1 still listens
+        assert cluster.members["n2"].state_of("n1") is PeerState.GONE  # n1 does not dial either
 
     assert Received("n0", "n1", TOPIC, b"last") in run_scenario(scenario).received
 
@@ -184,7 +184,7 @@
         await asyncio.sleep(6.0)
         cluster.network.reset_connections("n1")
         await asyncio.sleep(0.3)
-        assert cluster.members["n0"].state_of("n1") is PeerState.ALIVE
+        assert cluster.members["n0"].state_of("n1") is PeerState.LIVE
 
     run_scenario(scenario)
 
--- a/tests/cluster/test_failure_detector.py
+++ b/tests/cluster/test_failure_detector.py
@@ -3,9 +3,9 @@
 import pytest
 
 from onyxpost.cluster.failure_detector import (
-    DISCONNECT_TIMEOUT_MS,
+    GONE_TIMEOUT_MS,
+    SILENT_TIMEOUT_MS,
     SLOW_ROUND_TRIP_MS,
-    SUSPICION_TIMEOUT_MS,
     CheckResult,
     PeerFailureDetector,
     PeerState,
@@ -66,9 +66,9 @@
     return SimulatedPeer()
 
 
-def test_a_peer_that_answers_is_alive(peer: SimulatedPeer) -> None:
+def test_a_peer_that_answers_is_live(peer: SimulatedPeer) -> None:
     assert peer.run(20_000.0, 50.0) is None
-    assert peer.states() == [PeerState.ALIVE]
+    assert peer.states() == [PeerState.LIVE]
     assert peer.detector.round_trip_ms == 50.0
 
 
@@ -77,37 +77,37 @@
 ) -> None:
     peer.run(10_000.0, SLOW_ROUND_TRIP_MS + 100.0)
     peer.run(20_000.0, SLOW_ROUND_TRIP_MS - 50.0)  # too close to the limit to change the state
-    assert peer.states() == [PeerState.ALIVE, PeerState.SLOW]
+    assert peer.states() == [PeerState.LIVE, PeerState.SLOW]
     peer.run(20_000.0, 50.0)
-    assert peer.states() == [PeerState.ALIVE, PeerState.SLOW, PeerState.ALIVE]
+    assert peer.states() == [PeerState.LIVE, PeerState.SLOW, PeerState.LIVE]
 
 
-def test_a_peer_that_sends_nothing_is_suspected_then_disconnected(peer: SimulatedPeer) -> None:
+def test_a_peer_that_sends_nothing_is_silent_then_gone(peer: SimulatedPeer) -> None:
     peer.run(5000.0, 0.0)
     silent_since_ms = peer.now_ms
     reason = peer.run(10_000.0, None)
     assert reason is not None
     assert "no message for" in reason
-    assert PeerState.SUSPECTED in peer.states()
-    assert peer.now_ms - silent_since_ms < DISCONNECT_TIMEOUT_MS + HEARTBEAT_INTERVAL_MS
+    assert PeerState.SILENT in peer.states()
+    assert peer.now_ms - silent_since_ms < GONE_TIMEOUT_MS + HEARTBEAT_INTERVAL_MS
     change = peer.detector.on_disconnected(peer.now_ms, "aborted")
     assert change is not None
-    assert change.previous is PeerState.SUSPECTED
-    assert change.current is PeerState.DISCONNECTED
+    assert change.previous is PeerState.SILENT
+    assert change.current is PeerState.GONE
 
 
-def test_a_peer_that_sends_but_does_not_answer_is_slow_then_disconnected(peer: SimulatedPeer) -> None:
+def test_a_peer_that_sends_but_does_not_answer_is_slow_then_gone(peer: SimulatedPeer) -> None:
     reason = peer.run(10_000.0, None, sends_messages=True)
     assert reason is not None
     assert "no answer" in reason
-    assert peer.states() == [PeerState.ALIVE, PeerState.SLOW]
+    assert peer.states() == [PeerState.LIVE, PeerState.SLOW]
 
 
 def test_a_pause_of_this_process_does_not_change_the_state_of_the_peer(peer: SimulatedPeer) -> None:
     peer.run(5000.0, 50.0)
-    peer.now_ms += 3 * DISCONNECT_TIMEOUT_MS  # nothing was read during the pause
+    peer.now_ms += 3 * GONE_TIMEOUT_MS  # nothing was read during the pause
     assert peer.run(5000.0, 50.0) is None
-    assert peer.states() == [PeerState.ALIVE]
+    assert peer.states() == [PeerState.LIVE]
 
 
 def test_messages_read_between_a_pause_and_the_next_check_do_not_change_the_state(
@@ -121,7 +121,7 @@
     peer.detector.on_pong(peer.now_ms, ping_number)
     assert peer.detector.check(peer.now_ms) == CheckResult()
     assert peer.detector.round_trip_ms == 50.0
-    reason = peer.run(DISCONNECT_TIMEOUT_MS + HEARTBEAT_INTERVAL_MS, None)  # a silent peer is detected again
+    reason = peer.run(GONE_TIMEOUT_MS + HEARTBEAT_INTERVAL_MS, None)  # a silent peer is detected again
     assert reason is not None
     assert "no message for" in reason
 
@@ -139,5 +139,5 @@
 def test_a_peer_that_never_connected_is_reported_once() -> None:
     detector = PeerFailureDetector("n1", 0.0)
     changes = [detector.check(index * CHECK_INTERVAL_MS).change for index in range(100)]
-    assert [change.current for change in changes if change is not None] == [PeerState.DISCONNECTED]
-    assert DISCONNECT_TIMEOUT_MS > SUSPICION_TIMEOUT_MS
+    assert [change.current for change in changes if change is not None] == [PeerState.GONE]
+    assert GONE_TIMEOUT_MS > SILENT_TIMEOUT_MS
--- a/tests/cluster/test_loopback.py
+++ b/tests/cluster/test_loopback.py
@@ -131,7 +131,7 @@
             assert cluster is not None
             own = cluster.connections
             await wait_until(
-                lambda: other.state_of("n0") is PeerState.ALIVE and own.state_of("n1") is PeerState.ALIVE
+                lambda: other.state_of("n0") is PeerState.LIVE and own.state_of("n1") is PeerState.LIVE
             )
             for connection in (own.established["n1"], other.established["n0"]):
                 transport: Any = connection.writer.transport
@@ -139,7 +139,7 @@
             await check_messages_both_ways(cluster, other, received)
             check_reload(edge, fleet, 2, b"cluster membership rejected")
             check_reload(edge, fleet, 4, b"cluster membership changed")
-            await wait_until(lambda: other.state_of("n0") is PeerState.DISCONNECTED)
+            await wait_until(lambda: other.state_of("n0") is PeerState.GONE)
             other.close()
 
     asyncio.run(main(), debug=True)
@@ -158,7 +158,7 @@
         addresses["n1"] = await listen(listener)
         dialer.start()
         listener.start()
-        await wait_until(lambda: listener.state_of("n0") is PeerState.ALIVE)
+        await wait_until(lambda: listener.state_of("n0") is PeerState.LIVE)
 
     asyncio.run(main())
     assert faults == []
--- a/tests/cluster/test_membership_change.py
+++ b/tests/cluster/test_membership_change.py
@@ -22,8 +22,8 @@
         assert cluster.members["n2"].established == {}  # ended without waiting for a timeout
         await asyncio.sleep(3.0)
         for name in ("n0", "n1"):
-            assert cluster.members[name].state_of("n2") is PeerState.DISCONNECTED
-            assert cluster.members[name].state_of("n3") is PeerState.ALIVE
+            assert cluster.members[name].state_of("n2") is PeerState.GONE
+            assert cluster.members[name].state_of("n3") is PeerState.LIVE
         assert cluster.members["n0"].dialer.dial_count == 3  # the connection to n1 was kept
 
     assert len(run_scenario(scenario).logged("n0", "cluster membership rejected")) == 1
@@ -33,7 +33,7 @@
     async def scenario(cluster: VirtualCluster) -> None:
         cluster.members["n2"].update_membership(membership_of(2, "n1", "n2"))
         await asyncio.sleep(0.01)
-        assert cluster.members["n0"].state_of("n2") is PeerState.DISCONNECTED
+        assert cluster.members["n0"].state_of("n2") is PeerState.GONE
 
     run_scenario(scenario)
 
@@ -55,8 +55,8 @@
         members = cluster.membership.members | {"n1": address_of("n2")}
         cluster.members["n0"].update_membership(Membership(2, members))
         await asyncio.sleep(1.0)
-        assert cluster.members["n0"].state_of("n1") is PeerState.DISCONNECTED
-        assert cluster.members["n0"].state_of("n2") is PeerState.ALIVE
+        assert cluster.members["n0"].state_of("n1") is PeerState.GONE
+        assert cluster.members["n0"].state_of("n2") is PeerState.LIVE
 
     assert run_scenario(scenario).rejection_kinds("n2")[0] == "MemberNameMismatchError"
 
@@ -71,7 +71,7 @@
         assert not member.update_membership(membership_of(2, *cluster.names, "n9"))
         await leaving
         assert member.dialer.dial_count == dial_count
-        assert cluster.members["n1"].state_of("n0") is PeerState.DISCONNECTED
+        assert cluster.members["n1"].state_of("n0") is PeerState.GONE
         await asyncio.sleep(3.0)
         assert member.dialer.dial_count == dial_count
 
@@ -95,7 +95,7 @@
         member = cluster.members["n2"]
         later = await cluster.dial_as_n0("n2", incarnation="2000-later")
         await read_message(later.reader)
-        assert member.state_of("n0") is PeerState.ALIVE
+        assert member.state_of("n0") is PeerState.LIVE
         member.update_membership(membership_of(2, "n1", "n2"))
         member.update_membership(membership_of(3, "n0", "n1", "n2"))
         earlier = await cluster.dial_as_n0("n2", incarnation="1000-earlier")
--- a/tests/cluster/test_races.py
+++ b/tests/cluster/test_races.py
@@ -47,7 +47,7 @@
         transport.abort()
         await asyncio.sleep(0.1)
         assert member.incarnation_of("n0") == incarnation
-        assert member.state_of("n0") is PeerState.ALIVE
+        assert member.state_of("n0") is PeerState.LIVE
         dialed.writer.close()
 
     run_scenario(scenario)
@@ -67,9 +67,9 @@
         member.update_membership(membership_of(2, "n1", "n2"))
         await asyncio.sleep(0.1)
         assert list(member.established) == ["n1"]
-        assert member.state_of("n0") is PeerState.DISCONNECTED
+        assert member.state_of("n0") is PeerState.GONE
         assert len(member.listener.unidentified) == 0
-        assert member.state_of("n1") is PeerState.ALIVE
+        assert member.state_of("n1") is PeerState.LIVE
         dialed.writer.close()
 
     assert run_scenario(scenario, first=1).logged("n2", "fault") == []
@@ -85,7 +85,7 @@
             dialed.writer.write(frame[:length])
             dialed.writer.close()
             await asyncio.sleep(0.1)
-            assert member.state_of("n0") is PeerState.DISCONNECTED
+            assert member.state_of("n0") is PeerState.GONE
             assert member.handshake.latest_accepted["n0"] == ConnectionOrder(FORGED_INCARNATION, length)
 
     cluster = run_scenario(scenario, first=1)
@@ -124,7 +124,7 @@
         new_transport.receive(hello_frame("n2", dial_number=2) + encode_frame(Payload(TOPIC, b"new")))
         old_transport.reset()
         await asyncio.sleep(0.1)
-        assert member.state_of("n0") is PeerState.ALIVE
+        assert member.state_of("n0") is PeerState.LIVE
         assert member.handshake.latest_accepted["n0"].dial_number == 2
         assert len(member.listener.unidentified) == 0
         first.writer.close()
--- a/tests/cluster/test_rejected_connections.py
+++ b/tests/cluster/test_rejected_connections.py
@@ -63,7 +63,7 @@
         assert cluster.members["n1"].incarnation_of("n0") == FORGED_INCARNATION
         dialed.writer.write(encode_frame(Payload(TOPIC, b"new")))
         await asyncio.sleep(2.5)
-        assert earlier.state_of("n1") is PeerState.DISCONNECTED
+        assert earlier.state_of("n1") is PeerState.GONE
         assert cluster.members["n1"].incarnation_of("n0") == FORGED_INCARNATION
 
     cluster = run_scenario(scenario)
@@ -77,7 +77,7 @@
         await read_message(dialed.reader)
         dialed.writer.write(hello_frame("n2", dial_number=2))
         await asyncio.sleep(0.1)
-        assert cluster.members["n2"].state_of("n0") is PeerState.DISCONNECTED
+        assert cluster.members["n2"].state_of("n0") is PeerState.GONE
 
     assert run_scenario(scenario, first=1).rejection_kinds("n2") == ["MalformedFrameError"]
 
@@ -139,7 +139,7 @@
             dialed.writer.write(b"\xff" * 64)
         await asyncio.sleep(1.5)
         assert len(unidentified) == 0
-        assert cluster.states_seen_by("n1") == {PeerState.ALIVE}
+        assert cluster.states_seen_by("n1") == {PeerState.LIVE}
         for dialed in dialed_connections:
             dialed.writer.close()
 
