--- a/onyxpost/cluster/unidentified.py
+++ b/onyxpost/cluster/unidentified.py
@@ -17,7 +17,7 @@
     """The accepted connections without a hello; above a limit the oldest one is aborted."""
 
     def __init__(self) -> None:
-        self._writers: dict[asyncio.StreamWriter, None] = {}  # oldest first
+        self._writers: dict[asyncio.StreamWriter, None] = {}  # ordered by age, the oldest first
 
     def __len__(self) -> int:
         return len(self._writers)
--- a/onyxpost/leadership/election.py
+++ b/onyxpost/leadership/election.py
@@ -1,4 +1,4 @@
-"""The result of an election, which the candidate hands to the leader. Pure."""
+"""The result of an election, from which the leader is created. Pure."""
 
 from __future__ import annotations
 
--- a/onyxpost/leadership/errors.py
+++ b/onyxpost/leadership/errors.py
@@ -18,7 +18,7 @@
 class MembershipChangeError(LeadershipError, InvalidInputError):
     """An acceptor set must not replace the one in force, as their majorities might not intersect."""
 
-    remedy = "add or remove one voter at a time, with the next `version`, when the last change is in force"
+    remedy = "add or remove one voter at a time, with the next `version`, once the last change is in force"
 
 
 class MalformedMessageError(LeadershipError):
--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -107,7 +107,7 @@
     ),
     (
         "add or remove one voter a step, version one higher, once the step before is in force",
-        "add or remove one voter at a time, with the next `version`, when the last change is in force",
+        "add or remove one voter at a time, with the next `version`, once the last change is in force",
     ),
     (
         "move the file away while most other voters run: the voter learns from them; look at the disk",
