--- a/onyxpost/leadership/config.py
+++ b/onyxpost/leadership/config.py
@@ -1,4 +1,4 @@
-"""The section `duties` of a node's file. Every error names the key at fault."""
+"""The section `duties` of a node's file: roles, acceptors and timing. Every error names the invalid key."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class LeadershipSection(Settings):
-    """The section as it is written; the keys are those of `field(name=...)`."""
+    """The section as written in the file; `field(name=...)` gives a key that differs from the attribute."""
 
     version: Annotated[int, Meta(ge=1, lt=2**53)]
     acceptors: Annotated[list[Name], Meta(min_length=3, max_length=7)] = field(name="voters")
@@ -37,10 +37,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipConfig:
-    """The section, checked.
+    """The validated section.
 
-    `nodes` are the members of the cluster, each of which may lead a role that it is not barred from. Each
-    leader reports to `fenced_resource`, if there is one. Acceptors keep a log at `log_path`, if it is given.
+    `nodes` are the members of the cluster; each may lead any role that `barred` does not exclude it from.
+    Leaders report to `fenced_resource` every `report_interval_ms`; None: no reports. Acceptors keep a log at
+    `log_path`; None: their state is lost at a restart.
     """
 
     acceptors: AcceptorSet
@@ -54,11 +55,11 @@
 
 
 def read_section(data: Any, nodes: tuple[str, ...]) -> LeadershipConfig:  # noqa: ANN401  decoded JSON
-    """Checks the decoded section; `nodes` are the members of the cluster.
+    """Validates the section, given as decoded JSON; `nodes` are the members of the cluster.
 
     Raises:
-        LeadershipConfigError: a key has a value that cannot be used.
-        MembershipChangeError: the acceptors cannot follow those before.
+        LeadershipConfigError: a key is missing, unknown or has an invalid value.
+        MembershipChangeError: the acceptor set must not follow the previous one that the section names.
     """
     try:
         section = decode_as(data, LeadershipSection, SECTION)
@@ -84,20 +85,22 @@
     lists = {"voters": section.acceptors, "names": section.roles, "before": section.previous_acceptors}
     for key, names in lists.items():
         if len(set(names)) < len(names):
-            raise _error("a name twice", key)
+            raise _error("a name occurs more than once", key)
     unknown = set(section.acceptors) - set(nodes)
     if unknown:
-        raise _error(f"{min(unknown)} is no member of the fleet", "voters")
+        raise _error(f"{min(unknown)} is not one of the members in `fleet.members`", "voters")
     if len(section.acceptors) % 2 == 0 and not section.previous_acceptors:
-        raise _error("3, 5 or 7 voters; 4 or 6 only on the way there", "voters")
+        raise _error(
+            f"expected 3, 5 or 7 voters (4 or 6 if `before` is set), got {len(section.acceptors)}", "voters"
+        )
 
 
 def _check_barred(section: LeadershipSection, nodes: tuple[str, ...]) -> None:
     for role, barred in section.barred.items():
         if role not in section.roles:
-            raise _error("no such role", f"barred.{role}")
+            raise _error("the role is not listed in `names`", f"barred.{role}")
         if set(nodes) <= set(barred):
-            raise _error("all nodes are barred", f"barred.{role}")
+            raise _error(f"all {len(nodes)} nodes are barred, so no node can lead the role", f"barred.{role}")
 
 
 def _resource_address(section: LeadershipSection) -> Address | None:
--- a/onyxpost/leadership/proposal_validation.py
+++ b/onyxpost/leadership/proposal_validation.py
@@ -1,4 +1,4 @@
-"""Whether an acceptor may promise or accept a ballot. Pure."""
+"""The check whether an acceptor may promise or accept a ballot. Pure."""
 
 from __future__ import annotations
 
@@ -20,9 +20,10 @@
     lease: GrantedLease,
     timing: LeaseTiming,
 ) -> RejectReason | None:
-    """Returns why a voting acceptor with this state and lease rejects the proposal; None if it does not.
+    """Returns why an acceptor with this state and lease must reject the proposal, or None.
 
-    The proposal is of the acceptor's own set. `now_ms` is of the acceptor's clock.
+    The caller has checked that the acceptor votes and that the proposal is for its acceptor set. `now_ms` is
+    the reading of the acceptor's clock.
     """
     ballot = proposal.ballot
     if ballot.number > now_ms + timing.skew_ms:
@@ -31,7 +32,7 @@
         return RejectReason.HIGHER_PROMISE
     if isinstance(proposal, Accept):
         return _find_accept_reject_reason(proposal, state.record, timing)
-    return RejectReason.LEASE_ACTIVE if lease.excludes(now_ms, ballot) else None
+    return RejectReason.LEASE_ACTIVE if lease.is_held_by_other(now_ms, ballot) else None
 
 
 def _find_accept_reject_reason(accept: Accept, known: Record, timing: LeaseTiming) -> RejectReason | None:
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -25,8 +25,8 @@
         ({"version": 0}, "$.version"),
         ({"members": {}}, "$.members"),
         ({"listen": "x"}, "$.fleet.listen"),
-        ({"members": {"n1": "10.0.0.2:7"}}, "n0 is none of the members"),
-        ({"members": MEMBERS | {"n2": "10.0.0.2:7"}}, "address of n1 again"),
+        ({"members": {"n1": "10.0.0.2:7"}}, "n0 is not one of the members"),
+        ({"members": MEMBERS | {"n2": "10.0.0.2:7"}}, "same address as n1"),
         ({"members": MEMBERS | {"n2": "10.0.0.3:0"}}, "$.fleet.members.n2"),
         ({"members": MEMBERS | {"n" * 65: "10.0.0.3:7"}}, "65 characters"),
         ({"members": MEMBERS | {f"m{i}": f"10.0.1.1:{i + 1}" for i in range(255)}}, "256"),
@@ -72,6 +72,8 @@
     old = Membership(1, {f"n{i}": ("a", i) for i in range(5)})
     new = Membership(2, {f"n{i}": ("a", i) for i in (1, 2, 4)} | {"n0": ("b", 9), "n3": ("b", 9)})
     only_n1 = Membership(3, {"n1": ("a", 1)})
-    assert members_to_disconnect(old, new, "n2") == ["n3"]  # n0 dials n2: its address does not matter
+    assert members_to_disconnect(old, new, "n2") == [
+        "n3"
+    ]  # n0 dials n2, so n2 does not use the address of n0
     assert members_to_disconnect(old, only_n1, "n1") == ["n0", "n2", "n3", "n4"]
     assert members_to_disconnect(old, only_n1, "n2") == list(old.members)
