--- a/onyxpost/rollout/__init__.py
+++ b/onyxpost/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Routing rules, and the metrics and analysis of their rollout. Loaded only if a node's file names rules."""
+"""Routing rules, and the metrics and analysis of their rollout. Imported only by nodes that have rules."""
--- a/onyxpost/rollout/analysis/__init__.py
+++ b/onyxpost/rollout/analysis/__init__.py
@@ -1,1 +1,1 @@
-"""Sequential analysis of a version on trial (docs/rollouts-analysis.md). Pure; may be evaluated any time."""
+"""Sequential analysis of a rollout (docs/rollouts-analysis.md). Does no I/O; valid at every evaluation."""
--- a/onyxpost/rollout/analysis/baseline.py
+++ b/onyxpost/rollout/analysis/baseline.py
@@ -1,4 +1,4 @@
-"""What stands for control in the last stage, in which all requests are served by the candidate."""
+"""The baseline that replaces control in the last stage, in which the candidate serves all requests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from onyxpost.rollout.analysis.thresholds import Measure, Thresholds
 
 STANDARD_ERRORS = 3.0
-"""Added to control's measured failure rate."""
+"""Standard errors added to control's measured failure rate."""
 
 
 class GroupMeasure(NamedTuple):
@@ -28,19 +28,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Baseline:
-    """Upper bounds on control's last failure rates, and the last latency thresholds by stratum name."""
+    """Upper bounds on control's last failure rates, and its last latency thresholds by stratum name."""
 
     latency_thresholds: Mapping[str, LatencyThresholds]
     max_failure_rates: Mapping[GroupMeasure, float]
 
     def max_failure_rate(self, group_name: str, measure: Measure) -> float:
-        """Returns the bound for a group; the bound over all requests if the group was never observed."""
+        """Returns the bound for a group; the bound for all requests if the group was never observed."""
         over_all_requests = self.max_failure_rates.get(GroupMeasure(ALL_REQUESTS.name, measure), 1.0)
         return self.max_failure_rates.get(GroupMeasure(group_name, measure), over_all_requests)
 
 
 def max_baseline_rate(counts: PairedCounts, cluster_size: float, thresholds: Thresholds) -> float:
-    """Returns control's failure rate plus standard errors for clustered failures and the allowed drift."""
+    """Returns control's failure rate plus its standard errors, for clustered failures, and allowed drift."""
     requests = max(1.0, counts.control_requests)
     rate = counts.control_rate
     error = STANDARD_ERRORS * math.sqrt(cluster_size * (rate + 1.0 / requests) / requests)
--- a/onyxpost/rollout/analysis/decision.py
+++ b/onyxpost/rollout/analysis/decision.py
@@ -1,4 +1,7 @@
-"""Decides whether a stage halts, advances or is held. Pure; holds whenever the evidence is insufficient."""
+"""Decides whether a stage halts, advances or holds. Does no I/O.
+
+A stage holds as long as the evidence is insufficient for another outcome.
+"""
 
 from __future__ import annotations
 
@@ -15,13 +18,14 @@
     from onyxpost.rollout.metrics.aggregation import NodeActivity
 
 SUSPICION_FACTOR = 10.0
-"""A stage is held from this part of the e-value on that would halt it."""
+"""A stage holds once its e-value exceeds the halt threshold divided by this factor."""
 
 MAX_PRINTED_LOG = 60.0
+"""Limit on the logarithm of a printed e-value; the exponential of a very large one would overflow."""
 
 
 class Outcome(StrEnum):
-    """What is to become of a stage."""
+    """The outcome of a stage: the rollout halts, advances to the next stage, or holds at this stage."""
 
     HALT = "halt"
     ADVANCE = "advance"
@@ -30,19 +34,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """An outcome, and the reason for it in one line with figures, for the record and the log."""
+    """An outcome, and the reason in one line with figures, for the record and the log."""
 
     outcome: Outcome
     reason: str
 
 
 def decide(evidence: Evidence, activity: NodeActivity, stage_duration_ms: float) -> Decision:
-    """Returns the decision on a stage; may be called at any time.
+    """Returns the decision on a stage; the error probabilities hold however often this is called.
 
     Args:
-        evidence: what the stage has shown.
-        activity: the state of the nodes that are in the stage.
-        stage_duration_ms: time since the stage began.
+        evidence: the evidence of the stage so far.
+        activity: the activity of the nodes in the stage.
+        stage_duration_ms: the time since the stage began.
     """
     if reason := _halt_reason(evidence):
         return Decision(Outcome.HALT, reason)
@@ -53,7 +57,7 @@
 
 
 def log_halt_threshold(evidence: Evidence) -> float:
-    """Returns the logarithm of the e-value that halts a stage."""
+    """Returns the logarithm of the e-value at which a stage halts."""
     thresholds = evidence.thresholds
     return math.log(thresholds.stages / thresholds.max_false_halt_probability)
 
@@ -129,7 +133,10 @@
 
 
 def _inferiority_reason(evidence: Evidence) -> str | None:
-    """Returns the first measure by which the candidate may still be worse by the margin."""
+    """Returns the reason to hold for the first measure by which the candidate may be worse by the margin.
+
+    Returns None if no measure is left. In the last stage, without control, non-inferiority is not tested.
+    """
     if evidence.baseline is not None:
         return None
     required = -math.log(evidence.thresholds.max_false_advance_probability)
--- a/onyxpost/rollout/analysis/evidence.py
+++ b/onyxpost/rollout/analysis/evidence.py
@@ -1,4 +1,4 @@
-"""What the counters of one stage have shown: one test for each group of strata and each measure. Pure."""
+"""The evidence of one stage: one test for each group of strata and each measure. Does no I/O."""
 
 from __future__ import annotations
 
@@ -27,33 +27,33 @@
     from onyxpost.rollout.metrics.aggregation import CounterIncrement, Stratum
 
 RECENT_DECAY = 0.5
-"""Factor by which recent counts lose weight in each period."""
+"""Factor by which the weight of recent counts is multiplied at the end of each period."""
 
 MIN_UNTESTED_WEIGHT = 1e-12
-"""Keeps the logarithm defined when all groups have been seen."""
+"""Lower bound on the weight of groups not yet seen, which keeps its logarithm defined."""
 
 
 class RegressionTest(NamedTuple):
-    """Identifies a test for a regression by one measure in one group."""
+    """Identifies the test for a regression of one measure in one group."""
 
     group: Group
     measure: Measure
 
     @property
     def weight(self) -> float:
-        """The test's part of the probability of a false halt."""
+        """The test's share of the false halt probability."""
         limits = LEVEL_LIMITS[self.group.level]
         return MEASURE_WEIGHTS[self.measure] * limits.weight / limits.max_groups
 
     @property
     def group_measure(self) -> GroupMeasure:
-        """The key of the counts that were tested."""
+        """The key of the test's counts and of its bound in a baseline."""
         return GroupMeasure(self.group.name, self.measure)
 
 
 @dataclass(slots=True)
 class _StratumUpdate:
-    """Gains and counts of one stratum and measure, summed over the cells of one update."""
+    """Logarithms of gains and counts of one stratum and measure, summed over the cells of one update."""
 
     log_gains: LogGains
     counts: PairedCounts
@@ -65,9 +65,9 @@
 
 
 class Evidence:
-    """Evidence of one stage; each stage begins with a new one.
+    """The evidence of one stage; each stage begins with a new instance.
 
-    With a baseline there is no control: the candidate is tested against control's last failure rates.
+    With a baseline there is no control, and the candidate is tested against control's last failure rates.
     """
 
     def __init__(self, thresholds: Thresholds, baseline: Baseline | None = None) -> None:
@@ -83,7 +83,7 @@
         self._registry = StratumRegistry()
 
     def update(self, increments: Iterable[CounterIncrement]) -> None:
-        """Tests what the nodes counted since their last snapshots."""
+        """Updates the tests with the counts that the nodes added since their last snapshots."""
         updates: dict[tuple[Stratum, Measure], _StratumUpdate] = {}
         for increment in increments:
             stratum = self._registry.resolve(increment.stratum)
@@ -100,7 +100,10 @@
             self._update_groups(stratum, measure, update)
 
     def on_period_end(self) -> None:
-        """Ages what is recent; to be called once a minute of the stage, by time alone."""
+        """Reduces the weight of recent counts and releases a part of each test's reserve.
+
+        Must be called once per minute of the stage, at times that do not depend on results.
+        """
         for test in self.regression_tests.values():
             test.release_reserve()
         self.recent_outage_requests *= RECENT_DECAY
@@ -108,14 +111,17 @@
         self._latency.on_period_end()
 
     def total_counts(self, measure: Measure, group_name: str = ALL_REQUESTS.name) -> PairedCounts:
-        """Returns the counts of a measure in a group, in cells where both sides had requests."""
+        """Returns a group's counts of a measure, over the cells in which both sides had requests.
+
+        With a baseline, these are the cells in which the candidate had requests.
+        """
         return self._totals.get(GroupMeasure(group_name, measure), PairedCounts())
 
     def log_e_value(self) -> float:
         """Returns the logarithm of the weighted mean of all regression tests.
 
-        If the candidate is no worse than control, the mean ever exceeds 1/alpha with probability at most
-        alpha. Groups that have not been seen keep the value that they began with.
+        If the candidate is no worse than control, the probability that the mean ever exceeds 1/alpha is at
+        most alpha. Tests of groups that have not been seen have their initial value of 1.
         """
         tested_weight = 0.0
         logs = []
@@ -126,7 +132,7 @@
         return log_sum_exp(logs)
 
     def strongest_regression(self) -> GroupMeasure:
-        """Returns the group and measure that contribute most to the e-value."""
+        """Returns the group and measure whose test contributes most to the e-value."""
 
         def contribution(key: RegressionTest) -> float:
             return math.log(key.weight) + self.regression_tests[key].log_value()
@@ -134,7 +140,7 @@
         return max(self.regression_tests, key=contribution).group_measure
 
     def as_baseline(self) -> Baseline:
-        """Returns what the last stage, which has no control, is to be tested against."""
+        """Returns the baseline against which the last stage, which has no control, is tested."""
         rates = {}
         for key in self.regression_tests:
             if key.group.level is not Level.DIMENSION:
@@ -144,7 +150,10 @@
         return Baseline(self._latency.all_thresholds(), rates)
 
     def _observe_outage(self, failures: PairedCounts) -> bool:
-        """Returns whether control fails so often in a cell that it is no evidence against the candidate."""
+        """Returns whether control's failure rate in a cell indicates an outage; counts the cell's requests.
+
+        Such a cell is no evidence against the candidate.
+        """
         outage_failures = self.thresholds.outage_failure_rate * max(1, failures.control_requests)
         is_outage = failures.control_failures >= outage_failures
         if is_outage:
@@ -154,7 +163,7 @@
     def _test_cell(
         self, stratum: Stratum, measure: Measure, counts: PairedCounts, *, is_outage: bool
     ) -> LogGains:
-        """Returns the cell's gains in the regression test; updates the test for non-inferiority."""
+        """Returns the cell's log gains in the regression tests; updates the non-inferiority test."""
         cluster_size = self._cluster_size(measure)
         if measure is Measure.FAILED_REQUESTS:
             self.recent_failures += counts
@@ -165,7 +174,7 @@
         gains = regression_log_gains(
             counts, self.thresholds.absolute_tolerance, self.thresholds.relative_tolerance, cluster_size
         )
-        if is_outage:  # a fault that control has too may clear the candidate, but not count against it
+        if is_outage:  # a fault that also affects control may lower the e-value, but not raise it
             gains = [min(0.0, gain) for gain in gains]
         self._overdispersion[measure].observe(stratum_name(stratum), counts)
         margin = self.thresholds.non_inferiority_margins.get(measure)
--- a/onyxpost/rollout/analysis/latency_thresholds.py
+++ b/onyxpost/rollout/analysis/latency_thresholds.py
@@ -1,4 +1,4 @@
-"""Learns, for each stratum, which latencies count as slow, from control's earlier requests."""
+"""Estimates each stratum's latency thresholds from control's earlier requests."""
 
 from __future__ import annotations
 
@@ -14,10 +14,13 @@
     from onyxpost.rollout.metrics.protocol import RequestCounters
 
 MIN_REQUESTS = 200
-"""Requests of control that set a stratum's first thresholds."""
+"""Control requests after which a stratum's first thresholds are set."""
 
 SLOW_QUANTILE = 0.8
+"""Quantile of control's latencies above which a request is slow."""
+
 TAIL_QUANTILE = 0.97
+"""Quantile of control's latencies above which a request is in the tail."""
 
 
 @dataclass(slots=True)
@@ -44,8 +47,9 @@
 class LatencyThresholdEstimator:
     """Latency thresholds by stratum name.
 
-    They are set once control has had enough requests, and again at the end of a period whenever its
-    requests have doubled. A cell is always measured by thresholds that were set before it.
+    Thresholds are set once control has had `MIN_REQUESTS` requests. They are updated at the end of a period
+    if the number of control's requests has doubled since the last update. A cell is always measured by
+    thresholds that were set before it.
     """
 
     def __init__(self, initial: Mapping[str, LatencyThresholds]) -> None:
@@ -53,22 +57,22 @@
         self._latencies: dict[str, _ControlLatencies] = {}
 
     def thresholds(self, stratum_name: str) -> LatencyThresholds:
-        """Returns the thresholds in force for a stratum."""
+        """Returns the current thresholds of a stratum; 0 where none are set."""
         return self._thresholds.get(stratum_name, LatencyThresholds())
 
     def all_thresholds(self) -> dict[str, LatencyThresholds]:
-        """Returns the thresholds of all strata that have some."""
+        """Returns the thresholds of all strata that have thresholds, by stratum name."""
         return dict(self._thresholds)
 
     def observe_control(self, stratum_name: str, control: RequestCounters) -> None:
-        """Adds control's counters of a cell that was measured before."""
+        """Adds control's counters of a cell, which must already have been measured by earlier thresholds."""
         latencies = self._latencies.setdefault(stratum_name, _ControlLatencies())
         latencies.add(control)
         if stratum_name not in self._thresholds and latencies.requests >= MIN_REQUESTS:
             self._update(stratum_name, latencies)
 
     def on_period_end(self) -> None:
-        """Renews the thresholds of strata whose requests have doubled since."""
+        """Updates the thresholds of strata whose control requests have doubled since the last update."""
         for stratum_name, latencies in self._latencies.items():
             if latencies.has_doubled():
                 latencies.start_next_doubling()
--- a/onyxpost/rollout/analysis/measures.py
+++ b/onyxpost/rollout/analysis/measures.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LatencyThresholds:
-    """The latencies above which a request is slow, or in the tail; 0 while not known."""
+    """The latencies above which a request is slow or in the tail; 0 while unknown."""
 
     slow_ms: int = 0
     tail_ms: int = 0
@@ -33,8 +33,8 @@
 ) -> Mapping[Measure, PairedCounts]:
     """Returns both sides' requests and failures by measure.
 
-    The latency thresholds must come from requests before these. Requests rejected by quota are left out, as
-    no routing rule changes them.
+    The latency thresholds must be set from earlier requests. Requests rejected by quota are excluded, because
+    routing rules do not affect them.
     """
     candidate_counts = _count_failures(candidate, latency)
     control_counts = _count_failures(control, latency)
--- a/onyxpost/rollout/analysis/overdispersion.py
+++ b/onyxpost/rollout/analysis/overdispersion.py
@@ -1,7 +1,7 @@
-"""Estimates by how much candidate and control differ more from cell to cell than independent requests would.
+"""Estimates how much more failures vary from cell to cell than those of independent requests.
 
-The estimate is predictable in the sense of martingales: a cell is tested with what earlier cells gave, and
-observed afterwards.
+The estimate is predictable in the sense of martingales: each cell is tested with the estimate from earlier
+cells and is observed afterwards.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
     from onyxpost.rollout.analysis.paired_counts import PairedCounts
 
 PRIOR_FAILURES = 30.0
-"""Failures that the minimal cluster size is worth in the estimate."""
+"""Weight of the minimum cluster size in the estimate, as a number of failures."""
 
 
 class _StratumSurplus(NamedTuple):
@@ -25,10 +25,11 @@
 
 
 class Overdispersion:
-    """Ratio of the squared surplus of the candidate's failures to its variance for independent failures.
+    """The ratio of the squared surplus of the candidate's failures to its variance if they were independent.
 
-    The surplus is taken about each stratum's mean, so that a lasting difference between candidate and
-    control does not count as dispersion.
+    The surplus is the difference from control's failures, scaled to the candidate's requests. It is taken
+    relative to each stratum's mean, so that a lasting difference between candidate and control does not
+    count as dispersion.
     """
 
     def __init__(self) -> None:
@@ -37,12 +38,12 @@
         self._strata: dict[str, _StratumSurplus] = {}
 
     def cluster_size(self, minimum: float) -> float:
-        """Returns the estimated size of clusters of failures, which is at least `minimum`."""
+        """Returns the estimated size of clusters of failures, at least `minimum`."""
         squared_surplus = PRIOR_FAILURES * minimum + self._squared_surplus
         return max(minimum, squared_surplus / (PRIOR_FAILURES + self._independent_variance))
 
     def observe(self, stratum_name: str, counts: PairedCounts) -> None:
-        """Takes a cell into the estimate; control must have had requests in it."""
+        """Adds a cell to the estimate; control must have had requests in the cell."""
         requests = counts.candidate_requests
         ratio = requests / counts.control_requests
         known = self._strata.get(stratum_name, _StratumSurplus())
--- a/onyxpost/rollout/analysis/paired_counts.py
+++ b/onyxpost/rollout/analysis/paired_counts.py
@@ -1,4 +1,4 @@
-"""Requests and failures of candidate and control, counted over the same time."""
+"""Requests and failures of candidate and control over the same time."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PairedCounts:
-    """Requests and failures of both sides; fractional where older counts were given a lower weight."""
+    """Requests and failures of both sides; fractional if older counts have a lower weight."""
 
     candidate_requests: float = 0.0
     candidate_failures: float = 0.0
@@ -33,7 +33,7 @@
 
     @property
     def requests(self) -> float:
-        """Requests of both sides."""
+        """The sum of both sides' requests."""
         return self.candidate_requests + self.control_requests
 
     @property
--- a/onyxpost/rollout/analysis/sequential_test.py
+++ b/onyxpost/rollout/analysis/sequential_test.py
@@ -1,16 +1,17 @@
-"""Sequential tests by betting: test martingales that grow where candidate and control differ.
+"""Sequential tests by betting: e-processes that grow if candidate and control differ.
 
-Derived in docs/rollouts-analysis.md, after the "testing by betting" of Shafer and of Waudby-Smith and Ramdas.
-A cell is what one node counted in one stratum between two of its snapshots: N requests of the candidate and
-M of control, x and y of them failed. With r = N/M * (1 + relative tolerance) and any stake s with s * r < 1,
+The derivation is in docs/rollouts-analysis.md, after "testing by betting" by Shafer and by Waudby-Smith and
+Ramdas. A cell holds the counts of one node in one stratum between two of its snapshots: N requests of the
+candidate, of which x failed, and M of control, of which y failed. With r = N/M * (1 + relative tolerance) and
+any stake s with s * r < 1,
 
     e = (1 + s)^x * (1 - s * r)^y * exp(-s * N * absolute tolerance)
 
 has a mean of at most one if the candidate's failure rate is at most (1 + relative tolerance) times control's
-plus the absolute tolerance, whatever control's rate is and however it changes. e^(1/c) keeps that property if
-failures come in clusters of up to c. Limiting a cell's gain only lowers the mean, and keeps any single cell
-from halting a rollout. By Ville's inequality the product over cells ever exceeds 1/alpha with probability at
-most alpha.
+plus the absolute tolerance, whatever control's rate is and however it changes. If failures come in clusters
+of up to c, the same is true of e^(1/c). The limit on a cell's gain only lowers the mean, and prevents a
+single cell from halting a rollout. By Ville's inequality, the probability that the product over cells ever
+exceeds 1/alpha is at most alpha.
 """
 
 from __future__ import annotations
@@ -23,27 +24,27 @@
     from onyxpost.rollout.analysis.paired_counts import PairedCounts
 
 LogGains = Sequence[float]
-"""Logarithms of the gains of one cell, one for each of `STAKES`."""
+"""Logarithms of the gains of one cell, in the order of `STAKES`."""
 
 STAKES = (0.05, 0.2, 0.5, 0.9)
-"""Stakes that share the capital equally: small ones detect small regressions, large ones large ones."""
+"""Stakes among which the capital is split equally; small stakes suit small regressions, large ones large."""
 
 MAX_LOG_GAIN = math.log(4.0)
-"""Limit on the gain of one cell."""
+"""Upper limit on the logarithm of the gain of one cell."""
 
 INITIAL_FRACTION = 0.5
-"""Part of the capital that is bet at once; the rest is a reserve for regressions that begin late."""
+"""Fraction of the capital that is bet from the start; the rest is a reserve for late regressions."""
 
 RELEASED_FRACTION = 0.05
-"""Part of the reserve that is released in each period."""
+"""Fraction of the reserve that is released in each period."""
 
 
 def regression_log_gains(
     counts: PairedCounts, absolute_tolerance: float, relative_tolerance: float, cluster_size: float
 ) -> LogGains:
-    """Returns the gains of a bet that the candidate fails more often than the tolerances allow.
+    """Returns the log gains of a bet that the candidate fails more often than the tolerances allow.
 
-    Without requests of control, the bet is that its failure rate exceeds `absolute_tolerance`.
+    Without control requests, the bet is that the candidate's failure rate exceeds `absolute_tolerance`.
     """
     requests = counts.candidate_requests
     failures = counts.candidate_failures
@@ -64,9 +65,9 @@
 
 
 def non_inferiority_log_gains(counts: PairedCounts, margin: float, cluster_size: float) -> LogGains:
-    """Returns the gains of a bet that the candidate's failure rate exceeds control's by less than the margin.
+    """Returns the log gains of a bet that the candidate's failure rate is below control's plus the margin.
 
-    The mirror of `regression_log_gains`; control must have had requests.
+    The bet is the opposite of that of `regression_log_gains`. Control must have had requests.
     """
     requests = counts.candidate_requests
     ratio = requests / counts.control_requests
@@ -91,9 +92,9 @@
 
 
 class EProcess:
-    """Capital spread over the stakes, and a reserve.
+    """An e-process: capital that is split among the stakes, and a reserve.
 
-    If the null hypothesis holds, its value ever exceeds 1/alpha with probability at most alpha.
+    Under the null hypothesis, the probability that its value ever exceeds 1/alpha is at most alpha.
     """
 
     __slots__ = ("_log_capital", "_log_reserve")
@@ -103,15 +104,15 @@
         self._log_reserve = math.log(1.0 - INITIAL_FRACTION)
 
     def update(self, gains: LogGains) -> None:
-        """Multiplies the capital on each stake by its gain in a cell."""
+        """Multiplies the capital on each stake by its gain; `gains` are logarithms."""
         self._log_capital = [capital + gain for capital, gain in zip(self._log_capital, gains, strict=True)]
 
     def release_reserve(self) -> None:
-        """Moves a part of the reserve to the stakes; to be called by time alone, not by results."""
+        """Moves a part of the reserve to the stakes; when it is called must not depend on results."""
         released = self._log_reserve + math.log(RELEASED_FRACTION / len(STAKES))
         self._log_reserve += math.log1p(-RELEASED_FRACTION)
         self._log_capital = [log_sum_exp((capital, released)) for capital in self._log_capital]
 
     def log_value(self) -> float:
-        """Returns the logarithm of the whole capital, which begins at 0."""
+        """Returns the logarithm of the whole capital, initially 0."""
         return log_sum_exp((*self._log_capital, self._log_reserve))
--- a/onyxpost/rollout/analysis/strata.py
+++ b/onyxpost/rollout/analysis/strata.py
@@ -1,7 +1,7 @@
 """The groups of requests that are tested for regressions, and the limits on their number.
 
-Each level's share of the probability of a false halt is divided among a fixed number of groups, so there may
-not be more of them.
+Each level's share of the false halt probability is divided equally among a fixed number of groups, so no more
+groups than that may be tested.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from onyxpost.rollout.metrics.protocol import OTHER
 
 OVERFLOW_STRATUM = Stratum(OTHER, OTHER, OTHER)
-"""Stands for all strata past the limits."""
+"""The stratum that replaces all strata beyond the limits."""
 
 OVERFLOW_DIMENSIONS = 3
-"""Groups of the level `DIMENSION` that `OVERFLOW_STRATUM` belongs to."""
+"""Number of groups of the level `DIMENSION` that contain `OVERFLOW_STRATUM`."""
 
 
 class Group(NamedTuple):
-    """A set of strata that are tested together."""
+    """A set of strata whose requests are tested together."""
 
     level: Level
     name: str
@@ -48,14 +48,14 @@
 
 
 class StratumRegistry:
-    """Admits strata in the order in which they appear, as long as the limits of all levels permit."""
+    """Admits strata in the order in which they appear, up to the limits of all levels."""
 
     def __init__(self) -> None:
         self._strata: set[Stratum] = set()
         self._dimensions: set[Group] = set()
 
     def resolve(self, stratum: Stratum) -> Stratum:
-        """Returns the stratum, or `OVERFLOW_STRATUM` where it would exceed a limit."""
+        """Returns the stratum, or `OVERFLOW_STRATUM` if admitting the stratum would exceed a limit."""
         if stratum in self._strata:
             return stratum
         dimensions = self._dimensions.union(
--- a/onyxpost/rollout/analysis/thresholds.py
+++ b/onyxpost/rollout/analysis/thresholds.py
@@ -1,4 +1,4 @@
-"""The limits of the analysis, and how the probability of a false halt is divided among its tests."""
+"""The limits of the analysis, and the shares of its tests in the false halt probability."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Measure(StrEnum):
-    """What is compared between candidate and control; the value is used in texts for the operator.
+    """A rate that is compared between candidate and control; the value appears in texts for the operator.
 
     A request counts as failed if it was aborted, rejected for lack of capacity, or late. `SLOW` and `TAIL`
-    count requests above the latency that 20 % and 3 % of control's requests exceeded before.
+    count requests above the latencies that 20 % and 3 % of control's earlier requests exceeded.
     """
 
     FAILED_REQUESTS = "failed requests"
@@ -33,18 +33,18 @@
     Measure.TAIL: 0.10,
     Measure.LOAD_SHEDDING: 0.05,
 }
-"""Each measure's part of the probability of a false halt."""
+"""Each measure's share of the false halt probability."""
 
 
 class LevelLimits(NamedTuple):
-    """A level's part of the probability of a false halt, shared equally by at most `max_groups` groups."""
+    """A level's share of the false halt probability, split equally among at most `max_groups` groups."""
 
     weight: float
     max_groups: int
 
 
 class Level(Enum):
-    """How finely requests are grouped: all of them; by zone, plan or frontend; by stratum."""
+    """How requests are grouped: all together; by zone, by plan and by frontend; or by stratum."""
 
     ALL = auto()
     DIMENSION = auto()
@@ -60,50 +60,56 @@
 
 @dataclass(frozen=True, slots=True)
 class Thresholds:
-    """What the operator allows. Rates are fractions of requests between 0 and 1."""
+    """The limits that the operator sets. Rates are fractions of requests between 0 and 1."""
 
     max_false_halt_probability: float = 0.005
-    """Of a whole rollout."""
+    """Maximum probability that a rollout without a regression halts at any stage."""
     stages: int = 4
-    """Stages that share the probability of a false halt."""
+    """Number of stages, which share the false halt probability equally."""
     max_false_advance_probability: float = 0.05
-    """Of a stage: that it advances although the candidate is worse by the margin over all requests."""
+    """Maximum probability that a stage advances although the candidate is worse by a non-inferiority margin.
+
+    The rates that are compared are those over all requests.
+    """
 
     relative_tolerance: float = 0.05
-    """By how much the candidate's failure rate may exceed control's, relative to control's."""
+    """Excess of the candidate's failure rate over control's that is tolerated, relative to control's rate."""
     absolute_tolerance: float = 0.0005
-    """By how much it may exceed control's beyond that."""
+    """Excess of the candidate's failure rate that is tolerated in addition to the relative tolerance."""
     failure_margin: float = 0.005
-    """An advance excludes that the rate of failed requests is worse by this much."""
+    """Excess in the rate of failed requests that must be excluded before a stage advances."""
     slow_margin: float = 0.05
-    """An advance excludes that the rate of slow requests is worse by this much."""
+    """Excess in the rate of slow requests that must be excluded before a stage advances."""
 
     min_cluster_size: float = 2.0
-    """Failed requests are taken to come in clusters of at least this size."""
+    """Minimum size of the clusters in which failures are assumed to come."""
 
     outage_failure_rate: float = 0.2
-    """From this failure rate of control on, a cell is no evidence against the candidate."""
+    """Failure rate of control from which a cell is an outage and no evidence against the candidate.
+
+    A stage also holds while either side's recent failure rate reaches this rate.
+    """
     max_outage_fraction: float = 0.05
-    """A stage is held while more of the recent requests than this come from such cells."""
+    """Fraction of recent requests from cells with an outage above which a stage holds."""
 
     failure_rate_limit: float = 0.3
-    """Halts a stage if the candidate's recent rate exceeds it and control's is below half of it."""
+    """A stage halts if the candidate's recent failure rate reaches this and control's is below half of it."""
     failure_rate_limit_min_requests: int = 500
-    """Recent requests that each side must have had for that."""
+    """Recent requests that each side must have had before `failure_rate_limit` applies."""
 
     min_requests: int = 2000
     """Requests that each side must have had before a stage advances."""
     min_duration_ms: float = 120_000.0
-    """Duration of a stage before it advances."""
+    """Minimum duration of a stage before it advances."""
     min_active_fraction: float = 0.8
-    """Part of the nodes that must be active before a stage advances."""
+    """Fraction of the nodes that must be active before a stage advances."""
 
     baseline_relative_drift: float = 0.25
-    """By how much failure rates may drift in the last stage, which has no control, relative to before."""
+    """Drift of failure rates that is allowed in the last stage, relative to the baseline's rates."""
     baseline_absolute_drift: float = 0.003
-    """By how much they may drift beyond that."""
+    """Drift of failure rates that is allowed in addition to the relative drift."""
 
     @property
     def non_inferiority_margins(self) -> Mapping[Measure, float]:
-        """The measures by which an advance must exclude a regression, with the size to exclude."""
+        """The measures in which a regression must be excluded before a stage advances, with its size."""
         return {Measure.FAILED_REQUESTS: self.failure_margin, Measure.SLOW: self.slow_margin}
--- a/onyxpost/rollout/metrics/__init__.py
+++ b/onyxpost/rollout/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""Request counters that nodes keep for a version on trial and for its control, and their aggregation."""
+"""Request counters that each node keeps for the candidate and control of a rollout, and their aggregation."""
--- a/onyxpost/rollout/metrics/aggregation.py
+++ b/onyxpost/rollout/metrics/aggregation.py
@@ -1,7 +1,8 @@
-"""Aggregation of the nodes' snapshots. Pure: the caller passes the time.
+"""Aggregation of the nodes' snapshots. Does no I/O and reads no clock: the caller passes the time.
 
-Snapshots are merged by maximum, one state for each incarnation of a node. A snapshot that cannot be true is
-rejected with its reason and changes nothing. What a snapshot adds is returned for the analysis.
+Snapshots are merged by maximum into one state for each incarnation of a node. A snapshot with impossible
+counters is rejected with a reason and changes nothing. The requests that a snapshot adds to the state are
+returned as increments, which the analysis takes.
 """
 
 from __future__ import annotations
@@ -17,17 +18,20 @@
 
 MAX_NODES = 4000
 MAX_INCARNATIONS_PER_NODE = 8
-"""The oldest is forgotten first; what it added was already returned for the analysis."""
+"""Beyond this, the oldest incarnation is discarded; its increments were already returned."""
 
 SILENT_AFTER_MS = 15_000.0
+"""Time without a snapshot after which a node counts as silent."""
+
 STALLED_AFTER_MS = 30_000.0
+"""Time by the node's clock without new requests after which a node counts as stalled."""
 
 NO_COUNTERS = RequestCounters()
 
 
 @dataclass(frozen=True, slots=True)
 class Stratum:
-    """Requests that are compared with each other: those of one frontend, plan and zone."""
+    """The requests of one frontend, plan and zone, within which candidate and control are compared."""
 
     frontend: str
     plan: str
@@ -36,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterIncrement:
-    """What one node counted in one stratum between two of its snapshots."""
+    """The requests that one node counted in one stratum between two of its snapshots."""
 
     node: str
     stratum: Stratum
@@ -46,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectedSnapshot:
-    """A snapshot that was not merged, and why."""
+    """The sender of a snapshot that was not merged, and the reason."""
 
     node: str
     reason: str
@@ -54,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeActivity:
-    """How many nodes are active, stalled (their clock advances, their counters do not) and silent."""
+    """Numbers of nodes: active, stalled (the clock advances, but no requests are counted) and silent."""
 
     active: int
     stalled: int
@@ -73,8 +77,8 @@
 class MetricsAggregator:
     """Merges the snapshots of all nodes for one version.
 
-    A node is silent after `silent_after_ms` without a snapshot, and stalled when its counters did not grow
-    for `stalled_after_ms` of its own clock.
+    A node is silent after `silent_after_ms` without a snapshot. It is stalled if it counted no requests for
+    `stalled_after_ms` by its own clock.
     """
 
     def __init__(
@@ -94,10 +98,10 @@
     def handle_snapshot(
         self, now_ms: float, snapshot: MetricsSnapshot
     ) -> list[CounterIncrement] | RejectedSnapshot:
-        """Merges a snapshot and returns what it adds to strata that its incarnation reported before.
+        """Merges a snapshot and returns the increments of strata that its incarnation reported before.
 
-        The first snapshot of a stratum only sets where counting starts: an earlier aggregator may have
-        passed on what it contains.
+        The first snapshot of a stratum yields no increment and only sets the starting point: an earlier
+        aggregator may already have returned its counts.
         """
         state = self._states.get((snapshot.node, snapshot.incarnation)) or IncarnationState(snapshot.zone)
         try:
@@ -117,7 +121,7 @@
         return [increment for increment in merged if increment is not None]
 
     def activity(self, now_ms: float, expected_nodes: int) -> NodeActivity:
-        """Returns the state of the expected nodes; only active ones show how the version behaves."""
+        """Returns how many of the expected nodes are active, stalled and silent; unknown nodes are silent."""
         active = 0
         stalled = 0
         for node, incarnations in self._incarnations.items():
@@ -158,7 +162,10 @@
 def _merge(
     snapshot: MetricsSnapshot, state: IncarnationState, entry: StratumCounters
 ) -> CounterIncrement | None:
-    """Merges one stratum into the state; returns what it adds to counters that were known before."""
+    """Merges one stratum into the state.
+
+    Returns the increment, or None if the stratum was not known before or nothing was added.
+    """
     known = state.strata.get(entry.key)
     before = known or StratumCounters(entry.frontend, entry.plan, NO_COUNTERS, NO_COUNTERS)
     merged = StratumCounters(
--- a/onyxpost/rollout/metrics/counters.py
+++ b/onyxpost/rollout/metrics/counters.py
@@ -1,4 +1,4 @@
-"""The request counters of one node for the version on trial. Does no I/O and reads no clock."""
+"""The request counters of one node during the rollout of a version. Does no I/O and reads no clock."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class Side(StrEnum):
-    """The routing rules that a request was served by: those on trial, or those in force."""
+    """The routing rules that a request was served under: new ones (candidate) or old ones (control)."""
 
     CANDIDATE = auto()
     CONTROL = auto()
 
 
 class Failure(StrEnum):
-    """How a request ended that did not succeed."""
+    """The result of a request that did not succeed."""
 
     REJECTED_BY_QUOTA = auto()
     REJECTED_BY_CAPACITY = auto()
@@ -46,7 +46,7 @@
         self._strata: dict[tuple[str, str], dict[Side, RequestCounters]] = {}
 
     def record_request(self, frontend: str, plan: str, side: Side) -> None:
-        """Counts a request that arrived."""
+        """Counts the arrival of a request."""
         self._counters(frontend, plan, side).requests += 1
 
     def record_success(self, frontend: str, plan: str, side: Side, latency_ms: float, *, late: bool) -> None:
@@ -55,9 +55,9 @@
         Args:
             frontend: the request's frontend.
             plan: the customer's plan.
-            side: the rules that the request was served by.
-            latency_ms: time since the request arrived.
-            late: whether that exceeds the latency objective.
+            side: the rules that the request was served under.
+            latency_ms: the time from the arrival of the request to its success.
+            late: whether the latency exceeds the latency objective.
         """
         counters = self._counters(frontend, plan, side)
         upper_bound_ms = bucket_upper_bound(latency_ms)
@@ -83,7 +83,7 @@
         self._counters(frontend, plan, side).failed_attempts += 1
 
     def snapshots(self, clock_ms: float) -> Iterator[MetricsSnapshot]:
-        """Yields all counters in messages that each fit a frame, `clock_ms` after the node's start."""
+        """Yields all counters in snapshots that fit a frame; `clock_ms` counts from the node's start."""
         strata = [
             StratumCounters(frontend, plan, _copy(sides[Side.CANDIDATE]), _copy(sides[Side.CONTROL]))
             for (frontend, plan), sides in self._strata.items()
--- a/onyxpost/rollout/metrics/latency.py
+++ b/onyxpost/rollout/metrics/latency.py
@@ -1,4 +1,4 @@
-"""Latency buckets of an HDR histogram with one significant digit, named by their upper bounds in ms."""
+"""Latency buckets of an HDR histogram with one significant digit, identified by their upper bounds in ms."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     from collections.abc import Mapping
 
 MAX_LATENCY_MS = 120_000
-"""Longer latencies are counted as this one."""
+"""Longer latencies are counted as this value."""
 
 _SIGNIFICANT_DIGITS = 1
 _LAYOUT = HdrHistogram(1, MAX_LATENCY_MS, _SIGNIFICANT_DIGITS)
@@ -40,5 +40,5 @@
 
 
 def count_above(buckets: Mapping[int, int], threshold_ms: int) -> int:
-    """Returns how many latencies lie in buckets above the one that ends at the threshold."""
+    """Returns the number of latencies in buckets whose upper bound exceeds the threshold."""
     return sum(count for upper_bound_ms, count in buckets.items() if upper_bound_ms > threshold_ms)
--- a/onyxpost/rollout/metrics/protocol.py
+++ b/onyxpost/rollout/metrics/protocol.py
@@ -1,8 +1,9 @@
 """The message in which a node reports its request counters.
 
-A snapshot holds counters that only grow within one incarnation of the node, never differences. Snapshots that
-are lost, late, duplicated or reordered therefore only delay what the receiver learns. Candidate and control
-counters of a stratum travel in one entry, so both cover the same time on the same node.
+A snapshot holds cumulative counters, which only grow within one incarnation of the node, never differences.
+A lost, late, duplicated or reordered snapshot therefore delays the receiver's totals, but cannot make them
+wrong. Candidate and control counters of a stratum are sent in one entry, so both cover the same time on the
+same node.
 """
 
 from __future__ import annotations
@@ -16,12 +17,14 @@
     from collections.abc import Iterable, Iterator
 
 MAX_SNAPSHOT_BYTES = 56 * 1024
-"""Of one snapshot in MessagePack; a frame between nodes holds 64 KiB."""
+"""Maximum size of one snapshot in MessagePack; a frame between nodes holds 64 KiB."""
 
 MAX_STRATA_PER_NODE = 64
-"""Strata that a node counts separately; all further ones are counted as `OTHER`."""
+"""Maximum number of strata that a node counts separately; all further ones are counted as `OTHER`."""
 
 OTHER = "other"
+"""The frontend and plan under which a node counts the strata beyond `MAX_STRATA_PER_NODE`."""
+
 MAX_LATENCY_BUCKETS = 256
 MAX_ATTEMPTS_PER_REQUEST = 8
 
@@ -34,7 +37,7 @@
     """Counters of one side (candidate or control) of a stratum; the order of the fields is the wire format.
 
     All counters but `failed_attempts` count requests. `late` counts succeeded requests that exceeded their
-    latency objective; `latencies` counts succeeded requests by latency bucket (see `latency`).
+    latency objective; `latencies` counts succeeded requests by the upper bound, in ms, of their bucket.
     """
 
     requests: Count = 0
@@ -61,14 +64,14 @@
         )
 
     def finished_under_rules(self) -> int:
-        """Returns how many requests finished in a way that routing rules can influence.
+        """Returns the number of finished requests whose result routing rules can influence.
 
-        Rejections by quota and by load shedding are left out.
+        Rejections by quota and by load shedding are excluded.
         """
         return self.succeeded + self.rejected_by_capacity + self.aborted
 
     def finished(self) -> int:
-        """Returns how many requests finished in any way."""
+        """Returns the number of finished requests, whatever their result."""
         rejected = self.rejected_by_quota + self.rejected_by_capacity + self.rejected_by_load_shedding
         return self.succeeded + rejected + self.aborted
 
@@ -77,9 +80,9 @@
         return min(self.scalars()) < 0 or min(self.latencies.values(), default=0) < 0
 
     def merged_with(self, other: RequestCounters) -> RequestCounters:
-        """Returns the element-wise maximum.
+        """Returns the element-wise maximum of two snapshots of one incarnation.
 
-        Two snapshots of one incarnation merged any number of times, in any order, are counted once.
+        Each request is counted once, however often and in whichever order snapshots are merged.
         """
         latencies = dict(self.latencies)
         for upper_bound_ms, count in other.latencies.items():
@@ -87,7 +90,7 @@
         return _counters(map(max, self.scalars(), other.scalars()), latencies)
 
     def minus(self, earlier: RequestCounters) -> RequestCounters:
-        """Returns what was counted since `earlier`; negative where that is not the earlier one."""
+        """Returns the counts since `earlier`, which are negative where `earlier` has the greater count."""
         differences = {
             upper_bound_ms: count - earlier.latencies.get(upper_bound_ms, 0)
             for upper_bound_ms, count in self.latencies.items()
@@ -97,7 +100,7 @@
         return _counters(scalars, latencies)
 
     def plus(self, other: RequestCounters) -> RequestCounters:
-        """Returns the sum of counters that share no request: of two nodes, or of two incarnations.
+        """Returns the sum of counters of different requests, such as those of two nodes or two incarnations.
 
         Two snapshots of one incarnation must be merged with `merged_with` instead.
         """
@@ -109,7 +112,7 @@
 
 def _counters(scalars: Iterable[int], latencies: dict[int, int]) -> RequestCounters:
     """Builds counters from values in the order of `RequestCounters.scalars`."""
-    # mypy takes a starred argument of unknown length to fill `latencies` too.
+    # mypy assumes that a starred argument of unknown length may also fill `latencies`.
     return RequestCounters(*scalars, latencies=latencies)  # type: ignore[arg-type, misc]
 
 
@@ -123,12 +126,12 @@
 
     @property
     def key(self) -> tuple[str, str]:
-        """Frontend and plan: what tells the strata of one node apart."""
+        """The frontend and plan, which identify a stratum within one node."""
         return self.frontend, self.plan
 
 
 class MetricsSnapshot(msgspec.Struct, forbid_unknown_fields=True, tag_field="say", tag="counts"):
-    """All that one incarnation of a node has counted of one version.
+    """The counters of one incarnation of a node for one version.
 
     `incarnation` grows with each start of the node; `clock_ms` is the time since that start.
     """
@@ -144,7 +147,7 @@
 
 
 def split(snapshot: MetricsSnapshot) -> Iterator[MetricsSnapshot]:
-    """Yields the snapshot in as many parts as its size requires; a stratum is never divided."""
+    """Yields the snapshot in parts of at most `MAX_SNAPSHOT_BYTES`; one stratum is never divided."""
     stratum_count = len(snapshot.strata)
     if stratum_count <= 1 or len(msgspec.msgpack.encode(snapshot)) <= MAX_SNAPSHOT_BYTES:
         yield snapshot
--- a/onyxpost/rollout/metrics/validation.py
+++ b/onyxpost/rollout/metrics/validation.py
@@ -1,4 +1,4 @@
-"""Plausibility checks on snapshots, so that a faulty node cannot distort the analysis of a rollout."""
+"""Plausibility checks of snapshots, so that a faulty node cannot distort the analysis of a rollout."""
 
 from __future__ import annotations
 
@@ -12,22 +12,25 @@
     from onyxpost.rollout.metrics.protocol import MetricsSnapshot, RequestCounters, StratumCounters
 
 MAX_REQUESTS_PER_MS = 20.0
-"""Ten times the highest rate that one process forwards."""
+"""Maximum rate of a node's requests: ten times the highest rate that one process forwards."""
 
 MAX_REQUEST_BURST = 20_000.0
-"""Requests allowed above that rate, for those that waited in queues."""
+"""Requests allowed in addition to `MAX_REQUESTS_PER_MS`, because requests may have waited in queues."""
 
 MAX_STRATA_PER_VERSION = 128
-"""Strata that one incarnation of a node may report of one version."""
+"""Maximum number of strata that one incarnation of a node may report for one version."""
 
 
 class InvalidSnapshotError(ValueError):
-    """A snapshot whose counters cannot be true; the text names the reason. Never leaves `aggregation`."""
+    """A snapshot with impossible counters; the message is the reason. `MetricsAggregator` catches it."""
 
 
 @dataclass(slots=True)
 class IncarnationState:
-    """The merged counters of one incarnation of a node; times are ms of the node's own clock."""
+    """The merged counters of one incarnation of a node; times are in ms by the node's own clock.
+
+    `stratum_clock_ms` holds the latest time at which each stratum was reported.
+    """
 
     zone: str
     clock_ms: float = 0.0
@@ -36,12 +39,12 @@
     stratum_clock_ms: dict[tuple[str, str], float] = field(default_factory=dict)
 
     def set_counters(self, clock_ms: float, counters: StratumCounters) -> None:
-        """Replaces the counters of one stratum by merged ones."""
+        """Replaces the counters of one stratum, reported at `clock_ms`, by merged counters."""
         self.strata[counters.key] = counters
         self.stratum_clock_ms[counters.key] = max(clock_ms, self.stratum_clock_ms.get(counters.key, 0.0))
 
     def advance_clock(self, clock_ms: float, *, has_grown: bool) -> None:
-        """Follows the node's clock; `has_grown` tells whether a snapshot of that time added requests."""
+        """Advances to the time of a snapshot; `has_grown` tells whether the snapshot added requests."""
         if has_grown:
             self.last_growth_ms = max(self.last_growth_ms, clock_ms)
         self.clock_ms = max(self.clock_ms, clock_ms)
@@ -52,10 +55,10 @@
 
 
 def check_snapshot(snapshot: MetricsSnapshot, state: IncarnationState) -> None:
-    """Checks a snapshot against itself and against what its incarnation reported before.
+    """Checks that a snapshot is consistent in itself and with earlier snapshots of its incarnation.
 
     Raises:
-        InvalidSnapshotError: at the first counter that cannot be true.
+        InvalidSnapshotError: the snapshot contradicts itself or an earlier one, or exceeds a limit.
     """
     if state.zone != snapshot.zone:
         raise InvalidSnapshotError("a node in two zones within one incarnation")
@@ -91,7 +94,7 @@
 
 
 def _check_monotonic(*, earlier: StratumCounters, later: StratumCounters) -> None:
-    """Counters must never decrease from the earlier to the later time of the node's clock."""
+    """Checks that no counter decreases from the earlier to the later time of the node's clock."""
     for before, after in ((earlier.candidate, later.candidate), (earlier.control, later.control)):
         if after.minus(before).has_negative() or before.latencies.keys() - after.latencies.keys():
             raise InvalidSnapshotError("counters that decrease")
@@ -102,7 +105,7 @@
     state: IncarnationState,
     reported: dict[tuple[str, str], StratumCounters],
 ) -> None:
-    """Counters must not grow faster than a node can serve requests."""
+    """Checks that counters do not grow faster than a node can serve requests."""
     added_requests = 0
     for key, entry in reported.items():
         known = state.strata.get(key)
--- a/onyxpost/rollout/routing_rules/compiled.py
+++ b/onyxpost/rollout/routing_rules/compiled.py
@@ -1,4 +1,7 @@
-"""Rules compiled for look-up: by frontend and plan, the few rules that can match a request. Pure."""
+"""Routing rules compiled to a table by frontend and plan, which holds the few rules that can match a request.
+
+Does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
 
 
 class CompiledConstraint(RoutingConstraint):
-    """The restrictions of one rule, for the customers of one weighted value."""
+    """The restrictions of one rule for the customers that its weights assign to one value."""
 
     __slots__ = ("capacity_share", "filters", "max_attempts")
 
@@ -30,7 +33,7 @@
         self.capacity_share = rule.window or UNRESTRICTED.capacity_share
 
     def select(self, servers: list[ServerType]) -> list[ServerType]:
-        """Returns the servers of the first choice that any of them is in; all of them if there is none."""
+        """Returns the servers that pass the first filter that any server passes; all servers if none do."""
         for permits in self.filters:
             if permitted := [server for server in servers if permits(server)]:
                 return permitted
@@ -39,9 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CompiledRule:
-    """A rule for the customers whose hash is below a bound.
+    """A rule that matches the customers whose hash under `customer_salt` is below `customer_bound`.
 
-    Another hash, of the weights, selects one of the constraints; `weight_bounds` separate them.
+    A customer's hash under `weight_salt` selects one of the constraints. `weight_bounds` are the hashes at
+    which one constraint ends and the next begins, in ascending order; they are empty without weights.
     """
 
     customer_salt: int
@@ -52,7 +56,7 @@
 
     @property
     def matches_all_customers(self) -> bool:
-        """Whether no later rule can match."""
+        """Whether the rule matches every customer, so that later rules of the table entry never apply."""
         return self.customer_bound == HASH_RANGE
 
     def matches(self, customer: int) -> bool:
@@ -63,14 +67,14 @@
         )
 
     def constraint(self, customer: int) -> RoutingConstraint:
-        """Returns the constraint on the customer's requests."""
+        """Returns the constraint on the requests of a customer whom the rule matches."""
         if not self.weight_bounds:
             return self.constraints[0]
         return self.constraints[bisect_right(self.weight_bounds, customer_hash(self.weight_salt, customer))]
 
 
 class CompiledRules:
-    """A version of the rules for one node; `digest` is the SHA-256 of the file.
+    """One version of the routing rules, compiled for one node; `digest` is the SHA-256 of the file in hex.
 
     Implements `onyxpost.core.types.RoutingRules`.
     """
@@ -85,12 +89,12 @@
                 self._add(rule, context)
 
     def constraint_for(self, frontend: str, plan: str, customer: int) -> RoutingConstraint:
-        """Returns the constraint of the first rule that matches.
+        """Returns the constraint of the first rule that matches, or `UNRESTRICTED` if none does.
 
         Args:
             frontend: the request's frontend.
             plan: the customer's plan.
-            customer: CRC-32 of the customer's key.
+            customer: the CRC-32 of the customer's key.
         """
         for rule in self.candidates(frontend, plan):
             if rule.matches(customer):
@@ -98,11 +102,11 @@
         return UNRESTRICTED
 
     def candidates(self, frontend: str, plan: str) -> list[CompiledRule]:
-        """Returns the rules that can match requests of a frontend and plan, in their order."""
+        """Returns the rules that can match requests of a frontend and plan, in the order of the file."""
         return self._table.get((frontend, plan), [])
 
     def log_fields(self) -> dict[str, Any]:
-        """Returns what the log says of this version."""
+        """Returns the fields that identify this version in a log line."""
         digest = self.digest[:LOGGED_DIGEST_LENGTH]
         return {"version": self.version, "rules": self.rule_count, "digest": digest}
 
@@ -116,7 +120,7 @@
 
 
 def compile_rule(rule: Rule) -> CompiledRule:
-    """Compiles a rule that is valid."""
+    """Compiles a rule that has passed `validation.validate`."""
     salt = ""
     customer_bound = HASH_RANGE
     if rule.customers is not None:
--- a/onyxpost/rollout/routing_rules/context.py
+++ b/onyxpost/rollout/routing_rules/context.py
@@ -1,4 +1,4 @@
-"""What a node knows about its deployment that routing rules refer to."""
+"""The frontends, plans and zones that the routing rules of a node can refer to."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingContext:
-    """The frontends, plans and zones that rules may name, and the zone of the node itself."""
+    """The frontends, plans and zones that rules may name; `own_zone` is the node's, None if it has none."""
 
     frontends: Mapping[str, Frontend]
     plans: frozenset[str]
@@ -25,7 +25,7 @@
     def of_deployment(
         cls, deployment: Deployment, endpoint_zones: Iterable[str | None], own_zone: str | None
     ) -> RoutingContext:
-        """Returns the context of a node, given the zones of the servers that it knows."""
+        """Returns the context of a node; its zones are those of the endpoints that it knows and its own."""
         zones = {zone for zone in endpoint_zones if zone}
         if own_zone is not None:
             zones.add(own_zone)
--- a/onyxpost/rollout/routing_rules/errors.py
+++ b/onyxpost/rollout/routing_rules/errors.py
@@ -1,4 +1,4 @@
-"""Errors in a file of routing rules; each rejects the whole file. They have rows in docs/on-call.md."""
+"""Errors of a rules file. Each rejects the whole file and is listed in docs/on-call.md."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class InvalidRulesError(InvalidInputError):
-    """Not TOML, too long, or a key that is unknown, of another type or out of its range."""
+    """The file is not TOML or too long, or a key in it is unknown, of the wrong type or out of range."""
 
     remedy = "mend that place; `onyxpost check NODE-FILE` tries it; docs/rollouts-rules.md has their form"
 
 
 class UnknownNameError(InvalidInputError):
-    """A frontend, plan or zone that this node does not know, or `at` in a rule where it has no own zone."""
+    """A rule names a frontend, plan or zone unknown to this node, or uses `at` and the node has no zone."""
 
     remedy = "mend the name; a new zone goes into the rules' `zones`, the node's own into `zone` of its file"
 
@@ -24,13 +24,13 @@
 
 
 class UnreachableRuleError(InvalidInputError):
-    """A rule or fallback that no request reaches, because earlier ones match all of its requests."""
+    """A rule or fallback never applies, because earlier ones match all of its requests or servers."""
 
     remedy = "put it before those that the line names, make it match what they leave, or take it out"
 
 
 class SplitsDeduplicationScopeError(InvalidInputError):
-    """A rule selects a part of a zone or cell in which a frontend's requests are deduplicated."""
+    """A rule may select only a part of the zone or cell within which a frontend deduplicates requests."""
 
     remedy = "name whole zones (or cells), as the frontend's group is, or leave that frontend out of the rule"
 
@@ -42,6 +42,6 @@
 
 
 class ConflictingRulesError(InvalidInputError):
-    """The file has the version in force with another text."""
+    """The file's version is the one in force, but its text differs."""
 
     remedy = "raise the version in the rules' file with each change, on all nodes; SIGHUP"
--- a/onyxpost/rollout/routing_rules/file.py
+++ b/onyxpost/rollout/routing_rules/file.py
@@ -1,4 +1,4 @@
-"""Reads the rules file that a node's file names, at the node's start and when it reloads its files."""
+"""Reads the rules file that a node's file names, at the start of the node and at each reload."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     """Parses, validates and compiles the text of a rules file.
 
     Raises:
-        InvalidInputError: names the source, and the place in it.
+        InvalidInputError: the text cannot be used; the error names `source` and the place in it.
     """
     try:
         rules_file = schema.parse(data)
@@ -38,20 +38,21 @@
         InvalidInputError: the file cannot be used.
     """
     try:
-        # Not blocking: opening a pipe that nobody writes to would hold up the node. It reads as empty.
+        # Opened without blocking: opening a pipe without a writer would otherwise block the node. Such a pipe
+        # reads as empty.
         with open(path, "rb", opener=_open_nonblocking) as file:
             data = file.read(schema.MAX_FILE_BYTES + 1) or b""
-    except (OSError, ValueError) as error:  # ValueError: a path that contains a zero byte
+    except (OSError, ValueError) as error:  # A path with a zero byte is a ValueError.
         raise FileOpenError(str(getattr(error, "strerror", error)), path) from error
     return compile_rules(data, context, path)
 
 
 def supersedes(new: CompiledRules, in_force: CompiledRules | None, source: str = "rules") -> bool:
-    """Returns whether new rules take effect, which the same text again does not.
+    """Returns whether new rules take effect; rules with the version and text in force do not.
 
     Raises:
         StaleRulesError: the new version is earlier than the one in force.
-        ConflictingRulesError: it is the version in force with another text.
+        ConflictingRulesError: the new version is the one in force, but the text differs.
     """
     if in_force is None or new.version > in_force.version:
         return True
@@ -67,10 +68,10 @@
 def read_newer_rules(
     path: str, context: RoutingContext, in_force: CompiledRules | None
 ) -> CompiledRules | None:
-    """Reads the rules again; returns them if they take effect.
+    """Reads the rules again; returns them if they take effect, None if they are the ones in force.
 
     Raises:
-        InvalidInputError: the file cannot be used, or its version must not take effect.
+        InvalidInputError: the file cannot be read or used, or its version conflicts with the one in force.
     """
     new = read_rules(path, context)
     return new if supersedes(new, in_force, path) else None
--- a/onyxpost/rollout/routing_rules/reachability.py
+++ b/onyxpost/rollout/routing_rules/reachability.py
@@ -1,4 +1,4 @@
-"""Finds rules that no request reaches, because earlier rules match all of their requests. Pure."""
+"""Finds rules that never apply, because earlier rules match all of their requests. Does no I/O."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
     from onyxpost.rollout.routing_rules.schema import Rule
 
 ALL_CUSTOMERS = None
-"""In place of a salt: the rule matches all customers, whatever their hash."""
+"""The salt of rules that match all customers, whatever their hash."""
 
 OTHER_ZONES = None
-"""Stands for the zones of nodes that no rule names, which are all alike."""
+"""The zone of nodes whose zone no rule names; the rules treat all of these nodes alike."""
 
 
 class TrafficClass(NamedTuple):
-    """Requests that rules can only tell apart by the customer."""
+    """The requests of one frontend and plan at the nodes of one zone; rules divide them by customer only."""
 
     frontend: str
     plan: str
@@ -29,7 +29,7 @@
 
 
 class _Matched(NamedTuple):
-    """The largest share of customers that a rule has matched so far, with the rule's index."""
+    """The largest share of customers that a rule of one salt matches so far, and that rule's index."""
 
     share: float
     rule_index: int
@@ -41,11 +41,12 @@
 def check_reachable(rules: Sequence[Rule], context: RoutingContext) -> None:
     """Checks that each rule matches requests that no earlier rule matches.
 
-    In a traffic class, a share of customers is contained in any of the same salt that is at least as large,
-    and in all customers. Different salts are independent: neither share contains the other.
+    Within a traffic class, a share of customers is contained in every share of the same salt that is at
+    least as large, and in a rule for all customers. Shares of different salts are independent, so neither
+    contains the other.
 
     Raises:
-        UnreachableRuleError: for the first rule that is contained in earlier ones in all traffic classes.
+        UnreachableRuleError: a rule is contained in earlier rules in all of its traffic classes.
     """
     named_zones = {zone for rule in rules for zone in rule.node_zones or ()}
     zones = [OTHER_ZONES, *sorted(named_zones)]
@@ -67,7 +68,7 @@
 def traffic_classes(
     rule: Rule, context: RoutingContext, zones: Sequence[str | None]
 ) -> Iterator[TrafficClass]:
-    """Yields each traffic class that the rule applies to once, even if the rule repeats a name."""
+    """Yields each traffic class that the rule applies to, only once even if the rule repeats a name."""
     for frontend in dict.fromkeys(rule.frontends or context.frontends):
         for plan in dict.fromkeys(rule.plans or context.plans):
             for zone in dict.fromkeys(rule.node_zones or zones):
@@ -75,7 +76,10 @@
 
 
 def _match(rule: Rule, index: int, matched: _MatchedBySalt) -> int | None:
-    """Returns the earlier rule that matches all of this rule's customers, or records this rule."""
+    """Returns the index of an earlier rule that matches all of this rule's customers.
+
+    Without one, records this rule in `matched` and returns None.
+    """
     salt, share = _customers(rule)
     covering = matched.get(ALL_CUSTOMERS) or matched.get(salt)
     if covering is not None and covering.share >= share:
--- a/onyxpost/rollout/routing_rules/schema.py
+++ b/onyxpost/rollout/routing_rules/schema.py
@@ -1,6 +1,7 @@
 """The schema of a rules file, which is TOML.
 
-Unknown keys are rejected: a rule whose misspelled condition were ignored would match more requests.
+Unknown keys are rejected: if a misspelled condition were ignored, its rule would match more requests than
+intended.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 
 class ServerAttribute(StrEnum):
-    """What servers are chosen by; the value is the key in the file."""
+    """An attribute by which a rule selects servers; the value is its key in the file."""
 
     ZONES = "zones"
     CELLS = "cells"
@@ -37,17 +38,18 @@
 
 
 Criterion = list[str] | list[int] | dict[str, float] | dict[int, float]
-"""The permitted values of an attribute, each with its weight where there are weights."""
+"""The permitted values of an attribute: a list, or a mapping of each value to its weight."""
 
 
 class StrictStruct(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """A table of the file; unknown keys are an error."""
+    """Base of all tables of the file; rejects unknown keys."""
 
 
 class ServerChoice(StrictStruct):
-    """Servers that fulfil all criteria.
+    """Selects the servers that meet all criteria.
 
-    A criterion with weights assigns each customer, by hash, to one of its values while that is available.
+    A criterion with weights assigns each customer to one of its values by hash. The customer's requests use
+    servers of that value while one is available, and servers of the other values otherwise.
     """
 
     zones: Names | Weights | None = None
@@ -55,7 +57,7 @@
     names: Names | Weights | None = None
 
     def criteria(self) -> dict[ServerAttribute, Criterion]:
-        """Returns the criteria that are given."""
+        """Returns the criteria that the file gives, by attribute."""
         criteria = {
             ServerAttribute.ZONES: self.zones,
             ServerAttribute.CELLS: self.cells,
@@ -65,19 +67,19 @@
 
 
 class LocatedChoice(NamedTuple):
-    """A choice, and the path of its table below `servers`."""
+    """A choice of servers, and the path of its table relative to `servers`."""
 
     path: str
     choice: ServerChoice
 
 
 class ServerSelection(ServerChoice):
-    """A first choice of servers, and the choices to fall back to while none of its servers is available."""
+    """A first choice of servers, and fallbacks in order, each for when no earlier choice is available."""
 
     fallbacks: Annotated[list[ServerChoice | Literal["any"]], Meta(max_length=20)] = []
 
     def choices(self) -> list[LocatedChoice]:
-        """Returns all choices in their order, without `ANY_SERVER`."""
+        """Returns the first choice and the fallbacks in their order, without `ANY_SERVER`."""
         fallbacks = [
             LocatedChoice(f".fallbacks[{index}]", fallback)
             for index, fallback in enumerate(self.fallbacks)
@@ -87,17 +89,18 @@
 
 
 class CustomerShare(StrictStruct):
-    """The customers whose hash with this salt, as a fraction of all hashes, is below the share."""
+    """The customers whose hash under this salt is below `share` times the range of hashes."""
 
     share: Annotated[float, Meta(gt=0.0, le=1.0)]
     salt: Annotated[str, Meta(max_length=200)] = ""
 
 
 class Rule(StrictStruct):
-    """Conditions on a request, and restrictions on how it is served; an absent one does not apply.
+    """Conditions on requests (its match), and restrictions on how these are served. All are optional.
 
-    `node_zones` are the zones of the nodes that the rule applies at, `attempts` is the maximal number of
-    attempts of a request, and `window` the part of its servers' capacity that requests may use.
+    The conditions are `frontends`, `plans`, `customers` and `node_zones`, the zones of the nodes at which the
+    rule applies. The restrictions are `servers`, `attempts` (the maximum number of attempts of a request) and
+    `window` (the fraction of its servers' capacity that requests may use).
     """
 
     name: str = ""
@@ -111,7 +114,7 @@
 
 
 class RulesFile(StrictStruct):
-    """A version of the rules; `zones` are those that no known server is in yet."""
+    """One version of the rules; `zones` are zones that rules may name although no known server is in them."""
 
     version: Annotated[int, Meta(ge=1, lt=2**53)]
     rules: Annotated[list[Rule], Meta(max_length=256)]
@@ -122,11 +125,11 @@
     """Parses the text of a rules file.
 
     Raises:
-        InvalidRulesError: with the place of the first error.
+        InvalidRulesError: the text is too long, or not valid; the message names the place of the first error.
     """
     if len(data) > MAX_FILE_BYTES:
         raise InvalidRulesError(f"{len(data)} bytes, {MAX_FILE_BYTES} at most")
     try:
         return msgspec.convert(tomllib.loads(data.decode()), type=RulesFile, str_keys=True)
-    except (ValueError, RecursionError) as error:  # of types, TOML, UTF-8, and numbers of too many digits
+    except (ValueError, RecursionError) as error:  # also TOML and UTF-8 errors, and overlong numbers
         raise InvalidRulesError(" ".join(str(error).split())[:MAX_ERROR_LENGTH]) from error
--- a/onyxpost/rollout/routing_rules/server_filter.py
+++ b/onyxpost/rollout/routing_rules/server_filter.py
@@ -1,4 +1,4 @@
-"""Compiles the server choices of a rule to filters on servers. Pure."""
+"""Compiles the server choices of a rule to filters, predicates on one server. Does no I/O."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def weight_bounds(choice: ServerChoice) -> list[int]:
-    """Returns the hashes at which one weighted value ends and the next begins; empty without weights."""
+    """Returns the hashes that separate the ranges of the weighted values; empty without weights."""
     sums = list(accumulate(_weights(choice).values()))
     return [round(end / sums[-1] * HASH_RANGE) for end in sums[:-1]]
 
@@ -27,7 +27,8 @@
 def server_filters(choice: ServerChoice, weight_hash: int) -> list[ServerFilter]:
     """Returns the filters of a choice in order of preference.
 
-    With weights, the first permits only the value that the customer's hash belongs to.
+    With weights, the first filter permits only the value whose range contains `weight_hash`, and the second
+    permits all values. Without weights, there is one filter.
     """
     criteria = choice.criteria()
     every_value = {attribute: frozenset(values) for attribute, values in criteria.items()}
@@ -43,7 +44,7 @@
 
 
 def _weights(choice: ServerChoice) -> Mapping[str, float] | Mapping[int, float]:
-    """Returns the weights of the one criterion that has some."""
+    """Returns the weights of the criterion that has weights, of which there is at most one; else none."""
     return next((values for values in choice.criteria().values() if isinstance(values, dict)), {})
 
 
@@ -52,7 +53,7 @@
     cells = permitted.get(ServerAttribute.CELLS)
     names = permitted.get(ServerAttribute.NAMES)
     if cells is None and names is None and zones is not None:
-        return lambda server: server.zone in zones  # by far the most frequent case
+        return lambda server: server.zone in zones  # the most frequent case, without further tests
     return lambda server: (
         (zones is None or server.zone in zones)
         and (cells is None or server.cell in cells)
--- a/onyxpost/rollout/routing_rules/validation.py
+++ b/onyxpost/rollout/routing_rules/validation.py
@@ -1,4 +1,4 @@
-"""Checks of a rules file against what the node serves. Each error names its place in the file. Pure."""
+"""Checks a rules file against the node's context. Each error names its place in the file. Does no I/O."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
     DeduplicationScope.ZONE: ServerAttribute.ZONES,
     DeduplicationScope.CELL: ServerAttribute.CELLS,
 }
-"""The attribute that selects whole deduplication scopes."""
+"""For each deduplication scope smaller than all servers, the attribute that selects only whole scopes."""
 
 
 def validate(rules_file: RulesFile, context: RoutingContext) -> None:
-    """Checks the whole file.
+    """Checks all rules of the file.
 
     Raises:
-        InvalidInputError: one of the errors of this package, for the first place that cannot be used.
+        InvalidInputError: an error of the `errors` module, for the first place that is not valid.
     """
     zones = context.zones | set(rules_file.zones or ())
     for index, rule in enumerate(rules_file.rules):
@@ -55,7 +55,7 @@
 
 
 def is_subset(choice: ServerChoice, other: ServerChoice) -> bool:
-    """Returns whether all servers of one choice are also in the other, whatever servers there are."""
+    """Returns whether `other` contains all servers of `choice`, whichever servers exist."""
     criteria = choice.criteria()
     return all(
         attribute in criteria and set(criteria[attribute]) <= set(values)
@@ -90,7 +90,10 @@
 
 
 def _check_deduplication_scopes(rule: Rule, choice: ServerChoice, context: RoutingContext, path: str) -> None:
-    """A retry of a request that was possibly executed stays in its scope, which must be selected whole."""
+    """Checks that a choice selects only whole deduplication scopes.
+
+    The retry of a request that was possibly executed must stay in its scope, so that it is deduplicated.
+    """
     for name in rule.frontends or context.frontends:
         frontend = context.frontends[name]
         scope = frontend.deduplication_scope
