--- a/onyxpost/rollout/analysis/decision.py
+++ b/onyxpost/rollout/analysis/decision.py
@@ -83,8 +83,8 @@
     rates = _rates(counts)
     if evidence.baseline is not None:
         max_rate = evidence.baseline.max_failure_rate(group_name, measure)
-        rates = f"{_candidate_rate(counts)}, at most {100 * max_rate:.2f} % before"
-    return f"{measure} in {group_name}: {rates}; {odds:.3g} to 1 against chance"
+        rates = f"{_candidate_rate(counts)}, baseline at most {100 * max_rate:.2f} %"
+    return f"{measure} in {group_name}: {rates}; e-value {odds:.3g}"
 
 
 def _failure_rate_limit_reason(evidence: Evidence) -> str | None:
@@ -101,19 +101,22 @@
 def _hold_reason(evidence: Evidence, activity: NodeActivity, stage_duration_ms: float) -> str | None:
     thresholds = evidence.thresholds
     if stage_duration_ms < thresholds.min_duration_ms:
-        return f"{stage_duration_ms / 1000:.0f} s of at least {thresholds.min_duration_ms / 1000:.0f} s"
+        return (
+            f"the stage has lasted {stage_duration_ms / 1000:.0f} s, "
+            f"expected at least {thresholds.min_duration_ms / 1000:.0f} s"
+        )
     if not activity.active or activity.active < thresholds.min_active_fraction * activity.expected:
         inactive = f"{activity.stalled} stalled, {activity.silent} silent"
-        return f"{activity.active} of {activity.expected} nodes are active ({inactive})"
+        return f"only {activity.active} of {activity.expected} nodes are active ({inactive})"
     requests = _requests_per_side(evidence)
     if requests < thresholds.min_requests:
-        return f"{requests:.0f} requests a side of at least {thresholds.min_requests}"
+        return f"{requests:.0f} requests per side, expected at least {thresholds.min_requests}"
     if _has_outage(evidence):
-        return f"an outage: {_rates(evidence.recent_failures)} failed recently"
+        return f"an outage: recent failure rates are {_rates(evidence.recent_failures)}"
     if evidence.regression_tests:
         log_e_value = evidence.log_e_value()
         if log_e_value > log_halt_threshold(evidence) - math.log(SUSPICION_FACTOR):
-            return f"a regression is suspected: {math.exp(log_e_value):.3g} to 1 against chance"
+            return f"a regression is suspected: e-value {math.exp(log_e_value):.3g}"
     return _inferiority_reason(evidence)
 
 
@@ -144,5 +147,5 @@
         test = evidence.non_inferiority_tests.get(measure)
         if test is None or test.log_value() < required:
             counts = evidence.total_counts(measure)
-            return f"{measure} may be {100 * margin:.1f} points worse: {_rates(counts)}"
+            return f"{measure} may be {100 * margin:.1f} percentage points worse: {_rates(counts)}"
     return None
--- a/onyxpost/rollout/metrics/aggregation.py
+++ b/onyxpost/rollout/metrics/aggregation.py
@@ -149,9 +149,11 @@
 
     def _check_origin(self, snapshot: MetricsSnapshot) -> None:
         if snapshot.version != self.version:
-            raise InvalidSnapshotError("counters of another version")
+            raise InvalidSnapshotError(
+                f"another version: expected {self.version!r}, got {snapshot.version!r}"
+            )
         if snapshot.node not in self._incarnations and len(self._incarnations) >= MAX_NODES:
-            raise InvalidSnapshotError("more nodes than a cluster has")
+            raise InvalidSnapshotError(f"too many nodes: expected at most {MAX_NODES}")
 
     def _forget_old_incarnations(self, node: str) -> None:
         for incarnation in sorted(self._incarnations[node])[:-MAX_INCARNATIONS_PER_NODE]:
--- a/onyxpost/rollout/metrics/validation.py
+++ b/onyxpost/rollout/metrics/validation.py
@@ -61,12 +61,12 @@
         InvalidSnapshotError: the snapshot contradicts itself or an earlier one, or exceeds a limit.
     """
     if state.zone != snapshot.zone:
-        raise InvalidSnapshotError("a node in two zones within one incarnation")
+        raise InvalidSnapshotError(f"zone changed: expected {state.zone!r}, got {snapshot.zone!r}")
     reported = {entry.key: entry for entry in snapshot.strata}
     if len(reported) != len(snapshot.strata):
-        raise InvalidSnapshotError("a stratum is reported twice")
+        raise InvalidSnapshotError("a stratum occurs twice in the snapshot")
     if len(reported.keys() | state.strata.keys()) > MAX_STRATA_PER_VERSION:
-        raise InvalidSnapshotError("too many strata")
+        raise InvalidSnapshotError(f"too many strata: expected at most {MAX_STRATA_PER_VERSION}")
     for entry in snapshot.strata:
         _check_counters(entry.candidate)
         _check_counters(entry.control)
@@ -82,22 +82,22 @@
 
 def _check_counters(counters: RequestCounters) -> None:
     if counters.has_negative():
-        raise InvalidSnapshotError("a negative counter")
+        raise InvalidSnapshotError("a counter is negative")
     if counters.finished() > counters.requests:
-        raise InvalidSnapshotError("more requests finished than arrived")
+        raise InvalidSnapshotError(f"more requests finished than the {counters.requests} that arrived")
     if counters.late > counters.succeeded or sum(counters.latencies.values()) > counters.succeeded:
         raise InvalidSnapshotError("more late responses or latencies than succeeded requests")
     if counters.failed_attempts > MAX_ATTEMPTS_PER_REQUEST * counters.requests:
-        raise InvalidSnapshotError("more failed attempts than the requests can have had")
+        raise InvalidSnapshotError(f"more than {MAX_ATTEMPTS_PER_REQUEST} failed attempts per request")
     if not all(map(is_bucket_upper_bound, counters.latencies)):
-        raise InvalidSnapshotError("a latency that is in no bucket")
+        raise InvalidSnapshotError("a latency is in no bucket")
 
 
 def _check_monotonic(*, earlier: StratumCounters, later: StratumCounters) -> None:
     """Checks that no counter decreases from the earlier to the later time of the node's clock."""
     for before, after in ((earlier.candidate, later.candidate), (earlier.control, later.control)):
         if after.minus(before).has_negative() or before.latencies.keys() - after.latencies.keys():
-            raise InvalidSnapshotError("counters that decrease")
+            raise InvalidSnapshotError("a counter decreased within an incarnation")
 
 
 def _check_rate(
@@ -118,7 +118,10 @@
     previous_clock_ms = min(previous_clocks, default=snapshot.clock_ms)
     elapsed_ms = snapshot.clock_ms - min(snapshot.clock_ms, previous_clock_ms)
     if added_requests > MAX_REQUESTS_PER_MS * elapsed_ms + MAX_REQUEST_BURST:
-        raise InvalidSnapshotError("more requests than a node can have had since its last snapshot")
+        raise InvalidSnapshotError(
+            f"{added_requests} requests since the node's last snapshot "
+            f"exceed the limit for {elapsed_ms:.0f} ms"
+        )
     total_requests = added_requests + state.request_count()
     if total_requests > MAX_REQUESTS_PER_MS * max(snapshot.clock_ms, state.clock_ms) + MAX_REQUEST_BURST:
-        raise InvalidSnapshotError("more requests than a node can have had in its incarnation")
+        raise InvalidSnapshotError(f"{total_requests} requests in this incarnation exceed the node's limit")
--- a/onyxpost/rollout/routing_rules/errors.py
+++ b/onyxpost/rollout/routing_rules/errors.py
@@ -8,40 +8,42 @@
 class InvalidRulesError(InvalidInputError):
     """The file is not TOML or too long, or a key in it is unknown, of the wrong type or out of range."""
 
-    remedy = "mend that place; `onyxpost check NODE-FILE` tries it; docs/rollouts-rules.md has their form"
+    remedy = "correct that place, then run `onyxpost check NODE-FILE`; see docs/rollouts-routing-rules.md"
 
 
 class UnknownNameError(InvalidInputError):
     """A rule names a frontend, plan or zone unknown to this node, or uses `at` and the node has no zone."""
 
-    remedy = "mend the name; a new zone goes into the rules' `zones`, the node's own into `zone` of its file"
+    remedy = "correct the name, add a new zone to the rules file's `zones`, or set `zone` in the node's file"
 
 
 class MissingFallbackError(InvalidInputError):
     """All servers that a rule names may be unavailable at once, and no fallback receives the requests."""
 
-    remedy = 'end the rule\'s `servers.fallbacks` with "any"'
+    remedy = 'add "any" as the last entry of the rule\'s `servers.fallbacks`'
 
 
 class UnreachableRuleError(InvalidInputError):
     """A rule or fallback never applies, because earlier ones match all of its requests or servers."""
 
-    remedy = "put it before those that the line names, make it match what they leave, or take it out"
+    remedy = "move the rule or fallback before those that this line names, extend its match, or delete it"
 
 
 class SplitsDeduplicationScopeError(InvalidInputError):
     """A rule may select only a part of the zone or cell within which a frontend deduplicates requests."""
 
-    remedy = "name whole zones (or cells), as the frontend's group is, or leave that frontend out of the rule"
+    remedy = (
+        "select servers by the frontend's `group` (zones or cells), or exclude that frontend from the rule"
+    )
 
 
 class StaleRulesError(InvalidInputError):
     """The file's version is earlier than the one in force."""
 
-    remedy = "give the rules a version above the one in force, the old text with a new number too; SIGHUP"
+    remedy = "set `version` above the one in force, even to restore an earlier text; then send SIGHUP"
 
 
 class ConflictingRulesError(InvalidInputError):
     """The file's version is the one in force, but its text differs."""
 
-    remedy = "raise the version in the rules' file with each change, on all nodes; SIGHUP"
+    remedy = "raise `version` with each change of the rules file, on all nodes; then send SIGHUP"
--- a/onyxpost/rollout/routing_rules/file.py
+++ b/onyxpost/rollout/routing_rules/file.py
@@ -57,10 +57,10 @@
     if in_force is None or new.version > in_force.version:
         return True
     if new.version < in_force.version:
-        message = f"version {new.version} is earlier than {in_force.version}"
+        message = f"version {new.version} is earlier than version {in_force.version}, which is in force"
         raise StaleRulesError(at_key(message, "version"), source)
     if new.digest != in_force.digest:
-        message = f"version {in_force.version} is in force with another text"
+        message = f"version {in_force.version} is already in force with a different text"
         raise ConflictingRulesError(at_key(message, "version"), source)
     return False
 
--- a/onyxpost/rollout/routing_rules/reachability.py
+++ b/onyxpost/rollout/routing_rules/reachability.py
@@ -62,7 +62,9 @@
                 covering_rules.add(covering_rule)
         if not is_reachable:
             earlier = ", ".join(f"`$.rules[{covering}]`" for covering in sorted(covering_rules))
-            raise UnreachableRuleError(at_key(f"it never matches after {earlier}", f"rules[{index}]"))
+            raise UnreachableRuleError(
+                at_key(f"this rule never applies: {earlier} match all of its requests", f"rules[{index}]")
+            )
 
 
 def traffic_classes(
--- a/onyxpost/rollout/routing_rules/schema.py
+++ b/onyxpost/rollout/routing_rules/schema.py
@@ -128,7 +128,7 @@
         InvalidRulesError: the text is too long, or not valid; the message names the place of the first error.
     """
     if len(data) > MAX_FILE_BYTES:
-        raise InvalidRulesError(f"{len(data)} bytes, {MAX_FILE_BYTES} at most")
+        raise InvalidRulesError(f"expected at most {MAX_FILE_BYTES} bytes, got at least {len(data)}")
     try:
         return msgspec.convert(tomllib.loads(data.decode()), type=RulesFile, str_keys=True)
     except (ValueError, RecursionError) as error:  # also TOML and UTF-8 errors, and overlong numbers
--- a/onyxpost/rollout/routing_rules/validation.py
+++ b/onyxpost/rollout/routing_rules/validation.py
@@ -48,7 +48,7 @@
         _check_names(rule.plans, context.plans, f"{path}.plans")
         _check_names(rule.node_zones, zones, f"{path}.at")
         if rule.node_zones is not None and context.own_zone is None:
-            raise UnknownNameError(at_key("the node's file does not say its `zone`", f"{path}.at"))
+            raise UnknownNameError(at_key("expected a `zone` in the node's file, got none", f"{path}.at"))
         if rule.servers is not None:
             _check_servers(rule, rule.servers, zones, context, f"{path}.servers")
     check_reachable(rules_file.rules, context)
@@ -66,7 +66,7 @@
 def _check_names(names: Iterable[str] | None, known: Container[str], path: str) -> None:
     for name in names or ():
         if name not in known:
-            raise UnknownNameError(at_key(f"{name!r} is not known here", path))
+            raise UnknownNameError(at_key(f"expected a name that this node knows, got {name!r}", path))
 
 
 def _check_servers(
@@ -83,9 +83,9 @@
 def _check_choice(choice: ServerChoice, zones: Container[str], path: str) -> None:
     criteria = choice.criteria()
     if not criteria:
-        raise InvalidRulesError(at_key("names no servers", path))
+        raise InvalidRulesError(at_key("expected `zones`, `cells` or `names`, got none", path))
     if sum(isinstance(values, dict) for values in criteria.values()) > 1:
-        raise InvalidRulesError(at_key("weights for more than one of zones, cells, names", path))
+        raise InvalidRulesError(at_key("expected weights for one of zones, cells and names, got more", path))
     _check_names(choice.zones, zones, f"{path}.zones")
 
 
@@ -101,7 +101,7 @@
             continue
         for attribute in choice.criteria():
             if attribute is not SCOPE_ATTRIBUTES[scope]:
-                message = f"{name!r} deduplicates requests by {scope.value}, of which this selects a part"
+                message = f"frontend {name!r} deduplicates by {scope.value}; this may select a part of one"
                 raise SplitsDeduplicationScopeError(at_key(message, f"{path}.{attribute}"))
 
 
@@ -109,15 +109,22 @@
     if not servers.fallbacks or servers.fallbacks[-1] != ANY_SERVER:
         below, choice = choices[-1]
         attribute = next(iter(choice.criteria()))
-        raise MissingFallbackError(at_key("all of them may be unavailable", f"{path}{below}.{attribute}"))
+        raise MissingFallbackError(
+            at_key(
+                'all of these servers may be unavailable; expected "any" as last fallback',
+                f"{path}{below}.{attribute}",
+            )
+        )
     if ANY_SERVER in servers.fallbacks[:-1]:
         next_index = servers.fallbacks.index(ANY_SERVER) + 1
-        raise UnreachableRuleError(at_key('it comes after "any"', f"{path}.fallbacks[{next_index}]"))
+        raise UnreachableRuleError(
+            at_key('this fallback never applies: it comes after "any"', f"{path}.fallbacks[{next_index}]")
+        )
 
 
 def _check_fallbacks_reachable(choices: list[LocatedChoice], path: str) -> None:
     for index, (below, choice) in enumerate(choices):
         for earlier_below, earlier in choices[:index]:
             if is_subset(choice, earlier):
-                message = f"all of its servers are in `{path}{earlier_below}`"
+                message = f"this fallback never applies: all of its servers are in `{path}{earlier_below}`"
                 raise UnreachableRuleError(at_key(message, f"{path}{below}"))
--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -103,6 +103,23 @@
     ),
     # Descriptions of violations in result files.
     (" ms after it was told", " ms after its node was notified of the drain"),
+    # Remedies of rules files.
+    (
+        "mend that place; `onyxpost check NODE-FILE` tries it; docs/rollouts-rules.md has their form",
+        "correct that place, then run `onyxpost check NODE-FILE`; see docs/rollouts-routing-rules.md",
+    ),
+    (
+        "mend the name; a new zone goes into the rules' `zones`, the node's own into `zone` of its file",
+        "correct the name, add a new zone to the rules file's `zones`, or set `zone` in the node's file",
+    ),
+    (
+        'end the rule\'s `servers.fallbacks` with "any"',
+        'add "any" as the last entry of the rule\'s `servers.fallbacks`',
+    ),
+    (
+        "put it before those that the line names, make it match what they leave, or take it out",
+        "move the rule or fallback before those that this line names, extend its match, or delete it",
+    ),
 )
 
 USAGE_ERROR = re.compile(r"^Error: .*", re.MULTILINE | re.DOTALL)
