--- a/onyxpost/rollout/analysis/baseline.py
+++ b/onyxpost/rollout/analysis/baseline.py
@@ -15,7 +15,7 @@
     from onyxpost.rollout.analysis.paired_counts import PairedCounts
     from onyxpost.rollout.analysis.thresholds import Measure, Thresholds
 
-STANDARD_ERRORS = 3.0
+ADDED_STANDARD_ERRORS = 3.0
 """Standard errors added to control's measured failure rate."""
 
 
@@ -43,6 +43,6 @@
     """Returns control's failure rate plus its standard errors, for clustered failures, and allowed drift."""
     requests = max(1.0, counts.control_requests)
     rate = counts.control_rate
-    error = STANDARD_ERRORS * math.sqrt(cluster_size * (rate + 1.0 / requests) / requests)
-    drifted = (rate + error) * (1.0 + thresholds.baseline_relative_drift)
-    return min(1.0, drifted + thresholds.baseline_absolute_drift)
+    standard_errors = ADDED_STANDARD_ERRORS * math.sqrt(cluster_size * (rate + 1.0 / requests) / requests)
+    rate_with_drift = (rate + standard_errors) * (1.0 + thresholds.baseline_relative_drift)
+    return min(1.0, rate_with_drift + thresholds.baseline_absolute_drift)
--- a/onyxpost/rollout/analysis/decision.py
+++ b/onyxpost/rollout/analysis/decision.py
@@ -20,7 +20,7 @@
 SUSPICION_FACTOR = 10.0
 """A stage holds once its e-value exceeds the halt threshold divided by this factor."""
 
-MAX_PRINTED_LOG = 60.0
+MAX_PRINTED_LOG_E_VALUE = 60.0
 """Limit on the logarithm of a printed e-value; the exponential of a very large one would overflow."""
 
 
@@ -53,7 +53,7 @@
     if reason := _hold_reason(evidence, activity, stage_duration_ms):
         return Decision(Outcome.HOLD, reason)
     failures = evidence.total_counts(Measure.FAILED_REQUESTS)
-    return Decision(Outcome.ADVANCE, f"{Measure.FAILED_REQUESTS}: {_rates(failures)}")
+    return Decision(Outcome.ADVANCE, f"{Measure.FAILED_REQUESTS}: {_format_rates(failures)}")
 
 
 def log_halt_threshold(evidence: Evidence) -> float:
@@ -62,12 +62,12 @@
     return math.log(thresholds.stages / thresholds.max_false_halt_probability)
 
 
-def _rates(counts: PairedCounts) -> str:
+def _format_rates(counts: PairedCounts) -> str:
     control = f"control {100 * counts.control_rate:.2f} % of {counts.control_requests:.0f}"
-    return f"{_candidate_rate(counts)}, {control}"
+    return f"{_format_candidate_rate(counts)}, {control}"
 
 
-def _candidate_rate(counts: PairedCounts) -> str:
+def _format_candidate_rate(counts: PairedCounts) -> str:
     return f"{100 * counts.candidate_rate:.2f} % of {counts.candidate_requests:.0f} requests"
 
 
@@ -79,23 +79,23 @@
         return None
     group_name, measure = evidence.strongest_regression()
     counts = evidence.total_counts(measure, group_name)
-    odds = math.exp(min(evidence.log_e_value(), MAX_PRINTED_LOG))
-    rates = _rates(counts)
+    e_value = math.exp(min(evidence.log_e_value(), MAX_PRINTED_LOG_E_VALUE))
+    rates = _format_rates(counts)
     if evidence.baseline is not None:
         max_rate = evidence.baseline.max_failure_rate(group_name, measure)
-        rates = f"{_candidate_rate(counts)}, baseline at most {100 * max_rate:.2f} %"
-    return f"{measure} in {group_name}: {rates}; e-value {odds:.3g}"
+        rates = f"{_format_candidate_rate(counts)}, baseline at most {100 * max_rate:.2f} %"
+    return f"{measure} in {group_name}: {rates}; e-value {e_value:.3g}"
 
 
 def _failure_rate_limit_reason(evidence: Evidence) -> str | None:
     limit = evidence.thresholds.failure_rate_limit
     recent = evidence.recent_failures
-    fewer_requests = min(recent.candidate_requests, recent.control_requests)
-    if fewer_requests < evidence.thresholds.failure_rate_limit_min_requests:
+    smaller_request_count = min(recent.candidate_requests, recent.control_requests)
+    if smaller_request_count < evidence.thresholds.failure_rate_limit_min_requests:
         return None
     if recent.candidate_rate < limit or recent.control_rate >= limit / 2:
         return None
-    return f"{Measure.FAILED_REQUESTS} over the limit of {100 * limit:.0f} %: {_rates(recent)}"
+    return f"{Measure.FAILED_REQUESTS} over the limit of {100 * limit:.0f} %: {_format_rates(recent)}"
 
 
 def _hold_reason(evidence: Evidence, activity: NodeActivity, stage_duration_ms: float) -> str | None:
@@ -112,7 +112,7 @@
     if requests < thresholds.min_requests:
         return f"{requests:.0f} requests per side, expected at least {thresholds.min_requests}"
     if _has_outage(evidence):
-        return f"an outage: recent failure rates are {_rates(evidence.recent_failures)}"
+        return f"an outage: recent failure rates are {_format_rates(evidence.recent_failures)}"
     if evidence.regression_tests:
         log_e_value = evidence.log_e_value()
         if log_e_value > log_halt_threshold(evidence) - math.log(SUSPICION_FACTOR):
@@ -142,10 +142,10 @@
     """
     if evidence.baseline is not None:
         return None
-    required = -math.log(evidence.thresholds.max_false_advance_probability)
+    required_log_value = -math.log(evidence.thresholds.max_false_advance_probability)
     for measure, margin in evidence.thresholds.non_inferiority_margins.items():
         test = evidence.non_inferiority_tests.get(measure)
-        if test is None or test.log_value() < required:
+        if test is None or test.log_value() < required_log_value:
             counts = evidence.total_counts(measure)
-            return f"{measure} may be {100 * margin:.1f} percentage points worse: {_rates(counts)}"
+            return f"{measure} may be {100 * margin:.1f} percentage points worse: {_format_rates(counts)}"
     return None
--- a/onyxpost/rollout/analysis/evidence.py
+++ b/onyxpost/rollout/analysis/evidence.py
@@ -60,7 +60,9 @@
 
     def add(self, log_gains: LogGains, counts: PairedCounts) -> None:
         """Adds the gains and counts of one more cell."""
-        self.log_gains = [before + gain for before, gain in zip(self.log_gains, log_gains, strict=True)]
+        self.log_gains = [
+            before + log_gain for before, log_gain in zip(self.log_gains, log_gains, strict=True)
+        ]
         self.counts += counts
 
 
@@ -92,8 +94,8 @@
             is_outage = self._observe_outage(cells[Measure.FAILED_REQUESTS])
             for measure, counts in cells.items():
                 if counts.candidate_requests and (counts.control_requests or self.baseline):
-                    gains = self._test_cell(stratum, measure, counts, is_outage=is_outage)
-                    _accumulate(updates, stratum, measure, gains, counts)
+                    log_gains = self._test_cell(stratum, measure, counts, is_outage=is_outage)
+                    _accumulate(updates, stratum, measure, log_gains, counts)
             if self.baseline is None:
                 self._latency.observe_control(stratum_name(stratum), increment.control)
         for (stratum, measure), update in updates.items():
@@ -171,17 +173,17 @@
             assert self.baseline is not None
             max_rate = self.baseline.max_failure_rate(stratum_name(stratum), measure)
             return regression_log_gains(counts, max_rate, 0.0, cluster_size)
-        gains = regression_log_gains(
+        log_gains = regression_log_gains(
             counts, self.thresholds.absolute_tolerance, self.thresholds.relative_tolerance, cluster_size
         )
         if is_outage:  # a fault that also affects control may lower the e-value, but not raise it
-            gains = [min(0.0, gain) for gain in gains]
+            log_gains = [min(0.0, log_gain) for log_gain in log_gains]
         self._overdispersion[measure].observe(stratum_name(stratum), counts)
         margin = self.thresholds.non_inferiority_margins.get(measure)
         if margin is not None:
             test = self.non_inferiority_tests.setdefault(measure, EProcess())
             test.update(non_inferiority_log_gains(counts, margin, cluster_size))
-        return gains
+        return log_gains
 
     def _cluster_size(self, measure: Measure) -> float:
         estimate = self._overdispersion.setdefault(measure, Overdispersion())
@@ -199,11 +201,11 @@
     updates: dict[tuple[Stratum, Measure], _StratumUpdate],
     stratum: Stratum,
     measure: Measure,
-    gains: LogGains,
+    log_gains: LogGains,
     counts: PairedCounts,
 ) -> None:
     update = updates.get((stratum, measure))
     if update is None:
-        updates[(stratum, measure)] = _StratumUpdate(gains, counts)
+        updates[(stratum, measure)] = _StratumUpdate(log_gains, counts)
     else:
-        update.add(gains, counts)
+        update.add(log_gains, counts)
--- a/onyxpost/rollout/analysis/latency_thresholds.py
+++ b/onyxpost/rollout/analysis/latency_thresholds.py
@@ -37,7 +37,7 @@
     def has_doubled(self) -> bool:
         return self.requests >= 2 * self.requests_at_update
 
-    def start_next_doubling(self) -> None:
+    def record_update(self) -> None:
         self.requests_at_update = self.requests
 
     def thresholds(self) -> LatencyThresholds:
@@ -69,15 +69,15 @@
         latencies = self._latencies.setdefault(stratum_name, _ControlLatencies())
         latencies.add(control)
         if stratum_name not in self._thresholds and latencies.requests >= MIN_REQUESTS:
-            self._update(stratum_name, latencies)
+            self._update_thresholds(stratum_name, latencies)
 
     def on_period_end(self) -> None:
         """Updates the thresholds of strata whose control requests have doubled since the last update."""
         for stratum_name, latencies in self._latencies.items():
             if latencies.has_doubled():
-                latencies.start_next_doubling()
-                self._update(stratum_name, latencies)
+                latencies.record_update()
+                self._update_thresholds(stratum_name, latencies)
 
-    def _update(self, stratum_name: str, latencies: _ControlLatencies) -> None:
+    def _update_thresholds(self, stratum_name: str, latencies: _ControlLatencies) -> None:
         if latencies.buckets:
             self._thresholds[stratum_name] = latencies.thresholds()
--- a/onyxpost/rollout/analysis/overdispersion.py
+++ b/onyxpost/rollout/analysis/overdispersion.py
@@ -46,8 +46,10 @@
         """Adds a cell to the estimate; control must have had requests in the cell."""
         requests = counts.candidate_requests
         ratio = requests / counts.control_requests
-        known = self._strata.get(stratum_name, _StratumSurplus())
+        previous = self._strata.get(stratum_name, _StratumSurplus())
         surplus = counts.candidate_failures - ratio * counts.control_failures
-        self._squared_surplus += (surplus - requests * known.rate) ** 2
+        self._squared_surplus += (surplus - requests * previous.rate) ** 2
         self._independent_variance += counts.candidate_failures + ratio * ratio * counts.control_failures
-        self._strata[stratum_name] = _StratumSurplus(known.failures + surplus, known.requests + requests)
+        self._strata[stratum_name] = _StratumSurplus(
+            previous.failures + surplus, previous.requests + requests
+        )
--- a/onyxpost/rollout/analysis/sequential_test.py
+++ b/onyxpost/rollout/analysis/sequential_test.py
@@ -54,14 +54,14 @@
     stakes = [stake / max(1.0, ratio) for stake in STAKES]
     if not failures and not counts.control_failures:
         return [-stake * requests * absolute_tolerance / cluster_size for stake in stakes]
-    gains = []
+    log_gains = []
     for stake in stakes:
-        gain = failures * math.log1p(stake)
+        log_gain = failures * math.log1p(stake)
         if counts.control_failures:
-            gain += counts.control_failures * math.log1p(-stake * ratio)
-        gain -= stake * requests * absolute_tolerance
-        gains.append(min(MAX_LOG_GAIN, gain / cluster_size))
-    return gains
+            log_gain += counts.control_failures * math.log1p(-stake * ratio)
+        log_gain -= stake * requests * absolute_tolerance
+        log_gains.append(min(MAX_LOG_GAIN, log_gain / cluster_size))
+    return log_gains
 
 
 def non_inferiority_log_gains(counts: PairedCounts, margin: float, cluster_size: float) -> LogGains:
@@ -71,16 +71,16 @@
     """
     requests = counts.candidate_requests
     ratio = requests / counts.control_requests
-    gains = []
+    log_gains = []
     for unscaled_stake in STAKES:
         stake = unscaled_stake / max(1.0, ratio)
-        gain = (
+        log_gain = (
             counts.candidate_failures * math.log1p(-stake)
             + counts.control_failures * math.log1p(stake * ratio)
             + stake * requests * margin
         )
-        gains.append(min(MAX_LOG_GAIN, gain / cluster_size))
-    return gains
+        log_gains.append(min(MAX_LOG_GAIN, log_gain / cluster_size))
+    return log_gains
 
 
 def log_sum_exp(logs: Sequence[float]) -> float:
@@ -103,9 +103,11 @@
         self._log_capital = [math.log(INITIAL_FRACTION / len(STAKES))] * len(STAKES)
         self._log_reserve = math.log(1.0 - INITIAL_FRACTION)
 
-    def update(self, gains: LogGains) -> None:
+    def update(self, log_gains: LogGains) -> None:
         """Multiplies the capital on each stake by its gain; `gains` are logarithms."""
-        self._log_capital = [capital + gain for capital, gain in zip(self._log_capital, gains, strict=True)]
+        self._log_capital = [
+            capital + log_gain for capital, log_gain in zip(self._log_capital, log_gains, strict=True)
+        ]
 
     def release_reserve(self) -> None:
         """Moves a part of the reserve to the stakes; when it is called must not depend on results."""
--- a/onyxpost/rollout/metrics/aggregation.py
+++ b/onyxpost/rollout/metrics/aggregation.py
@@ -168,8 +168,8 @@
 
     Returns the increment, or None if the stratum was not known before or nothing was added.
     """
-    known = state.strata.get(entry.key)
-    before = known or StratumCounters(entry.frontend, entry.plan, NO_COUNTERS, NO_COUNTERS)
+    previous = state.strata.get(entry.key)
+    before = previous or StratumCounters(entry.frontend, entry.plan, NO_COUNTERS, NO_COUNTERS)
     merged = StratumCounters(
         entry.frontend,
         entry.plan,
@@ -179,7 +179,7 @@
     state.set_counters(snapshot.clock_ms, merged)
     candidate = merged.candidate.minus(before.candidate)
     control = merged.control.minus(before.control)
-    if known is None or not any(candidate.scalars() + control.scalars()):
+    if previous is None or not any(candidate.scalars() + control.scalars()):
         return None
     return CounterIncrement(
         snapshot.node, Stratum(entry.frontend, entry.plan, state.zone), candidate, control
--- a/onyxpost/rollout/metrics/counters.py
+++ b/onyxpost/rollout/metrics/counters.py
@@ -49,7 +49,9 @@
         """Counts the arrival of a request."""
         self._counters(frontend, plan, side).requests += 1
 
-    def record_success(self, frontend: str, plan: str, side: Side, latency_ms: float, *, late: bool) -> None:
+    def record_success(
+        self, frontend: str, plan: str, side: Side, latency_ms: float, *, is_late: bool
+    ) -> None:
         """Counts a request that succeeded.
 
         Args:
@@ -57,12 +59,12 @@
             plan: the customer's plan.
             side: the rules that the request was served under.
             latency_ms: the time from the arrival of the request to its success.
-            late: whether the latency exceeds the latency objective.
+            is_late: whether the latency exceeds the latency objective.
         """
         counters = self._counters(frontend, plan, side)
         upper_bound_ms = bucket_upper_bound(latency_ms)
         counters.succeeded += 1
-        counters.late += late
+        counters.late += is_late
         counters.latencies[upper_bound_ms] = counters.latencies.get(upper_bound_ms, 0) + 1
 
     def record_failure(self, frontend: str, plan: str, side: Side, failure: Failure) -> None:
--- a/onyxpost/rollout/metrics/protocol.py
+++ b/onyxpost/rollout/metrics/protocol.py
@@ -87,7 +87,7 @@
         latencies = dict(self.latencies)
         for upper_bound_ms, count in other.latencies.items():
             latencies[upper_bound_ms] = max(count, latencies.get(upper_bound_ms, 0))
-        return _counters(map(max, self.scalars(), other.scalars()), latencies)
+        return _from_scalars(map(max, self.scalars(), other.scalars()), latencies)
 
     def minus(self, earlier: RequestCounters) -> RequestCounters:
         """Returns the counts since `earlier`, which are negative where `earlier` has the greater count."""
@@ -97,7 +97,7 @@
         }
         latencies = {upper_bound_ms: count for upper_bound_ms, count in differences.items() if count}
         scalars = (after - before for after, before in zip(self.scalars(), earlier.scalars(), strict=True))
-        return _counters(scalars, latencies)
+        return _from_scalars(scalars, latencies)
 
     def plus(self, other: RequestCounters) -> RequestCounters:
         """Returns the sum of counters of different requests, such as those of two nodes or two incarnations.
@@ -107,10 +107,10 @@
         latencies = dict(self.latencies)
         for upper_bound_ms, count in other.latencies.items():
             latencies[upper_bound_ms] = count + latencies.get(upper_bound_ms, 0)
-        return _counters(map(sum, zip(self.scalars(), other.scalars(), strict=True)), latencies)
+        return _from_scalars(map(sum, zip(self.scalars(), other.scalars(), strict=True)), latencies)
 
 
-def _counters(scalars: Iterable[int], latencies: dict[int, int]) -> RequestCounters:
+def _from_scalars(scalars: Iterable[int], latencies: dict[int, int]) -> RequestCounters:
     """Builds counters from values in the order of `RequestCounters.scalars`."""
     # mypy assumes that a starred argument of unknown length may also fill `latencies`.
     return RequestCounters(*scalars, latencies=latencies)  # type: ignore[arg-type, misc]
--- a/onyxpost/rollout/metrics/validation.py
+++ b/onyxpost/rollout/metrics/validation.py
@@ -72,11 +72,11 @@
         _check_counters(entry.control)
     for key, entry in reported.items():
         if key in state.strata:
-            known = state.strata[key]
+            previous = state.strata[key]
             if snapshot.clock_ms >= state.stratum_clock_ms[key]:
-                _check_monotonic(earlier=known, later=entry)
+                _check_monotonic(earlier=previous, later=entry)
             else:
-                _check_monotonic(earlier=entry, later=known)
+                _check_monotonic(earlier=entry, later=previous)
     _check_rate(snapshot, state, reported)
 
 
@@ -108,12 +108,12 @@
     """Checks that counters do not grow faster than a node can serve requests."""
     added_requests = 0
     for key, entry in reported.items():
-        known = state.strata.get(key)
-        if known is None:
+        previous = state.strata.get(key)
+        if previous is None:
             added_requests += entry.candidate.requests + entry.control.requests
         else:
-            added_requests += max(0, entry.candidate.requests - known.candidate.requests)
-            added_requests += max(0, entry.control.requests - known.control.requests)
+            added_requests += max(0, entry.candidate.requests - previous.candidate.requests)
+            added_requests += max(0, entry.control.requests - previous.control.requests)
     previous_clocks = (state.stratum_clock_ms.get(key, 0.0) for key in reported)
     previous_clock_ms = min(previous_clocks, default=snapshot.clock_ms)
     elapsed_ms = snapshot.clock_ms - min(snapshot.clock_ms, previous_clock_ms)
--- a/onyxpost/rollout/routing_rules/compiled.py
+++ b/onyxpost/rollout/routing_rules/compiled.py
@@ -19,7 +19,7 @@
     from onyxpost.rollout.routing_rules.schema import Rule, RulesFile
     from onyxpost.rollout.routing_rules.server_filter import ServerFilter
 
-LOGGED_DIGEST_LENGTH = 16
+LOGGED_DIGEST_CHARS = 16
 
 
 class CompiledConstraint(RoutingConstraint):
@@ -34,8 +34,8 @@
 
     def select(self, servers: list[ServerType]) -> list[ServerType]:
         """Returns the servers that pass the first filter that any server passes; all servers if none do."""
-        for permits in self.filters:
-            if permitted := [server for server in servers if permits(server)]:
+        for is_permitted in self.filters:
+            if permitted := [server for server in servers if is_permitted(server)]:
                 return permitted
         return servers
 
@@ -83,7 +83,7 @@
         self.version = rules_file.version
         self.digest = digest
         self.rule_count = len(rules_file.rules)
-        self._table: dict[tuple[str, str], list[CompiledRule]] = {}
+        self._rules_by_traffic: dict[tuple[str, str], list[CompiledRule]] = {}
         for rule in rules_file.rules:
             if rule.node_zones is None or context.own_zone in rule.node_zones:
                 self._add(rule, context)
@@ -96,27 +96,27 @@
             plan: the customer's plan.
             customer: the CRC-32 of the customer's key.
         """
-        for rule in self.candidates(frontend, plan):
+        for rule in self.rules_for(frontend, plan):
             if rule.matches(customer):
                 return rule.constraint(customer)
         return UNRESTRICTED
 
-    def candidates(self, frontend: str, plan: str) -> list[CompiledRule]:
+    def rules_for(self, frontend: str, plan: str) -> list[CompiledRule]:
         """Returns the rules that can match requests of a frontend and plan, in the order of the file."""
-        return self._table.get((frontend, plan), [])
+        return self._rules_by_traffic.get((frontend, plan), [])
 
     def log_fields(self) -> dict[str, Any]:
         """Returns the fields that identify this version in a log line."""
-        digest = self.digest[:LOGGED_DIGEST_LENGTH]
+        digest = self.digest[:LOGGED_DIGEST_CHARS]
         return {"version": self.version, "rules": self.rule_count, "digest": digest}
 
     def _add(self, rule: Rule, context: RoutingContext) -> None:
         compiled = compile_rule(rule)
         for frontend in dict.fromkeys(rule.frontends or context.frontends):
             for plan in dict.fromkeys(rule.plans or context.plans):
-                candidates = self._table.setdefault((frontend, plan), [])
-                if not candidates or not candidates[-1].matches_all_customers:
-                    candidates.append(compiled)
+                rules = self._rules_by_traffic.setdefault((frontend, plan), [])
+                if not rules or not rules[-1].matches_all_customers:
+                    rules.append(compiled)
 
 
 def compile_rule(rule: Rule) -> CompiledRule:
--- a/onyxpost/rollout/routing_rules/reachability.py
+++ b/onyxpost/rollout/routing_rules/reachability.py
@@ -28,14 +28,14 @@
     node_zone: str | None
 
 
-class _Matched(NamedTuple):
+class _MatchedShare(NamedTuple):
     """The largest share of customers that a rule of one salt matches so far, and that rule's index."""
 
     share: float
     rule_index: int
 
 
-_MatchedBySalt = dict[str | None, _Matched]
+_SharesBySalt = dict[str | None, _MatchedShare]
 
 
 def check_reachable(rules: Sequence[Rule], context: RoutingContext) -> None:
@@ -50,12 +50,12 @@
     """
     named_zones = {zone for rule in rules for zone in rule.node_zones or ()}
     zones = [OTHER_ZONES, *sorted(named_zones)]
-    matched: dict[TrafficClass, _MatchedBySalt] = {}
+    matched: dict[TrafficClass, _SharesBySalt] = {}
     for index, rule in enumerate(rules):
         covering_rules: set[int] = set()
         is_reachable = False
         for traffic_class in traffic_classes(rule, context, zones):
-            covering_rule = _match(rule, index, matched.setdefault(traffic_class, {}))
+            covering_rule = _record_unless_covered(rule, index, matched.setdefault(traffic_class, {}))
             if covering_rule is None:
                 is_reachable = True
             else:
@@ -77,20 +77,20 @@
                 yield TrafficClass(frontend, plan, zone)
 
 
-def _match(rule: Rule, index: int, matched: _MatchedBySalt) -> int | None:
+def _record_unless_covered(rule: Rule, index: int, matched: _SharesBySalt) -> int | None:
     """Returns the index of an earlier rule that matches all of this rule's customers.
 
     Without one, records this rule in `matched` and returns None.
     """
-    salt, share = _customers(rule)
+    salt, share = _salt_and_share(rule)
     covering = matched.get(ALL_CUSTOMERS) or matched.get(salt)
     if covering is not None and covering.share >= share:
         return covering.rule_index
-    matched[salt] = _Matched(share, index)
+    matched[salt] = _MatchedShare(share, index)
     return None
 
 
-def _customers(rule: Rule) -> tuple[str | None, float]:
+def _salt_and_share(rule: Rule) -> tuple[str | None, float]:
     """Returns the salt and share of the customers that a rule matches."""
     customers = rule.customers
     if customers is None or customers.share >= 1.0:
--- a/onyxpost/rollout/routing_rules/schema.py
+++ b/onyxpost/rollout/routing_rules/schema.py
@@ -16,7 +16,7 @@
 from onyxpost.rollout.routing_rules.errors import InvalidRulesError
 
 MAX_FILE_BYTES = 65_536
-MAX_ERROR_LENGTH = 300
+MAX_ERROR_CHARS = 300
 
 ANY_SERVER: Final = "any"
 """The fallback that permits all servers."""
@@ -132,4 +132,4 @@
     try:
         return msgspec.convert(tomllib.loads(data.decode()), type=RulesFile, str_keys=True)
     except (ValueError, RecursionError) as error:  # also TOML and UTF-8 errors, and overlong numbers
-        raise InvalidRulesError(" ".join(str(error).split())[:MAX_ERROR_LENGTH]) from error
+        raise InvalidRulesError(" ".join(str(error).split())[:MAX_ERROR_CHARS]) from error
--- a/onyxpost/rollout/routing_rules/server_filter.py
+++ b/onyxpost/rollout/routing_rules/server_filter.py
@@ -20,8 +20,8 @@
 
 def weight_bounds(choice: ServerChoice) -> list[int]:
     """Returns the hashes that separate the ranges of the weighted values; empty without weights."""
-    sums = list(accumulate(_weights(choice).values()))
-    return [round(end / sums[-1] * HASH_RANGE) for end in sums[:-1]]
+    cumulative_weights = list(accumulate(_weights(choice).values()))
+    return [round(end / cumulative_weights[-1] * HASH_RANGE) for end in cumulative_weights[:-1]]
 
 
 def server_filters(choice: ServerChoice, weight_hash: int) -> list[ServerFilter]:
@@ -31,16 +31,16 @@
     permits all values. Without weights, there is one filter.
     """
     criteria = choice.criteria()
-    every_value = {attribute: frozenset(values) for attribute, values in criteria.items()}
+    all_values = {attribute: frozenset(values) for attribute, values in criteria.items()}
     weights = _weights(choice)
     if not weights:
-        return [_server_filter(every_value)]
-    own_value = list(weights)[bisect_right(weight_bounds(choice), weight_hash)]
-    own_values = {
-        attribute: frozenset([own_value] if isinstance(values, dict) else values)
+        return [_server_filter(all_values)]
+    assigned_value = list(weights)[bisect_right(weight_bounds(choice), weight_hash)]
+    assigned_values = {
+        attribute: frozenset([assigned_value] if isinstance(values, dict) else values)
         for attribute, values in criteria.items()
     }
-    return [_server_filter(own_values), _server_filter(every_value)]
+    return [_server_filter(assigned_values), _server_filter(all_values)]
 
 
 def _weights(choice: ServerChoice) -> Mapping[str, float] | Mapping[int, float]:
--- a/onyxpost/rollout/routing_rules/validation.py
+++ b/onyxpost/rollout/routing_rules/validation.py
@@ -73,9 +73,9 @@
     rule: Rule, servers: ServerSelection, zones: Container[str], context: RoutingContext, path: str
 ) -> None:
     choices = servers.choices()
-    for below, choice in choices:
-        _check_choice(choice, zones, path + below)
-        _check_deduplication_scopes(rule, choice, context, path + below)
+    for subpath, choice in choices:
+        _check_choice(choice, zones, path + subpath)
+        _check_deduplication_scopes(rule, choice, context, path + subpath)
     _check_last_fallback(servers, choices, path)
     _check_fallbacks_reachable(choices, path)
 
@@ -107,12 +107,12 @@
 
 def _check_last_fallback(servers: ServerSelection, choices: list[LocatedChoice], path: str) -> None:
     if not servers.fallbacks or servers.fallbacks[-1] != ANY_SERVER:
-        below, choice = choices[-1]
+        subpath, choice = choices[-1]
         attribute = next(iter(choice.criteria()))
         raise MissingFallbackError(
             at_key(
                 'all of these servers may be unavailable; expected "any" as last fallback',
-                f"{path}{below}.{attribute}",
+                f"{path}{subpath}.{attribute}",
             )
         )
     if ANY_SERVER in servers.fallbacks[:-1]:
@@ -123,8 +123,8 @@
 
 
 def _check_fallbacks_reachable(choices: list[LocatedChoice], path: str) -> None:
-    for index, (below, choice) in enumerate(choices):
-        for earlier_below, earlier in choices[:index]:
+    for index, (subpath, choice) in enumerate(choices):
+        for earlier_subpath, earlier in choices[:index]:
             if is_subset(choice, earlier):
-                message = f"this fallback never applies: all of its servers are in `{path}{earlier_below}`"
-                raise UnreachableRuleError(at_key(message, f"{path}{below}"))
+                message = f"this fallback never applies: all of its servers are in `{path}{earlier_subpath}`"
+                raise UnreachableRuleError(at_key(message, f"{path}{subpath}"))
--- a/tests/rollout/test_metrics.py
+++ b/tests/rollout/test_metrics.py
@@ -40,7 +40,7 @@
             counters.record_request("web", plan, side)
             if rng.random() < 0.7:
                 latency_ms = rng.expovariate(0.01)
-                counters.record_success("web", plan, side, latency_ms, late=rng.random() < 0.1)
+                counters.record_success("web", plan, side, latency_ms, is_late=rng.random() < 0.1)
             else:
                 counters.record_failure("web", plan, side, rng.choice(failures))
         snapshots += counters.snapshots(tick * 5000.0)
@@ -173,7 +173,7 @@
         for power in range(200):
             for side in Side:
                 counters.record_request("f" * 64, f"{stratum:064}", side)
-                counters.record_success("f" * 64, f"{stratum:064}", side, 1.06**power, late=False)
+                counters.record_success("f" * 64, f"{stratum:064}", side, 1.06**power, is_late=False)
     snapshots = list(counters.snapshots(1e7))
     assert sum(len(snapshot.strata) for snapshot in snapshots) == MAX_STRATA_PER_NODE + 1
     encoded = [msgspec.msgpack.encode(snapshot) for snapshot in snapshots]
--- a/tests/rollout/test_routing_rules_file.py
+++ b/tests/rollout/test_routing_rules_file.py
@@ -148,7 +148,7 @@
 def test_repeated_names_do_not_multiply_traffic_classes() -> None:
     """Each repetition once multiplied them: some hundreds in three lists held up a node."""
     repeated = {"frontends": ["f"] * 9, "plans": ["p"] * 9, "at": ["h0"] * 9, "customers": {"share": 0.5}}
-    assert len(compiled_rules(repeated).candidates("f", "p")) == 1
+    assert len(compiled_rules(repeated).rules_for("f", "p")) == 1
     rule = msgspec.convert(repeated, type=Rule)
     assert list(traffic_classes(rule, CONTEXT, [None, "h0"])) == [TrafficClass("f", "p", "h0")]
 
