--- a/tests/rollout/analysis_evidence.py
+++ b/tests/rollout/analysis_evidence.py
@@ -1,4 +1,4 @@
-"""Cells of counters, and the evidence and decisions that follow from them."""
+"""Builds cells of counters, and the evidence of a stage and decisions on the stage from these cells."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     candidate_ms: int = 103,
     control_ms: int = 103,
 ) -> CounterIncrement:
-    """A cell with requests and aborted requests of the candidate, then of control."""
+    """A cell; `counts` are requests and aborted requests of the candidate, then those of control."""
     requests, failures, control_requests, control_failures = counts
     sides = [
         RequestCounters(
--- a/tests/rollout/rules.py
+++ b/tests/rollout/rules.py
@@ -1,4 +1,4 @@
-"""Routing rules for the tests: their context, and rules compiled from Python values."""
+"""Routing rules for tests: a context, and rules compiled from Python values."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @dataclass(unsafe_hash=True)
 class Server:
-    """An app server, as routing rules see it."""
+    """An app server with the attributes by which routing rules select servers."""
 
     id: str
     zone: str
@@ -50,17 +50,17 @@
 
 
 def rules_text(*lines: str) -> bytes:
-    """The text of a rules file of version 2."""
+    """The text of a rules file with version 2 and the given lines."""
     return "\n".join(["version = 2", *lines]).encode()
 
 
 def compiled_rules(*rules: dict[str, Any], version: int = 1) -> CompiledRules:
-    """Rules of a valid file."""
+    """The compiled rules of a file that must be valid."""
     rules_file = msgspec.convert({"version": version, "rules": list(rules)}, type=RulesFile, str_keys=True)
     validate(rules_file, CONTEXT)
     return CompiledRules(rules_file, f"{rules}", CONTEXT)
 
 
 def to_zones(*zones: str, **more: Any) -> dict[str, Any]:
-    """A rule that prefers some zones."""
+    """A rule that prefers servers in the given zones and falls back to all servers."""
     return {"frontends": ["f", "g"], "servers": {"zones": list(zones), "fallbacks": ["any"]}, **more}
--- a/tests/rollout/test_advance_and_hold.py
+++ b/tests/rollout/test_advance_and_hold.py
@@ -1,4 +1,4 @@
-"""Analysis of a stage: advances once a regression is excluded, and never unseen."""
+"""A stage advances only after enough requests, time and active nodes, once a regression is excluded."""
 
 from __future__ import annotations
 
--- a/tests/rollout/test_halt.py
+++ b/tests/rollout/test_halt.py
@@ -1,4 +1,4 @@
-"""Analysis of a stage: halts for a regression wherever it hides, and for nothing else."""
+"""A stage halts if any group of requests has a regression, and not otherwise."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 def test_a_regression_that_is_reversed_in_the_sum_is_found_in_its_plan() -> None:
-    """The worse plan has few of the candidate's requests and most of control's (Simpson's paradox)."""
+    """Guards against Simpson's paradox, by which a regression in each plan is hidden in the sum.
+
+    The plan that fails more often has few of the candidate's requests and most of control's.
+    """
     evidence = evidence_of([cell((50, 6, 450, 27), plan="gold"), cell((450, 5, 50, 1), plan="basic")], 40)
     overall = evidence.total_counts(Measure.FAILED_REQUESTS)
     halt = decided(evidence)
@@ -85,7 +88,7 @@
     assert outcome_of(evidence) is Outcome.HALT
 
 
-# Short emulations; `onyxpost.simulation.rollout_analysis.measure` runs them in full
+# Short emulations follow; `onyxpost.simulation.rollout_analysis.measure` runs them at full length.
 
 
 @pytest.mark.parametrize("seed", range(5))
--- a/tests/rollout/test_metrics.py
+++ b/tests/rollout/test_metrics.py
@@ -1,4 +1,4 @@
-"""Request counters of a version on trial: counting, merging, validation and the activity of nodes."""
+"""Request counters of candidate and control: counting, merging, validation and the activity of nodes."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def snapshot_history(seed: int, node: str = "n1", incarnation: int = 1) -> list[MetricsSnapshot]:
-    """Five snapshots of a node that counts random requests."""
+    """Snapshots of a node at five times; between them the node counts random requests."""
     rng = Random(seed)
     sides: list[Side] = list(Side)
     failures: list[Failure] = list(Failure)
@@ -57,14 +57,17 @@
 def snapshot_of(
     requests: int = 10, clock_ms: float = 5000.0, version: str = VERSION, **candidate: object
 ) -> MetricsSnapshot:
-    """A snapshot of one stratum whose requests all succeeded, but for the counters that are given."""
+    """A snapshot of one stratum; all requests succeeded, except as `candidate` replaces its counters."""
     counters = msgspec.structs.replace(RequestCounters(requests=requests, succeeded=requests), **candidate)
     strata = [StratumCounters("web", "gold", counters, RequestCounters())]
     return MetricsSnapshot("n1", 1, clock_ms, version, "north", strata)
 
 
 def check_delivery_does_not_matter(seed: int, order: Random) -> None:
-    """Only the last snapshot of each incarnation is sure to arrive; any of them may be duplicated."""
+    """Checks that totals are the same if snapshots are lost, late, duplicated and reordered.
+
+    Only the last snapshot of each incarnation always arrives.
+    """
     snapshots = [
         *snapshot_history(seed),
         *snapshot_history(seed + 1, incarnation=2),
@@ -113,7 +116,7 @@
         assert min(total.minus(before).scalars()) >= 0
         assert sum(total.latencies.values()) >= sum(before.latencies.values())
         before = total
-    for counters in first_reported.values():  # the first snapshot of a stratum sets where counting starts
+    for counters in first_reported.values():  # the first snapshot of a stratum yields no increment
         increments = increments.plus(counters)
     assert increments == before
 
--- a/tests/rollout/test_routing_rules_decisions.py
+++ b/tests/rollout/test_routing_rules_decisions.py
@@ -1,4 +1,4 @@
-"""A gateway's decisions under routing rules. `Host` has server i in zone i % 3 and cell i % 2."""
+"""The decisions of a gateway under routing rules. Server i of `Host` is in zone i % 3 and cell i % 2."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def used_servers(host: Host, requests: int = 30) -> set[str]:
-    """The servers that requests of different customers are sent to."""
+    """The servers to which requests of different customers are sent, each of which succeeds."""
     servers = set()
     for index in range(requests):
         for decision, request, *fields in host.arrive(key=f"c{index}"):
@@ -97,9 +97,9 @@
         group=DeduplicationScope.ZONE,
         late=0.2,
     )
-    host.update_endpoints(*(host.row(index) for index in (0, 2, 3, 5)))  # zone h1 is removed
+    host.update_endpoints(*(host.row(index) for index in (0, 2, 3, 5)))  # zone h1 is lost
     ((_, request, server, _),) = host.arrive()
-    host.update_endpoints(*(host.row(index) for index in range(6)))  # and returns
+    host.update_endpoints(*(host.row(index) for index in range(6)))  # zone h1 is available again
     assert server in {"s2", "s5"}
     ((_, _, retried_at, _),) = attempts(host.end(request, AttemptResult.LOST))
     assert {server, retried_at} == {"s2", "s5"}
@@ -172,5 +172,5 @@
     host = host_under(*rules, servers=6)
     admitted = [kinds(host.arrive(key=f"c{index}"))[0] for index in range(40)].count("attempt")
     assert admitted == expected
-    # A rejected request must not count as sent: a server in slow start would get its turn too often.
+    # A rejected request must not count as sent, or a server in slow start would receive too many requests.
     assert host.gateway.selection.slow_start.requests.totals(host.now).requests == admitted
--- a/tests/rollout/test_routing_rules_deterministic.py
+++ b/tests/rollout/test_routing_rules_deterministic.py
@@ -1,4 +1,4 @@
-"""Whole nodes in virtual time under routing rules that change at SIGHUP, with faults from a seed."""
+"""Whole nodes in virtual time with faults drawn from a seed, whose routing rules change at SIGHUP."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def run_with_reloads(folder: Path, seed: int) -> Run:
-    """The seed's own faults and two SIGHUPs; whenever a node reads its file, it names another version."""
+    """Runs a seed with its own faults and two SIGHUPs; each read of a node's file finds a new version."""
     rng = Random(seed)
     original_node = SimulatedNode.read_config
     original_supersedes = file.supersedes
@@ -75,9 +75,12 @@
 
 @contextlib.contextmanager
 def constraints_that_widen() -> Iterator[None]:
-    """Servers that were offered once are permitted again; the edge node holds back those that drain."""
+    """Makes constraints permit servers that an earlier call was offered, but that are not available now.
+
+    The edge node offers no draining servers, so such a constraint sends requests to them.
+    """
     select = CompiledConstraint.select
-    # By the loop itself: a later run's loop may get the id() of one that is gone, and so its servers.
+    # Keyed by the loop, not by its id(): a later loop may reuse the id() of a deleted loop, and its servers.
     offered_by_loop: dict[asyncio.AbstractEventLoop, list[Any]] = {}
 
     def widened(constraint: Any, servers: list[Any]) -> list[Any]:
@@ -101,9 +104,9 @@
 
 
 def test_rules_that_widen_are_detected(tmp_path: Path) -> None:
-    with constraints_that_widen():  # of the first 300 seeds 165, 232, 233 and 270 come to it
+    with constraints_that_widen():  # of the first 300 seeds, 165, 232, 233 and 270 detect them
         outcomes = (run_with_reloads(tmp_path, seed).outcome for seed in range(160, 240))
         failed = next((outcome for outcome in outcomes if outcome.failed), None)
     if failed is None:
-        pytest.fail("no seed detects it")
+        pytest.fail("expected a seed from 160 to 239 to violate an invariant, got none")
     assert {violation.invariant for violation in failed.violations} == {Invariant.IDEMPOTENCY}
--- a/tests/rollout/test_routing_rules_file.py
+++ b/tests/rollout/test_routing_rules_file.py
@@ -1,4 +1,4 @@
-"""Files of routing rules: what is rejected and where, and which versions take effect."""
+"""Rules files: which errors are rejected with which key, and which versions take effect."""
 
 from __future__ import annotations
 
@@ -146,7 +146,10 @@
 
 
 def test_repeated_names_do_not_multiply_traffic_classes() -> None:
-    """Each repetition once multiplied them: some hundreds in three lists held up a node."""
+    """Guards against a blocked node: repeated names in a rule once multiplied its traffic classes.
+
+    Some hundreds of names in each of three lists were enough.
+    """
     repeated = {"frontends": ["f"] * 9, "plans": ["p"] * 9, "at": ["h0"] * 9, "customers": {"share": 0.5}}
     assert len(compiled_rules(repeated).rules_for("f", "p")) == 1
     rule = msgspec.convert(repeated, type=Rule)
@@ -161,7 +164,7 @@
     "rules",
     [
         [share(0.5, "a"), share(0.6, "a"), share(0.5, "b"), {}],
-        [{"at": ["h0"]}, {"at": ["h1"]}, {"at": ["h2"]}, {}],  # nodes of other zones remain
+        [{"at": ["h0"]}, {"at": ["h1"]}, {"at": ["h2"]}, {}],  # nodes of other zones reach the last rule
     ],
 )
 def test_shares_and_node_zones_that_leave_requests_are_valid(rules: list[dict[str, Any]]) -> None:
--- a/tests/rollout/test_routing_rules_matching.py
+++ b/tests/rollout/test_routing_rules_matching.py
@@ -1,4 +1,4 @@
-"""Compiled routing rules: which rule a request matches, and the servers that it permits."""
+"""Compiled routing rules: which rule a request matches, and which servers the rule permits."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def first_match(rules: list[Rule], requests: TrafficClass, customer: int) -> int:
-    """The index of the rule that a request matches, found without compiling the rules; -1 if none does."""
+    """The index of the first rule that a request matches, without compiled rules; -1 if none matches."""
     for index, rule in enumerate(rules):
         customers = rule.customers
         if (
@@ -119,7 +119,7 @@
 
 
 def check_shares_and_weights_are_independent() -> None:
-    """Two halves of customers with different salts, one of which is divided three to one."""
+    """Checks two rules for half of the customers, with different salts; one weights its zones 3 to 1."""
     weighted_half = compiled_rules(
         {
             "frontends": ["f", "g"],
--- a/tests/rollout/test_routing_rules_reload.py
+++ b/tests/rollout/test_routing_rules_reload.py
@@ -1,4 +1,4 @@
-"""A node whose file names routing rules: its start, SIGHUP, and requests in flight meanwhile."""
+"""A node whose file names a rules file: its start, SIGHUP, and requests in flight during a reload."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def node_fields_with_rules(rules_path: Path, *servers: tuple[str, int], **more: Any) -> dict[str, Any]:
-    """A node's file; its servers are in the zones a, a and b."""
+    """The fields of a node's file that names the rules file; its servers are in the zones a, a and b."""
     fields = node_fields(*servers, rules=str(rules_path), **more)
     for row, zone in zip(fields["known"]["instances"], "aab", strict=False):
         row["zone"] = zone
@@ -61,7 +61,7 @@
 
 
 async def reload(edge: RunningNode) -> list[dict[str, Any]]:
-    """Sends SIGHUP; returns what is logged about rules until the node has reloaded its file."""
+    """Sends SIGHUP; returns the log lines about routing rules once the node has reloaded its file."""
     lines_before = len(log_lines(edge))
     signal.raise_signal(signal.SIGHUP)
     await wait_until(lambda: any(line["event"] == "reloaded" for line in log_lines(edge)[lines_before:]))
@@ -116,7 +116,7 @@
 
 
 async def check_reloads(edge: RunningNode, rules_path: Path) -> None:
-    """InvalidSimulationInputError, changed and stale rules are rejected; a later version is applied."""
+    """Checks that invalid, conflicting and stale rules are rejected, and that a later version is applied."""
     steps: list[tuple[str, type[OperatorError] | None]] = [
         (rules_text(2, "z"), UnknownNameError),
         ("version", InvalidRulesError),
@@ -136,7 +136,7 @@
 
 
 async def send_request(edge: RunningNode) -> bytes:
-    """Sends a request on a connection of its own; returns the status line."""
+    """Sends a request on a new connection; returns the status line of the response."""
     reader, writer = await asyncio.open_connection(*edge.address)
     writer.write(encode_request(trace="t2"))
     status_line = await asyncio.wait_for(reader.readline(), 5.0)
@@ -157,7 +157,7 @@
             used, unused = (first_in_a, second_in_a) if first_in_a.got else (second_in_a, first_in_a)
             assert (len(unused.got), len(in_b.got)) == (0, 1)
             unused.answers = []
-            used.writers[0].close()  # the first request is retried, under the rules of its first attempt
+            used.writers[0].close()  # the retry uses the rules of the first attempt
             assert b"200" in (await edge.answer())[0]
             assert (len(unused.got), len(in_b.got)) == (1, 1)
 
--- a/tests/rollout/test_sequential_test.py
+++ b/tests/rollout/test_sequential_test.py
@@ -1,4 +1,4 @@
-"""The sequential test: valid at every evaluation, for clustered failures too."""
+"""The sequential test is valid at every evaluation, also if failures come in clusters."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
 
 
 def count_false_halts(halts: Callable[[Evidence], bool], cluster_size: int = 1) -> int:
-    """Of 40 stages with equal failure rates on both sides, those that halt at one of 40 evaluations."""
+    """Counts halts in 40 stages with equal failure rates of both sides, each evaluated 40 times."""
     false_halts = 0
     for seed in range(40):
         rng = Random(seed)
@@ -95,7 +95,7 @@
 
 
 def z_test_halts(evidence: Evidence) -> bool:
-    """A test of fixed sample size at a level of 5 %, which is not valid when evaluated repeatedly."""
+    """A z-test of fixed sample size at a level of 5 %, which is not valid if it is evaluated repeatedly."""
     counts = evidence.total_counts(Measure.FAILED_REQUESTS)
     pooled = (counts.candidate_failures + counts.control_failures) / counts.requests
     error = math.sqrt(2 * pooled * (1 - pooled) / counts.candidate_requests)
