--- a/tests/rollout/analysis_evidence.py
+++ b/tests/rollout/analysis_evidence.py
@@ -55,9 +55,9 @@
     return decided(evidence).outcome
 
 
-def evidence_of(cells: list[CounterIncrement], times: int = 1) -> Evidence:
+def evidence_of(cells: list[CounterIncrement], repetitions: int = 1) -> Evidence:
     evidence = Evidence(Thresholds())
-    for _ in range(times):
+    for _ in range(repetitions):
         evidence.update(cells)
     return evidence
 
--- a/tests/rollout/rules.py
+++ b/tests/rollout/rules.py
@@ -18,10 +18,10 @@
 
 def frontend(
     name: str,
-    effect: Idempotency = Idempotency.IDEMPOTENT,
-    group: DeduplicationScope = DeduplicationScope.ALL,
+    idempotency: Idempotency = Idempotency.IDEMPOTENT,
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL,
 ) -> Frontend:
-    return Frontend(name, 1000.0, 5000.0, effect, group, 3000.0, 1.0, 0.0, 0.0, False)
+    return Frontend(name, 1000.0, 5000.0, idempotency, deduplication_scope, 3000.0, 1.0, 0.0, 0.0, False)
 
 
 CONTEXT = RoutingContext(
@@ -61,6 +61,6 @@
     return CompiledRules(rules_file, f"{rules}", CONTEXT)
 
 
-def to_zones(*zones: str, **more: Any) -> dict[str, Any]:
+def rule_preferring_zones(*zones: str, **other_keys: Any) -> dict[str, Any]:
     """A rule that prefers servers in the given zones and falls back to all servers."""
-    return {"frontends": ["f", "g"], "servers": {"zones": list(zones), "fallbacks": ["any"]}, **more}
+    return {"frontends": ["f", "g"], "servers": {"zones": list(zones), "fallbacks": ["any"]}, **other_keys}
--- a/tests/rollout/test_routing_rules_decisions.py
+++ b/tests/rollout/test_routing_rules_decisions.py
@@ -12,7 +12,7 @@
 from onyxpost.policy.retry_dispatch import RetryDispatcher
 from onyxpost.policy.routing_constraints import RoutingConstraints
 from tests.policy.gateway_host import Host, kinds
-from tests.rollout.rules import compiled_rules, to_zones
+from tests.rollout.rules import compiled_rules, rule_preferring_zones
 
 PREFER_H1_THEN_H2 = {
     "frontends": ["f"],
@@ -20,7 +20,7 @@
 }
 
 
-def host_under(*rules: dict[str, Any], **options: Any) -> Host:
+def host_with_rules(*rules: dict[str, Any], **options: Any) -> Host:
     host = Host(**options)
     host.feed(RoutingRulesChanged(compiled_rules(*rules)))
     return host
@@ -43,7 +43,7 @@
 
 
 def test_a_drained_zone_gives_way_to_the_fallback_and_is_used_again() -> None:
-    host = host_under(PREFER_H1_THEN_H2, servers=6)
+    host = host_with_rules(PREFER_H1_THEN_H2, servers=6)
     assert used_servers(host) == {"s1", "s4"}
     host.update_endpoints(
         host.row(1, EndpointState.DRAINING), host.row(4, EndpointState.DRAINING), complete=False
@@ -56,7 +56,7 @@
 
 
 def test_a_failing_zone_gives_way_to_the_fallback() -> None:
-    host = host_under(to_zones("h1"), servers=3)
+    host = host_with_rules(rule_preferring_zones("h1"), servers=3)
     ((_, request, server, _),) = host.arrive()
     assert server == "s1"
     assert "s1" in [decision[2] for decision in attempts(host.done)]
@@ -65,7 +65,7 @@
 
 
 def test_a_server_in_slow_start_gets_no_more_than_its_share() -> None:
-    host = host_under(to_zones("h0"), servers=4, warm_ms=20_000.0)
+    host = host_with_rules(rule_preferring_zones("h0"), servers=4, warm_ms=20_000.0)
     host.update_endpoints(host.row(0, started=host.now), *(host.row(index) for index in (1, 2, 3)))
     servers = []
     for index in range(200):
@@ -78,7 +78,7 @@
 
 
 def test_a_server_in_slow_start_that_is_left_alone_gets_no_more_than_its_share() -> None:
-    host = host_under(to_zones("h0"), servers=4, warm_ms=20_000.0)
+    host = host_with_rules(rule_preferring_zones("h0"), servers=4, warm_ms=20_000.0)
     host.update_endpoints(host.row(0, started=host.now), *(host.row(index) for index in (1, 2, 3)))
     for index in range(200):
         ((_, request, _, _),) = host.arrive(key=f"c{index}")
@@ -90,7 +90,7 @@
 
 
 def test_a_retry_stays_in_its_deduplication_scope_although_the_rules_prefer_another() -> None:
-    host = host_under(
+    host = host_with_rules(
         PREFER_H1_THEN_H2,
         servers=6,
         effect=Idempotency.IDEMPOTENCY_KEY,
@@ -106,9 +106,9 @@
 
 
 def check_rules_of_the_first_attempt_apply_to_retries() -> None:
-    host = host_under(to_zones("h1"), servers=6)
+    host = host_with_rules(rule_preferring_zones("h1"), servers=6)
     ((_, request, server, _),) = host.arrive()
-    host.feed(RoutingRulesChanged(compiled_rules(to_zones("h2"), version=2)))
+    host.feed(RoutingRulesChanged(compiled_rules(rule_preferring_zones("h2"), version=2)))
     assert host.arrive()[0][2] in {"s2", "s5"}
     ((_, _, retried_at, _),) = attempts(host.end(request, AttemptResult.LOST))
     assert {server, retried_at} == {"s1", "s4"}
@@ -121,18 +121,18 @@
 def test_retries_under_new_rules_are_detected() -> None:
     constraint_for = RoutingConstraints.constraint_for
     retry = RetryDispatcher.retry
-    known: list[RoutingConstraints] = []
+    seen_constraints: list[RoutingConstraints] = []
 
-    def remember(self: RoutingConstraints, request: Any) -> Any:
-        known.append(self)
+    def record_constraints(self: RoutingConstraints, request: Any) -> Any:
+        seen_constraints.append(self)
         return constraint_for(self, request)
 
     def retry_under_new_rules(self: RetryDispatcher, now: float, request: Any, sink: Any) -> bool:
-        request.constraint = constraint_for(known[-1], request)
+        request.constraint = constraint_for(seen_constraints[-1], request)
         return retry(self, now, request, sink)
 
     with (
-        mock.patch.object(RoutingConstraints, "constraint_for", remember),
+        mock.patch.object(RoutingConstraints, "constraint_for", record_constraints),
         mock.patch.object(RetryDispatcher, "retry", retry_under_new_rules),
         pytest.raises(AssertionError),
     ):
@@ -151,25 +151,29 @@
 
 
 def test_a_request_that_waited_for_its_hard_limit_is_served_under_the_rules_at_its_admission() -> None:
-    host = host_under(to_zones("h1"), servers=6, plan=Plan("p", 1000.0, 9000.0, 0, 1.0, 10.0, 100.0))
+    host = host_with_rules(
+        rule_preferring_zones("h1"), servers=6, plan=Plan("p", 1000.0, 9000.0, 0, 1.0, 10.0, 100.0)
+    )
     assert kinds(host.arrive(spread=1)) == []
-    host.feed(RoutingRulesChanged(compiled_rules(to_zones("h2"), version=2)))
+    host.feed(RoutingRulesChanged(compiled_rules(rule_preferring_zones("h2"), version=2)))
     (server,) = {decision[2] for decision in attempts(host.run(400.0))}
     assert server in {"s2", "s5"}
 
 
 def test_rules_limit_the_number_of_attempts() -> None:
-    host = host_under({"attempts": 2}, servers=6)
+    host = host_with_rules({"attempts": 2}, servers=6)
     ((_, request, *_),) = host.arrive()
     assert kinds(host.end(request, AttemptResult.LOST)) == ["attempt"]
     assert kinds(host.end(request, AttemptResult.LOST, number=1)) == ["deny"]
 
 
-@pytest.mark.parametrize(("rules", "expected"), [([], 16), ([{"window": 0.5}], 8), ([to_zones("h1")], 6)])
+@pytest.mark.parametrize(
+    ("rules", "expected"), [([], 16), ([{"window": 0.5}], 8), ([rule_preferring_zones("h1")], 6)]
+)
 def test_less_capacity_and_fewer_servers_admit_fewer_requests(
     rules: list[dict[str, Any]], expected: int
 ) -> None:
-    host = host_under(*rules, servers=6)
+    host = host_with_rules(*rules, servers=6)
     admitted = [kinds(host.arrive(key=f"c{index}"))[0] for index in range(40)].count("attempt")
     assert admitted == expected
     # A rejected request must not count as sent, or a server in slow start would receive too many requests.
--- a/tests/rollout/test_routing_rules_deterministic.py
+++ b/tests/rollout/test_routing_rules_deterministic.py
@@ -35,12 +35,12 @@
 
 
 @dataclass(frozen=True)
-class Run:
+class ReloadRun:
     outcome: Outcome
     rule_changes: int
 
 
-def run_with_reloads(folder: Path, seed: int) -> Run:
+def run_with_reloads(folder: Path, seed: int) -> ReloadRun:
     """Runs a seed with its own faults and two SIGHUPs; each read of a node's file finds a new version."""
     rng = Random(seed)
     original_node = SimulatedNode.read_config
@@ -70,11 +70,11 @@
         mock.patch.object(file, "supersedes", count_changes),
     ):
         outcome = deterministic.run_seed(seed, sorted([*deterministic.draw_script(seed), *reloads]))
-    return Run(outcome, rule_changes)
+    return ReloadRun(outcome, rule_changes)
 
 
 @contextlib.contextmanager
-def constraints_that_widen() -> Iterator[None]:
+def widening_constraints() -> Iterator[None]:
     """Makes constraints permit servers that an earlier call was offered, but that are not available now.
 
     The edge node offers no draining servers, so such a constraint sends requests to them.
@@ -104,7 +104,7 @@
 
 
 def test_rules_that_widen_are_detected(tmp_path: Path) -> None:
-    with constraints_that_widen():  # of the first 300 seeds, 165, 232, 233 and 270 detect them
+    with widening_constraints():  # of the first 300 seeds, 165, 232, 233 and 270 detect them
         outcomes = (run_with_reloads(tmp_path, seed).outcome for seed in range(160, 240))
         failed = next((outcome for outcome in outcomes if outcome.failed), None)
     if failed is None:
--- a/tests/rollout/test_routing_rules_file.py
+++ b/tests/rollout/test_routing_rules_file.py
@@ -31,7 +31,7 @@
 
 FRONTEND = 'frontends = ["f"]'
 ZONE_H1 = 'zones = ["h1"]'
-ANY = 'fallbacks = ["any"]'
+ANY_FALLBACK = 'fallbacks = ["any"]'
 
 FALLBACK_INSIDE_EARLIER_CHOICE = (
     f"rules = [{{{FRONTEND}, servers = {{{ZONE_H1}, fallbacks = [{{{ZONE_H1}, cells = [1]}}, 'any']}}}}]"
@@ -46,7 +46,7 @@
     ("rules = [{plans = ['p']}, {frontends = ['z']}]", UnknownNameError, "$.rules[1].frontends`"),
     ("rules = [{at = ['z']}]", UnknownNameError, "$.rules[0].at`"),
     (
-        f"rules = [{{{FRONTEND}, servers = {{zones = ['z'], {ANY}}}}}]",
+        f"rules = [{{{FRONTEND}, servers = {{zones = ['z'], {ANY_FALLBACK}}}}}]",
         UnknownNameError,
         "$.rules[0].servers.zones`",
     ),
@@ -60,7 +60,7 @@
         MissingFallbackError,
         "$.rules[0].servers.fallbacks[0].cells`",
     ),
-    (f"rules = [{{{FRONTEND}, servers = {{{ANY}}}}}]", InvalidRulesError, "$.rules[0].servers`"),
+    (f"rules = [{{{FRONTEND}, servers = {{{ANY_FALLBACK}}}}}]", InvalidRulesError, "$.rules[0].servers`"),
     (
         f"rules = [{{{FRONTEND}, servers = {{{ZONE_H1}, fallbacks = ['any', {{cells = [1]}}, 'any']}}}}]",
         UnreachableRuleError,
@@ -68,23 +68,23 @@
     ),
     (FALLBACK_INSIDE_EARLIER_CHOICE, UnreachableRuleError, "$.rules[0].servers.fallbacks[0]`"),
     (
-        f"rules = [{{{FRONTEND}, servers = {{zones = {{h0 = 1}}, cells = {{0 = 1}}, {ANY}}}}}]",
+        f"rules = [{{{FRONTEND}, servers = {{zones = {{h0 = 1}}, cells = {{0 = 1}}, {ANY_FALLBACK}}}}}]",
         InvalidRulesError,
         "$.rules[0].servers`",
     ),
     ("rules = [{}, {plans = ['p']}]", UnreachableRuleError, "$.rules[1]`"),
     (
-        f"rules = [{{frontends = ['by-zone'], servers = {{cells = {{0 = 1, 1 = 1}}, {ANY}}}}}]",
+        f"rules = [{{frontends = ['by-zone'], servers = {{cells = {{0 = 1, 1 = 1}}, {ANY_FALLBACK}}}}}]",
         SplitsDeduplicationScopeError,
         "$.rules[0].servers.cells`",
     ),
     (
-        f"rules = [{{servers = {{names = ['s1'], {ANY}}}}}]",
+        f"rules = [{{servers = {{names = ['s1'], {ANY_FALLBACK}}}}}]",
         SplitsDeduplicationScopeError,
         "$.rules[0].servers.names`",
     ),
     (
-        f"rules = [{{frontends = ['by-cell'], servers = {{{ZONE_H1}, {ANY}}}}}]",
+        f"rules = [{{frontends = ['by-cell'], servers = {{{ZONE_H1}, {ANY_FALLBACK}}}}}]",
         SplitsDeduplicationScopeError,
         "$.rules[0].servers.zones`",
     ),
@@ -156,14 +156,14 @@
     assert list(traffic_classes(rule, CONTEXT, [None, "h0"])) == [TrafficClass("f", "p", "h0")]
 
 
-def share(fraction: float, salt: str) -> dict[str, Any]:
+def rule_for_share(fraction: float, salt: str) -> dict[str, Any]:
     return {"customers": {"share": fraction, "salt": salt}}
 
 
 @pytest.mark.parametrize(
     "rules",
     [
-        [share(0.5, "a"), share(0.6, "a"), share(0.5, "b"), {}],
+        [rule_for_share(0.5, "a"), rule_for_share(0.6, "a"), rule_for_share(0.5, "b"), {}],
         [{"at": ["h0"]}, {"at": ["h1"]}, {"at": ["h2"]}, {}],  # nodes of other zones reach the last rule
     ],
 )
@@ -174,9 +174,9 @@
 @pytest.mark.parametrize(
     "rules",
     [
-        [share(0.5, "a"), share(0.4, "a")],
-        [share(1.0, "a"), share(0.1, "b")],
-        [{"plans": ["p"]}, {"plans": ["q"]}, share(0.1, "b")],
+        [rule_for_share(0.5, "a"), rule_for_share(0.4, "a")],
+        [rule_for_share(1.0, "a"), rule_for_share(0.1, "b")],
+        [{"plans": ["p"]}, {"plans": ["q"]}, rule_for_share(0.1, "b")],
     ],
 )
 def test_rules_that_earlier_ones_cover_are_rejected(rules: list[dict[str, Any]]) -> None:
--- a/tests/rollout/test_routing_rules_matching.py
+++ b/tests/rollout/test_routing_rules_matching.py
@@ -16,7 +16,7 @@
 from onyxpost.rollout.routing_rules.compiled import CompiledConstraint, compile_rule
 from onyxpost.rollout.routing_rules.customer_hash import HASH_RANGE, customer_hash
 from onyxpost.rollout.routing_rules.schema import Rule
-from tests.rollout.rules import ZONES, Server, compiled_rules, to_zones
+from tests.rollout.rules import ZONES, Server, compiled_rules, rule_preferring_zones
 
 if TYPE_CHECKING:
     from onyxpost.rollout.routing_rules.reachability import TrafficClass
@@ -169,6 +169,6 @@
 
 
 def test_a_preferred_zone_gives_way_to_all_servers() -> None:
-    constraint = compiled_rules(to_zones("h1")).constraint_for("f", "p", 1)
+    constraint = compiled_rules(rule_preferring_zones("h1")).constraint_for("f", "p", 1)
     servers = [Server("s0", "h0", 0), Server("s2", "h2", 0)]
     assert constraint.select(servers) == servers
--- a/tests/rollout/test_routing_rules_reload.py
+++ b/tests/rollout/test_routing_rules_reload.py
@@ -42,9 +42,11 @@
     return tmp_path / "rules.toml"
 
 
-def node_fields_with_rules(rules_path: Path, *servers: tuple[str, int], **more: Any) -> dict[str, Any]:
+def node_fields_with_rules(
+    rules_path: Path, *servers: tuple[str, int], **other_fields: Any
+) -> dict[str, Any]:
     """The fields of a node's file that names the rules file; its servers are in the zones a, a and b."""
-    fields = node_fields(*servers, rules=str(rules_path), **more)
+    fields = node_fields(*servers, rules=str(rules_path), **other_fields)
     for row, zone in zip(fields["known"]["instances"], "aab", strict=False):
         row["zone"] = zone
     return fields
