--- a/onyxpost/rollout/analysis/evidence.py
+++ b/onyxpost/rollout/analysis/evidence.py
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class _StratumUpdate:
-    """Logarithms of gains and counts of one stratum and measure, summed over the cells of one update."""
+    """Counts and log gains of one stratum and measure, summed over the cells of one update."""
 
     log_gains: LogGains
     counts: PairedCounts
--- a/onyxpost/rollout/analysis/overdispersion.py
+++ b/onyxpost/rollout/analysis/overdispersion.py
@@ -1,6 +1,7 @@
-"""Estimates how much more failures vary from cell to cell than those of independent requests.
+"""Estimates the overdispersion of failures, as the size of the clusters in which failures come.
 
-The estimate is predictable in the sense of martingales: each cell is tested with the estimate from earlier
+Candidate and control differ more from cell to cell than they would if requests failed independently. The
+estimate is predictable in the sense of martingales: each cell is tested with the estimate from earlier
 cells and is observed afterwards.
 """
 
--- a/onyxpost/rollout/analysis/sequential_test.py
+++ b/onyxpost/rollout/analysis/sequential_test.py
@@ -104,7 +104,7 @@
         self._log_reserve = math.log(1.0 - INITIAL_FRACTION)
 
     def update(self, log_gains: LogGains) -> None:
-        """Multiplies the capital on each stake by its gain; `gains` are logarithms."""
+        """Multiplies the capital on each stake by its gain in a cell."""
         self._log_capital = [
             capital + log_gain for capital, log_gain in zip(self._log_capital, log_gains, strict=True)
         ]
--- a/onyxpost/rollout/analysis/thresholds.py
+++ b/onyxpost/rollout/analysis/thresholds.py
@@ -77,9 +77,9 @@
     absolute_tolerance: float = 0.0005
     """Excess of the candidate's failure rate that is tolerated in addition to the relative tolerance."""
     failure_margin: float = 0.005
-    """Excess in the rate of failed requests that must be excluded before a stage advances."""
+    """A stage advances only once an excess of the candidate's rate of failed requests by this is excluded."""
     slow_margin: float = 0.05
-    """Excess in the rate of slow requests that must be excluded before a stage advances."""
+    """A stage advances only once an excess of the candidate's rate of slow requests by this is excluded."""
 
     min_cluster_size: float = 2.0
     """Minimum size of the clusters in which failures are assumed to come."""
--- a/onyxpost/rollout/metrics/aggregation.py
+++ b/onyxpost/rollout/metrics/aggregation.py
@@ -121,7 +121,10 @@
         return [increment for increment in merged if increment is not None]
 
     def activity(self, now_ms: float, expected_nodes: int) -> NodeActivity:
-        """Returns how many of the expected nodes are active, stalled and silent; unknown nodes are silent."""
+        """Returns how many of the expected nodes are active, stalled and silent.
+
+        Nodes that never reported are silent. Only active nodes show how the version behaves.
+        """
         active = 0
         stalled = 0
         for node, incarnations in self._incarnations.items():
--- a/onyxpost/rollout/routing_rules/compiled.py
+++ b/onyxpost/rollout/routing_rules/compiled.py
@@ -56,7 +56,7 @@
 
     @property
     def matches_all_customers(self) -> bool:
-        """Whether the rule matches every customer, so that later rules of the table entry never apply."""
+        """Whether the rule matches every customer, so that no later rule for its traffic applies."""
         return self.customer_bound == HASH_RANGE
 
     def matches(self, customer: int) -> bool:
--- a/onyxpost/rollout/routing_rules/schema.py
+++ b/onyxpost/rollout/routing_rules/schema.py
@@ -74,7 +74,10 @@
 
 
 class ServerSelection(ServerChoice):
-    """A first choice of servers, and fallbacks in order, each for when no earlier choice is available."""
+    """A first choice of servers and its fallbacks.
+
+    A fallback is used while no server of the choices before it is available.
+    """
 
     fallbacks: Annotated[list[ServerChoice | Literal["any"]], Meta(max_length=20)] = []
 
--- a/onyxpost/rollout/routing_rules/server_filter.py
+++ b/onyxpost/rollout/routing_rules/server_filter.py
@@ -53,7 +53,7 @@
     cells = permitted.get(ServerAttribute.CELLS)
     names = permitted.get(ServerAttribute.NAMES)
     if cells is None and names is None and zones is not None:
-        return lambda server: server.zone in zones  # the most frequent case, without further tests
+        return lambda server: server.zone in zones  # shortcut for by far the most frequent case
     return lambda server: (
         (zones is None or server.zone in zones)
         and (cells is None or server.cell in cells)
--- a/onyxpost/rollout/routing_rules/validation.py
+++ b/onyxpost/rollout/routing_rules/validation.py
@@ -111,7 +111,7 @@
         attribute = next(iter(choice.criteria()))
         raise MissingFallbackError(
             at_key(
-                'all of these servers may be unavailable; expected "any" as last fallback',
+                'these may all be unavailable; expected "any" as last fallback',
                 f"{path}{subpath}.{attribute}",
             )
         )
