--- a/onyxpost/rollout/analysis/decision.py
+++ b/onyxpost/rollout/analysis/decision.py
@@ -1,4 +1,7 @@
-"""Decides whether a stage halts, advances or is held. Pure; holds whenever the evidence is insufficient."""
+"""Decides whether a stage halts, advances or holds. Does no I/O.
+
+A stage holds as long as the evidence is insufficient for another outcome.
+"""
 
 from __future__ import annotations
 
@@ -15,13 +18,14 @@
     from onyxpost.rollout.metrics.aggregation import NodeActivity
 
 SUSPICION_FACTOR = 10.0
-"""A stage is held from this part of the e-value on that would halt it."""
+"""A stage holds once its e-value exceeds the halt threshold divided by this factor."""
 
-MAX_PRINTED_LOG = 60.0
+MAX_PRINTED_LOG_E_VALUE = 60.0
+"""Limit on the logarithm of a printed e-value; the exponential of a very large one would overflow."""
 
 
 class Outcome(StrEnum):
-    """What is to become of a stage."""
+    """The outcome of a stage: the rollout halts, advances to the next stage, or holds at this stage."""
 
     HALT = "halt"
     ADVANCE = "advance"
@@ -30,40 +34,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """An outcome, and the reason for it in one line with figures, for the record and the log."""
+    """An outcome, and the reason in one line with figures, for the record and the log."""
 
     outcome: Outcome
     reason: str
 
 
 def decide(evidence: Evidence, activity: NodeActivity, stage_duration_ms: float) -> Decision:
-    """Returns the decision on a stage; may be called at any time.
+    """Returns the decision on a stage; the error probabilities hold however often this is called.
 
     Args:
-        evidence: what the stage has shown.
-        activity: the state of the nodes that are in the stage.
-        stage_duration_ms: time since the stage began.
+        evidence: the evidence of the stage so far.
+        activity: the activity of the nodes in the stage.
+        stage_duration_ms: the time since the stage began.
     """
     if reason := _halt_reason(evidence):
         return Decision(Outcome.HALT, reason)
     if reason := _hold_reason(evidence, activity, stage_duration_ms):
         return Decision(Outcome.HOLD, reason)
     failures = evidence.total_counts(Measure.FAILED_REQUESTS)
-    return Decision(Outcome.ADVANCE, f"{Measure.FAILED_REQUESTS}: {_rates(failures)}")
+    return Decision(Outcome.ADVANCE, f"{Measure.FAILED_REQUESTS}: {_format_rates(failures)}")
 
 
 def log_halt_threshold(evidence: Evidence) -> float:
-    """Returns the logarithm of the e-value that halts a stage."""
+    """Returns the logarithm of the e-value at which a stage halts."""
     thresholds = evidence.thresholds
     return math.log(thresholds.stages / thresholds.max_false_halt_probability)
 
 
-def _rates(counts: PairedCounts) -> str:
+def _format_rates(counts: PairedCounts) -> str:
     control = f"control {100 * counts.control_rate:.2f} % of {counts.control_requests:.0f}"
-    return f"{_candidate_rate(counts)}, {control}"
+    return f"{_format_candidate_rate(counts)}, {control}"
 
 
-def _candidate_rate(counts: PairedCounts) -> str:
+def _format_candidate_rate(counts: PairedCounts) -> str:
     return f"{100 * counts.candidate_rate:.2f} % of {counts.candidate_requests:.0f} requests"
 
 
@@ -75,41 +79,44 @@
         return None
     group_name, measure = evidence.strongest_regression()
     counts = evidence.total_counts(measure, group_name)
-    odds = math.exp(min(evidence.log_e_value(), MAX_PRINTED_LOG))
-    rates = _rates(counts)
+    e_value = math.exp(min(evidence.log_e_value(), MAX_PRINTED_LOG_E_VALUE))
+    rates = _format_rates(counts)
     if evidence.baseline is not None:
         max_rate = evidence.baseline.max_failure_rate(group_name, measure)
-        rates = f"{_candidate_rate(counts)}, at most {100 * max_rate:.2f} % before"
-    return f"{measure} in {group_name}: {rates}; {odds:.3g} to 1 against chance"
+        rates = f"{_format_candidate_rate(counts)}, baseline at most {100 * max_rate:.2f} %"
+    return f"{measure} in {group_name}: {rates}; e-value {e_value:.3g}"
 
 
 def _failure_rate_limit_reason(evidence: Evidence) -> str | None:
     limit = evidence.thresholds.failure_rate_limit
     recent = evidence.recent_failures
-    fewer_requests = min(recent.candidate_requests, recent.control_requests)
-    if fewer_requests < evidence.thresholds.failure_rate_limit_min_requests:
+    smaller_request_count = min(recent.candidate_requests, recent.control_requests)
+    if smaller_request_count < evidence.thresholds.failure_rate_limit_min_requests:
         return None
     if recent.candidate_rate < limit or recent.control_rate >= limit / 2:
         return None
-    return f"{Measure.FAILED_REQUESTS} over the limit of {100 * limit:.0f} %: {_rates(recent)}"
+    return f"{Measure.FAILED_REQUESTS} over the limit of {100 * limit:.0f} %: {_format_rates(recent)}"
 
 
 def _hold_reason(evidence: Evidence, activity: NodeActivity, stage_duration_ms: float) -> str | None:
     thresholds = evidence.thresholds
     if stage_duration_ms < thresholds.min_duration_ms:
-        return f"{stage_duration_ms / 1000:.0f} s of at least {thresholds.min_duration_ms / 1000:.0f} s"
+        return (
+            f"the stage has lasted {stage_duration_ms / 1000:.0f} s, "
+            f"expected at least {thresholds.min_duration_ms / 1000:.0f} s"
+        )
     if not activity.active or activity.active < thresholds.min_active_fraction * activity.expected:
         inactive = f"{activity.stalled} stalled, {activity.silent} silent"
-        return f"{activity.active} of {activity.expected} nodes are active ({inactive})"
+        return f"only {activity.active} of {activity.expected} nodes are active ({inactive})"
     requests = _requests_per_side(evidence)
     if requests < thresholds.min_requests:
-        return f"{requests:.0f} requests a side of at least {thresholds.min_requests}"
+        return f"{requests:.0f} requests per side, expected at least {thresholds.min_requests}"
     if _has_outage(evidence):
-        return f"an outage: {_rates(evidence.recent_failures)} failed recently"
+        return f"an outage: recent failure rates are {_format_rates(evidence.recent_failures)}"
     if evidence.regression_tests:
         log_e_value = evidence.log_e_value()
         if log_e_value > log_halt_threshold(evidence) - math.log(SUSPICION_FACTOR):
-            return f"a regression is suspected: {math.exp(log_e_value):.3g} to 1 against chance"
+            return f"a regression is suspected: e-value {math.exp(log_e_value):.3g}"
     return _inferiority_reason(evidence)
 
 
@@ -129,13 +136,16 @@
 
 
 def _inferiority_reason(evidence: Evidence) -> str | None:
-    """Returns the first measure by which the candidate may still be worse by the margin."""
+    """Returns the reason to hold for the first measure by which the candidate may be worse by the margin.
+
+    Returns None if no measure is left. In the last stage, without control, non-inferiority is not tested.
+    """
     if evidence.baseline is not None:
         return None
-    required = -math.log(evidence.thresholds.max_false_advance_probability)
+    required_log_value = -math.log(evidence.thresholds.max_false_advance_probability)
     for measure, margin in evidence.thresholds.non_inferiority_margins.items():
         test = evidence.non_inferiority_tests.get(measure)
-        if test is None or test.log_value() < required:
+        if test is None or test.log_value() < required_log_value:
             counts = evidence.total_counts(measure)
-            return f"{measure} may be {100 * margin:.1f} points worse: {_rates(counts)}"
+            return f"{measure} may be {100 * margin:.1f} percentage points worse: {_format_rates(counts)}"
     return None
--- a/onyxpost/rollout/analysis/overdispersion.py
+++ b/onyxpost/rollout/analysis/overdispersion.py
@@ -1,7 +1,8 @@
-"""Estimates by how much candidate and control differ more from cell to cell than independent requests would.
+"""Estimates the overdispersion of failures, as the size of the clusters in which failures come.
 
-The estimate is predictable in the sense of martingales: a cell is tested with what earlier cells gave, and
-observed afterwards.
+Candidate and control differ more from cell to cell than they would if requests failed independently. The
+estimate is predictable in the sense of martingales: each cell is tested with the estimate from earlier
+cells and is observed afterwards.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
     from onyxpost.rollout.analysis.paired_counts import PairedCounts
 
 PRIOR_FAILURES = 30.0
-"""Failures that the minimal cluster size is worth in the estimate."""
+"""Weight of the minimum cluster size in the estimate, as a number of failures."""
 
 
 class _StratumSurplus(NamedTuple):
@@ -25,10 +26,11 @@
 
 
 class Overdispersion:
-    """Ratio of the squared surplus of the candidate's failures to its variance for independent failures.
+    """The ratio of the squared surplus of the candidate's failures to its variance if they were independent.
 
-    The surplus is taken about each stratum's mean, so that a lasting difference between candidate and
-    control does not count as dispersion.
+    The surplus is the difference from control's failures, scaled to the candidate's requests. It is taken
+    relative to each stratum's mean, so that a lasting difference between candidate and control does not
+    count as dispersion.
     """
 
     def __init__(self) -> None:
@@ -37,16 +39,18 @@
         self._strata: dict[str, _StratumSurplus] = {}
 
     def cluster_size(self, minimum: float) -> float:
-        """Returns the estimated size of clusters of failures, which is at least `minimum`."""
+        """Returns the estimated size of clusters of failures, at least `minimum`."""
         squared_surplus = PRIOR_FAILURES * minimum + self._squared_surplus
         return max(minimum, squared_surplus / (PRIOR_FAILURES + self._independent_variance))
 
     def observe(self, stratum_name: str, counts: PairedCounts) -> None:
-        """Takes a cell into the estimate; control must have had requests in it."""
+        """Adds a cell to the estimate; control must have had requests in the cell."""
         requests = counts.candidate_requests
         ratio = requests / counts.control_requests
-        known = self._strata.get(stratum_name, _StratumSurplus())
+        previous = self._strata.get(stratum_name, _StratumSurplus())
         surplus = counts.candidate_failures - ratio * counts.control_failures
-        self._squared_surplus += (surplus - requests * known.rate) ** 2
+        self._squared_surplus += (surplus - requests * previous.rate) ** 2
         self._independent_variance += counts.candidate_failures + ratio * ratio * counts.control_failures
-        self._strata[stratum_name] = _StratumSurplus(known.failures + surplus, known.requests + requests)
+        self._strata[stratum_name] = _StratumSurplus(
+            previous.failures + surplus, previous.requests + requests
+        )
--- a/onyxpost/rollout/metrics/validation.py
+++ b/onyxpost/rollout/metrics/validation.py
@@ -1,4 +1,4 @@
-"""Plausibility checks on snapshots, so that a faulty node cannot distort the analysis of a rollout."""
+"""Plausibility checks of snapshots, so that a faulty node cannot distort the analysis of a rollout."""
 
 from __future__ import annotations
 
@@ -12,22 +12,25 @@
     from onyxpost.rollout.metrics.protocol import MetricsSnapshot, RequestCounters, StratumCounters
 
 MAX_REQUESTS_PER_MS = 20.0
-"""Ten times the highest rate that one process forwards."""
+"""Maximum rate of a node's requests: ten times the highest rate that one process forwards."""
 
 MAX_REQUEST_BURST = 20_000.0
-"""Requests allowed above that rate, for those that waited in queues."""
+"""Requests allowed in addition to `MAX_REQUESTS_PER_MS`, because requests may have waited in queues."""
 
 MAX_STRATA_PER_VERSION = 128
-"""Strata that one incarnation of a node may report of one version."""
+"""Maximum number of strata that one incarnation of a node may report for one version."""
 
 
 class InvalidSnapshotError(ValueError):
-    """A snapshot whose counters cannot be true; the text names the reason. Never leaves `aggregation`."""
+    """A snapshot with impossible counters; the message is the reason. `MetricsAggregator` catches it."""
 
 
 @dataclass(slots=True)
 class IncarnationState:
-    """The merged counters of one incarnation of a node; times are ms of the node's own clock."""
+    """The merged counters of one incarnation of a node; times are in ms by the node's own clock.
+
+    `stratum_clock_ms` holds the latest time at which each stratum was reported.
+    """
 
     zone: str
     clock_ms: float = 0.0
@@ -36,12 +39,12 @@
     stratum_clock_ms: dict[tuple[str, str], float] = field(default_factory=dict)
 
     def set_counters(self, clock_ms: float, counters: StratumCounters) -> None:
-        """Replaces the counters of one stratum by merged ones."""
+        """Replaces the counters of one stratum, reported at `clock_ms`, by merged counters."""
         self.strata[counters.key] = counters
         self.stratum_clock_ms[counters.key] = max(clock_ms, self.stratum_clock_ms.get(counters.key, 0.0))
 
     def advance_clock(self, clock_ms: float, *, has_grown: bool) -> None:
-        """Follows the node's clock; `has_grown` tells whether a snapshot of that time added requests."""
+        """Advances to the time of a snapshot; `has_grown` tells whether the snapshot added requests."""
         if has_grown:
             self.last_growth_ms = max(self.last_growth_ms, clock_ms)
         self.clock_ms = max(self.clock_ms, clock_ms)
@@ -52,49 +55,49 @@
 
 
 def check_snapshot(snapshot: MetricsSnapshot, state: IncarnationState) -> None:
-    """Checks a snapshot against itself and against what its incarnation reported before.
+    """Checks that a snapshot is consistent in itself and with earlier snapshots of its incarnation.
 
     Raises:
-        InvalidSnapshotError: at the first counter that cannot be true.
+        InvalidSnapshotError: the snapshot contradicts itself or an earlier one, or exceeds a limit.
     """
     if state.zone != snapshot.zone:
-        raise InvalidSnapshotError("a node in two zones within one incarnation")
+        raise InvalidSnapshotError(f"zone changed: expected {state.zone!r}, got {snapshot.zone!r}")
     reported = {entry.key: entry for entry in snapshot.strata}
     if len(reported) != len(snapshot.strata):
-        raise InvalidSnapshotError("a stratum is reported twice")
+        raise InvalidSnapshotError("a stratum occurs twice in the snapshot")
     if len(reported.keys() | state.strata.keys()) > MAX_STRATA_PER_VERSION:
-        raise InvalidSnapshotError("too many strata")
+        raise InvalidSnapshotError(f"too many strata: expected at most {MAX_STRATA_PER_VERSION}")
     for entry in snapshot.strata:
         _check_counters(entry.candidate)
         _check_counters(entry.control)
     for key, entry in reported.items():
         if key in state.strata:
-            known = state.strata[key]
+            previous = state.strata[key]
             if snapshot.clock_ms >= state.stratum_clock_ms[key]:
-                _check_monotonic(earlier=known, later=entry)
+                _check_monotonic(earlier=previous, later=entry)
             else:
-                _check_monotonic(earlier=entry, later=known)
+                _check_monotonic(earlier=entry, later=previous)
     _check_rate(snapshot, state, reported)
 
 
 def _check_counters(counters: RequestCounters) -> None:
     if counters.has_negative():
-        raise InvalidSnapshotError("a negative counter")
+        raise InvalidSnapshotError("a counter is negative")
     if counters.finished() > counters.requests:
-        raise InvalidSnapshotError("more requests finished than arrived")
+        raise InvalidSnapshotError(f"more requests finished than the {counters.requests} that arrived")
     if counters.late > counters.succeeded or sum(counters.latencies.values()) > counters.succeeded:
         raise InvalidSnapshotError("more late responses or latencies than succeeded requests")
     if counters.failed_attempts > MAX_ATTEMPTS_PER_REQUEST * counters.requests:
-        raise InvalidSnapshotError("more failed attempts than the requests can have had")
+        raise InvalidSnapshotError(f"more than {MAX_ATTEMPTS_PER_REQUEST} failed attempts per request")
     if not all(map(is_bucket_upper_bound, counters.latencies)):
-        raise InvalidSnapshotError("a latency that is in no bucket")
+        raise InvalidSnapshotError("a latency is in no bucket")
 
 
 def _check_monotonic(*, earlier: StratumCounters, later: StratumCounters) -> None:
-    """Counters must never decrease from the earlier to the later time of the node's clock."""
+    """Checks that no counter decreases from the earlier to the later time of the node's clock."""
     for before, after in ((earlier.candidate, later.candidate), (earlier.control, later.control)):
         if after.minus(before).has_negative() or before.latencies.keys() - after.latencies.keys():
-            raise InvalidSnapshotError("counters that decrease")
+            raise InvalidSnapshotError("a counter decreased within an incarnation")
 
 
 def _check_rate(
@@ -102,20 +105,23 @@
     state: IncarnationState,
     reported: dict[tuple[str, str], StratumCounters],
 ) -> None:
-    """Counters must not grow faster than a node can serve requests."""
+    """Checks that counters do not grow faster than a node can serve requests."""
     added_requests = 0
     for key, entry in reported.items():
-        known = state.strata.get(key)
-        if known is None:
+        previous = state.strata.get(key)
+        if previous is None:
             added_requests += entry.candidate.requests + entry.control.requests
         else:
-            added_requests += max(0, entry.candidate.requests - known.candidate.requests)
-            added_requests += max(0, entry.control.requests - known.control.requests)
+            added_requests += max(0, entry.candidate.requests - previous.candidate.requests)
+            added_requests += max(0, entry.control.requests - previous.control.requests)
     previous_clocks = (state.stratum_clock_ms.get(key, 0.0) for key in reported)
     previous_clock_ms = min(previous_clocks, default=snapshot.clock_ms)
     elapsed_ms = snapshot.clock_ms - min(snapshot.clock_ms, previous_clock_ms)
     if added_requests > MAX_REQUESTS_PER_MS * elapsed_ms + MAX_REQUEST_BURST:
-        raise InvalidSnapshotError("more requests than a node can have had since its last snapshot")
+        raise InvalidSnapshotError(
+            f"{added_requests} requests since the node's last snapshot "
+            f"exceed the limit for {elapsed_ms:.0f} ms"
+        )
     total_requests = added_requests + state.request_count()
     if total_requests > MAX_REQUESTS_PER_MS * max(snapshot.clock_ms, state.clock_ms) + MAX_REQUEST_BURST:
-        raise InvalidSnapshotError("more requests than a node can have had in its incarnation")
+        raise InvalidSnapshotError(f"{total_requests} requests in this incarnation exceed the node's limit")
--- a/onyxpost/rollout/routing_rules/validation.py
+++ b/onyxpost/rollout/routing_rules/validation.py
@@ -1,4 +1,4 @@
-"""Checks of a rules file against what the node serves. Each error names its place in the file. Pure."""
+"""Checks a rules file against the node's context. Each error names its place in the file. Does no I/O."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
     DeduplicationScope.ZONE: ServerAttribute.ZONES,
     DeduplicationScope.CELL: ServerAttribute.CELLS,
 }
-"""The attribute that selects whole deduplication scopes."""
+"""For each deduplication scope smaller than all servers, the attribute that selects only whole scopes."""
 
 
 def validate(rules_file: RulesFile, context: RoutingContext) -> None:
-    """Checks the whole file.
+    """Checks all rules of the file.
 
     Raises:
-        InvalidInputError: one of the errors of this package, for the first place that cannot be used.
+        InvalidInputError: an error of the `errors` module, for the first place that is not valid.
     """
     zones = context.zones | set(rules_file.zones or ())
     for index, rule in enumerate(rules_file.rules):
@@ -48,14 +48,14 @@
         _check_names(rule.plans, context.plans, f"{path}.plans")
         _check_names(rule.node_zones, zones, f"{path}.at")
         if rule.node_zones is not None and context.own_zone is None:
-            raise UnknownNameError(at_key("the node's file does not say its `zone`", f"{path}.at"))
+            raise UnknownNameError(at_key("expected a `zone` in the node's file, got none", f"{path}.at"))
         if rule.servers is not None:
             _check_servers(rule, rule.servers, zones, context, f"{path}.servers")
     check_reachable(rules_file.rules, context)
 
 
 def is_subset(choice: ServerChoice, other: ServerChoice) -> bool:
-    """Returns whether all servers of one choice are also in the other, whatever servers there are."""
+    """Returns whether `other` contains all servers of `choice`, whichever servers exist."""
     criteria = choice.criteria()
     return all(
         attribute in criteria and set(criteria[attribute]) <= set(values)
@@ -66,16 +66,16 @@
 def _check_names(names: Iterable[str] | None, known: Container[str], path: str) -> None:
     for name in names or ():
         if name not in known:
-            raise UnknownNameError(at_key(f"{name!r} is not known here", path))
+            raise UnknownNameError(at_key(f"expected a name that this node knows, got {name!r}", path))
 
 
 def _check_servers(
     rule: Rule, servers: ServerSelection, zones: Container[str], context: RoutingContext, path: str
 ) -> None:
     choices = servers.choices()
-    for below, choice in choices:
-        _check_choice(choice, zones, path + below)
-        _check_deduplication_scopes(rule, choice, context, path + below)
+    for subpath, choice in choices:
+        _check_choice(choice, zones, path + subpath)
+        _check_deduplication_scopes(rule, choice, context, path + subpath)
     _check_last_fallback(servers, choices, path)
     _check_fallbacks_reachable(choices, path)
 
@@ -83,14 +83,17 @@
 def _check_choice(choice: ServerChoice, zones: Container[str], path: str) -> None:
     criteria = choice.criteria()
     if not criteria:
-        raise InvalidRulesError(at_key("names no servers", path))
+        raise InvalidRulesError(at_key("expected `zones`, `cells` or `names`, got none", path))
     if sum(isinstance(values, dict) for values in criteria.values()) > 1:
-        raise InvalidRulesError(at_key("weights for more than one of zones, cells, names", path))
+        raise InvalidRulesError(at_key("expected weights for one of zones, cells and names, got more", path))
     _check_names(choice.zones, zones, f"{path}.zones")
 
 
 def _check_deduplication_scopes(rule: Rule, choice: ServerChoice, context: RoutingContext, path: str) -> None:
-    """A retry of a request that was possibly executed stays in its scope, which must be selected whole."""
+    """Checks that a choice selects only whole deduplication scopes.
+
+    The retry of a request that was possibly executed must stay in its scope, so that it is deduplicated.
+    """
     for name in rule.frontends or context.frontends:
         frontend = context.frontends[name]
         scope = frontend.deduplication_scope
@@ -98,23 +101,30 @@
             continue
         for attribute in choice.criteria():
             if attribute is not SCOPE_ATTRIBUTES[scope]:
-                message = f"{name!r} deduplicates requests by {scope.value}, of which this selects a part"
+                message = f"frontend {name!r} deduplicates by {scope.value}; this may select a part of one"
                 raise SplitsDeduplicationScopeError(at_key(message, f"{path}.{attribute}"))
 
 
 def _check_last_fallback(servers: ServerSelection, choices: list[LocatedChoice], path: str) -> None:
     if not servers.fallbacks or servers.fallbacks[-1] != ANY_SERVER:
-        below, choice = choices[-1]
+        subpath, choice = choices[-1]
         attribute = next(iter(choice.criteria()))
-        raise MissingFallbackError(at_key("all of them may be unavailable", f"{path}{below}.{attribute}"))
+        raise MissingFallbackError(
+            at_key(
+                'these may all be unavailable; expected "any" as last fallback',
+                f"{path}{subpath}.{attribute}",
+            )
+        )
     if ANY_SERVER in servers.fallbacks[:-1]:
         next_index = servers.fallbacks.index(ANY_SERVER) + 1
-        raise UnreachableRuleError(at_key('it comes after "any"', f"{path}.fallbacks[{next_index}]"))
+        raise UnreachableRuleError(
+            at_key('this fallback never applies: it comes after "any"', f"{path}.fallbacks[{next_index}]")
+        )
 
 
 def _check_fallbacks_reachable(choices: list[LocatedChoice], path: str) -> None:
-    for index, (below, choice) in enumerate(choices):
-        for earlier_below, earlier in choices[:index]:
+    for index, (subpath, choice) in enumerate(choices):
+        for earlier_subpath, earlier in choices[:index]:
             if is_subset(choice, earlier):
-                message = f"all of its servers are in `{path}{earlier_below}`"
-                raise UnreachableRuleError(at_key(message, f"{path}{below}"))
+                message = f"this fallback never applies: all of its servers are in `{path}{earlier_subpath}`"
+                raise UnreachableRuleError(at_key(message, f"{path}{subpath}"))
--- a/tests/rollout/test_routing_rules_matching.py
+++ b/tests/rollout/test_routing_rules_matching.py
@@ -1,4 +1,4 @@
-"""Compiled routing rules: which rule a request matches, and the servers that it permits."""
+"""Compiled routing rules: which rule a request matches, and which servers the rule permits."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from onyxpost.rollout.routing_rules.compiled import CompiledConstraint, compile_rule
 from onyxpost.rollout.routing_rules.customer_hash import HASH_RANGE, customer_hash
 from onyxpost.rollout.routing_rules.schema import Rule
-from tests.rollout.rules import ZONES, Server, compiled_rules, to_zones
+from tests.rollout.rules import ZONES, Server, compiled_rules, rule_preferring_zones
 
 if TYPE_CHECKING:
     from onyxpost.rollout.routing_rules.reachability import TrafficClass
@@ -27,7 +27,7 @@
 
 
 def first_match(rules: list[Rule], requests: TrafficClass, customer: int) -> int:
-    """The index of the rule that a request matches, found without compiling the rules; -1 if none does."""
+    """The index of the first rule that a request matches, without compiled rules; -1 if none matches."""
     for index, rule in enumerate(rules):
         customers = rule.customers
         if (
@@ -119,7 +119,7 @@
 
 
 def check_shares_and_weights_are_independent() -> None:
-    """Two halves of customers with different salts, one of which is divided three to one."""
+    """Checks two rules for half of the customers, with different salts; one weights its zones 3 to 1."""
     weighted_half = compiled_rules(
         {
             "frontends": ["f", "g"],
@@ -169,6 +169,6 @@
 
 
 def test_a_preferred_zone_gives_way_to_all_servers() -> None:
-    constraint = compiled_rules(to_zones("h1")).constraint_for("f", "p", 1)
+    constraint = compiled_rules(rule_preferring_zones("h1")).constraint_for("f", "p", 1)
     servers = [Server("s0", "h0", 0), Server("s2", "h2", 0)]
     assert constraint.select(servers) == servers
