--- a/onyxpost/simulation/multiprocess/__init__.py
+++ b/onyxpost/simulation/multiprocess/__init__.py
@@ -1,1 +1,1 @@
-"""Real processes on loopback under faults drawn from a seed; a checker judges the recorded history."""
+"""Runs real processes on loopback, injects faults drawn from a seed, and checks the recorded history."""
--- a/onyxpost/simulation/multiprocess/batch.py
+++ b/onyxpost/simulation/multiprocess/batch.py
@@ -1,4 +1,4 @@
-"""The scripts of one call of the command: drawn from seeds, or read from a kept file."""
+"""Fault scripts of one call of the command, drawn from seeds or read from a kept file."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class BatchOptions(NamedTuple):
-    """The arguments of the command, as they were given."""
+    """The arguments of the command; None or an empty `mutation` if one was not given."""
 
     scenario: str | None
     nodes: int | None
@@ -36,17 +36,17 @@
 
 
 class Batch(NamedTuple):
-    """A scenario and the scripts of it that are run."""
+    """A scenario and the fault scripts to run, in order."""
 
     scenario: Scenario
     scripts: list[FaultScript]
 
 
 def create_batch(options: BatchOptions) -> Batch:
-    """Returns what is to be run; old names are accepted, and reported on standard error.
+    """Returns the scenario and the scripts to run; old names are accepted and reported on standard error.
 
     Raises:
-        InvalidScenarioError: an option, the scenario or the kept script is not valid.
+        InvalidScenarioError: an option, the scenario or the kept script is invalid.
     """
     _check_mutation(options.mutation)
     if options.scenario is not None and options.scenario in OLD_NAMES:
@@ -84,7 +84,7 @@
 
 
 def _check_mutation_fits(batch: Batch) -> None:
-    """Mutations of leader election have no effect where no roles are led."""
+    """Refuses mutations of leader election in other environments, where they would have no effect."""
     environment = environment_name(batch.scenario)
     for script in batch.scripts:
         if environment != LEADERSHIP and current_name(script.mutation) in LEADERSHIP_MUTATIONS:
--- a/onyxpost/simulation/multiprocess/checker.py
+++ b/onyxpost/simulation/multiprocess/checker.py
@@ -9,7 +9,7 @@
 
 
 class Finding(NamedTuple):
-    """An invariant that does not hold at a moment of the history."""
+    """A point of the history at which an invariant does not hold."""
 
     invariant: str
     at_ms: float
@@ -18,7 +18,7 @@
 
 
 class Violation(NamedTuple):
-    """A finding in the run of a seed."""
+    """A finding, with the seed of its run."""
 
     invariant: str
     seed: int
@@ -27,14 +27,14 @@
     description: str
 
     def to_line(self) -> str:
-        """Returns one line for the command line."""
+        """Returns the line that the command prints."""
         return (
             f"{self.invariant} violated at {self.at_ms:.0f} ms, seed {self.seed}:"
             f" {self.node}: {self.description}"
         )
 
     def to_result(self) -> dict[str, Any]:
-        """Returns the entry of a result file, with the keys that earlier builds wrote."""
+        """Returns the entry of a result file; its keys are kept compatible with earlier builds."""
         return {
             "rule": self.invariant,
             "seed": self.seed,
@@ -44,7 +44,7 @@
         }
 
 
-# An invariant receives all events of a run in order of time, and returns where it does not hold.
+# A function that receives all events of a run in order of time, and returns the findings of an invariant.
 Invariant = Callable[[Sequence[HistoryEvent]], Iterable[Finding]]
 
 
@@ -65,5 +65,5 @@
 
 
 def events_of_type(events: Sequence[HistoryEvent], kind: type[Event]) -> Iterator[Event]:
-    """Yields the events of one type, in their order."""
+    """Yields the events of one type, in the given order."""
     return (event for event in events if isinstance(event, kind))
--- a/onyxpost/simulation/multiprocess/cli.py
+++ b/onyxpost/simulation/multiprocess/cli.py
@@ -1,4 +1,4 @@
-"""`onyxpost simulate processes`: many seeds of one scenario in turn, with real processes."""
+"""`onyxpost simulate processes`: runs the seeds of a scenario one after another, with real processes."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
     Exit 0: run, no invariant violated. Exit 1: an invariant was violated. Exit 2: something given cannot be
     used. Exit 130: interrupted; what was finished is kept, and no process is left.
     """
-    # Imported only here: they import the whole node.
+    # Imported only here, because these modules import the whole node.
     from onyxpost.simulation.multiprocess.batch import BatchOptions, create_batch
 
     batch = create_batch(BatchOptions(**options))  # type: ignore[arg-type]
     finished: list[RunResult] = []
     with InterruptCatcher() as interrupt:
         for script in batch.scripts:
-            finished.append(_run(batch.scenario, script, kept))  # noqa: PERF401 - kept if interrupted
+            finished.append(_run(batch.scenario, script, kept))  # noqa: PERF401 - an interrupt keeps earlier results
     violated = sum(bool(result.violations) for result in finished)
     if out is not None and finished:
         total = {
@@ -63,7 +63,7 @@
 
 
 def _run(scenario: Scenario, script: FaultScript, kept: Path | None) -> RunResult:
-    """Runs one script and prints its figures."""
+    """Runs one script, and prints its figures and first violations."""
     from onyxpost.simulation.multiprocess.runner import kept_folder, run_script
 
     began = time.perf_counter()
--- a/onyxpost/simulation/multiprocess/client_invariants.py
+++ b/onyxpost/simulation/multiprocess/client_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants of requests as clients and app servers see them. No I/O."""
+"""Invariants of requests, checked on the events of clients and app servers. No I/O."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
     from onyxpost.simulation.multiprocess.process_availability import ProcessAvailability
     from onyxpost.simulation.multiprocess.scheduling_lag import SchedulingLag
 
-ACCEPTING_AFTER_SIGTERM_MS = 400.0  # in which clients still connect
+ACCEPTING_AFTER_SIGTERM_MS = 400.0  # a node must still accept connections for this time after SIGTERM
 
 
 class FailedConnection(NamedTuple):
-    """A connection of a client that a node refused or ended without a response."""
+    """A client's connection that a node refused, or closed without a response."""
 
     trace: str
     node: str
@@ -40,7 +40,7 @@
 def responses_are_complete(
     events: Sequence[HistoryEvent], requests: Mapping[str, RequestSent]
 ) -> Iterator[Finding]:
-    """A client receives its own response, once, and nothing after it."""
+    """Each client receives the response to its own request, once, and no bytes after it."""
     for event in events_of_type(events, UnexpectedResponse):
         node = requests[event.trace].node
         yield Finding(Invariant.ANSWERS, event.at_ms, node, f"request {event.trace}: {event.description}")
@@ -52,7 +52,7 @@
     availability: ProcessAvailability,
     lag: SchedulingLag,
 ) -> Iterator[Finding]:
-    """No node that runs refuses a client or ends its connection without a response."""
+    """No running node refuses a client, or closes its connection without a response."""
     for event in events:
         match event:
             case RequestUnanswered() if event.cause not in (TIMED_OUT, DISCONNECTED):
@@ -68,7 +68,7 @@
 
 
 def _is_excused(failure: FailedConnection, availability: ProcessAvailability, lag: SchedulingLag) -> bool:
-    """Whether the node was closing or did not run; lag of the machine widens these times."""
+    """Whether the node was terminating or did not run; scheduling lag extends these intervals."""
     lag_ms = lag.tolerance_ms + lag.total_ms(
         failure.node, failure.begin_ms - ACCEPTING_AFTER_SIGTERM_MS, failure.end_ms
     )
@@ -86,7 +86,10 @@
     requests: Mapping[str, RequestSent],
     frontends: Mapping[str, Frontend],
 ) -> Iterator[Finding]:
-    """App servers execute a request that is not idempotent once, one with a key only in its scope again."""
+    """App servers execute a non-idempotent request at most once.
+
+    A request with an idempotency key may be executed again within its deduplication scope.
+    """
     rejected = {
         (event.trace, event.server, event.attempt_number)
         for event in events_of_type(events, AttemptNotExecuted)
@@ -107,7 +110,7 @@
 
 
 def may_execute_again(frontend: Frontend, first: AttemptReceived, attempt: AttemptReceived) -> bool:
-    """Whether a second execution of a request has no further effect."""
+    """Whether a second execution of the request is harmless: idempotent, or deduplicated in its scope."""
     match frontend.idempotency:
         case Idempotency.IDEMPOTENT:
             return True
--- a/onyxpost/simulation/multiprocess/edge_environment.py
+++ b/onyxpost/simulation/multiprocess/edge_environment.py
@@ -1,4 +1,4 @@
-"""The environment `edge`: nodes that gossip, stub app servers, a discovery stub for each node, clients."""
+"""The environment `edge`: edge nodes that gossip, stub app servers, clients, and discovery stubs."""
 
 from __future__ import annotations
 
@@ -41,12 +41,12 @@
     from onyxpost.simulation.multiprocess.run_context import RunContext
     from onyxpost.simulation.multiprocess.scenario_environment import Counts
 
-DISCOVERY_DELAY_SECONDS = 0.2  # within which each discovery stub learns of a change
-SERVER_CAPACITY = 4.0  # cores
+DISCOVERY_DELAY_SECONDS = 0.2  # maximum delay until a discovery stub reports a change
+SERVER_CAPACITY = 4.0  # in cores
 
 
 class EdgeEnvironment(NullObserver):
-    """Stub app servers, each node's discovery stub, and clients."""
+    """Stub app servers, one discovery stub for each node, and clients."""
 
     def __init__(self, context: RunContext) -> None:
         self.context = context
@@ -59,12 +59,12 @@
             DiscoveryAgent(self.transport, self, index, ANY_PORT) for index in context.node_indexes
         ]
         self.attempts_received = 0
-        # The address at which each node finds each incarnation of a server.
+        # The fault proxy's address by node index and server id; each incarnation of a server has its own id.
         self._server_addresses: dict[tuple[int, str], str] = {}
         context.observe_bytes(EdgeTrafficObserver(context).observe)
 
     async def open(self) -> None:
-        """Starts the app servers, the discovery stubs and the proxies."""
+        """Starts the app servers, discovery stubs and fault proxies, and sets the nodes' files."""
         context = self.context
         for server in self.servers.values():
             await self._open_server(server)
@@ -81,15 +81,15 @@
             context.processes.set_file(f"n{index}", fields)
 
     async def run_load(self, seconds: float) -> None:
-        """Clients send requests to all nodes."""
+        """Sends clients' requests to all nodes for the given time."""
         await LoadGenerator(self.context, self.deployment.frontends, MAX_REQUEST_UNITS).run(seconds)
 
     def resolve_target(self, name: str) -> str:
-        """Returns the name itself: no node has a role here."""
+        """Returns the name unchanged, because no node leads a role in this environment."""
         return name
 
     async def inject_fault(self, fault: Fault) -> None:
-        """Slows an app server down, or drains it and replaces it by another process."""
+        """Slows an app server down, or drains it and then replaces it by a new incarnation."""
         server = self.servers[int(fault.target[1:])]
         if fault.kind == "slow":
             server.slow_down(fault.intensity)
@@ -102,7 +102,7 @@
             await self._replace_server(server)
 
     def invariants(self) -> Sequence[Invariant]:
-        """Returns the invariants of requests, drains, limits and slow start, and that no process fails."""
+        """Returns the invariants of edge nodes, and the one of process failures."""
         settings = self.deployment
         limits = EdgeLimits(
             settings.frontends,
@@ -114,7 +114,7 @@
         return no_process_failures, EdgeInvariants(limits)
 
     def count(self, events: Sequence[HistoryEvent]) -> Counts:
-        """Returns the number of requests by outcome, and of attempts."""
+        """Returns the numbers of requests by outcome, and of attempts sent and received."""
         kinds = Counter(type(event) for event in events)
         outcomes = Counter(event.outcome for event in events if isinstance(event, RequestAnswered))
         timed_out = sum(isinstance(event, RequestUnanswered) and event.cause == TIMED_OUT for event in events)
@@ -138,7 +138,7 @@
             for writer in list(agent.writers):
                 writer.transport.abort()
 
-    # --- called by the stubs ---
+    # --- callbacks of the stubs ---
 
     def on_attempt_received(
         self,
@@ -146,7 +146,7 @@
         trace_id: str,
         server: ServerIdentity,
     ) -> AttemptKey:
-        """A request arrived at an app server; the key names the server."""
+        """Records an attempt that arrived at an app server; returns its key, which names the server."""
         self.attempts_received += 1
         self.context.record(
             AttemptReceived(
@@ -162,7 +162,7 @@
         return AttemptKey(server.id, self.attempts_received)
 
     def on_attempt_not_executed(self, attempt: AttemptKey, trace_id: str) -> None:
-        """An app server rejected a request unexecuted."""
+        """Records that an app server rejected an attempt without executing it."""
         self.context.record(
             AttemptNotExecuted(
                 self.context.now_ms(),
@@ -188,7 +188,7 @@
         return server.endpoint_row() | {"hostPort": self._server_addresses[node_index, server.id]}
 
     async def _notify_discovery(self, server: EdgeServer) -> None:
-        """Each discovery stub learns of the server's state at a time of its own."""
+        """Updates each discovery stub with the server's state, after a random delay of its own."""
         delays = sorted(
             (self.rng.uniform(0.0, DISCOVERY_DELAY_SECONDS), index) for index in self.context.node_indexes
         )
@@ -199,7 +199,7 @@
             self.agents[index].update_endpoint(self._endpoint_row(index, server))
 
     async def _replace_server(self, old: EdgeServer) -> None:
-        """Another process takes the server's place, with an id and an address of its own."""
+        """Replaces the server by a new incarnation, which has its own id and address."""
         old.retire()
         self.context.proxy.tcp.reset_all(endpoint_of(old.host), old.host)
         new = self._create_server(old.index, old.incarnation + 1)
--- a/onyxpost/simulation/multiprocess/edge_invariants.py
+++ b/onyxpost/simulation/multiprocess/edge_invariants.py
@@ -1,9 +1,9 @@
 """Feeds the history of the environment `edge` to the shared invariant checker. No I/O.
 
-What a node sent is judged as it arrived in its fault proxy's socket, and an answer as it arrived in its
-client's (`socket_arrival.py`); what was executed, as it reached the app server. The order of two events
-within `REORDERING_MS` of an answer is not known: arrivals are rounded to the kernel's timer ticks, and a
-node writes to two sockets in any order.
+An attempt is timed by its arrival in the fault proxy's socket, an answer by its arrival in the client's
+socket (`socket_arrival.py`), and an execution by the attempt's arrival at the app server. The order of an
+answer and an event within `REORDERING_MS` of the answer is unknown: arrival times are rounded to the
+kernel's timer ticks, and a node may write to two sockets in any order.
 """
 
 from __future__ import annotations
@@ -42,8 +42,8 @@
     from onyxpost.core.types import Frontend, Plan, SlowStartPolicy
     from onyxpost.simulation.multiprocess.history import HistoryEvent
 
-DEADLINE_TOLERANCE_MS = 50.0  # past a client's timeout
-REORDERING_MS = 30.0
+DEADLINE_TOLERANCE_MS = 50.0  # accepted lateness after a client's timeout
+REORDERING_MS = 30.0  # maximum error in the order of an answer and another event
 FED_EVENTS = (
     RequestSent,
     RequestAnswered,
@@ -58,7 +58,7 @@
 
 
 class EdgeLimits(NamedTuple):
-    """The part of the nodes' deployment that their invariants go by."""
+    """The settings of the nodes' deployment against which the invariants are checked."""
 
     frontends: Sequence[Frontend]
     plans: Sequence[Plan]
@@ -68,7 +68,7 @@
 
 
 class ScheduledEvent(NamedTuple):
-    """An event and the time from which on it counts; equal times keep the order of the history."""
+    """An event and the time at which it takes effect; events of equal times keep the order of the history."""
 
     at_ms: float
     position: int
@@ -76,14 +76,14 @@
 
 
 class EdgeInvariants:
-    """All invariants of edge nodes that can be checked from outside of them."""
+    """All invariants of edge nodes that can be checked on events outside of the nodes."""
 
     def __init__(self, limits: EdgeLimits) -> None:
         self.limits = limits
         self.frontends = {frontend.name: frontend for frontend in limits.frontends}
 
     def __call__(self, events: Sequence[HistoryEvent]) -> Iterable[Finding]:
-        """Returns where an invariant does not hold in the history of a run."""
+        """Returns the findings in the history of a run."""
         availability = ProcessAvailability(events)
         lag = SchedulingLag(events)
         requests = {request.trace: request for request in events_of_type(events, RequestSent)}
@@ -97,7 +97,7 @@
 
 
 class _CheckerFeed:
-    """Passes one history on to one `InvariantChecker`, each event at the time from which on it counts."""
+    """Passes a history to an `InvariantChecker`, in order of the times at which the events take effect."""
 
     def __init__(
         self,
@@ -120,14 +120,14 @@
         )
 
     def run(self, events: Sequence[HistoryEvent]) -> list[Finding]:
-        """Returns the checker's violations, none of them later than the last event."""
+        """Returns the checker's violations; their times are limited to that of the last event."""
         scheduled = sorted(
             ScheduledEvent(self._counts_from_ms(event), position, event)
             for position, event in enumerate(events)
             if isinstance(event, FED_EVENTS) and not self._is_lost(event)
         )
         for at_ms, _, event in scheduled:
-            # Answers are read later by so much, so deadlines are checked for that earlier time.
+            # Answers take effect later by this amount, so deadlines are checked up to the earlier time only.
             self.checker.check_deadlines(at_ms - REORDERING_MS - self.lag.tolerance_ms)
             self._feed(at_ms, event)
         self.checker.finish(inf)
@@ -143,7 +143,7 @@
         ]
 
     def _is_lost(self, event: HistoryEvent) -> bool:
-        """Whether the event was meant for a node that was dead."""
+        """Whether the event was sent to a node that had no process."""
         return isinstance(event, EndpointNotified) and self.availability.is_dead(event.node, event.at_ms)
 
     def _counts_from_ms(self, event: HistoryEvent) -> float:
@@ -194,7 +194,7 @@
             self.checker.excuse_answer(event.node, event.trace)
 
     def _on_request_unanswered(self, event: RequestUnanswered) -> None:
-        """A timeout is judged by the client's deadline, an error by `connections_are_answered`."""
+        """Excuses errors, which `connections_are_answered` checks; the deadline check finds timeouts."""
         node = self.requests[event.trace].node
         if event.cause == DISCONNECTED:
             self.checker.on_client_disconnected(event.at_ms, node, event.trace)
@@ -203,7 +203,7 @@
 
     def _on_attempt_forwarded(self, event: AttemptForwarded) -> None:
         request = self.requests.get(event.trace)
-        if request is None:  # of a run before a restart
+        if request is None:  # an attempt of a run before a restart
             return
         attempt = AttemptRecord(
             event.node,
@@ -218,7 +218,7 @@
         self.checker.on_attempt_sent(attempt)
 
     def _on_attempt_not_executed(self, event: AttemptNotExecuted) -> None:
-        """Marks the first attempt at that server that may have been executed."""
+        """Marks the first possibly executed attempt at the server as never executed."""
         request = self.requests.get(event.trace)
         if request is None:
             return
--- a/onyxpost/simulation/multiprocess/edge_server.py
+++ b/onyxpost/simulation/multiprocess/edge_server.py
@@ -1,4 +1,4 @@
-"""A stub app server whose speed and state faults change. I/O."""
+"""A stub app server; faults change its speed and state. I/O."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
     from onyxpost.simulation.stubs import RequestObserver
 
 CALL_DURATION_MS = 20.0
-MAX_SLOWDOWN_MS = 900.0  # that the fault `slow` adds, at intensity 1
+MAX_SLOWDOWN_MS = 900.0  # latency that the fault `slow` adds at intensity 1
 
 
 def zone_of(index: int) -> str:
-    """Returns the zone of an app server."""
+    """Returns the zone of the app server with this index."""
     return ZONES[index % len(ZONES)]
 
 
 def cell_of(index: int) -> int:
-    """Returns the cell of an app server."""
+    """Returns the cell of the app server with this index."""
     return index % 2
 
 
 class EdgeServer(AppServer):
-    """One incarnation of an app server; its endpoint is `s0.1`, its id in discovery `s0-1`."""
+    """One incarnation of an app server; incarnation 1 of `s0` is named `s0.1`, and `s0-1` in discovery."""
 
     def __init__(self, transport: Transport, observer: RequestObserver, index: int, incarnation: int) -> None:
         super().__init__(transport, observer, index, incarnation, ANY_PORT, zone_of(index))
@@ -39,38 +39,38 @@
 
     @property
     def listen_address(self) -> Address:
-        """Where it listens, once it is open."""
+        """The address on which the server listens; the server must be open."""
         assert self.listener is not None
         address: Address = self.listener.sockets[0].getsockname()
         return address
 
     @property
     def is_ready(self) -> bool:
-        """Whether it neither drains nor has been replaced."""
+        """Whether the server is neither draining nor retired."""
         return self.state is EndpointState.READY
 
     def mark_started_now(self) -> None:
-        """Discovery reports it as just started."""
+        """Sets the start time that discovery reports to now."""
         self.started_at_ms = time.time() * MS_PER_SECOND
 
     def slow_down(self, intensity: float) -> None:
-        """Answers later, by a fault's intensity from 0 to 1."""
+        """Raises the latency in proportion to a fault's intensity, which is from 0 to 1."""
         self.latency_ms = CALL_DURATION_MS + MAX_SLOWDOWN_MS * intensity
 
     def restore_speed(self) -> None:
-        """Answers as usual again."""
+        """Sets the latency back to `CALL_DURATION_MS`."""
         self.latency_ms = CALL_DURATION_MS
 
     def drain(self) -> None:
-        """Rejects all requests that arrive from now on."""
+        """Rejects all requests that arrive after this call."""
         self.state = EndpointState.DRAINING
 
     def retire(self) -> None:
-        """Stops to listen; another process takes its place."""
+        """Stops listening for good; a new incarnation replaces this one."""
         self.close()
         self.state = EndpointState.GONE
 
     def close(self) -> None:
-        """Stops to listen, if it does."""
+        """Stops listening; nothing happens if the server is not open."""
         if self.listener is not None:
             self.listener.close()
--- a/onyxpost/simulation/multiprocess/edge_traffic.py
+++ b/onyxpost/simulation/multiprocess/edge_traffic.py
@@ -1,4 +1,4 @@
-"""Reads from proxied bytes which attempts nodes send, and what discovery tells them. No I/O."""
+"""Reads from proxied bytes which attempts nodes send, and which states discovery reports. No I/O."""
 
 from __future__ import annotations
 
@@ -27,20 +27,20 @@
 
 
 class EndpointRow(msgspec.Struct, frozen=True):
-    """An app server in an answer of discovery."""
+    """An app server in a response of discovery."""
 
     id: str = msgspec.field(name="instanceId")
     lifecycle: str
 
 
 class DiscoveryAnswer(msgspec.Struct, frozen=True):
-    """The body of an answer of discovery."""
+    """The body of a response of discovery."""
 
     instances: list[EndpointRow]
 
 
 class EdgeTrafficObserver:
-    """Records events of the traffic between nodes and stubs."""
+    """Records attempts, and endpoint states from discovery, as events of the history."""
 
     def __init__(self, context: RunContext) -> None:
         self.context = context
@@ -48,7 +48,7 @@
     def observe(self, transfer: Transfer) -> None:
         """Receives all bytes of TCP from the fault proxy.
 
-        A request counts when it arrived in the proxy's socket, an answer of discovery when it was passed on.
+        A request is timed by its arrival in the proxy's socket, a response of discovery by its forwarding.
         """
         if transfer.destination.startswith("s") and transfer.stage is TransferStage.RECEIVED:
             self._observe_request(transfer)
@@ -78,7 +78,7 @@
         try:
             answer: DiscoveryAnswer = msgspec.json.decode(body, type=DiscoveryAnswer)
         except msgspec.DecodeError:
-            return  # not a complete answer
+            return  # the chunk does not hold a complete response
         for row in answer.instances:
             self.context.record(
                 EndpointNotified(
--- a/onyxpost/simulation/multiprocess/endpoints.py
+++ b/onyxpost/simulation/multiprocess/endpoints.py
@@ -1,7 +1,7 @@
-"""Names of the endpoints of a run, and where they are found. No I/O.
+"""Names and addresses of the endpoints of a run. No I/O.
 
-Endpoints are `n0` (a node), `s0` (an app server or the fenced resource) and `d0` (discovery of a node). An
-incarnation of one is named `s0.1`, one of several addresses `n1/udp`.
+Endpoints are nodes (`n0`), app servers or the fenced resource (`s0`) and the discovery stubs of nodes
+(`d0`). `s0.1` names incarnation 1 of `s0`, and `n1/udp` one of several addresses of `n1`.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 if TYPE_CHECKING:
     from onyxpost.config.address import Address
 
-# Returns the real address of a name at the time; None if nothing listens there.
+# Returns the current real address of a name; None if it has none.
 AddressLookup = Callable[[str], "Address | None"]
 
 
 def endpoint_of(name: str) -> str:
-    """Returns the endpoint of an incarnation or of an address."""
+    """Returns the endpoint in the name of an incarnation or address: `s0` for `s0.1`, `n1` for `n1/udp`."""
     return name.partition("/")[0].partition(".")[0]
 
 
 def format_address(address: Address) -> str:
-    """Returns an address as files have it: `host:port`."""
+    """Returns an address in the format of the nodes' files, `host:port`."""
     return f"{address[0]}:{address[1]}"
--- a/onyxpost/simulation/multiprocess/environments.py
+++ b/onyxpost/simulation/multiprocess/environments.py
@@ -1,4 +1,4 @@
-"""The environments by name; each is imported only where it is used."""
+"""Creates the environment that a scenario names; the module of the other one is not imported."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 EDGE = "edge"
 LEADERSHIP = "leadership"
-OLD_NAMES = {"duties": LEADERSHIP}  # in scenario files of earlier builds
+OLD_NAMES = {"duties": LEADERSHIP}  # names in scenario files of earlier builds
 
 
 def environment_name(scenario: Scenario) -> str:
-    """Returns the present name of a scenario's environment."""
+    """Returns the current name of a scenario's environment; an unknown name is returned unchanged."""
     return OLD_NAMES.get(scenario.environment, scenario.environment)
 
 
@@ -25,7 +25,7 @@
     """Returns the environment of a run.
 
     Raises:
-        InvalidScenarioError: the scenario names none that there is.
+        InvalidScenarioError: the scenario names an unknown environment.
     """
     name = environment_name(context.scenario)
     if name == EDGE:
--- a/onyxpost/simulation/multiprocess/errors.py
+++ b/onyxpost/simulation/multiprocess/errors.py
@@ -6,7 +6,7 @@
 
 
 class InvalidScenarioError(InvalidSimulationInputError):
-    """A scenario, a fault script or an option is not valid."""
+    """A scenario, a fault script or an option is invalid."""
 
     remedy = (
         "name a shipped scenario or a TOML file as docs/multiprocess-simulation.md describes it;"
@@ -15,6 +15,6 @@
 
 
 class ProcessNotReadyError(InvalidSimulationInputError):
-    """A process of the program does not listen."""
+    """A node's process did not listen in time, or exited before it listened."""
 
     remedy = "read the process's log, kept with --kept DIR; fewer --nodes on a busy machine"
--- a/onyxpost/simulation/multiprocess/fault_draws.py
+++ b/onyxpost/simulation/multiprocess/fault_draws.py
@@ -1,7 +1,7 @@
 """Draws the faults of a script from a seed. No I/O.
 
-Equal seeds must draw equal faults in all builds: the seed strings, and the order in which random numbers are
-drawn, never change.
+Equal seeds must draw equal faults in all builds. Never change the strings that seed random sources, or the
+order in which random numbers are drawn.
 """
 
 from __future__ import annotations
@@ -24,20 +24,23 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-FAULT_FREE_START_SECONDS = 1.0  # without faults
-FAULT_FREE_END_SECONDS = FAULT_FREE_START_SECONDS / 3.0
+FAULT_FREE_START_SECONDS = 1.0  # time at the start of a run in which no fault starts
+FAULT_FREE_END_SECONDS = FAULT_FREE_START_SECONDS / 3.0  # time at the end in which no fault starts
 MINUTE_SECONDS = 60.0
-LEADER_PROBABILITY = 2.0 / 3.0  # with which a fault of a node is a leader's
-SHARED_NODE_PROBABILITY = 1.0 / 3.0  # with which a node stands in both of two groups
-REVERSED_LINK_PROBABILITY = 0.5
-LEASE_FACTORS = (1.1, 2.0)  # range of the duration of a pause, in leases
+LEADER_PROBABILITY = 2.0 / 3.0  # probability that a fault targets a leader
+SHARED_NODE_PROBABILITY = 1.0 / 3.0  # probability that one node is in both groups
+REVERSED_LINK_PROBABILITY = 0.5  # probability that a link is drawn in the other direction
+LEASE_FACTORS = (1.1, 2.0)  # range of the minimum duration of a pause, in leases
 NODE_FAULTS = ("stop", "kill", "term", "servers-cut", "alone", "late-act")
 
 Groups = tuple[tuple[str, ...], ...]
 
 
 class DrawSettings(NamedTuple):
-    """The size of a run; `roles` is above 0 where nodes lead. Pauses are longer than `lease_seconds`."""
+    """The size of a run.
+
+    Pauses are drawn longer than `lease_seconds`. `roles` is above 0 in the environment `leadership` only.
+    """
 
     nodes: int
     servers: int
@@ -47,7 +50,7 @@
 
 
 def draw_faults(seed: int, settings: DrawSettings, rates: Mapping[str, FaultRate]) -> list[Fault]:
-    """Returns the faults of a seed, in order of their start; each kind has a random source of its own."""
+    """Returns the faults of a seed, in order of start; each kind is drawn from a random source of its own."""
     faults: list[Fault] = []
     for kind in sorted(rates):
         rng = Random(f"{seed}/{settings.nodes}/{kind}")
@@ -100,7 +103,7 @@
 
 
 def _draw_leadership_target(kind: str, settings: DrawSettings, rng: Random) -> str:
-    """Links are between nodes, and to the fenced resource (`s0`)."""
+    """Draws a target, preferably a leader; links are between nodes, or from or to the resource `s0`."""
     if kind in GLOBAL_FAULTS:
         return ALL_TARGETS
     leader = f"h{rng.randrange(settings.roles)}"
@@ -123,7 +126,7 @@
 
 
 def _draw_bridge(nodes: int, rng: Random) -> Groups:
-    """Two groups with an acceptor each, and an acceptor that stands in both: the only path between them."""
+    """Draws two groups with an acceptor each; the third acceptor is in both, the only path between them."""
     acceptors = [f"n{i}" for i in range(min(ACCEPTOR_COUNT, nodes))]
     rng.shuffle(acceptors)
     groups = [set(acceptors[:1] + acceptors[i : i + 1]) for i in (1, 2)]
@@ -133,12 +136,12 @@
 
 
 def _draw_groups(nodes: int, rng: Random) -> Groups:
-    """Two groups; in one case of three a node stands in both, and is the only path between them."""
+    """Draws two groups; with `SHARED_NODE_PROBABILITY` one node is in both, the only path between them."""
     order = [f"n{i}" for i in range(nodes)]
     rng.shuffle(order)
     first_size = rng.randint(1, max(1, nodes - 1))
     first = order[:first_size]
     second = order[first_size:]
-    if rng.random() < SHARED_NODE_PROBABILITY and len(order) > 2:  # noqa: PLR2004 - else all nodes are in both
+    if rng.random() < SHARED_NODE_PROBABILITY and len(order) > 2:  # noqa: PLR2004 - two nodes would not be separated
         second.append(first[0])
     return tuple(sorted(first)), tuple(sorted(second))
--- a/onyxpost/simulation/multiprocess/fault_injector.py
+++ b/onyxpost/simulation/multiprocess/fault_injector.py
@@ -1,4 +1,4 @@
-"""Carries out the faults of a script, each at its time. I/O."""
+"""Injects the faults of a script, each at its start time. I/O."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class FaultInjector:
-    """The faults of one run.
+    """Injects the faults of one run.
 
     Attributes:
-        injected: how many faults were started, by kind.
+        injected: the number of faults started, by kind.
     """
 
     def __init__(self, context: RunContext, environment: Environment) -> None:
@@ -32,17 +32,17 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Schedules all faults of the script."""
+        """Starts a task for each fault of the script."""
         faults = enumerate(self.context.script.faults)
         self._tasks = [asyncio.create_task(self._run(index, fault)) for index, fault in faults]
 
     def cancel(self) -> None:
-        """Cancels what is under way."""
+        """Cancels all faults; does not wait until they have ended."""
         for task in self._tasks:
             task.cancel()
 
     async def stop(self) -> None:
-        """Cancels what is under way, and raises what went wrong in a fault."""
+        """Cancels all faults and waits until they have ended; raises the first exception of a fault."""
         self.cancel()
         for outcome in await asyncio.gather(*self._tasks, return_exceptions=True):
             if isinstance(outcome, Exception):
@@ -95,7 +95,7 @@
     async def _terminate(self, fault: Fault) -> None:
         processes = self.context.processes
         if not processes.is_serving(fault.target):
-            return  # a process that is starting would not exit with 0
+            return  # a process that is still starting would not exit with 0
         await processes.group.terminate(fault.target)
         await asyncio.sleep(fault.duration_seconds)
         await processes.start(fault.target)
--- a/onyxpost/simulation/multiprocess/fault_proxy.py
+++ b/onyxpost/simulation/multiprocess/fault_proxy.py
@@ -1,4 +1,4 @@
-"""Proxies between every pair of endpoints that communicate; each direction has faults of its own. I/O."""
+"""Proxies between each pair of endpoints that communicate; each direction has its own faults. I/O."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class FaultProxy:
-    """The links of a run, and the proxies that carry out their faults.
+    """The links of a run, and the TCP and UDP proxies that apply the faults of the links.
 
     Args:
-        address_of: finds the real address of a name, as of `n1/fleet`, `n1/udp` or `s0.1`.
-        observe: is called with all bytes of TCP.
-        rng: decides which datagrams are lost, duplicated and reordered.
+        address_of: returns the real address of a name such as `n1/fleet`, `n1/udp` or `s0.1`.
+        observe: is called with all bytes received and forwarded over TCP.
+        rng: random source for the loss, duplication and reordering of datagrams.
     """
 
     def __init__(self, address_of: AddressLookup, observe: ByteObserver, rng: Random) -> None:
@@ -34,4 +34,4 @@
         """Closes all sockets."""
         self.tcp.close()
         self.udp.close()
-        await asyncio.sleep(0)  # for the transports to close
+        await asyncio.sleep(0)  # transports close in the next turn of the event loop
--- a/onyxpost/simulation/multiprocess/fault_script.py
+++ b/onyxpost/simulation/multiprocess/fault_script.py
@@ -1,7 +1,8 @@
 """The fault script of a run, and its JSON file. No I/O.
 
-Sockets do not replay, the script does: equal seeds draw equal scripts (`fault_draws.py`). Times are in
-seconds from the moment in which all processes serve. Keys of the file are those of earlier builds.
+The script can be replayed, the timing of sockets cannot; equal seeds draw equal scripts (`fault_draws.py`).
+Times are in seconds since all processes were serving. The keys of the file are kept compatible with earlier
+builds.
 """
 
 from __future__ import annotations
@@ -16,7 +17,8 @@
 VERSION = 1
 
 # "lose", "duplicate" and "reorder" affect datagrams only. "stall" and "reset" affect both directions of a
-# link, "groups" the links between nodes of no common group, "servers-cut" those of a node to all app servers.
+# link, "groups" all links between nodes without a common group, and "servers-cut" the links between a node
+# and all app servers.
 LinkFaultKind = Literal[
     "delay", "lose", "duplicate", "reorder", "cut", "groups", "servers-cut", "reset", "stall"
 ]
@@ -30,7 +32,7 @@
 
 ALL_TARGETS = "all"
 LINK_SEPARATOR = ">"
-ACCEPTOR_COUNT = 3  # in the environment `leadership`: the acceptors are n0, n1, n2
+ACCEPTOR_COUNT = 3  # in the environment `leadership`, n0, n1 and n2 are acceptors
 
 
 class FaultRate(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -43,16 +45,16 @@
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True, frozen=True, order=True):
-    """One fault of a script.
+    """A fault of a script.
 
     Attributes:
-        start_seconds: when it starts.
-        kind: what is done.
-        target: a node (`n1`), an app server (`s0`), the leader of a role at that time (`h1`: of role 1), a
-            link from one to the other (`n1>n2`), or `all`.
-        duration_seconds: how long it lasts.
+        start_seconds: time of the start, since the start of the run.
+        kind: the kind of fault.
+        target: a node (`n1`), an app server (`s0`), the leader of a role at the start of the fault (`h1` for
+            role 1), a link from one endpoint to another (`n1>n2`), or `all`.
+        duration_seconds: duration of the fault.
         intensity: from 0 to 1; its meaning depends on the kind.
-        groups: of nodes, for the kinds `groups` and `bridge`.
+        groups: groups of nodes, for the kinds `groups` and `bridge`.
     """
 
     start_seconds: float = field(name="at")
@@ -64,7 +66,7 @@
 
 
 class FaultScript(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """All faults of one run, and what else is needed to run it again; `mutation` may be empty."""
+    """All faults of one run, and its other inputs; `mutation` is empty for the program without mutation."""
 
     scenario: str
     seed: int
@@ -76,19 +78,19 @@
 
 
 def encode_script(script: FaultScript) -> bytes:
-    """Returns the file of a script."""
+    """Returns the content of a script's file."""
     return msgspec.json.format(msgspec.json.encode(script), indent=1) + b"\n"
 
 
 def decode_script(data: bytes, source: str) -> FaultScript:
-    """Reads the file of a script.
+    """Decodes the content of a script's file.
 
     Args:
-        data: its content.
-        source: names the file in errors.
+        data: the content.
+        source: the name of the file, for errors.
 
     Raises:
-        InvalidScenarioError: it is not a script of this version, or names a node that the run does not have.
+        InvalidScenarioError: the content is not a script of this version, or has an unknown target.
     """
     try:
         script: FaultScript = msgspec.json.decode(data, type=FaultScript)
--- a/onyxpost/simulation/multiprocess/fenced_resource.py
+++ b/onyxpost/simulation/multiprocess/fenced_resource.py
@@ -1,7 +1,8 @@
-"""A stub of a resource that leaders call: it accepts no lower fencing token than it has seen. I/O.
+"""A stub of a fenced resource: rejects calls with a fencing token below the highest one seen. I/O.
 
-`POST /acts/ROLE` with `Fence: TOKEN`, `Holder: NODE` and a body is answered 200, or 409 where a higher token
-was seen; `Fence` of the response has the highest one. Anything else is answered 400 with token 0.
+A call is `POST /acts/ROLE` with `Fence: TOKEN`, `Holder: NODE` and a body. The response has status 200, or
+409 if a higher token was seen for the role, and the highest token in `Fence`. The response to any other
+request has status 400 and token 0.
 """
 
 from __future__ import annotations
@@ -26,14 +27,14 @@
 TARGET = re.compile(rb"/acts/([A-Za-z0-9_.-]{1,100})")
 MAX_BODY_BYTES = 65536
 MAX_TOKEN_DIGITS = 19
-RECORDED_BODY_BYTES = 200
+RECORDED_BODY_BYTES = 200  # the rest of a body is left out of the history
 ACCEPTED_STATUS = 200
 MALFORMED_STATUS = 400
 STALE_TOKEN_STATUS = 409
 
 
 class FencedCall(NamedTuple):
-    """A leader's call."""
+    """A leader's fenced call."""
 
     role: str
     fencing_token: int
@@ -42,7 +43,7 @@
 
 
 def decode_call(head: h11.Request, body: bytes) -> FencedCall | None:
-    """Returns the call of a request; None if the request is malformed."""
+    """Returns the fenced call of a request; None if the request is malformed."""
     headers = dict(head.headers)
     target = TARGET.fullmatch(head.target)
     token = headers.get(b"fence", b"")
@@ -55,12 +56,12 @@
 
 
 class FencedResource:
-    """Keeps the highest fencing token of each role.
+    """Accepts or rejects fenced calls by the highest fencing token of each role.
 
     Args:
-        on_call: is called with the event of each call.
-        now_ms: the clock of the events.
-        checks_tokens: False is a mutation that accepts any token.
+        on_call: is called with the event of each fenced call.
+        now_ms: returns the time for events.
+        checks_tokens: False accepts any token, which is a mutation.
     """
 
     def __init__(
@@ -79,18 +80,18 @@
         self._listener: asyncio.Server | None = None
 
     async def open(self) -> Address:
-        """Starts to listen; returns the address."""
+        """Starts listening on a free port; returns the address."""
         self._listener = await asyncio.start_server(self._serve, LOOPBACK, 0)
         host, port = self._listener.sockets[0].getsockname()
         return host, port
 
     def close(self) -> None:
-        """Stops to listen."""
+        """Stops listening; nothing happens if the resource is not open."""
         if self._listener is not None:
             self._listener.close()
 
     def handle_call(self, call: FencedCall) -> bool:
-        """Records a call; returns whether it is accepted."""
+        """Records a fenced call; returns whether the call is accepted."""
         highest = self.highest_tokens.get(call.role, 0)
         is_accepted = call.fencing_token >= highest or not self.checks_tokens
         self.highest_tokens[call.role] = max(highest, call.fencing_token)
@@ -121,7 +122,7 @@
     async def _answer_next(
         self, http: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Answers one request; returns whether another one may follow on the connection."""
+        """Answers one request; returns whether the connection can carry another one."""
         received = await read_request(http, reader, MAX_BODY_BYTES)
         if received is None:
             return False
--- a/onyxpost/simulation/multiprocess/history.py
+++ b/onyxpost/simulation/multiprocess/history.py
@@ -1,7 +1,7 @@
-"""The events of a run's history, as the simulation itself records them.
+"""The events of a run's history that the simulation itself records.
 
-Field names on disk are those of `history.jsonl` of earlier builds. Times are in milliseconds since all nodes
-served, by the machine's one monotonic clock; events before that moment have time 0.
+Tags and field names in `events.jsonl` are kept compatible with earlier builds. Times are in milliseconds of
+the machine's monotonic clock since all nodes were serving; earlier events have time 0.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class HistoryEvent(msgspec.Struct, frozen=True, tag_field="event"):
-    """Something that happened at a moment of the run."""
+    """An event of a run, at its time in milliseconds."""
 
     at_ms: float = field(name="t")
 
@@ -27,7 +27,7 @@
 
 
 class RequestSent(HistoryEvent, frozen=True, kw_only=True, tag="asked"):
-    """A client connected to a node and sends a request."""
+    """A client connected to a node, and is about to send a request."""
 
     node: str
     trace: str
@@ -54,7 +54,7 @@
 class RequestUnanswered(HistoryEvent, frozen=True, kw_only=True, tag="gone"):
     """A client's connection ended without a response.
 
-    `cause` is `TIMED_OUT`, `DISCONNECTED` (the client itself closed it), or names the error.
+    `cause` is `TIMED_OUT`, `DISCONNECTED` (the client closed the connection), or names the error.
     """
 
     trace: str
@@ -66,7 +66,7 @@
 
 
 class UnexpectedResponse(HistoryEvent, frozen=True, kw_only=True, tag="more"):
-    """A response had another request's body, or bytes came after it."""
+    """A response had the wrong body, or more bytes followed it."""
 
     trace: str
     description: str = field(name="what")
@@ -86,7 +86,7 @@
 
 
 class AttemptReceived(HistoryEvent, frozen=True, kw_only=True, tag="reached"):
-    """A request reached an app server."""
+    """An attempt reached an app server."""
 
     trace: str
     server: str
@@ -97,7 +97,7 @@
 
 
 class AttemptNotExecuted(HistoryEvent, frozen=True, kw_only=True, tag="never ran"):
-    """An app server rejected a request that it had received, without executing it."""
+    """An app server received an attempt, and rejected it without executing the request."""
 
     trace: str
     server: str
@@ -105,7 +105,7 @@
 
 
 class EndpointNotified(HistoryEvent, frozen=True, kw_only=True, tag="told"):
-    """A fault proxy passed an app server's state from discovery on to a node."""
+    """A fault proxy forwarded an app server's state from discovery to a node."""
 
     node: str
     server: str
@@ -113,7 +113,7 @@
 
 
 class ServerStarted(HistoryEvent, frozen=True, kw_only=True, tag="server"):
-    """An app server was started; `capacity` is the work in ms that it does in one ms when warm."""
+    """An app server was started; `capacity` is the work in ms that a warm server does per ms."""
 
     server: str
     capacity: float
@@ -124,7 +124,7 @@
 
 
 class FencedCallSent(HistoryEvent, frozen=True, kw_only=True, tag="act sent"):
-    """A leader's call to the fenced resource arrived in its fault proxy's socket."""
+    """A leader's fenced call arrived in the socket of the leader's fault proxy."""
 
     node: str
     role: str = field(name="duty")
@@ -132,7 +132,7 @@
 
 
 class FencedCallReceived(HistoryEvent, frozen=True, kw_only=True, tag="act"):
-    """A leader's call reached the fenced resource; `highest_token` is the role's highest one after it."""
+    """A fenced call reached the resource; `highest_token` is the role's highest token after the call."""
 
     leader: str = field(name="holder")
     role: str = field(name="duty")
@@ -146,21 +146,21 @@
 
 
 class ProcessChanged(HistoryEvent, frozen=True, kw_only=True, tag="process"):
-    """A node's process was started or signalled, or ended."""
+    """A node's process was started or signalled, serves, or ended."""
 
     node: str
     change: ProcessChange = field(name="what")
 
 
 class LagMeasured(HistoryEvent, frozen=True, kw_only=True, tag="lag", omit_defaults=True):
-    """The machine delayed a node's process, or the simulation's own loop if no node is named."""
+    """Scheduling lag of a node's process, or of the simulation's event loop if `node` is empty."""
 
     lag_ms: float = field(name="ms")
     node: str = ""
 
 
 class FaultStarted(HistoryEvent, frozen=True, kw_only=True, tag="fault played"):
-    """A fault of the script was started; `target` is the node or link that it was resolved to."""
+    """A fault of the script was started; in `target`, leaders such as `h0` are resolved to nodes."""
 
     index: int = field(name="number")
     kind: str
@@ -169,7 +169,7 @@
 
 
 class HistoryRecord(msgspec.Struct, frozen=True):
-    """One line of `history.jsonl`, and the event that it is decoded to; None: no invariant reads it."""
+    """A line of `events.jsonl`, and its event; the event is None if no invariant reads such lines."""
 
     line: dict[str, Any]
     event: HistoryEvent | None
--- a/onyxpost/simulation/multiprocess/lag_monitor.py
+++ b/onyxpost/simulation/multiprocess/lag_monitor.py
@@ -1,4 +1,7 @@
-"""Measures what the machine, not a fault, delays: the simulation's own loop, and processes without a core."""
+"""Measures scheduling lag, which the machine causes and not a fault.
+
+Lag of the simulation is lateness of its event loop, lag of a node is the time its process waits for a core.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +14,12 @@
 if TYPE_CHECKING:
     from onyxpost.simulation.multiprocess.run_context import RunContext
 
-MIN_LAG_MS = 15.0  # less is not recorded
+MIN_LAG_MS = 15.0  # smaller lags are not recorded
 SAMPLE_INTERVAL_MS = 25.0
 
 
 async def monitor_lag(context: RunContext) -> None:
-    """Records lag until it is cancelled."""
+    """Records scheduling lag until the task is cancelled."""
     waited_before_ms: dict[tuple[str, int], float] = {}
     while True:
         due_ms = context.now_ms() + SAMPLE_INTERVAL_MS
@@ -28,7 +31,7 @@
 
 
 def _sample_processes(context: RunContext, waited_before_ms: dict[tuple[str, int], float]) -> None:
-    """Records how long each incarnation has waited for a core since the sample before."""
+    """Records how long each node's process has waited for a core since the previous sample."""
     processes = context.processes.group
     for name in filter(processes.is_running, context.node_names):
         incarnation = name, processes.incarnations[name]
--- a/onyxpost/simulation/multiprocess/leadership_environment.py
+++ b/onyxpost/simulation/multiprocess/leadership_environment.py
@@ -1,4 +1,4 @@
-"""The environment `leadership`: nodes that lead roles and call one fenced resource. No requests are sent."""
+"""The environment `leadership`: nodes that lead roles and call one fenced resource, without clients."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
     from onyxpost.simulation.multiprocess.run_context import RunContext
     from onyxpost.simulation.multiprocess.scenario_environment import Counts
 
-SKEW_MS = 200.0  # bound of the difference between two clocks, in the nodes' files
-DRIFT = 0.01  # bound of the error of a clock's rate, in the nodes' files
+SKEW_MS = 200.0  # maximum difference between two clocks, as set in the nodes' files
+DRIFT = 0.01  # maximum relative error of a clock's rate, as set in the nodes' files
 CALL_INTERVAL_MS = 200.0  # between a leader's fenced calls
-REPORT_VALIDITY_LEASES = 3.0  # for how many leases and skews an acceptor goes by a report of another one
-# No request is sent, but a node must know an app server.
+REPORT_VALIDITY_LEASES = 3.0  # an acceptor uses another one's report for this many times lease plus skew
+# A node must know an app server, although no request is sent.
 UNUSED_SERVER = {
     "instanceId": "s-1",
     "hostPort": "127.0.0.1:9",
@@ -47,7 +47,7 @@
 
 
 class LeadershipEnvironment(NullObserver):
-    """The fenced resource, which each node reaches by a proxy of its own, and one discovery stub."""
+    """One fenced resource, which each node calls through its own fault proxy, and one discovery stub."""
 
     def __init__(self, context: RunContext) -> None:
         self.context = context
@@ -57,13 +57,13 @@
         checks_tokens = current_name(context.script.mutation) not in RESOURCE_MUTATIONS
         self.resource = FencedResource(self._on_fenced_call, context.now_ms, checks_tokens=checks_tokens)
         self.agent = DiscoveryAgent(SocketTransport(), self, 0, ANY_PORT)
-        self.leaders: dict[str, str] = {}  # the node whose call was accepted last, by role
+        self.leaders: dict[str, str] = {}  # by role, the node whose fenced call was accepted last
         self.calls = FencedCallObserver(context)
         self.faults = LeadershipFaults(context, self.acceptors, self.leaders, self.calls.pieces_sent)
         context.observe_bytes(self.calls.observe)
 
     async def open(self) -> None:
-        """Starts the fenced resource, the discovery stub and the proxies."""
+        """Starts the fenced resource, the discovery stub and the fault proxies, and sets the nodes' files."""
         context = self.context
         context.addresses["s0"] = await self.resource.open()
         self.agent.update_endpoint(UNUSED_SERVER)
@@ -80,10 +80,14 @@
             context.processes.set_file(f"n{index}", fields)
 
     async def run_load(self, seconds: float) -> None:
-        """Leaders call the fenced resource by themselves."""
+        """Returns at once, because leaders call the fenced resource without requests from clients."""
 
     def resolve_target(self, name: str) -> str:
-        """Returns the node that leads a role now, as the resource knows it; for `h1` that of role 1."""
+        """Returns the current leader of role 1 for `h1`, by the calls that the resource accepted.
+
+        If no call has been accepted for the role, a fixed node takes the leader's place. Other names are
+        returned unchanged.
+        """
         if not name.startswith("h"):
             return name
         index = int(name[1:])
@@ -98,13 +102,13 @@
             await self.faults.delay_fenced_call(fault, CALL_INTERVAL_MS)
 
     def invariants(self) -> Sequence[Invariant]:
-        """Returns the invariants of leader election, and that no process fails."""
+        """Returns the invariants of leader election, and the one of process failures."""
         report_validity_ms = REPORT_VALIDITY_LEASES * (self.lease_ms + SKEW_MS)
         epochs = RecoveryEpochsJustified(self.acceptors, report_validity_ms)
         return no_process_failures, *LEADERSHIP_INVARIANTS, epochs
 
     def count(self, events: Sequence[HistoryEvent]) -> Counts:
-        """Returns the number of elections, committed records and calls, and the durations of failovers."""
+        """Returns numbers of elections, records and calls, the message rate, and durations of failovers."""
         counts: Counts = {
             "held": sum(isinstance(event, LeadershipAcquired) for event in events),
             "wrote": sum(isinstance(event, RecordCommitted) for event in events),
--- a/onyxpost/simulation/multiprocess/leadership_failover.py
+++ b/onyxpost/simulation/multiprocess/leadership_failover.py
@@ -1,4 +1,4 @@
-"""Figures of leader election, from the history: durations of failovers, and rate of messages. No I/O."""
+"""Computes durations of failovers, and the rate of leader election messages, from a history. No I/O."""
 
 from __future__ import annotations
 
@@ -17,8 +17,9 @@
     from onyxpost.simulation.multiprocess.history import HistoryEvent
     from onyxpost.simulation.multiprocess.leadership_terms import LeadershipTerm
 
-KEPT_ROLE_TOLERANCE_MS = 100.0  # past the lease, in which a leader that is back may still log its end
-SHUTDOWN_MS = 1000.0  # after the start of the last fault; signals after that belong to the end of the run
+KEPT_ROLE_TOLERANCE_MS = 100.0  # a leader that recovers may log the end of its lease this late
+# Signals that are sent later than this after the start of the last fault are part of the run's shutdown.
+SHUTDOWN_MS = 1000.0
 FAULT_NAMES = {
     ProcessChange.TERMINATING: "term",
     ProcessChange.KILLED: "kill",
@@ -28,7 +29,7 @@
 
 
 class LeaderFault(NamedTuple):
-    """A fault that may end a node's leadership; `name` is a key of the run's counts."""
+    """A fault that may end a node's leadership; the run's counts have the key `{name}_ms`."""
 
     at_ms: float
     node: str
@@ -36,7 +37,7 @@
 
 
 def leader_faults(events: Sequence[HistoryEvent]) -> list[LeaderFault]:
-    """Returns SIGTERM, SIGKILL, SIGSTOP and isolation of nodes, but for the signals at the end of the run."""
+    """Returns all SIGTERM, SIGKILL, SIGSTOP and isolations of nodes, except signals of the run's shutdown."""
     last_fault_ms = max((event.at_ms for event in events_of_type(events, FaultStarted)), default=0.0)
     found: list[LeaderFault] = []
     for event in events:
@@ -51,10 +52,10 @@
 
 
 def failover_durations_ms(events: Sequence[HistoryEvent], lease_ms: float) -> dict[str, list[int]]:
-    """Returns by fault how long each role of the affected leader was without a new leader.
+    """Returns, by name of the fault, the times from a fault of a leader to the next election for its role.
 
-    Left out are leaders that were back within a lease and kept the role, and roles that nobody led again
-    before the end of the run.
+    Leaders that recovered within a lease and kept the role are left out, and so are roles for which no node
+    was elected again before the end of the run.
     """
     terms_by_role = leadership_terms(events)
     durations: dict[str, list[int]] = {}
@@ -78,10 +79,10 @@
 
 
 def messages_per_second(events: Sequence[HistoryEvent]) -> int:
-    """Returns the messages that all nodes sent in a second.
+    """Returns the number of messages that all nodes together sent per second.
 
-    They are counted between the first and the last statistics line of each incarnation; one that wrote fewer
-    than two lines counts as 0.
+    Messages are counted between the first and the last statistics line of each incarnation; an incarnation
+    with fewer than two lines counts as 0.
     """
     lines_by_incarnation: dict[tuple[str, int | str], list[LeadershipStatistics]] = {}
     for line in events_of_type(events, LeadershipStatistics):
--- a/onyxpost/simulation/multiprocess/leadership_faults.py
+++ b/onyxpost/simulation/multiprocess/leadership_faults.py
@@ -1,4 +1,4 @@
-"""Faults that only the environment `leadership` has: acceptors killed, a fenced call delayed. I/O."""
+"""Faults of the environment `leadership` only: killed acceptors, and delayed fenced calls. I/O."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
     from onyxpost.simulation.multiprocess.run_context import RunContext
 
 POLL_SECONDS = 0.01
-CALL_INTERVALS_TO_WAIT = 3.0  # for a leader's next call
-NEW_LEADER_TIMEOUT_SECONDS = 3.0  # after the pause, for another leader's call
-DELIVERY_SECONDS = 0.05  # for the delayed call to arrive before its leader is resumed
-FIRST_FAULT_ID = 1_000_000  # of delayed calls on their link: above the indexes of a script's faults
+CALL_INTERVALS_TO_WAIT = 3.0  # timeout for a leader's next call, in call intervals
+NEW_LEADER_TIMEOUT_SECONDS = 3.0  # timeout for calls of new leaders, once the pause has lasted its duration
+DELIVERY_SECONDS = 0.05  # time for the delayed call to arrive before its leader is resumed
+FIRST_FAULT_ID = 1_000_000  # ids of delayed calls on a link; above the indexes of all faults of a script
 
 
 class LeadershipFaults:
-    """Carries faults out.
+    """Injects faults of acceptors and leaders.
 
     Args:
-        context: of the run.
+        context: the run's context.
         acceptors: the nodes with an acceptor.
-        leaders: the node whose call was accepted last, by role; changes during the run.
-        pieces_sent: how many pieces of fenced calls have left each node; changes during the run.
+        leaders: by role, the node whose fenced call was accepted last; changes during the run.
+        pieces_sent: by node, the number of chunks of fenced calls sent; changes during the run.
     """
 
     def __init__(
@@ -47,7 +47,10 @@
         self.delayed_calls = 0
 
     async def kill_acceptors(self, fault: Fault, lease_ms: float) -> None:
-        """Kills all acceptors but the target, within `intensity` of a lease; starts each one again."""
+        """Kills all acceptors except the target, and starts each one again after the fault's duration.
+
+        The kills are spread over the fraction `intensity` of a lease.
+        """
         spread_seconds = fault.intensity * lease_ms / MS_PER_SECOND
         await asyncio.gather(
             *(
@@ -58,9 +61,10 @@
         )
 
     async def delay_fenced_call(self, fault: Fault, call_interval_ms: float) -> None:
-        """Pauses a leader while one of its calls is on its way.
+        """Pauses a leader while the fault proxy holds one of its fenced calls.
 
-        The call arrives once other nodes have called for all roles that the leader led, before it is resumed.
+        The held call is delivered once calls of other nodes have been accepted for all roles of the leader,
+        or after a timeout. The leader is resumed only after that.
         """
         leader = fault.target
         processes = self.context.processes.group
--- a/onyxpost/simulation/multiprocess/leadership_invariants.py
+++ b/onyxpost/simulation/multiprocess/leadership_invariants.py
@@ -1,7 +1,8 @@
 """Invariants of leader election. No I/O.
 
-They read the nodes' logs (`node_log.py`; all processes of a machine have one monotonic clock), what the fault
-proxies saw leave a node, and what the fenced resource received.
+They compare events of the nodes' logs (`node_log.py`), fenced calls that arrived in fault proxies, and fenced
+calls that the resource received. The times can be compared because all processes of a machine share one
+monotonic clock.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
     from onyxpost.simulation.multiprocess.history import HistoryEvent
     from onyxpost.simulation.multiprocess.process_availability import Interval
 
-# Names of the invariants, as result files have them.
+# Names of the invariants in result files.
 SINGLE_LEADER = "one holder"
 FENCING_TOKENS = "fences"
 COMMITTED_RECORDS = "records"
 
 
 class ActiveSpan(NamedTuple):
-    """A part of a leadership term in which the leader's process ran; ordered by its begin."""
+    """A part of a leadership term in which the leader's process ran; sorts by start time."""
 
     begin_ms: float
     end_ms: float
@@ -37,7 +38,7 @@
 
 
 def single_leader(events: Sequence[HistoryEvent]) -> Iterator[Finding]:
-    """At no moment do two nodes lead a role; a node whose process is paused or just resumed does not lead."""
+    """No two nodes lead a role at the same time; a node that is paused or just resumed does not count."""
     availability = ProcessAvailability(events)
     for role, terms in leadership_terms(events).items():
         spans = sorted(
@@ -56,7 +57,7 @@
 
 
 def active_spans(term: LeadershipTerm, unavailable: Sequence[Interval]) -> list[ActiveSpan]:
-    """Returns the parts of a term outside of the intervals in which its node did not run."""
+    """Returns the parts of a term outside the intervals in which its node was unavailable."""
     spans: list[ActiveSpan] = []
     begin_ms = term.begin_ms
     for interval in sorted(unavailable):
@@ -70,7 +71,7 @@
 
 
 def no_call_after_lease(events: Sequence[HistoryEvent]) -> Iterator[Finding]:
-    """No fenced call leaves a node after its lease, also just resumed; the end is the one that it logged."""
+    """No node sends a fenced call after the end of its lease that it logged, not even when just resumed."""
     lag = SchedulingLag(events)
     ends_ms = {
         (role, term.node, term.fencing_token): term.end_ms
@@ -109,7 +110,7 @@
 
 
 def accepted_tokens_never_decrease(events: Sequence[HistoryEvent]) -> Iterator[Finding]:
-    """The fenced resource accepts no lower token than before, and each token from one leader only."""
+    """For each role, the tokens that the resource accepts never decrease, and each is of one leader only."""
     latest: dict[str, FencedCallReceived] = {}
     for call in events_of_type(events, FencedCallReceived):
         if not call.accepted:
@@ -127,7 +128,7 @@
 
 
 def committed_records_survive(events: Sequence[HistoryEvent]) -> Iterator[Finding]:
-    """Each leader has read what earlier leaders committed, or what replaced it.
+    """Each new leader has read the newest record that earlier leaders committed, or a later one.
 
     Records that were committed before the recovery epoch that the leader read may be missing.
     """
--- a/onyxpost/simulation/multiprocess/leadership_mutations.py
+++ b/onyxpost/simulation/multiprocess/leadership_mutations.py
@@ -1,4 +1,4 @@
-"""Mutations of leader election: known bugs that the invariants must find (mutation testing)."""
+"""Mutations of leader election: injected bugs that the invariants must find (mutation testing)."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipMutation:
-    """A known bug.
+    """A bug that is injected on purpose.
 
     Attributes:
-        name: on the command line and in scripts.
-        old_name: the name that scripts of earlier builds have.
-        seam: the function whose behavior is changed.
-        inject: changes it, in the process of a node that is about to run; None: the node itself is unchanged.
+        name: the name on the command line and in scripts.
+        old_name: the name in scripts of earlier builds.
+        seam: the function whose behavior the mutation changes.
+        inject: changes the behavior in the process of a node before it runs; None if nodes are unchanged.
     """
 
     name: str
@@ -44,7 +44,7 @@
 
 
 def _vote_without_recovery(node: EdgeNode) -> None:
-    """An acceptor that restarted without state votes at once."""
+    """Lets acceptors that restarted without state vote at once."""
     cluster = find_extension(node.extensions, ClusterExtension)
     assert cluster is not None
     assert cluster.leadership is not None
@@ -55,7 +55,7 @@
 
 
 def _ignore_lease_expiry(node: EdgeNode) -> None:  # noqa: ARG001 - changes a class
-    """A leader does not notice the end of its lease."""
+    """Makes leaders ignore the end of their leases."""
     initialize = Leader.__init__
 
     @wraps(initialize)
@@ -67,7 +67,7 @@
 
 
 def _drop_committed_record(node: EdgeNode) -> None:  # noqa: ARG001 - changes a class
-    """A new leader starts with an empty record instead of the committed one."""
+    """Makes new leaders start with an empty record instead of the committed one."""
     request_acceptance = Candidate.request_acceptance
 
     @wraps(request_acceptance)
@@ -106,10 +106,10 @@
         DROP_COMMITTED_RECORD,
     )
 }
-RESOURCE_MUTATIONS = frozenset({IGNORE_FENCING_TOKENS.name})  # of the fenced resource, not of the nodes
+RESOURCE_MUTATIONS = frozenset({IGNORE_FENCING_TOKENS.name})  # change the fenced resource, not the nodes
 _CURRENT_NAMES = {mutation.old_name: mutation.name for mutation in LEADERSHIP_MUTATIONS.values()}
 
 
 def current_name(name: str) -> str:
-    """Returns the present name of a mutation that was given by its present or its old name."""
+    """Returns the current name for an old name of a mutation; any other name is returned unchanged."""
     return _CURRENT_NAMES.get(name, name)
--- a/onyxpost/simulation/multiprocess/leadership_terms.py
+++ b/onyxpost/simulation/multiprocess/leadership_terms.py
@@ -1,4 +1,4 @@
-"""Which node led which role when, from the history. No I/O."""
+"""Computes from a history which node led each role at which times. No I/O."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 @dataclass(slots=True)
 class LeadershipTerm:
-    """A node's leadership of a role, from the node's log.
+    """A node's leadership of a role, as the node logged it.
 
-    It ends when the lease ends by the node's clock, when the node gives it up, or with the process.
+    A term ends when the lease expires by the node's clock, the node gives the role up, or the process ends.
     """
 
     acquired: LeadershipAcquired
@@ -32,21 +32,21 @@
 
     @property
     def begin_ms(self) -> float:
-        """When the node was elected."""
+        """The time of the election, in milliseconds."""
         return self.acquired.at_ms
 
     @property
     def fencing_token(self) -> int:
-        """The number of the elected ballot."""
+        """The fencing token, which is the number of the elected ballot."""
         return self.acquired.fencing_token
 
     def contains(self, at_ms: float) -> bool:
-        """Whether the node led the role at the moment."""
+        """Whether the node led the role at this time."""
         return self.begin_ms <= at_ms <= self.end_ms
 
 
 def leadership_terms(events: Sequence[HistoryEvent]) -> dict[str, list[LeadershipTerm]]:
-    """Returns the terms of each role, in the order in which they began."""
+    """Returns the terms of each role, in order of their start times."""
     terms: dict[str, list[LeadershipTerm]] = {}
     for event in events:
         match event:
--- a/onyxpost/simulation/multiprocess/leadership_traffic.py
+++ b/onyxpost/simulation/multiprocess/leadership_traffic.py
@@ -1,4 +1,4 @@
-"""Reads from proxied bytes which fenced calls leave a node. No I/O."""
+"""Reads from proxied bytes which fenced calls nodes send. No I/O."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class FencedCallObserver:
-    """Records the fenced calls that the proxies received.
+    """Records the fenced calls that fault proxies received.
 
     Attributes:
-        pieces_sent: by node, how many pieces of calls its proxy has received.
+        pieces_sent: by node, the number of chunks of calls that its fault proxy has received.
     """
 
     def __init__(self, context: RunContext) -> None:
@@ -29,7 +29,10 @@
         self.pieces_sent: Counter[str] = Counter()
 
     def observe(self, transfer: Transfer) -> None:
-        """Receives all bytes of TCP from the fault proxy; a call counts when it arrived in its socket."""
+        """Receives all bytes of TCP from the fault proxy.
+
+        A call is timed by its arrival in the proxy's socket.
+        """
         if transfer.destination != RESOURCE or transfer.stage is not TransferStage.RECEIVED:
             return
         self.pieces_sent[transfer.source] += 1
--- a/onyxpost/simulation/multiprocess/link.py
+++ b/onyxpost/simulation/multiprocess/link.py
@@ -1,4 +1,4 @@
-"""Links between endpoints, each one direction of the network, with the faults that are on. No I/O."""
+"""Links between endpoints with their active faults; a link is one direction of the network. No I/O."""
 
 from __future__ import annotations
 
@@ -8,16 +8,17 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-MAX_DELAYED_DATAGRAMS = 1000  # that a stalled link keeps; more are lost
+MAX_DELAYED_DATAGRAMS = 1000  # a stalled link holds this many datagrams and loses all later ones
 
 
 class LinkBehavior(NamedTuple):
-    """What a link does with what is sent over it.
+    """How a link treats datagrams, and bytes of TCP.
 
     Attributes:
-        cut: datagrams are lost; bytes and ends of TCP wait until the link heals, as by retransmission.
-        stall: all waits until the link heals.
-        delay_ms: added to each transfer.
+        cut: whether datagrams are lost, and bytes and ends of TCP streams are held until the link heals, as
+            retransmission would have it.
+        stall: whether datagrams, bytes and ends of TCP streams are all held until the link heals.
+        delay_ms: delay of each datagram and of each chunk of bytes.
         loss: probability that a datagram is lost.
         duplication: probability that a datagram arrives twice.
         reordering: probability that a datagram is overtaken by later ones.
@@ -35,11 +36,13 @@
 
 
 class Link:
-    """One direction between two endpoints; the behaviors of all faults that are on add up.
+    """One direction between two endpoints.
+
+    Delays of several active faults add up; of probabilities, the highest one counts.
 
     Attributes:
-        behavior: the sum at the moment.
-        is_open: set while nothing has to wait.
+        behavior: the combined behavior of all active faults.
+        is_open: set while the link is neither cut nor stalled.
     """
 
     def __init__(self) -> None:
@@ -50,22 +53,22 @@
         self._waiting_datagrams: list[Callable[[], None]] = []
 
     def start_fault(self, fault_id: int, behavior: LinkBehavior) -> None:
-        """Starts a fault, or replaces the behavior of one that is on."""
+        """Starts a fault, or replaces the behavior of an active one."""
         self._behaviors[fault_id] = behavior
         self._update()
 
     def end_fault(self, fault_id: int) -> None:
-        """Ends a fault; nothing happens if it is not on."""
+        """Ends a fault; nothing happens if it is not active."""
         self._behaviors.pop(fault_id, None)
         self._update()
 
     def end_all_faults(self) -> None:
-        """Ends all faults."""
+        """Ends all faults of this link."""
         self._behaviors.clear()
         self._update()
 
     def hold_datagram(self, forward: Callable[[], None]) -> None:
-        """Keeps a datagram until the link heals."""
+        """Holds a datagram until the link heals; `forward` then sends it."""
         if len(self._waiting_datagrams) < MAX_DELAYED_DATAGRAMS:
             self._waiting_datagrams.append(forward)
 
@@ -90,7 +93,7 @@
 
 
 class LinkTable:
-    """All links of a run, created when they are first asked for."""
+    """All links of a run; each is created when it is first looked up."""
 
     def __init__(self) -> None:
         self._links: dict[tuple[str, str], Link] = {}
@@ -100,6 +103,6 @@
         return self._links.setdefault((source, destination), Link())
 
     def heal(self) -> None:
-        """Ends the faults of all links."""
+        """Ends all faults of all links."""
         for link in self._links.values():
             link.end_all_faults()
--- a/onyxpost/simulation/multiprocess/link_faults.py
+++ b/onyxpost/simulation/multiprocess/link_faults.py
@@ -1,4 +1,4 @@
-"""Which links a fault of the script affects, and how they behave then. No I/O."""
+"""Maps network faults to the links that they affect, and to the behavior of these links. No I/O."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def affected_links(fault: Fault, nodes: Sequence[str], servers: Sequence[str]) -> list[LinkEnds]:
-    """Returns the links of a fault of the network."""
+    """Returns the links that a network fault affects."""
     match fault.kind:
         case "groups" | "bridge":
             return _links_between_groups(fault.groups, nodes)
@@ -39,7 +39,7 @@
 
 
 def behavior_of(fault: Fault) -> LinkBehavior:
-    """Returns the behavior of the links that a fault of the network affects."""
+    """Returns the behavior of the links that a network fault affects."""
     match fault.kind:
         case "stall":
             return LinkBehavior(stall=True)
@@ -56,7 +56,7 @@
 
 
 def _links_between_groups(groups: Sequence[Sequence[str]], nodes: Sequence[str]) -> list[LinkEnds]:
-    """Returns all links between nodes that are in no common group."""
+    """Returns all links between nodes without a common group."""
     return [
         LinkEnds(source, destination)
         for source in nodes
--- a/onyxpost/simulation/multiprocess/load_generator.py
+++ b/onyxpost/simulation/multiprocess/load_generator.py
@@ -1,4 +1,4 @@
-"""Open-loop load on all nodes; the outcome of each request is recorded as its client sees it. I/O."""
+"""Sends open-loop load to all nodes, and records the outcome of each request for its client. I/O."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 
     from onyxpost.simulation.multiprocess.run_context import RunContext
 
-ANSWER_GRACE_MS = 250.0  # past the client's timeout, in which an answer is still read
-LINGER_SECONDS = 0.1  # after an answer, in which nothing more may arrive
+ANSWER_GRACE_MS = 250.0  # answers are read up to this time after the client's timeout
+LINGER_SECONDS = 0.1  # time after an answer in which no more bytes may arrive
 MAX_RESPONSE_BYTES = 65536
 MAX_DESCRIPTION_CHARS = 200
-OUTCOMES = {200: "passed", 429: "denied", 503: "denied", 502: "aborted"}  # by HTTP status
+OUTCOMES = {200: "passed", 429: "denied", 503: "denied", 502: "aborted"}  # outcomes by HTTP status
 BODY = b"xx"
-TIGHT_PLAN_INTERVAL = 3  # each third customer has the plan with the low hard limit
+TIGHT_PLAN_INTERVAL = 3  # every third customer has the plan with the low hard limit
 
 
 class DrawnRequest(NamedTuple):
-    """A request of a client, as it is drawn."""
+    """A client's request with its random properties."""
 
     trace: str
     frontend: Frontend
@@ -52,11 +52,11 @@
 
     @property
     def body(self) -> bytes:
-        """Empty for a GET."""
+        """The body of the request; empty for requests of idempotent frontends, which are sent as GET."""
         return b"" if self.frontend.idempotency is Idempotency.IDEMPOTENT else BODY
 
     def to_http(self, nodes: int) -> h11.Request:
-        """Returns the head of the request; its customer's load is spread over all nodes."""
+        """Returns the head of the request, which spreads the customer's load over this number of nodes."""
         headers = [
             ("Host", "onyxpost"),
             ("X-Trace-Id", self.trace),
@@ -72,7 +72,7 @@
 
 
 class LoadGenerator:
-    """Clients of all nodes: each sends one request on a connection of its own."""
+    """Clients of all nodes; each client sends one request over its own connection."""
 
     def __init__(self, context: RunContext, frontends: Sequence[Frontend], max_units: int) -> None:
         self.context = context
@@ -81,7 +81,7 @@
         self.rng = Random(f"{context.seed}/load")
 
     async def run(self, seconds: float) -> None:
-        """Sends requests for that time, and waits until all have ended."""
+        """Sends requests for the given time, and waits until all have ended."""
         tasks = BackgroundTasks()
         rate = self.context.scenario.load.rate
         async for number in poisson_arrivals(self.rng, rate, seconds, self.context.now_seconds):
@@ -154,7 +154,7 @@
 
 
 async def _read_extra(reader: asyncio.StreamReader) -> bytes:
-    """Returns what arrives within the time in which nothing more may arrive."""
+    """Returns bytes that arrive within `LINGER_SECONDS`; empty if none do."""
     try:
         async with asyncio.timeout(LINGER_SECONDS):
             return await reader.read(READ_CHUNK_BYTES)
--- a/onyxpost/simulation/multiprocess/mutated_program.py
+++ b/onyxpost/simulation/multiprocess/mutated_program.py
@@ -1,4 +1,7 @@
-"""A node with a known bug: `python -m onyxpost.simulation.multiprocess.mutated_program MUTATION serve`."""
+"""Runs a node with a mutation.
+
+Usage: `python -m onyxpost.simulation.multiprocess.mutated_program MUTATION serve`.
+"""
 
 from __future__ import annotations
 
@@ -23,25 +26,25 @@
 
 
 def mutation_names() -> list[str]:
-    """Returns the names of all mutations, those of edge nodes first."""
+    """Returns the current names of all mutations; those of edge nodes are first."""
     return [*EDGE_MUTATIONS, *LEADERSHIP_MUTATIONS]
 
 
 def current_name(name: str) -> str:
-    """Returns the present name of a mutation that is given by an old name; any other name as it is."""
+    """Returns the current name for an old name of a mutation; any other name is returned unchanged."""
     return current_leadership_name(current_edge_name(name))
 
 
 def is_known_mutation(name: str) -> bool:
-    """Whether there is a mutation of that present or old name."""
+    """Whether a mutation has this current or old name."""
     return current_name(name) in mutation_names()
 
 
 def find_injection(name: str) -> Callable[[EdgeNode], None] | None:
-    """Returns what injects a mutation into a node; None if the mutation is not one of nodes.
+    """Returns the function that injects a mutation into a node; None if the mutation leaves nodes unchanged.
 
     Raises:
-        KeyError: there is no such mutation.
+        KeyError: no mutation has this name.
     """
     leadership_mutation = LEADERSHIP_MUTATIONS.get(current_name(name))
     if leadership_mutation is not None:
@@ -50,10 +53,10 @@
 
 
 def mutated_node(inject: Callable[[EdgeNode], None]) -> type[EdgeNode]:
-    """Returns a node type that injects a mutation when a node has been built."""
+    """Returns a node type whose constructor injects a mutation at its end."""
 
     class MutatedNode(EdgeNode):
-        """A node with a known bug."""
+        """A node with an injected mutation."""
 
         def __init__(self, *arguments: Any, **options: Any) -> None:  # noqa: ANN401 - passed on
             super().__init__(*arguments, **options)
@@ -63,7 +66,11 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Runs the node whose file `EDGE_CONFIG` names; returns the exit code, or a message if not called so."""
+    """Runs the node whose file is named in `EDGE_CONFIG`, and returns its exit code.
+
+    Raises:
+        SystemExit: the arguments are not `MUTATION serve`; with a usage message.
+    """
     if len(arguments) != ARGUMENT_COUNT or arguments[1] != "serve" or not is_known_mutation(arguments[0]):
         sys.exit(f"one of {', '.join(mutation_names())}, then serve")
     inject = find_injection(arguments[0])
--- a/onyxpost/simulation/multiprocess/node_file.py
+++ b/onyxpost/simulation/multiprocess/node_file.py
@@ -1,4 +1,4 @@
-"""The part of a node's file that all environments have in common."""
+"""Creates the part of a node's file that is common to all environments."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
     from onyxpost.simulation.stubs import DiscoveryAgent
 
 SOCKETS_LIMIT = 512
-SEEDS_PER_RUN = 1000  # a node's seed is that of the run times this, and its index
+SEEDS_PER_RUN = 1000  # a node's seed is the run's seed times this, plus the node's index
 
 
 def node_file(
     context: RunContext, index: int, agent: DiscoveryAgent, discovery: str, peers: list[str]
 ) -> dict[str, Any]:
-    """Returns the file of a node, without its `settings`.
+    """Returns the fields of a node's file without `settings`, which the caller adds.
 
     Args:
-        context: of the run.
-        index: of the node.
+        context: the run's context.
+        index: the node's index.
         agent: the discovery stub whose endpoints the node knows from the start.
-        discovery: its address, as the node finds it.
-        peers: the datagram addresses of all nodes, as the node finds them.
+        discovery: the address at which the node reaches discovery.
+        peers: the addresses at which the node reaches the datagram sockets of all nodes, its own included.
     """
     return {
         "name": f"n{index}",
--- a/onyxpost/simulation/multiprocess/node_log.py
+++ b/onyxpost/simulation/multiprocess/node_log.py
@@ -1,4 +1,4 @@
-"""The lines that nodes wrote to their logs, decoded to events of the history."""
+"""Reads the nodes' logs, and decodes lines that invariants read to events of the history. I/O."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class NodeEvent(HistoryEvent, frozen=True, kw_only=True):
-    """A line of a node's log."""
+    """An event that a node logged."""
 
     node: str
 
@@ -30,8 +30,8 @@
 class LeadershipAcquired(NodeEvent, frozen=True, kw_only=True, tag=LEASE_ACQUIRED):
     """The node leads a role, and has read the role's record.
 
-    Records that were committed before `recovery_epoch_ms` (Unix time) may be missing: most acceptors had lost
-    them.
+    Records committed before `recovery_epoch_ms` (Unix time) may be missing, because a majority of the
+    acceptors had lost them.
     """
 
     role: str
@@ -43,14 +43,17 @@
 
 
 class LeadershipLost(NodeEvent, frozen=True, kw_only=True, tag=LEASE_LOST):
-    """The node leads a role no longer; by its own clock its lease ended `ended_ms_ago`, 0 if it had not."""
+    """The node no longer leads a role.
+
+    `ended_ms_ago` is the time since the lease ended by the node's clock; 0 if the lease had not ended.
+    """
 
     role: str
     ended_ms_ago: float = 0.0
 
 
 class RecordCommitted(NodeEvent, frozen=True, kw_only=True, tag=RECORD_COMMITTED):
-    """A majority of the acceptors has a record that the node wrote as leader."""
+    """A record that the node wrote as leader is stored by a majority of the acceptors."""
 
     role: str
     fencing_token: int
@@ -60,7 +63,7 @@
 
     @property
     def committed_at_ms(self) -> float:
-        """The Unix time of the line, to be compared with a recovery epoch."""
+        """The time to compare with a recovery epoch: the line's Unix time, or `at_ms` if there is none."""
         return self.at_ms if self.unix_ms is None else self.unix_ms
 
 
@@ -78,7 +81,7 @@
 
 
 class UnhandledError(NodeEvent, frozen=True, kw_only=True, tag="fault"):
-    """An exception that nothing in the node handled."""
+    """The node logged an exception that it had not handled."""
 
     where: Any = None
     cause: Any = ""
@@ -106,7 +109,7 @@
 
 
 def decode_event(line: dict[str, Any]) -> HistoryEvent | None:
-    """Returns the event of a line that has its time and node; None if no invariant reads such lines."""
+    """Returns the event of a log line with time and node; None if no invariant reads such lines."""
     if line["event"] not in DECODED_EVENTS:
         return None
     event: HistoryEvent = msgspec.convert(line, LoggedEvent, strict=False)
@@ -116,12 +119,12 @@
 def read_node_logs(folder: Path, started_at_ms: float, unix_offset_ms: float) -> list[HistoryRecord]:
     """Reads the logs of all incarnations of all nodes.
 
-    A line's `monotonic_ms` gives its time more precisely than its `at` (Unix time).
+    The time of a line is taken from `monotonic_ms` if present, because `at` (Unix time) is less precise.
 
     Args:
-        folder: where the processes write `NODE.N.log`.
-        started_at_ms: the start of the run by the machine's monotonic clock.
-        unix_offset_ms: what makes a monotonic time a Unix time.
+        folder: the folder with the files `NODE.N.log`.
+        started_at_ms: the start of the run on the machine's monotonic clock.
+        unix_offset_ms: the difference between Unix time and monotonic time.
     """
     found: list[HistoryRecord] = []
     for path in sorted(folder.glob("n*.log")):
@@ -134,7 +137,7 @@
 
 
 def _read_line(text: bytes, node: str, started_at_ms: float, unix_offset_ms: float) -> dict[str, Any] | None:
-    with contextlib.suppress(msgspec.DecodeError, KeyError, TypeError):  # truncated when the node was killed
+    with contextlib.suppress(msgspec.DecodeError, KeyError, TypeError):  # cut off when the node was killed
         line: dict[str, Any] = msgspec.json.decode(text)
         event = line["event"]
         if "monotonic_ms" in line:
--- a/onyxpost/simulation/multiprocess/node_processes.py
+++ b/onyxpost/simulation/multiprocess/node_processes.py
@@ -1,4 +1,4 @@
-"""The nodes' processes: started with their file and awaited until they listen, signalled by faults. I/O."""
+"""Starts the nodes' processes, waits until they serve, and signals them. I/O."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
     from onyxpost.config.address import Address
 
-READY_TIMEOUT_SECONDS = 30.0  # in which a process must listen; time in which it is paused does not count
+READY_TIMEOUT_SECONDS = 30.0  # from start to listening; time in which the process is paused does not count
 READY_POLL_SECONDS = 0.02
 CONCURRENT_STARTS = 8
 PROGRAM = "onyxpost"
@@ -24,13 +24,13 @@
 
 
 class NodeProcesses:
-    """The processes of all nodes, by the nodes' names.
+    """The processes of all nodes, by name of the node.
 
     Args:
-        folder: for their files and logs.
-        mutation: of the program that they run; empty: none.
-        addresses: where each node listens for clients.
-        on_change: is called with a node's name and each change of its process.
+        folder: the folder for the nodes' files and logs.
+        mutation: the mutation that is injected into the nodes; empty for none.
+        addresses: the address at which each node listens for clients.
+        on_change: is called with the node's name at each change of its process.
     """
 
     def __init__(
@@ -54,23 +54,23 @@
 
     @property
     def names(self) -> list[str]:
-        """All nodes that have a file."""
+        """The names of all nodes that have a file."""
         return list(self._files)
 
     def set_file(self, name: str, fields: dict[str, Any]) -> None:
-        """Sets the content of the node's file, which is written before each start."""
+        """Sets the fields of the node's file, which is written before each start."""
         self._files[name] = fields
         self._locks[name] = asyncio.Lock()
 
     def is_serving(self, name: str) -> bool:
-        """Whether the node listens, and was neither killed nor told to terminate since."""
+        """Whether the node has listened since its start, and was not killed or sent SIGTERM after that."""
         return name in self._serving
 
     async def start(self, name: str) -> None:
-        """Starts a node if it does not run, and waits until it listens, or a fault kills it.
+        """Starts a node unless it runs, and waits until it listens or a fault kills it.
 
         Raises:
-            ProcessNotReadyError: it does not listen in time, or ended by itself.
+            ProcessNotReadyError: the process did not listen in time, or exited by itself.
         """
         async with self._locks[name], self._starts:
             if not self.group.is_running(name):
@@ -97,7 +97,7 @@
         remaining_seconds = READY_TIMEOUT_SECONDS
         while name not in self._serving and self.group.is_running(name) and remaining_seconds > 0.0:
             if not self.group.is_paused(name):
-                # If the process has ended meanwhile, another one listens there.
+                # If the process has ended in the meantime, the connection was to another process.
                 if await is_listening(self.addresses[name]) and self.group.is_running(name):
                     self._apply_change(name, ProcessChange.SERVING)
                     return
--- a/onyxpost/simulation/multiprocess/port_reservation.py
+++ b/onyxpost/simulation/multiprocess/port_reservation.py
@@ -1,8 +1,8 @@
 """Ports on loopback that no other run on this machine uses at the same time. I/O.
 
-A port that is free when it is chosen can be chosen by another run before a process listens there, and again
-while that process is down. A reserved port is held by a name that the kernel gives to one socket at a time
-and takes back when the process ends, however it ends: an address of the abstract Unix namespace (Linux).
+Another run could choose the same free port before a process listens there, and again while that process is
+down. A port is therefore reserved by binding a socket to a name in the abstract Unix namespace (Linux). The
+kernel binds a name to one socket at a time, and frees the name when the process ends, even if it is killed.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 
 
 class PortReservation:
-    """Ports that are reserved until `release`.
+    """Ports that are reserved until `release` is called.
 
     Attributes:
-        ports: the reserved ports.
+        ports: the reserved port numbers.
     """
 
     def __init__(self, count: int, rng: Random) -> None:
         """Reserves `count` ports that are free for TCP and UDP.
 
         Raises:
-            NoFreePortsError: not enough of them are free.
+            NoFreePortsError: too few ports are both free and unreserved.
         """
         self.ports: list[int] = []
         self._names = ExitStack()
@@ -44,14 +44,14 @@
             raise NoFreePortsError(f"no {count} ports that no other run has reserved")
 
     def release(self) -> None:
-        """Gives the ports back to other runs; to be called once no process uses them any more."""
+        """Releases all ports to other runs; call only once no process uses the ports any more."""
         self._names.close()
 
     def _try_to_reserve(self, port: int) -> None:
         name = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         try:
             name.bind(f"{NAME_PREFIX}{port}")
-        except OSError:  # reserved by another run, or by this one
+        except OSError:  # already reserved, by another run or this one
             name.close()
             return
         self._names.enter_context(name)
--- a/onyxpost/simulation/multiprocess/process_availability.py
+++ b/onyxpost/simulation/multiprocess/process_availability.py
@@ -1,4 +1,4 @@
-"""When each node's process did not run, and when it was terminating, from the history. No I/O."""
+"""Computes from a history when each node was unavailable, terminating or dead. No I/O."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
     from onyxpost.simulation.multiprocess.history import HistoryEvent
 
-WAKE_UP_MS = 100.0  # after SIGCONT, in which a process finds out that time has passed
+WAKE_UP_MS = 100.0  # time after SIGCONT until a process has noticed the pause
 
 
 class Interval(NamedTuple):
-    """A span of the run, in milliseconds; both ends belong to it."""
+    """A closed interval of the run's time, in milliseconds."""
 
     begin_ms: float
     end_ms: float
 
     def contains(self, at_ms: float) -> bool:
-        """Whether the moment is in the interval."""
+        """Whether the time is in the interval."""
         return self.begin_ms <= at_ms <= self.end_ms
 
     def overlaps(self, begin_ms: float, end_ms: float) -> bool:
-        """Whether the interval and another one have a moment in common."""
+        """Whether the interval has a time in common with another closed interval."""
         return self.begin_ms <= end_ms and begin_ms <= self.end_ms
 
 
 class ProcessAvailability:
-    """Intervals by node: not running, terminating, and dead.
+    """Intervals of each node in which its process was unavailable, terminating or dead.
 
     Attributes:
         unavailable: paused, dead or starting, or just resumed.
@@ -54,15 +54,15 @@
         self._close_at_infinity()
 
     def is_unavailable(self, node: str, begin_ms: float, end_ms: float) -> bool:
-        """Whether the node did not run at some moment between the two."""
+        """Whether the node was unavailable at some time between the two."""
         return any(interval.overlaps(begin_ms, end_ms) for interval in self.unavailable.get(node, ()))
 
     def is_dead(self, node: str, at_ms: float) -> bool:
-        """Whether the node had no process at the moment."""
+        """Whether the node had no process at this time."""
         return any(interval.contains(at_ms) for interval in self.dead.get(node, ()))
 
     def available_from(self, node: str, at_ms: float) -> float:
-        """Returns the moment from which the node can have read what was sent to it at `at_ms`."""
+        """Returns the earliest time at which the node can have read data that reached it at `at_ms`."""
         for interval in self.unavailable.get(node, ()):
             if interval.contains(at_ms):
                 return interval.end_ms
--- a/onyxpost/simulation/multiprocess/process_invariants.py
+++ b/onyxpost/simulation/multiprocess/process_invariants.py
@@ -1,4 +1,4 @@
-"""The invariant of any environment: no process fails. No I/O."""
+"""The invariant that all environments share: no process fails. No I/O."""
 
 from __future__ import annotations
 
@@ -16,16 +16,15 @@
 
     from onyxpost.simulation.multiprocess.history import HistoryEvent
 
-PROCESS_FAILURES = "faults"  # as result files have it
-OVERDUE_LAG_MS = 100.0  # before an overdue request, in which lag may have caused it
+PROCESS_FAILURES = "faults"  # name of the invariant in result files
+OVERDUE_LAG_MS = 100.0  # lag up to this time before an overdue request may have caused it
 MAX_CAUSE_CHARS = 300
 
 
 def no_process_failures(events: Sequence[HistoryEvent]) -> Iterator[Finding]:
-    """No node logs an unhandled error or an overdue request, and each exits in time with 0 after SIGTERM.
+    """No node logs an unhandled error or an overdue request; each exits with 0 in time after SIGTERM.
 
-    A node that was paused past a client's timeout, or delayed by the machine, finds its requests overdue:
-    that is excused.
+    Overdue requests are excused if the node was paused past the client's timeout, or had scheduling lag.
     """
     availability = ProcessAvailability(events)
     lag = SchedulingLag(events)
--- a/onyxpost/simulation/multiprocess/recovery_epochs.py
+++ b/onyxpost/simulation/multiprocess/recovery_epochs.py
@@ -1,7 +1,7 @@
 """The invariant of recovery epochs. No I/O.
 
-A recovery epoch excuses lost records: it may begin only after more than half of the acceptors lost their
-state.
+Records committed before a recovery epoch may be lost. Therefore an epoch may begin only after more than half
+of the acceptors lost their state.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 
     from onyxpost.simulation.multiprocess.history import HistoryEvent
 
-LOG_DELAY_MS = 5.0  # between the begin of an epoch and the log line of its acceptor
+LOG_DELAY_MS = 5.0  # maximum delay between the start of an epoch and the acceptor's log line
 
 
 class RecoveryEpochsJustified:
     """Checks that each recovery epoch begins only after more than half of the acceptors lost their state.
 
     Args:
-        acceptors: the acceptor nodes; they keep nothing on disk.
-        report_validity_ms: for how long an acceptor goes by what another one reported of itself.
+        acceptors: the nodes with an acceptor; they keep no state on disk.
+        report_validity_ms: how long an acceptor uses the state that another one reported.
     """
 
     def __init__(self, acceptors: Sequence[str], report_validity_ms: float) -> None:
@@ -35,7 +35,7 @@
         self.report_validity_ms = report_validity_ms
 
     def __call__(self, events: Sequence[HistoryEvent]) -> Iterator[Finding]:
-        """Yields the epochs that began too early."""
+        """Yields a finding for each epoch that began too early."""
         latest_epoch_ms: dict[str, float] = {}
         for acquired in events_of_type(events, LeadershipAcquired):
             if acquired.recovery_epoch_ms <= latest_epoch_ms.get(acquired.role, 0.0):
@@ -56,8 +56,8 @@
                 yield Finding(COMMITTED_RECORDS, acquired.at_ms, acquired.node, description)
 
     def _had_lost_state(self, events: Sequence[HistoryEvent], acceptor: str, role: str, at_ms: float) -> bool:
-        """Whether it was without state at the moment, or when it can last have reported so."""
-        lost_at_ms = -inf  # it starts without state
+        """Whether the acceptor was without state at this time, or a report of that was still valid."""
+        lost_at_ms = -inf  # acceptors start without state
         for event in events:
             match event:
                 case ProcessChanged(node=node) if node == acceptor and event.change in PROCESS_ENDS:
--- a/onyxpost/simulation/multiprocess/run_context.py
+++ b/onyxpost/simulation/multiprocess/run_context.py
@@ -1,4 +1,4 @@
-"""What all parts of a run share: its scenario, clock, history, processes, addresses and fault proxies."""
+"""The shared state of a run: scenario, clock, history, processes, addresses and fault proxies. I/O."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 class RunContext:
     """The shared state of one run.
 
-    A node's addresses are `n0` (clients), `n0/udp` (peers) and `n0/fleet` (cluster); see `endpoints.py`.
+    The addresses of a node are named `n0` (clients), `n0/udp` (peers) and `n0/fleet` (cluster).
 
     Attributes:
-        started_at: when all nodes served, in seconds of the monotonic clock.
+        started_at: the time at which all nodes were serving, in seconds of the monotonic clock.
         events: the history so far.
-        addresses: real addresses by endpoint.
+        addresses: real addresses by name; see `endpoints.py`.
         processes: the nodes' processes.
-        proxy: the links between endpoints.
+        proxy: the fault proxies and links between endpoints.
     """
 
     def __init__(self, scenario: Scenario, script: FaultScript, folder: Path) -> None:
@@ -59,12 +59,12 @@
 
     @property
     def seed(self) -> int:
-        """The seed of the run."""
+        """The seed of the fault script."""
         return self.script.seed
 
     @property
     def node_indexes(self) -> range:
-        """0, 1, ... for the nodes `n0`, `n1`, ..."""
+        """The indexes of all nodes: 0 for `n0`, 1 for `n1`."""
         return range(self.scenario.nodes)
 
     @property
@@ -73,19 +73,19 @@
         return [f"n{index}" for index in self.node_indexes]
 
     def now_ms(self) -> float:
-        """Milliseconds since the start, as events have it."""
+        """Returns the time for an event: milliseconds since the start, with two decimals."""
         return round((time.monotonic() - self.started_at) * MS_PER_SECOND, 2)
 
     def ms_before_now(self, elapsed_ms: float) -> float:
-        """Returns the time of something that happened so long ago; never before the start."""
+        """Returns the time for an event of `elapsed_ms` ago, but never a time before the start."""
         return round(max(0.0, self.now_ms() - elapsed_ms), 2)
 
     def now_seconds(self) -> float:
-        """Seconds since the start."""
+        """Returns the seconds since the start."""
         return time.monotonic() - self.started_at
 
     def start_clock(self) -> None:
-        """All nodes serve: the run starts now, and what was before counts as of time 0."""
+        """Starts the run's clock, once all nodes are serving; earlier events get time 0."""
         self.started_at = time.monotonic()
         self.events = [msgspec.structs.replace(event, at_ms=0.0) for event in self.events]
 
@@ -94,27 +94,35 @@
         self.events.append(event)
 
     def observe_bytes(self, observer: ByteObserver) -> None:
-        """Passes all bytes of TCP on to this observer."""
+        """Sets the observer of all bytes of TCP; replaces an earlier one."""
         self._observer = observer
 
     async def close(self) -> None:
-        """Closes the proxies and gives the nodes' ports back; their processes must have ended."""
+        """Closes the proxies and releases the nodes' ports; the nodes' processes must have ended."""
         await self.proxy.close()
         self._ports.release()
 
     async def sleep_until(self, seconds: float) -> None:
-        """Waits for that time of the run."""
+        """Sleeps until this time since the start; returns at once if it has passed."""
         await asyncio.sleep(max(0.0, seconds - self.now_seconds()))
 
     async def open_peer_proxies(self) -> list[list[str]]:
-        """Returns for each node the datagram addresses of all, as it finds them; its own is the real one."""
+        """Opens fault proxies for datagrams between all nodes.
+
+        Returns:
+            for each node, the addresses at which it reaches all nodes; its own address is the real one.
+        """
         return [
             [await self._peer_address(index, peer) for peer in self.node_indexes]
             for index in self.node_indexes
         ]
 
     async def open_cluster_proxies(self) -> list[list[str]]:
-        """Returns for each node the cluster addresses of all, as it finds them; its own is the real one."""
+        """Opens fault proxies for cluster connections between all nodes.
+
+        Returns:
+            for each node, the addresses at which it reaches all nodes; its own address is the real one.
+        """
         return [
             [await self._cluster_address(index, peer) for peer in self.node_indexes]
             for index in self.node_indexes
--- a/onyxpost/simulation/multiprocess/run_result.py
+++ b/onyxpost/simulation/multiprocess/run_result.py
@@ -1,4 +1,4 @@
-"""The result of a run: violations and figures, and its line in a result file. No I/O."""
+"""The violations and figures of a run, and their line in a result file. No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RunResult(NamedTuple):
-    """The outcome of one seed; `faults` counts those that were started, by kind."""
+    """The result of one run; `faults` is the number of faults started, by kind."""
 
     script: FaultScript
     violations: list[Violation]
@@ -20,7 +20,7 @@
     worst_lag_ms: float
 
     def to_result_line(self) -> dict[str, Any]:
-        """Returns the line of a result file, with the keys that earlier builds wrote."""
+        """Returns the line of a result file; its keys are kept compatible with earlier builds."""
         script = self.script
         return {
             "kind": "seed",
--- a/onyxpost/simulation/multiprocess/runner.py
+++ b/onyxpost/simulation/multiprocess/runner.py
@@ -1,4 +1,4 @@
-"""Runs a script in a folder of its own, ends it cleanly on a signal, and keeps failing runs. I/O."""
+"""Runs a script in a temporary folder, stops cleanly on a signal, and keeps failed runs. I/O."""
 
 from __future__ import annotations
 
@@ -17,20 +17,21 @@
     from onyxpost.simulation.multiprocess.run_result import RunResult
     from onyxpost.simulation.multiprocess.scenario import Scenario
 
-MEMORY_FOLDER = Path("/dev/shm")  # a slow disk is none of the faults
+MEMORY_FOLDER = Path("/dev/shm")  # keeps delays of a slow disk out of the run
 
 
 def run_script(scenario: Scenario, script: FaultScript, kept: Path | None = None) -> RunResult:
     """Runs a script with real processes.
 
     Args:
-        scenario: with the size of the script.
-        script: the faults.
-        kept: where script, history, files and logs stay if an invariant was violated; None: nowhere.
+        scenario: the scenario, with the number of nodes and duration of the script.
+        script: the faults and the seed.
+        kept: the folder for script, history, files and logs of a run that violated an invariant or could not
+            start a process; None keeps nothing.
 
     Raises:
-        ProcessNotReadyError: a process does not listen in time.
-        KeyboardInterrupt: SIGINT or SIGTERM arrived; no process is left.
+        ProcessNotReadyError: a process did not listen in time.
+        KeyboardInterrupt: SIGINT or SIGTERM was received; all processes have ended.
     """
     memory = MEMORY_FOLDER if MEMORY_FOLDER.is_dir() else None
     with tempfile.TemporaryDirectory(prefix="onyxpost-", dir=memory) as name:
@@ -48,12 +49,12 @@
 
 
 def kept_folder(kept: Path, script: FaultScript) -> Path:
-    """Returns the folder below `kept` in which a run of the script stays."""
+    """Returns the folder below `kept` in which a failed run of the script is kept."""
     return kept / f"{script.scenario}-{script.seed}"
 
 
 async def _run_until_signal(scenario: Scenario, script: FaultScript, folder: Path) -> RunResult | None:
-    """Returns None after a signal; all processes are gone then."""
+    """Returns the result, or None after SIGINT or SIGTERM; all processes have ended then."""
     task = asyncio.create_task(ScenarioRunner(scenario, script, folder).run())
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGINT, signal.SIGTERM):
--- a/onyxpost/simulation/multiprocess/scenario.py
+++ b/onyxpost/simulation/multiprocess/scenario.py
@@ -1,4 +1,7 @@
-"""A scenario of the multi-process simulation: a small TOML file. Its keys are those of earlier builds."""
+"""Scenarios of the multi-process simulation, and their TOML files.
+
+The keys of the files are kept compatible with earlier builds.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 MAX_SECONDS = 600.0
 MAX_REQUESTS_PER_SECOND = 500.0
 SUFFIX = ".toml"
-# Shipped scenarios by the names that they had in earlier builds.
+# Current names of shipped scenarios, by their names in earlier builds.
 OLD_NAMES = {
     "duties-all-killed": "leadership-all-killed",
     "duties-bridge": "leadership-bridge",
@@ -27,26 +30,31 @@
 
 
 class Load(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Requests in a second of all nodes together, open loop; an environment without requests ignores it."""
+    """Open-loop load; ignored by environments without clients.
+
+    Attributes:
+        rate: requests per second to all nodes together.
+        customers: number of customers that send requests.
+    """
 
     rate: Annotated[float, Meta(gt=0.0, le=MAX_REQUESTS_PER_SECOND)] = 40.0
     customers: Annotated[int, Meta(ge=1, le=10_000)] = 12
 
 
 class Scenario(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """What is run, and how often faults start.
+    """The environment, size, load and fault rates of a run.
 
     Attributes:
-        about: one line for people.
-        environment: a name of `environments.py`.
-        nodes: processes.
-        servers: stub app servers.
-        seconds: duration.
-        lease_seconds: a paused process stays so for longer.
-        roles: that are led, in the environment `leadership`.
-        load: clients' requests.
-        faults: rates by kind of fault.
-        name: the file's, or the name by which a shipped scenario was asked for.
+        about: description in one line.
+        environment: a name in `environments.py`, or an old one.
+        nodes: number of nodes, each a process.
+        servers: number of stub app servers.
+        seconds: duration of the faults and the load.
+        lease_seconds: lease of roles; paused processes stay paused for longer than this.
+        roles: number of roles, in the environment `leadership`.
+        load: the clients' requests.
+        faults: fault rates by kind.
+        name: name of the file, or the current or old name under which a shipped scenario was loaded.
     """
 
     about: str
@@ -62,19 +70,19 @@
 
 
 def shipped_scenarios() -> list[str]:
-    """Returns the names of the scenarios that are part of the program."""
+    """Returns the names of the scenarios shipped with the program, sorted."""
     folder = importlib.resources.files(__package__) / "scenarios"
     return sorted(file.name.removesuffix(SUFFIX) for file in folder.iterdir() if file.name.endswith(SUFFIX))
 
 
 def load_scenario(name: str) -> Scenario:
-    """Reads a scenario.
+    """Loads a scenario.
 
     Args:
-        name: of a shipped one, an old one's too, or the path of a TOML file.
+        name: the current or old name of a shipped scenario, or the path of a TOML file.
 
     Raises:
-        InvalidScenarioError: there is none, or its file is not valid.
+        InvalidScenarioError: there is no such scenario, or its file cannot be read or is invalid.
     """
     try:
         scenario = msgspec.toml.decode(_read_file(name), type=Scenario)
@@ -101,10 +109,10 @@
 
 
 def with_size(scenario: Scenario, nodes: int | None, seconds: float | None) -> Scenario:
-    """Returns the scenario with another number of nodes and duration; None keeps the scenario's.
+    """Returns the scenario with another number of nodes or duration; None keeps the scenario's value.
 
     Raises:
-        InvalidScenarioError: one of them is out of bounds.
+        InvalidScenarioError: the number of nodes or the duration is out of range.
     """
     nodes = scenario.nodes if nodes is None else nodes
     seconds = scenario.seconds if seconds is None else seconds
@@ -116,7 +124,7 @@
 
 
 def draw_script(scenario: Scenario, seed: int, mutation: str = "") -> FaultScript:
-    """Returns the script of a seed: the same one each time."""
+    """Returns the script that a seed draws; equal arguments give equal scripts."""
     settings = DrawSettings(
         scenario.nodes, scenario.servers, scenario.seconds, scenario.lease_seconds, scenario.roles
     )
--- a/onyxpost/simulation/multiprocess/scenario_environment.py
+++ b/onyxpost/simulation/multiprocess/scenario_environment.py
@@ -1,4 +1,4 @@
-"""What an environment is: the surroundings of the nodes in a scenario, and what is checked there."""
+"""The interface of environments: stubs around the nodes, load, faults, and invariants."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
     from onyxpost.simulation.multiprocess.fault_script import Fault
     from onyxpost.simulation.multiprocess.history import HistoryEvent
 
-# Figures of a run by their key in the result file; a list has all durations in ms, in ascending order.
+# Figures of a run by key in the result file; lists are durations in ms, in ascending order.
 Counts = dict[str, int | list[int]]
 
 
 class Environment(Protocol):
-    """Stubs around the nodes, load, and invariants of one kind of scenario."""
+    """The stubs, load, faults and invariants of one kind of scenario."""
 
     async def open(self) -> None:
-        """Starts the stubs and proxies, and sets each node's file; once, before any node is started."""
+        """Starts stubs and fault proxies, and sets the nodes' files; called once, before nodes start."""
 
     async def run_load(self, seconds: float) -> None:
-        """Runs beside the faults, for that time."""
+        """Sends load for the given time, while faults are injected; does nothing if there are no clients."""
 
     def resolve_target(self, name: str) -> str:
-        """Returns the endpoint that a name such as `h0` (the leader of role 0) stands for now."""
+        """Returns the endpoint that a name currently refers to, such as `h0` to the leader of role 0."""
 
     async def inject_fault(self, fault: Fault) -> None:
-        """Carries out a fault of a kind that only this environment knows, to its end."""
+        """Injects a fault of a kind that is specific to this environment, and returns when it has ended."""
 
     def invariants(self) -> Sequence[Invariant]:
-        """Returns what is checked after the run."""
+        """Returns the invariants to check after the run."""
 
     def count(self, events: Sequence[HistoryEvent]) -> Counts:
-        """Returns figures of the history, which is in order of time."""
+        """Returns figures of the history; `events` must be in order of time."""
 
     async def close(self) -> None:
-        """Stops the stubs."""
+        """Stops the stubs and closes their connections."""
--- a/onyxpost/simulation/multiprocess/scenario_runner.py
+++ b/onyxpost/simulation/multiprocess/scenario_runner.py
@@ -1,4 +1,4 @@
-"""The phases of one run: start, faults and load, recovery, shutdown, check. I/O."""
+"""Runs a scenario once: start, faults and load, recovery, shutdown, check. I/O."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
     from onyxpost.simulation.multiprocess.history import HistoryEvent
     from onyxpost.simulation.multiprocess.scenario import Scenario
 
-RECOVERY_SECONDS = 1.0  # without faults, before all nodes are terminated
+RECOVERY_SECONDS = 1.0  # time without faults before all nodes are terminated
 POLL_SECONDS = 0.02
 SCRIPT_FILE = "script.json"
 HISTORY_FILE = "events.jsonl"
 
 
 class ScenarioRunner:
-    """Runs a script once; files, logs, script and history of the run are written to the folder."""
+    """Runs a script once, and writes the nodes' files and logs, the script and the history to the folder."""
 
     def __init__(self, scenario: Scenario, script: FaultScript, folder: Path) -> None:
         self.script = script
@@ -43,10 +43,10 @@
         self.injector = FaultInjector(self.context, self.environment)
 
     async def run(self) -> RunResult:
-        """Runs the script, and checks what happened.
+        """Runs the script, and checks the history.
 
         Raises:
-            ProcessNotReadyError: a process does not listen in time.
+            ProcessNotReadyError: a process did not listen in time.
         """
         lag_monitor: asyncio.Task[None] | None = None
         try:
@@ -59,7 +59,7 @@
             await self.context.processes.terminate_all()
             return self._check()
         finally:
-            # Errors from here on come from what is being closed.
+            # Errors that the event loop reports from here on are caused by the shutdown itself.
             asyncio.get_running_loop().set_exception_handler(_ignore_error)
             if lag_monitor is not None:
                 lag_monitor.cancel()
@@ -79,9 +79,9 @@
         self.context.start_clock()
 
     async def _recover(self) -> None:
-        """Ends all faults, starts what was killed, and gives the nodes time without faults."""
+        """Ends all faults, starts nodes that were killed, and waits for `RECOVERY_SECONDS` without faults."""
         processes = self.context.processes
-        while processes.group.terminating:  # noqa: ASYNC110 - for at most the stop timeout
+        while processes.group.terminating:  # noqa: ASYNC110 - ends within the stop timeout
             await asyncio.sleep(POLL_SECONDS)
         await self.injector.stop()
         self.context.proxy.links.heal()
@@ -106,7 +106,7 @@
         )
 
     def _history(self) -> list[HistoryRecord]:
-        """Returns what the simulation and the nodes recorded, in order of time."""
+        """Returns the records of the simulation and of the nodes' logs, in order of time."""
         unix_offset_ms = (time.time() - time.monotonic()) * MS_PER_SECOND
         started_at_ms = self.context.started_at * MS_PER_SECOND
         recorded = [HistoryRecord(_to_line(event), event) for event in self.context.events]
@@ -120,4 +120,4 @@
 
 
 def _ignore_error(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Drops an error that the loop reports."""
+    """Ignores an error that the event loop reports."""
--- a/onyxpost/simulation/multiprocess/scheduling_lag.py
+++ b/onyxpost/simulation/multiprocess/scheduling_lag.py
@@ -1,4 +1,4 @@
-"""When the machine, not a fault, delayed the simulation or one process, from the history. No I/O."""
+"""Computes from a history when the machine, not a fault, delayed the simulation or a process. No I/O."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 
     from onyxpost.simulation.multiprocess.history import HistoryEvent
 
-LONG_LAG_MS = 40.0  # from here on what the lag touches is excused; below, each limit is extended
-SIMULATION = ""  # the node of lag that the simulation's own loop had, and so all
+# Lag from this length on excuses the violations it may have caused; shorter lag extends each limit in time.
+LONG_LAG_MS = 40.0
+SIMULATION = ""  # names no node: lag of the simulation's event loop, which counts for all nodes
 
 
 class SchedulingLag:
-    """Lag of a run.
+    """The scheduling lag of a run.
 
     Attributes:
-        intervals: long lags, by node.
-        tolerance_ms: the longest of the other lags; it is added to each limit in time.
+        intervals: long lags by node, each with a margin of `LONG_LAG_MS` before it.
+        tolerance_ms: the longest of the shorter lags, which is added to each limit in time.
     """
 
     def __init__(self, events: Sequence[HistoryEvent]) -> None:
@@ -37,7 +38,7 @@
             self.intervals[event.node].append(Interval(begin_ms, event.at_ms))
 
     def total_ms(self, node: str, begin_ms: float, end_ms: float) -> float:
-        """Returns the sum of the long lags of the node and of the simulation that overlap the interval."""
+        """Returns the total length of the long lags of node and simulation that overlap the interval."""
         intervals = [*self.intervals.get(SIMULATION, ()), *self.intervals.get(node, ())]
         return sum(
             (
--- a/onyxpost/simulation/multiprocess/tcp_proxy.py
+++ b/onyxpost/simulation/multiprocess/tcp_proxy.py
@@ -1,4 +1,4 @@
-"""Proxies for TCP: each direction of a connection goes by the faults of its link. I/O."""
+"""Proxies for TCP; the faults of a link apply to one direction of each connection. I/O."""
 
 from __future__ import annotations
 
@@ -22,28 +22,28 @@
     from onyxpost.simulation.multiprocess.link import Link, LinkTable
 
 LISTEN_BACKLOG = 512
-MAX_BUFFERED_BYTES = 1 << 20  # in one direction of a connection; beyond that nothing more is read
+MAX_BUFFERED_BYTES = 1 << 20  # per direction of a connection; reading pauses above this
 BUFFER_POLL_SECONDS = 0.01
 READ_CHUNK_BYTES = 65536
-LINGER_ZERO = struct.pack("ii", 1, 0)  # close sends RST
+LINGER_ZERO = struct.pack("ii", 1, 0)  # SO_LINGER with timeout 0, which makes close send RST
 
 
 class TransferStage(Enum):
-    """Where in a proxy bytes are observed."""
+    """The point in a proxy at which bytes are observed."""
 
     RECEIVED = auto()
     FORWARDED = auto()
 
 
 class Transfer(NamedTuple):
-    """Bytes that a proxy reports.
+    """Bytes of a connection, as a proxy reports them to its observer.
 
     Attributes:
-        source: the endpoint that sent them.
-        destination: the endpoint that they are for.
+        source: the endpoint that sent the bytes.
+        destination: the endpoint that the bytes are sent to.
         data: the bytes.
-        stage: whether the proxy has received or forwarded them.
-        unread_ms: how long they had waited in the proxy's socket until it read them; 0 if forwarded.
+        stage: whether the proxy received the bytes or is about to forward them.
+        unread_ms: how long received bytes waited in the proxy's socket until they were read; 0 if forwarded.
     """
 
     source: str
@@ -57,19 +57,19 @@
 
 
 class Chunk(NamedTuple):
-    """Bytes on their way; none: the sender has closed its direction."""
+    """Bytes to be forwarded; empty bytes mean that the sender has closed its direction."""
 
     due_seconds: float
     data: bytes
 
 
 class TcpProxy:
-    """Listeners between pairs of endpoints, and the connections that they have accepted.
+    """Listeners between pairs of endpoints, and the connections that they accepted.
 
     Args:
-        links: with their faults.
-        address_of: finds the destination at the time of a connection.
-        observe: is called with all bytes.
+        links: the links of the run, with their faults.
+        address_of: returns the address of the destination; called at each connection.
+        observe: is called with all bytes received and forwarded.
     """
 
     def __init__(self, links: LinkTable, address_of: AddressLookup, observe: ByteObserver) -> None:
@@ -80,7 +80,7 @@
         self._listeners: list[asyncio.Server] = []
 
     async def open(self, source: str, destination: str) -> Address:
-        """Listens for connections of `source` to `destination`; returns the address for `source` to use."""
+        """Listens for connections from `source` to `destination`; returns the address for `source`."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await ProxiedConnection(self, source, destination, reader, writer).run()
@@ -90,15 +90,15 @@
         return cast("Address", listener.sockets[0].getsockname())
 
     def reset(self, one: str, other: str, incarnation: str = "") -> int:
-        """Ends all connections between two endpoints with RST, as a router that lost its state.
+        """Ends all connections between two endpoints with RST, like a router that lost its state.
 
         Args:
             one: an endpoint.
-            other: another one.
-            incarnation: the only one whose connections are ended, as `s0.1`; empty: all.
+            other: the other endpoint.
+            incarnation: limits the reset to connections to this incarnation, such as `s0.1`; empty for all.
 
         Returns:
-            the number of connections.
+            the number of connections that were reset.
         """
         connections = [*self.connections.get((one, other), ()), *self.connections.get((other, one), ())]
         affected = [connection for connection in connections if incarnation in ("", connection.destination)]
@@ -122,7 +122,7 @@
 
 
 class ProxiedConnection:
-    """A connection that an endpoint opened to the proxy, and the proxy's own to the destination."""
+    """The connection of an endpoint to the proxy, and the proxy's connection to the destination."""
 
     def __init__(
         self,
@@ -157,7 +157,7 @@
                 writer.close()
 
     def reset(self) -> None:
-        """Ends both connections with RST."""
+        """Ends both connections with RST, and cancels their forwarding."""
         for writer in self.writers:
             sock = writer.get_extra_info("socket")
             if sock is not None and not writer.transport.is_closing():
@@ -182,7 +182,7 @@
 
 
 class _Direction:
-    """One direction of a connection: a queue between a task that reads and a task that writes."""
+    """One direction of a connection: a reading and a writing task with a queue between them."""
 
     def __init__(self, proxy: TcpProxy, source: str, destination: str) -> None:
         self.proxy = proxy
@@ -196,7 +196,7 @@
     async def run(
         self, reader: asyncio.StreamReader, sender: asyncio.StreamWriter, receiver: asyncio.StreamWriter
     ) -> None:
-        """Forwards what `reader` yields, which reads the connection of `sender`, to `receiver`."""
+        """Forwards bytes from `reader` to `receiver`; `sender` is the writer of the reader's connection."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._write(receiver))
             await self._read(reader, sender)
@@ -213,7 +213,7 @@
             self.has_chunk.set()
             if not data:
                 return
-            while self.queued_bytes > MAX_BUFFERED_BYTES:  # noqa: ASYNC110 - rare, simpler than an event
+            while self.queued_bytes > MAX_BUFFERED_BYTES:  # noqa: ASYNC110 - rare, and simpler than an event
                 await asyncio.sleep(BUFFER_POLL_SECONDS)
 
     async def _write(self, writer: asyncio.StreamWriter) -> None:
@@ -230,7 +230,7 @@
         self.proxy.observe(Transfer(self.source, self.destination, data, stage, waited_ms))
 
     async def _next_chunk(self) -> bytes:
-        """Returns the next bytes once they are due and the link is open."""
+        """Waits until the next bytes are due and the link is open, and returns them."""
         loop = asyncio.get_running_loop()
         while True:
             while not self.queue:
@@ -240,7 +240,7 @@
             if wait_seconds > 0.0:
                 await asyncio.sleep(wait_seconds)
             await self.link.is_open.wait()
-            if self.link.is_open.is_set():  # else cut again in the turn of the loop in which it healed
+            if self.link.is_open.is_set():  # False if a new fault cut it in the same turn of the event loop
                 data = self.queue.popleft().data
                 self.queued_bytes -= len(data)
                 return data
--- a/onyxpost/simulation/multiprocess/udp_proxy.py
+++ b/onyxpost/simulation/multiprocess/udp_proxy.py
@@ -1,4 +1,4 @@
-"""Proxies for datagrams, by the faults of their links. I/O."""
+"""Proxies for datagrams, which apply the faults of links. I/O."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
     from onyxpost.simulation.multiprocess.endpoints import AddressLookup
     from onyxpost.simulation.multiprocess.link import Link, LinkTable
 
-REORDERING_DELAY_MS = 30.0  # of a datagram that later ones overtake
+REORDERING_DELAY_MS = 30.0  # extra delay of a datagram, so that later ones overtake it
 
 
 class UdpProxy:
     """Sockets between pairs of endpoints, one for each direction.
 
     Args:
-        links: with their faults.
-        address_of: finds the destination at the time of a datagram.
-        rng: decides which datagrams are lost, duplicated and reordered.
+        links: the links of the run, with their faults.
+        address_of: returns the address of the destination; called for each datagram.
+        rng: random source for the loss, duplication and reordering of datagrams.
     """
 
     def __init__(self, links: LinkTable, address_of: AddressLookup, rng: Random) -> None:
@@ -35,9 +35,9 @@
         self._address_of = address_of
 
     async def open(self, source: str, destination: str) -> Address:
-        """Listens for datagrams of `source` to `destination`; returns the address for `source` to use.
+        """Listens for datagrams from `source` to `destination`; returns the address for `source`.
 
-        The destination receives them from the proxy of the other direction, which must be open too.
+        The destination receives the datagrams from the socket of the other direction, which must be open too.
         """
         loop = asyncio.get_running_loop()
         _, direction = await loop.create_datagram_endpoint(
@@ -47,7 +47,7 @@
         return cast("Address", direction.transport.get_extra_info("sockname"))
 
     def deliver(self, source: str, destination: str, data: bytes) -> None:
-        """Sends a datagram to the destination, from where the destination would answer the source."""
+        """Sends a datagram to the destination, from the address at which it reaches the source."""
         other_direction = self.directions.get((destination, source))
         address = self._address_of(f"{destination}/udp")
         if other_direction is None or address is None or other_direction.transport.is_closing():
@@ -61,7 +61,7 @@
 
 
 class DatagramProxy(asyncio.DatagramProtocol):
-    """Receives what the source sends to the destination."""
+    """The socket of one direction: receives datagrams from the source, and applies the faults of the link."""
 
     def __init__(self, proxy: UdpProxy, source: str, destination: str) -> None:
         self.proxy = proxy
@@ -70,13 +70,13 @@
         self._forward = partial(proxy.deliver, source, destination)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open."""
+        """Keeps the transport of the open socket."""
         self.transport = cast("asyncio.DatagramTransport", transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:  # noqa: ARG002 - as in the base class
         """Drops, holds, delays, duplicates or forwards a datagram.
 
-        Random numbers are drawn in this order, each only where those before it leave the question open.
+        Random numbers for loss, reordering and duplication are drawn in this order, only as far as needed.
         """
         rng = self.proxy.rng
         behavior = self.link.behavior
@@ -93,7 +93,7 @@
             self._forward_after(delay_ms, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody listens at the destination: the datagram is lost."""
+        """Ignores the error: the datagram is lost, because no process listens at the destination."""
 
     def _forward_after(self, delay_ms: float, data: bytes) -> None:
         if delay_ms:
