--- a/onyxpost/simulation/multiprocess/batch.py
+++ b/onyxpost/simulation/multiprocess/batch.py
@@ -54,7 +54,7 @@
     if options.replay is not None:
         batch = _replayed_batch(options.replay, options.scenario)
     elif options.scenario is None:
-        raise InvalidScenarioError(f"no scenario; shipped are {', '.join(shipped_scenarios())}")
+        raise InvalidScenarioError(f"no scenario given; shipped are {', '.join(shipped_scenarios())}")
     else:
         batch = _drawn_batch(options, options.scenario)
     _check_mutation_fits(batch)
@@ -78,7 +78,7 @@
 
 def _check_mutation(name: str) -> None:
     if name and not is_known_mutation(name):
-        raise InvalidScenarioError(f"no mutation {name!r}; there are {', '.join(mutation_names())}")
+        raise InvalidScenarioError(f"unknown mutation {name!r}; known are {', '.join(mutation_names())}")
     if current_name(name) != name:
         warn_deprecated(name, current_name(name))
 
@@ -89,6 +89,6 @@
     for script in batch.scripts:
         if environment != LEADERSHIP and current_name(script.mutation) in LEADERSHIP_MUTATIONS:
             raise InvalidScenarioError(
-                f"the mutation {script.mutation!r} is of leadership, not of the environment {environment!r}",
+                f"the mutation {script.mutation!r} needs the environment 'leadership', not {environment!r}",
                 batch.scenario.name,
             )
--- a/onyxpost/simulation/multiprocess/cli.py
+++ b/onyxpost/simulation/multiprocess/cli.py
@@ -25,19 +25,20 @@
 
 @click.command()
 @click.argument("scenario", required=False)
-@click.option("--nodes", type=int, help="Processes, in place of the scenario's; up to 64.")
+@click.option("--nodes", type=int, help="Number of nodes instead of the scenario's; 1 to 64.")
 @click.option("--seeds", default="1", show_default=True, help="Seeds, as in 1-20 or 1,4,9-12.")
-@click.option("--seconds", type=float, help="In place of the scenario's; up to 600.")
-@click.option("--out", type=FILE, help="JSON lines, a seed each.")
-@click.option("--kept", type=FOLDER, help="Keep failing seeds there.")
-@click.option("--replay", type=FILE, help="Run a kept script.json.")
-@click.option("--mutation", default="", help="Inject a known bug: it must be found.")
+@click.option("--seconds", type=float, help="Duration instead of the scenario's; up to 600.")
+@click.option("--out", type=FILE, help="File for the results: JSON lines, one for each seed.")
+@click.option("--kept", type=FOLDER, help="Folder in which failed runs are kept.")
+@click.option("--replay", type=FILE, help="Run a kept script.json again.")
+@click.option("--mutation", default="", help="Inject a known bug, which the invariants must find.")
 @report_operator_errors
 def processes(out: Path | None, kept: Path | None, **options: object) -> None:
     """Run SCENARIO (a TOML file, or the name of a shipped one) with real processes on loopback.
 
-    Exit 0: run, no invariant violated. Exit 1: an invariant was violated. Exit 2: something given cannot be
-    used. Exit 130: interrupted; what was finished is kept, and no process is left.
+    Exit 0: no invariant was violated. Exit 1: an invariant was violated. Exit 2: an argument, option or file
+    is invalid, or a process did not start. Exit 130: interrupted; the results of finished seeds are written,
+    and no process is left.
     """
     # Imported only here, because these modules import the whole node.
     from onyxpost.simulation.multiprocess.batch import BatchOptions, create_batch
--- a/onyxpost/simulation/multiprocess/client_invariants.py
+++ b/onyxpost/simulation/multiprocess/client_invariants.py
@@ -63,7 +63,7 @@
             case _:
                 continue
         if not _is_excused(failure, availability, lag):
-            description = f"request {failure.trace}: {failure.cause} without an answer"
+            description = f"request {failure.trace}: no answer, connection {failure.cause}"
             yield Finding(Invariant.ANSWERS, failure.end_ms, failure.node, description)
 
 
--- a/onyxpost/simulation/multiprocess/errors.py
+++ b/onyxpost/simulation/multiprocess/errors.py
@@ -17,4 +17,4 @@
 class ProcessNotReadyError(InvalidSimulationInputError):
     """A node's process did not listen in time, or exited before it listened."""
 
-    remedy = "read the process's log, kept with --kept DIR; fewer --nodes on a busy machine"
+    remedy = "read the process's log, which --kept DIR keeps; on a busy machine, run with fewer --nodes"
--- a/onyxpost/simulation/multiprocess/fault_script.py
+++ b/onyxpost/simulation/multiprocess/fault_script.py
@@ -97,12 +97,12 @@
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise InvalidScenarioError(str(error), source) from error
     if script.version != VERSION:
-        raise InvalidScenarioError(f"a script of version {script.version}, not {VERSION}", source)
+        raise InvalidScenarioError(f"the script has version {script.version}, expected {VERSION}", source)
     for index, fault in enumerate(script.faults):
         names_in_groups = [name for group in fault.groups for name in group]
         for name in [*link_ends(fault.target), *names_in_groups]:
             if not _is_known(name, script.nodes):
-                raise InvalidScenarioError(f"no target {name!r} - at `$.faults[{index}]`", source)
+                raise InvalidScenarioError(f"unknown target {name!r} - at `$.faults[{index}]`", source)
     return script
 
 
--- a/onyxpost/simulation/multiprocess/leadership_invariants.py
+++ b/onyxpost/simulation/multiprocess/leadership_invariants.py
@@ -49,7 +49,7 @@
             if latest is not None and span.begin_ms < latest.end_ms and span.node != latest.node:
                 description = (
                     f"leads {role} with fencing token {span.fencing_token},"
-                    f" and so does {latest.node} with {latest.fencing_token}"
+                    f" while {latest.node} leads it with {latest.fencing_token}"
                 )
                 yield Finding(SINGLE_LEADER, span.begin_ms, span.node, description)
             if latest is None or span.end_ms > latest.end_ms:
@@ -84,8 +84,8 @@
             continue
         if not lag.has_long_lag(call.node, end_ms, call.at_ms):
             description = (
-                f"calls for {call.role} with fencing token {call.fencing_token},"
-                f" {call.at_ms - end_ms:.0f} ms after its lease ended"
+                f"sent a call for {call.role} with fencing token {call.fencing_token},"
+                f" {call.at_ms - end_ms:.0f} ms after the end of its lease"
             )
             yield Finding(SINGLE_LEADER, call.at_ms, call.node, description)
 
@@ -97,8 +97,8 @@
         previous = highest.get(acquired.role)
         if previous is not None and acquired.fencing_token <= previous.fencing_token:
             description = (
-                f"leads {acquired.role} with fencing token {acquired.fencing_token}"
-                f" after {previous.node} had {previous.fencing_token}"
+                f"was elected for {acquired.role} with fencing token {acquired.fencing_token},"
+                f" not above {previous.fencing_token} of {previous.node}"
             )
             yield Finding(FENCING_TOKENS, acquired.at_ms, acquired.node, description)
         if previous is None or _token_and_node(acquired) > _token_and_node(previous):
@@ -118,11 +118,11 @@
         previous = latest.setdefault(call.role, call)
         accepted = f"a call for {call.role} with fencing token {call.fencing_token}"
         if call.fencing_token < previous.fencing_token:
-            description = f"{accepted} was accepted after {previous.fencing_token} of {previous.leader}"
+            description = f"{accepted} was accepted after token {previous.fencing_token} of {previous.leader}"
             yield Finding(FENCING_TOKENS, call.at_ms, call.leader, description)
             continue
         if call.fencing_token == previous.fencing_token and call.leader != previous.leader:
-            description = f"{accepted}, which is {previous.leader}'s, was accepted"
+            description = f"{accepted} was accepted, but the token is that of {previous.leader}"
             yield Finding(FENCING_TOKENS, call.at_ms, call.leader, description)
         latest[call.role] = call
 
@@ -142,7 +142,8 @@
             if newest is None or not _is_missing(newest, read):
                 continue
             description = (
-                f"leads {role} with record {read.sequence}, and {newest.sequence} had been committed"
+                f"was elected for {role} with record {read.sequence},"
+                f" although record {newest.sequence} was committed before"
             )
             yield Finding(COMMITTED_RECORDS, term.begin_ms, term.node, description)
 
--- a/onyxpost/simulation/multiprocess/load_generator.py
+++ b/onyxpost/simulation/multiprocess/load_generator.py
@@ -141,10 +141,10 @@
         answered_at_ms = context.ms_before_now(unread_ms(writer))
         context.record(RequestAnswered(answered_at_ms, trace=trace, outcome=outcome))
         if outcome == "passed" and body != b"page of " + trace.encode():
-            self._record_unexpected(trace, f"passed {bytes(body)!r}")
+            self._record_unexpected(trace, f"passed with the wrong body {bytes(body)!r}")
         extra = http.trailing_data[0] + await _read_extra(reader)
         if extra:
-            self._record_unexpected(trace, f"after its answer {extra!r}")
+            self._record_unexpected(trace, f"more bytes after the answer: {extra!r}")
 
     def _record_unexpected(self, trace: str, description: str) -> None:
         event = UnexpectedResponse(
--- a/onyxpost/simulation/multiprocess/mutated_program.py
+++ b/onyxpost/simulation/multiprocess/mutated_program.py
@@ -72,7 +72,7 @@
         SystemExit: the arguments are not `MUTATION serve`; with a usage message.
     """
     if len(arguments) != ARGUMENT_COUNT or arguments[1] != "serve" or not is_known_mutation(arguments[0]):
-        sys.exit(f"one of {', '.join(mutation_names())}, then serve")
+        sys.exit(f"expected the arguments MUTATION serve, with MUTATION one of {', '.join(mutation_names())}")
     inject = find_injection(arguments[0])
     if inject is not None:
         vars(serve)["EdgeNode"] = mutated_node(inject)
--- a/onyxpost/simulation/multiprocess/node_processes.py
+++ b/onyxpost/simulation/multiprocess/node_processes.py
@@ -79,7 +79,9 @@
                 await self.group.start(name, self._arguments, {"EDGE_CONFIG": str(path)})
             await self._wait_until_serving(name)
             if name not in self._serving and self._last_change[name] is not ProcessChange.KILLED:
-                raise ProcessNotReadyError(f"{name} does not listen", str(self.folder))
+                raise ProcessNotReadyError(
+                    f"the process of {name} exited, or did not listen in time", str(self.folder)
+                )
 
     async def start_all(self) -> None:
         """Starts all nodes that do not run; see `start`."""
--- a/onyxpost/simulation/multiprocess/port_reservation.py
+++ b/onyxpost/simulation/multiprocess/port_reservation.py
@@ -41,7 +41,7 @@
             self._try_to_reserve(*find_restartable_ports(1, rng))
         if len(self.ports) < count:
             self.release()
-            raise NoFreePortsError(f"no {count} ports that no other run has reserved")
+            raise NoFreePortsError(f"fewer than {count} free ports that no other run has reserved")
 
     def release(self) -> None:
         """Releases all ports to other runs; call only once no process uses the ports any more."""
--- a/onyxpost/simulation/multiprocess/process_invariants.py
+++ b/onyxpost/simulation/multiprocess/process_invariants.py
@@ -31,11 +31,11 @@
     for event in events:
         match event:
             case UnhandledError():
-                yield _failure(event, f"fault at {event.where}", event.cause)
+                yield _failure(event, f"unhandled error at {event.where}", event.cause)
             case RequestOverdue() if not _is_excused(event, availability, lag):
-                yield _failure(event, f"overdue at {event.where}", event.request)
+                yield _failure(event, f"overdue request at {event.where}", event.request)
             case ProcessChanged(change=ProcessChange.STOP_TIMED_OUT | ProcessChange.CRASHED):
-                description = f"{event.change} after SIGTERM"
+                description = f"did not exit with 0 in time after SIGTERM ({event.change})"
                 yield Finding(PROCESS_FAILURES, event.at_ms, event.node, description)
 
 
--- a/onyxpost/simulation/multiprocess/recovery_epochs.py
+++ b/onyxpost/simulation/multiprocess/recovery_epochs.py
@@ -51,7 +51,7 @@
             if 2 * len(reset) <= len(self.acceptors):
                 description = (
                     f"a recovery epoch of {acquired.role} began at {began_at_ms:.0f} ms,"
-                    f" when only {reset or 'no acceptor'} had lost state"
+                    f" when no majority of the acceptors had lost state: {reset or 'none'}"
                 )
                 yield Finding(COMMITTED_RECORDS, acquired.at_ms, acquired.node, description)
 
--- a/onyxpost/simulation/multiprocess/scenario.py
+++ b/onyxpost/simulation/multiprocess/scenario.py
@@ -93,7 +93,7 @@
     for kind in scenario.faults:
         if kind not in FAULT_KINDS:
             known = ", ".join(FAULT_KINDS)
-            raise InvalidScenarioError(f"no fault {kind!r}; there are {known} - at `$.faults`", name)
+            raise InvalidScenarioError(f"unknown fault {kind!r}; known are {known} - at `$.faults`", name)
     return msgspec.structs.replace(scenario, name=Path(name).stem)
 
 
@@ -103,7 +103,9 @@
         return path.read_bytes()
     current_name = OLD_NAMES.get(name, name)
     if current_name not in shipped_scenarios():
-        raise InvalidScenarioError(f"no scenario; shipped are {', '.join(shipped_scenarios())}", name)
+        raise InvalidScenarioError(
+            f"no scenario of this name; shipped are {', '.join(shipped_scenarios())}", name
+        )
     file = importlib.resources.files(__package__) / "scenarios" / f"{current_name}{SUFFIX}"
     return file.read_bytes()
 
@@ -117,9 +119,9 @@
     nodes = scenario.nodes if nodes is None else nodes
     seconds = scenario.seconds if seconds is None else seconds
     if not 1 <= nodes <= MAX_NODES:
-        raise InvalidScenarioError(f"{nodes} nodes: 1 to {MAX_NODES}")
+        raise InvalidScenarioError(f"{nodes} nodes given, expected 1 to {MAX_NODES}")
     if not 0.0 < seconds <= MAX_SECONDS:
-        raise InvalidScenarioError(f"{seconds:g} s: above 0, up to {MAX_SECONDS:.0f}")
+        raise InvalidScenarioError(f"{seconds:g} s given, expected above 0, up to {MAX_SECONDS:.0f}")
     return msgspec.structs.replace(scenario, nodes=nodes, seconds=seconds)
 
 
--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -103,6 +103,26 @@
     ),
     # Descriptions of violations in result files.
     (" ms after it was told", " ms after its node was notified of the drain"),
+    # `simulate processes`.
+    ("onyxpost: no scenario; shipped are ", "onyxpost: no scenario given; shipped are "),
+    (
+        "onyxpost: unknown: no scenario; shipped are ",
+        "onyxpost: unknown: no scenario of this name; shipped are ",
+    ),
+    ("onyxpost: no mutation 'unknown'; there are ", "onyxpost: unknown mutation 'unknown'; known are "),
+    (
+        "the mutation 'careless' is of leadership, not of the environment 'edge'",
+        "the mutation 'careless' needs the environment 'leadership', not 'edge'",
+    ),
+    (
+        "no environment 'unknown'; there are edge, leadership",
+        "unknown environment 'unknown'; known are edge, leadership",
+    ),
+    ("no fault 'unknown'; there are ", "unknown fault 'unknown'; known are "),
+    ("no target '", "unknown target '"),
+    ("a script of version 2, not 1", "the script has version 2, expected 1"),
+    (" nodes: 1 to 64", " nodes given, expected 1 to 64"),
+    (" s: above 0, up to 600", " s given, expected above 0, up to 600"),
 )
 
 USAGE_ERROR = re.compile(r"^Error: .*", re.MULTILINE | re.DOTALL)
--- a/tests/simulation/multiprocess/test_command_line.py
+++ b/tests/simulation/multiprocess/test_command_line.py
@@ -45,13 +45,13 @@
 def test_option_out_of_range_is_refused_in_one_line_with_exit_2() -> None:
     refusal = run_command("edge-cuts", "--nodes", "99")
     assert (refusal.returncode, refusal.stderr.count("\n")) == (2, 1)
-    assert "99 nodes: 1 to 64 (name a shipped scenario" in refusal.stderr
+    assert "99 nodes given, expected 1 to 64 (name a shipped scenario" in refusal.stderr
 
 
 def test_unknown_mutation_is_refused_with_the_known_ones() -> None:
     refusal = run_command("edge-cuts", "--mutation", "nothing")
     assert (refusal.returncode, refusal.stderr.count("\n")) == (2, 1)
-    assert "no mutation 'nothing'; there are " in refusal.stderr
+    assert "unknown mutation 'nothing'; known are " in refusal.stderr
     for mutation in LEADERSHIP_MUTATIONS:
         assert mutation in refusal.stderr
 
@@ -59,7 +59,7 @@
 def test_mutation_of_leadership_is_refused_where_no_roles_are_led() -> None:
     refusal = run_command("edge-cuts", "--mutation", "ignore-lease-expiry")
     assert refusal.returncode == 2
-    assert "'ignore-lease-expiry' is of leadership, not of the environment 'edge'" in refusal.stderr
+    assert "'ignore-lease-expiry' needs the environment 'leadership', not 'edge'" in refusal.stderr
 
 
 @pytest.mark.parametrize(
