--- a/onyxpost/simulation/multiprocess/cli.py
+++ b/onyxpost/simulation/multiprocess/cli.py
@@ -67,12 +67,12 @@
     """Runs one script, and prints its figures and first violations."""
     from onyxpost.simulation.multiprocess.runner import kept_folder, run_script
 
-    began = time.perf_counter()
+    started_seconds = time.perf_counter()
     result = run_script(scenario, script, kept)
     counts = "  ".join(f"{name} {count}" for name, count in result.counts.items())
     click.echo(
         f"{scenario.name:16} seed {script.seed:<6} {counts}  faults {sum(result.faults.values())}"
-        f"  violations {len(result.violations)}  {time.perf_counter() - began:.1f} s"
+        f"  violations {len(result.violations)}  {time.perf_counter() - started_seconds:.1f} s"
     )
     for violation in result.violations[:PRINTED_VIOLATIONS]:
         click.echo(f"  {violation.to_line()}")
--- a/onyxpost/simulation/multiprocess/edge_invariants.py
+++ b/onyxpost/simulation/multiprocess/edge_invariants.py
@@ -44,7 +44,7 @@
 
 DEADLINE_TOLERANCE_MS = 50.0  # accepted lateness after a client's timeout
 REORDERING_MS = 30.0  # maximum error in the order of an answer and another event
-FED_EVENTS = (
+CHECKED_EVENTS = (
     RequestSent,
     RequestAnswered,
     RequestUnanswered,
@@ -87,16 +87,16 @@
         availability = ProcessAvailability(events)
         lag = SchedulingLag(events)
         requests = {request.trace: request for request in events_of_type(events, RequestSent)}
-        feed = _CheckerFeed(self.limits, self.frontends, availability, lag)
+        adapter = _CheckerAdapter(self.limits, self.frontends, availability, lag)
         return chain(
-            feed.run(events),
+            adapter.run(events),
             responses_are_complete(events, requests),
             connections_are_answered(events, requests, availability, lag),
             effects_are_not_repeated(events, requests, self.frontends),
         )
 
 
-class _CheckerFeed:
+class _CheckerAdapter:
     """Passes a history to an `InvariantChecker`, in order of the times at which the events take effect."""
 
     def __init__(
@@ -122,14 +122,14 @@
     def run(self, events: Sequence[HistoryEvent]) -> list[Finding]:
         """Returns the checker's violations; their times are limited to that of the last event."""
         scheduled = sorted(
-            ScheduledEvent(self._counts_from_ms(event), position, event)
+            ScheduledEvent(self._effective_at_ms(event), position, event)
             for position, event in enumerate(events)
-            if isinstance(event, FED_EVENTS) and not self._is_lost(event)
+            if isinstance(event, CHECKED_EVENTS) and not self._is_undeliverable(event)
         )
         for at_ms, _, event in scheduled:
             # Answers take effect later by this amount, so deadlines are checked up to the earlier time only.
             self.checker.check_deadlines(at_ms - REORDERING_MS - self.lag.tolerance_ms)
-            self._feed(at_ms, event)
+            self._dispatch(at_ms, event)
         self.checker.finish(inf)
         last_ms = events[-1].at_ms if events else 0.0
         return [
@@ -142,11 +142,11 @@
             for violation in self.checker.violations
         ]
 
-    def _is_lost(self, event: HistoryEvent) -> bool:
+    def _is_undeliverable(self, event: HistoryEvent) -> bool:
         """Whether the event was sent to a node that had no process."""
         return isinstance(event, EndpointNotified) and self.availability.is_dead(event.node, event.at_ms)
 
-    def _counts_from_ms(self, event: HistoryEvent) -> float:
+    def _effective_at_ms(self, event: HistoryEvent) -> float:
         match event:
             case EndpointNotified():
                 read_at_ms = self.availability.available_from(event.node, event.at_ms)
@@ -156,7 +156,7 @@
                 return event.at_ms + REORDERING_MS + self.lag.tolerance_ms
         return event.at_ms
 
-    def _feed(self, at_ms: float, event: HistoryEvent) -> None:
+    def _dispatch(self, at_ms: float, event: HistoryEvent) -> None:
         match event:
             case RequestSent():
                 self._on_request_sent(event)
--- a/onyxpost/simulation/multiprocess/environments.py
+++ b/onyxpost/simulation/multiprocess/environments.py
@@ -36,5 +36,5 @@
         from onyxpost.simulation.multiprocess.leadership_environment import LeadershipEnvironment
 
         return LeadershipEnvironment(context)
-    what = f"unknown environment {name!r}; known are {EDGE}, {LEADERSHIP} - at `$.stage`"
-    raise InvalidScenarioError(what, context.scenario.name)
+    reason = f"unknown environment {name!r}; known are {EDGE}, {LEADERSHIP} - at `$.stage`"
+    raise InvalidScenarioError(reason, context.scenario.name)
--- a/onyxpost/simulation/multiprocess/fenced_resource.py
+++ b/onyxpost/simulation/multiprocess/fenced_resource.py
@@ -24,7 +24,7 @@
 
     from onyxpost.config.address import Address
 
-TARGET = re.compile(rb"/acts/([A-Za-z0-9_.-]{1,100})")
+CALL_TARGET_PATTERN = re.compile(rb"/acts/([A-Za-z0-9_.-]{1,100})")
 MAX_BODY_BYTES = 65536
 MAX_TOKEN_DIGITS = 19
 RECORDED_BODY_BYTES = 200  # the rest of a body is left out of the history
@@ -45,7 +45,7 @@
 def decode_call(head: h11.Request, body: bytes) -> FencedCall | None:
     """Returns the fenced call of a request; None if the request is malformed."""
     headers = dict(head.headers)
-    target = TARGET.fullmatch(head.target)
+    target = CALL_TARGET_PATTERN.fullmatch(head.target)
     token = headers.get(b"fence", b"")
     leader = headers.get(b"holder", b"")
     if target is None or head.method != b"POST" or not leader:
--- a/onyxpost/simulation/multiprocess/leadership_environment.py
+++ b/onyxpost/simulation/multiprocess/leadership_environment.py
@@ -59,7 +59,7 @@
         self.agent = DiscoveryAgent(SocketTransport(), self, 0, ANY_PORT)
         self.leaders: dict[str, str] = {}  # by role, the node whose fenced call was accepted last
         self.calls = FencedCallObserver(context)
-        self.faults = LeadershipFaults(context, self.acceptors, self.leaders, self.calls.pieces_sent)
+        self.faults = LeadershipFaults(context, self.acceptors, self.leaders, self.calls.chunks_sent)
         context.observe_bytes(self.calls.observe)
 
     async def open(self) -> None:
--- a/onyxpost/simulation/multiprocess/leadership_failover.py
+++ b/onyxpost/simulation/multiprocess/leadership_failover.py
@@ -17,15 +17,15 @@
     from onyxpost.simulation.multiprocess.history import HistoryEvent
     from onyxpost.simulation.multiprocess.leadership_terms import LeadershipTerm
 
-KEPT_ROLE_TOLERANCE_MS = 100.0  # a leader that recovers may log the end of its lease this late
+KEPT_ROLE_LOG_TOLERANCE_MS = 100.0  # a leader that recovers may log the end of its lease this late
 # Signals that are sent later than this after the start of the last fault are part of the run's shutdown.
-SHUTDOWN_MS = 1000.0
+SHUTDOWN_AFTER_LAST_FAULT_MS = 1000.0
 FAULT_NAMES = {
     ProcessChange.TERMINATING: "term",
     ProcessChange.KILLED: "kill",
     ProcessChange.PAUSED: "stop",
 }
-ISOLATION = "cut"
+ISOLATION_NAME = "cut"
 
 
 class LeaderFault(NamedTuple):
@@ -43,11 +43,11 @@
     for event in events:
         match event:
             case ProcessChanged() if (
-                event.change in FAULT_NAMES and event.at_ms <= last_fault_ms + SHUTDOWN_MS
+                event.change in FAULT_NAMES and event.at_ms <= last_fault_ms + SHUTDOWN_AFTER_LAST_FAULT_MS
             ):
                 found.append(LeaderFault(event.at_ms, event.node, FAULT_NAMES[event.change]))
             case FaultStarted(kind="alone"):
-                found.append(LeaderFault(event.at_ms, event.target, ISOLATION))
+                found.append(LeaderFault(event.at_ms, event.target, ISOLATION_NAME))
     return found
 
 
@@ -72,7 +72,7 @@
 ) -> float | None:
     affected = [term for term in terms if term.node == fault.node and term.contains(fault.at_ms)]
     later_begins_ms = [term.begin_ms for term in terms if term.begin_ms > fault.at_ms]
-    latest_end_ms = fault.at_ms + lease_ms + KEPT_ROLE_TOLERANCE_MS
+    latest_end_ms = fault.at_ms + lease_ms + KEPT_ROLE_LOG_TOLERANCE_MS
     if not affected or not later_begins_ms or any(term.end_ms > latest_end_ms for term in affected):
         return None
     return min(later_begins_ms) - fault.at_ms
--- a/onyxpost/simulation/multiprocess/leadership_faults.py
+++ b/onyxpost/simulation/multiprocess/leadership_faults.py
@@ -30,7 +30,7 @@
         context: the run's context.
         acceptors: the nodes with an acceptor.
         leaders: by role, the node whose fenced call was accepted last; changes during the run.
-        pieces_sent: by node, the number of chunks of fenced calls sent; changes during the run.
+        chunks_sent: by node, the number of chunks of fenced calls sent; changes during the run.
     """
 
     def __init__(
@@ -38,12 +38,12 @@
         context: RunContext,
         acceptors: Sequence[str],
         leaders: Mapping[str, str],
-        pieces_sent: Mapping[str, int],
+        chunks_sent: Mapping[str, int],
     ) -> None:
         self.context = context
         self.acceptors = acceptors
         self.leaders = leaders
-        self.pieces_sent = pieces_sent
+        self.chunks_sent = chunks_sent
         self.delayed_calls = 0
 
     async def kill_acceptors(self, fault: Fault, lease_ms: float) -> None:
@@ -70,14 +70,14 @@
         processes = self.context.processes.group
         roles = [role for role, node in self.leaders.items() if node == leader]
         link = self.context.proxy.links.link(leader, RESOURCE)
-        sent_before = self.pieces_sent.get(leader, 0)
+        sent_before = self.chunks_sent.get(leader, 0)
         self.delayed_calls += 1
         fault_id = FIRST_FAULT_ID + self.delayed_calls
         link.start_fault(fault_id, LinkBehavior(stall=True))
         try:
             call_timeout_seconds = CALL_INTERVALS_TO_WAIT * call_interval_ms / MS_PER_SECOND
             await self._wait_until(
-                lambda: self.pieces_sent.get(leader, 0) > sent_before, call_timeout_seconds
+                lambda: self.chunks_sent.get(leader, 0) > sent_before, call_timeout_seconds
             )
             if processes.pause(leader):
                 await asyncio.sleep(fault.duration_seconds)
--- a/onyxpost/simulation/multiprocess/leadership_mutations.py
+++ b/onyxpost/simulation/multiprocess/leadership_mutations.py
@@ -33,13 +33,13 @@
     Attributes:
         name: the name on the command line and in scripts.
         old_name: the name in scripts of earlier builds.
-        seam: the function whose behavior the mutation changes.
+        changed_function: the function whose behavior the mutation changes.
         inject: changes the behavior in the process of a node before it runs; None if nodes are unchanged.
     """
 
     name: str
     old_name: str
-    seam: Callable[..., Any]
+    changed_function: Callable[..., Any]
     inject: Callable[[EdgeNode], None] | None
 
 
--- a/onyxpost/simulation/multiprocess/leadership_traffic.py
+++ b/onyxpost/simulation/multiprocess/leadership_traffic.py
@@ -13,7 +13,7 @@
     from onyxpost.simulation.multiprocess.run_context import RunContext
     from onyxpost.simulation.multiprocess.tcp_proxy import Transfer
 
-CALL = re.compile(rb"POST /acts/(\S+) .*?\r\nfence: (\d+)\r\n", re.IGNORECASE | re.DOTALL)
+CALL_PATTERN = re.compile(rb"POST /acts/(\S+) .*?\r\nfence: (\d+)\r\n", re.IGNORECASE | re.DOTALL)
 RESOURCE = "s0"
 
 
@@ -21,12 +21,12 @@
     """Records the fenced calls that fault proxies received.
 
     Attributes:
-        pieces_sent: by node, the number of chunks of calls that its fault proxy has received.
+        chunks_sent: by node, the number of chunks of calls that its fault proxy has received.
     """
 
     def __init__(self, context: RunContext) -> None:
         self.context = context
-        self.pieces_sent: Counter[str] = Counter()
+        self.chunks_sent: Counter[str] = Counter()
 
     def observe(self, transfer: Transfer) -> None:
         """Receives all bytes of TCP from the fault proxy.
@@ -35,8 +35,8 @@
         """
         if transfer.destination != RESOURCE or transfer.stage is not TransferStage.RECEIVED:
             return
-        self.pieces_sent[transfer.source] += 1
-        call = CALL.search(transfer.data)
+        self.chunks_sent[transfer.source] += 1
+        call = CALL_PATTERN.search(transfer.data)
         if call is not None:
             event = FencedCallSent(
                 self.context.ms_before_now(transfer.unread_ms),
--- a/onyxpost/simulation/multiprocess/link.py
+++ b/onyxpost/simulation/multiprocess/link.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-MAX_DELAYED_DATAGRAMS = 1000  # a stalled link holds this many datagrams and loses all later ones
+MAX_HELD_DATAGRAMS = 1000  # a stalled link holds this many datagrams and loses all later ones
 
 
 class LinkBehavior(NamedTuple):
@@ -50,7 +50,7 @@
         self.is_open = asyncio.Event()
         self.is_open.set()
         self._behaviors: dict[int, LinkBehavior] = {}
-        self._waiting_datagrams: list[Callable[[], None]] = []
+        self._held_datagrams: list[Callable[[], None]] = []
 
     def start_fault(self, fault_id: int, behavior: LinkBehavior) -> None:
         """Starts a fault, or replaces the behavior of an active one."""
@@ -69,8 +69,8 @@
 
     def hold_datagram(self, forward: Callable[[], None]) -> None:
         """Holds a datagram until the link heals; `forward` then sends it."""
-        if len(self._waiting_datagrams) < MAX_DELAYED_DATAGRAMS:
-            self._waiting_datagrams.append(forward)
+        if len(self._held_datagrams) < MAX_HELD_DATAGRAMS:
+            self._held_datagrams.append(forward)
 
     def _update(self) -> None:
         behaviors = list(self._behaviors.values())
@@ -86,9 +86,9 @@
             self.is_open.clear()
             return
         self.is_open.set()
-        waiting = self._waiting_datagrams
-        self._waiting_datagrams = []
-        for forward in waiting:
+        held = self._held_datagrams
+        self._held_datagrams = []
+        for forward in held:
             forward()
 
 
--- a/onyxpost/simulation/multiprocess/load_generator.py
+++ b/onyxpost/simulation/multiprocess/load_generator.py
@@ -28,10 +28,10 @@
     from onyxpost.simulation.multiprocess.run_context import RunContext
 
 ANSWER_GRACE_MS = 250.0  # answers are read up to this time after the client's timeout
-LINGER_SECONDS = 0.1  # time after an answer in which no more bytes may arrive
+EXTRA_BYTES_WAIT_SECONDS = 0.1  # time after an answer in which no more bytes may arrive
 MAX_RESPONSE_BYTES = 65536
 MAX_DESCRIPTION_CHARS = 200
-OUTCOMES = {200: "passed", 429: "denied", 503: "denied", 502: "aborted"}  # outcomes by HTTP status
+OUTCOMES_BY_STATUS = {200: "passed", 429: "denied", 503: "denied", 502: "aborted"}
 BODY = b"xx"
 TIGHT_PLAN_INTERVAL = 3  # every third customer has the plan with the low hard limit
 
@@ -137,7 +137,7 @@
             response, body = await read_response(
                 http, lambda: reader.read(READ_CHUNK_BYTES), MAX_RESPONSE_BYTES
             )
-        outcome = OUTCOMES.get(response.status_code, str(response.status_code))
+        outcome = OUTCOMES_BY_STATUS.get(response.status_code, str(response.status_code))
         answered_at_ms = context.ms_before_now(unread_ms(writer))
         context.record(RequestAnswered(answered_at_ms, trace=trace, outcome=outcome))
         if outcome == "passed" and body != b"page of " + trace.encode():
@@ -154,9 +154,9 @@
 
 
 async def _read_extra(reader: asyncio.StreamReader) -> bytes:
-    """Returns bytes that arrive within `LINGER_SECONDS`; empty if none do."""
+    """Returns bytes that arrive within `EXTRA_BYTES_WAIT_SECONDS`; empty if none do."""
     try:
-        async with asyncio.timeout(LINGER_SECONDS):
+        async with asyncio.timeout(EXTRA_BYTES_WAIT_SECONDS):
             return await reader.read(READ_CHUNK_BYTES)
     except (TimeoutError, OSError):
         return b""
--- a/onyxpost/simulation/multiprocess/node_file.py
+++ b/onyxpost/simulation/multiprocess/node_file.py
@@ -10,7 +10,7 @@
     from onyxpost.simulation.multiprocess.run_context import RunContext
     from onyxpost.simulation.stubs import DiscoveryAgent
 
-SOCKETS_LIMIT = 512
+MAX_SOCKETS = 512
 SEEDS_PER_RUN = 1000  # a node's seed is the run's seed times this, plus the node's index
 
 
@@ -31,7 +31,7 @@
         "listen": format_address(context.addresses[f"n{index}"]),
         "discovery": discovery,
         "seed": f"{context.seed * SEEDS_PER_RUN + index:x}",
-        "limits": {"sockets": SOCKETS_LIMIT},
+        "limits": {"sockets": MAX_SOCKETS},
         "peer_listen": format_address(context.addresses[f"n{index}/udp"]),
         "peers": peers,
         "known": {"generation": agent.generation, "instances": list(agent.endpoints.values())},
--- a/onyxpost/simulation/multiprocess/port_reservation.py
+++ b/onyxpost/simulation/multiprocess/port_reservation.py
@@ -34,7 +34,7 @@
             NoFreePortsError: too few ports are both free and unreserved.
         """
         self.ports: list[int] = []
-        self._names = ExitStack()
+        self._lock_sockets = ExitStack()
         for _ in range(ATTEMPTS_PER_PORT * count):
             if len(self.ports) == count:
                 return
@@ -45,14 +45,14 @@
 
     def release(self) -> None:
         """Releases all ports to other runs; call only once no process uses the ports any more."""
-        self._names.close()
+        self._lock_sockets.close()
 
     def _try_to_reserve(self, port: int) -> None:
-        name = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
+        lock_socket = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         try:
-            name.bind(f"{NAME_PREFIX}{port}")
+            lock_socket.bind(f"{NAME_PREFIX}{port}")
         except OSError:  # already reserved, by another run or this one
-            name.close()
+            lock_socket.close()
             return
-        self._names.enter_context(name)
+        self._lock_sockets.enter_context(lock_socket)
         self.ports.append(port)
--- a/onyxpost/simulation/multiprocess/process_availability.py
+++ b/onyxpost/simulation/multiprocess/process_availability.py
@@ -15,7 +15,7 @@
 
     from onyxpost.simulation.multiprocess.history import HistoryEvent
 
-WAKE_UP_MS = 100.0  # time after SIGCONT until a process has noticed the pause
+RESUME_DELAY_MS = 100.0  # time after SIGCONT until a process has noticed the pause
 
 
 class Interval(NamedTuple):
@@ -79,7 +79,7 @@
                 self.dead[node].append(Interval(self._dead_since.pop(node), event.at_ms))
             case ProcessChange.RESUMED if node in self._unavailable_since:
                 begin_ms = self._unavailable_since.pop(node)
-                self.unavailable[node].append(Interval(begin_ms, event.at_ms + WAKE_UP_MS))
+                self.unavailable[node].append(Interval(begin_ms, event.at_ms + RESUME_DELAY_MS))
             case ProcessChange.SERVING if node in self._unavailable_since:
                 self.unavailable[node].append(Interval(self._unavailable_since.pop(node), event.at_ms))
             case change if change in PROCESS_ENDS:
--- a/onyxpost/simulation/multiprocess/recovery_epochs.py
+++ b/onyxpost/simulation/multiprocess/recovery_epochs.py
@@ -19,7 +19,7 @@
 
     from onyxpost.simulation.multiprocess.history import HistoryEvent
 
-LOG_DELAY_MS = 5.0  # maximum delay between the start of an epoch and the acceptor's log line
+MAX_LOG_DELAY_MS = 5.0  # maximum delay between the start of an epoch and the acceptor's log line
 
 
 class RecoveryEpochsJustified:
@@ -42,16 +42,16 @@
                 continue
             latest_epoch_ms[acquired.role] = acquired.recovery_epoch_ms
             assert acquired.unix_ms is not None, "the program's own lines have their Unix time"
-            began_at_ms = acquired.recovery_epoch_ms - acquired.unix_ms + acquired.at_ms
-            reset = [
+            started_at_ms = acquired.recovery_epoch_ms - acquired.unix_ms + acquired.at_ms
+            acceptors_without_state = [
                 acceptor
                 for acceptor in self.acceptors
-                if self._had_lost_state(events, acceptor, acquired.role, began_at_ms)
+                if self._had_lost_state(events, acceptor, acquired.role, started_at_ms)
             ]
-            if 2 * len(reset) <= len(self.acceptors):
+            if 2 * len(acceptors_without_state) <= len(self.acceptors):
                 description = (
-                    f"a recovery epoch of {acquired.role} began at {began_at_ms:.0f} ms,"
-                    f" when no majority of the acceptors had lost state: {reset or 'none'}"
+                    f"a recovery epoch of {acquired.role} began at {started_at_ms:.0f} ms,"
+                    f" when no majority of the acceptors had lost state: {acceptors_without_state or 'none'}"
                 )
                 yield Finding(COMMITTED_RECORDS, acquired.at_ms, acquired.node, description)
 
@@ -64,7 +64,7 @@
                     lost_at_ms = min(lost_at_ms, event.at_ms)
                 case AcceptorVoting(node=node) if node == acceptor and event.role == role:
                     is_recent = event.at_ms >= at_ms - self.report_validity_ms
-                    if lost_at_ms <= at_ms + LOG_DELAY_MS and is_recent:
+                    if lost_at_ms <= at_ms + MAX_LOG_DELAY_MS and is_recent:
                         return True
                     lost_at_ms = inf
-        return lost_at_ms <= at_ms + LOG_DELAY_MS
+        return lost_at_ms <= at_ms + MAX_LOG_DELAY_MS
--- a/onyxpost/simulation/multiprocess/runner.py
+++ b/onyxpost/simulation/multiprocess/runner.py
@@ -39,12 +39,12 @@
         try:
             result = asyncio.run(_run_until_signal(scenario, script, folder))
         except ProcessNotReadyError:
-            _keep(folder, kept, script)
+            _keep_run(folder, kept, script)
             raise
         if result is None:
             raise KeyboardInterrupt
         if result.violations:
-            _keep(folder, kept, script)
+            _keep_run(folder, kept, script)
         return result
 
 
@@ -65,7 +65,7 @@
         return None
 
 
-def _keep(folder: Path, kept: Path | None, script: FaultScript) -> None:
+def _keep_run(folder: Path, kept: Path | None, script: FaultScript) -> None:
     if kept is None:
         return
     target = kept_folder(kept, script)
