--- a/tests/simulation/multiprocess/events.py
+++ b/tests/simulation/multiprocess/events.py
@@ -1,4 +1,4 @@
-"""Events of a history for tests, as short as the tests' tables need them."""
+"""Short constructors for events of a history, with default values for the fields that tests rarely set."""
 
 from __future__ import annotations
 
@@ -26,27 +26,27 @@
 
 
 def request_sent(at_ms: float, trace: str = "r1", frontend: str = "pay", plan: str = "open") -> RequestSent:
-    """A client's request to n0."""
+    """A client sends a request to n0."""
     return RequestSent(at_ms, node="n0", trace=trace, frontend=frontend, customer="1", plan=plan, units=3)
 
 
 def answered(at_ms: float, outcome: str = "passed", trace: str = "r1") -> RequestAnswered:
-    """The answer that the client read."""
+    """The client receives an answer."""
     return RequestAnswered(at_ms, trace=trace, outcome=outcome)
 
 
 def unanswered(at_ms: float, cause: str = "cut", trace: str = "r1") -> RequestUnanswered:
-    """The end of the client's connection without an answer."""
+    """The client's connection ends without an answer."""
     return RequestUnanswered(at_ms, trace=trace, cause=cause)
 
 
 def timed_out(at_ms: float) -> RequestUnanswered:
-    """The client's timeout."""
+    """The client's request times out."""
     return unanswered(at_ms, TIMED_OUT)
 
 
 def attempt_forwarded(at_ms: float, server: int = 0, trace: str = "r1") -> AttemptForwarded:
-    """An attempt that left n0."""
+    """An attempt of n0 arrives in its fault proxy; even servers are in cell 0, zone a, odd ones in 1, b."""
     cell = server % 2
     return AttemptForwarded(at_ms, node="n0", trace=trace, server=f"s{server}-0", zone="ab"[cell], cell=cell)
 
@@ -54,7 +54,7 @@
 def attempt_received(
     at_ms: float, server: int = 0, attempt_number: int = 1, trace: str = "r1"
 ) -> AttemptReceived:
-    """An attempt that reached its server."""
+    """An attempt reaches its app server."""
     cell = server % 2
     return AttemptReceived(
         at_ms,
@@ -68,44 +68,44 @@
 
 
 def not_executed(at_ms: float) -> AttemptNotExecuted:
-    """The rejection of the first attempt by its server."""
+    """The app server rejects the first attempt without executing it."""
     return AttemptNotExecuted(at_ms, trace="r1", server="s0-0", attempt_number=1)
 
 
 def notified(at_ms: float, state: EndpointState) -> EndpointNotified:
-    """What n0 was told of server 0."""
+    """Discovery reports the state of server 0 to n0."""
     return EndpointNotified(at_ms, node="n0", server="s0-0", state=state)
 
 
 def process(at_ms: float, change: ProcessChange, node: str = "n0") -> ProcessChanged:
-    """A change of a node's process."""
+    """A node's process changes."""
     return ProcessChanged(at_ms, node=node, change=change)
 
 
 def paused(begin_ms: float, end_ms: float) -> list[ProcessChanged]:
-    """SIGSTOP and SIGCONT of n0."""
+    """The process of n0 is paused by SIGSTOP and resumed by SIGCONT."""
     return [process(begin_ms, ProcessChange.PAUSED), process(end_ms, ProcessChange.RESUMED)]
 
 
 def lag(at_ms: float, lag_ms: float, node: str = "") -> LagMeasured:
-    """Lag of a node, or of all."""
+    """Scheduling lag of a node, or of the simulation if no node is given."""
     return LagMeasured(at_ms, lag_ms=lag_ms, node=node)
 
 
 def acquired(at_ms: float, node: str, fencing_token: int, **fields: Any) -> LeadershipAcquired:
-    """A node leads the role `d`."""
+    """A node is elected leader of the role `d`."""
     return LeadershipAcquired(at_ms, node=node, role="d", fencing_token=fencing_token, **fields)
 
 
 def lost(at_ms: float, node: str, ended_ms_ago: float = 0.0) -> LeadershipLost:
-    """A node leads the role `d` no longer."""
+    """A node no longer leads the role `d`, and its lease ended `ended_ms_ago`."""
     return LeadershipLost(at_ms, node=node, role="d", ended_ms_ago=ended_ms_ago)
 
 
 def committed(
     at_ms: float, node: str, fencing_token: int, sequence: int, unix_ms: float | None = None
 ) -> RecordCommitted:
-    """A record `x` of the role `d` is committed."""
+    """The record `x` of the role `d` is committed."""
     return RecordCommitted(
         at_ms,
         node=node,
@@ -120,10 +120,10 @@
 def call_received(
     at_ms: float, leader: str, fencing_token: int, *, accepted: bool = True
 ) -> FencedCallReceived:
-    """A fenced call for the role `d` reached the resource."""
+    """A fenced call for the role `d` reaches the fenced resource."""
     return FencedCallReceived(at_ms, leader=leader, role="d", fencing_token=fencing_token, accepted=accepted)
 
 
 def call_sent(at_ms: float, node: str, fencing_token: int) -> FencedCallSent:
-    """A fenced call for the role `d` left a node."""
+    """A fenced call for the role `d` arrives in the node's fault proxy."""
     return FencedCallSent(at_ms, node=node, role="d", fencing_token=fencing_token)
--- a/tests/simulation/multiprocess/history_file.py
+++ b/tests/simulation/multiprocess/history_file.py
@@ -1,4 +1,4 @@
-"""Reads the history that a run has written."""
+"""Reads the file of a run's history."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def read_history(path: Path) -> list[HistoryEvent]:
-    """The events of a history file, in order of time, without the lines that no invariant reads."""
+    """Returns the events of a history file in order of time, without lines that no invariant reads."""
     lines: list[dict[str, Any]] = [msgspec.json.decode(line) for line in path.read_bytes().splitlines()]
     return [
         msgspec.convert(line, EVENT_TYPES[line["event"]], strict=False)
--- a/tests/simulation/multiprocess/late_simulation.py
+++ b/tests/simulation/multiprocess/late_simulation.py
@@ -1,4 +1,4 @@
-"""An edge node that a thread plays, beside a simulation whose event loop is late in every turn."""
+"""Runs an edge node in a thread, with a simulation whose event loop is late in each turn."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 SEED = 3
 SECONDS = 1.0
-TURN_SECONDS = 0.06  # by which each turn of the event loop is late
+TURN_DELAY_SECONDS = 0.06  # delay of each turn of the event loop
 SOCKET_TIMEOUT_SECONDS = 5.0
 MAX_HEAD_BYTES = 65536
 TRACE_ID = re.compile(rb"x-trace-id: ([^\r\n]+)", re.IGNORECASE)
@@ -38,14 +38,19 @@
 
 
 def send_attempt(trace: bytes, proxy: Address) -> socket.socket:
-    """Sends a request to the app server; returns the connection."""
+    """Sends an attempt to the app server through the proxy; returns the connection."""
     connection = socket.create_connection(proxy, SOCKET_TIMEOUT_SECONDS)
     connection.sendall(b"GET / HTTP/1.1\r\nHost: s\r\nX-Trace-Id: " + trace + b"\r\n\r\n")
     return connection
 
 
 class ThreadedNode:
-    """The node `n0`: accepts clients, and has each request handled in a thread of its own."""
+    """The node `n0`, which accepts clients and handles each request in its own thread.
+
+    Args:
+        handle: is called with the client's connection, the trace id and the app server's proxy address.
+        proxy: the address of the app server's proxy.
+    """
 
     def __init__(self, handle: Callable[[socket.socket, bytes, Address], None], proxy: Address) -> None:
         self._handle = handle
@@ -56,14 +61,14 @@
         self._threads[0].start()
 
     def close(self) -> None:
-        """Stops to listen, and waits until all requests are handled."""
+        """Stops listening, and waits until all requests are handled."""
         self._listener.shutdown(socket.SHUT_RDWR)
         while self._threads:
             self._threads.pop(0).join()
         self._listener.close()
 
     def _accept(self) -> None:
-        with contextlib.suppress(OSError):  # of the shutdown
+        with contextlib.suppress(OSError):  # raised by `accept` after the shutdown
             while True:
                 client, _ = self._listener.accept()
                 thread = threading.Thread(target=self._serve, args=(client,))
@@ -81,7 +86,7 @@
 async def record_history(
     handle: Callable[[socket.socket, bytes, Address], None], folder: Path
 ) -> tuple[list[HistoryEvent], Invariant]:
-    """Returns the history of a node's requests under a late event loop, and the invariants of edge nodes."""
+    """Runs load under a late event loop; returns the history, and the invariants of edge nodes."""
     scenario = with_size(load_scenario("edge-cuts"), 1, SECONDS)
     context = RunContext(scenario, FaultScript("edge-cuts", SEED, 1, SECONDS, []), folder)
     environment = EdgeEnvironment(context)
@@ -95,13 +100,13 @@
     node = ThreadedNode(handle, await context.proxy.tcp.open("n0", "s0.0"))
     context.addresses["n0"] = node.address
     context.start_clock()
-    disturbances = [asyncio.create_task(monitor_lag(context)), asyncio.create_task(_delay_each_turn())]
+    background_tasks = [asyncio.create_task(monitor_lag(context)), asyncio.create_task(_delay_each_turn())]
     try:
         await LoadGenerator(context, frontends, MAX_REQUEST_UNITS).run(SECONDS)
         await asyncio.sleep(SECONDS)
     finally:
-        for disturbance in disturbances:
-            disturbance.cancel()
+        for task in background_tasks:
+            task.cancel()
         await asyncio.to_thread(node.close)
         server.close()
         await context.close()
@@ -111,5 +116,5 @@
 
 async def _delay_each_turn() -> None:
     while True:
-        time.sleep(TURN_SECONDS)  # noqa: ASYNC251 - blocks the event loop on purpose
+        time.sleep(TURN_DELAY_SECONDS)  # noqa: ASYNC251 - blocks the event loop on purpose
         await asyncio.sleep(0)
--- a/tests/simulation/multiprocess/leadership_runs.py
+++ b/tests/simulation/multiprocess/leadership_runs.py
@@ -1,8 +1,9 @@
-"""Runs of leader election with real processes that are repeated until they gave the occasion for a judgement.
+"""Runs leader election with real processes, and repeats runs that are inconclusive.
 
-A run takes place in real time. On a busy machine an election may take longer than the fault that calls for
-it, and then the run shows nothing: neither a violation nor that there is none. Such a run is repeated with
-all times longer, at most `MAX_ATTEMPTS` times in all. One that gave the occasion is judged as it is.
+Runs take place in real time. On a busy machine an election may take longer than the fault that requires it.
+Such a run shows neither a violation nor that there is none, because it does not meet the precondition of its
+test. It is repeated with all times longer, up to `MAX_RUNS` runs in all. The result of a run that meets the
+precondition counts, whatever it is.
 """
 
 from __future__ import annotations
@@ -26,26 +27,26 @@
 
     from onyxpost.simulation.multiprocess.history import HistoryEvent
 
-MAX_ATTEMPTS = 3  # with all times multiplied by 1, 2, 3
+MAX_RUNS = 3  # with all times multiplied by 1, 2 and 3
 NODES = 5
 SEED = 3
 STARTUP_TIMEOUT_SECONDS = 60.0
 
 
 class ScriptFailedError(Exception):
-    """A run ended without a result; the message has what its processes wrote to standard error."""
+    """A run ended without a result; the message contains the standard error of its processes."""
 
 
 class LeadershipRun(NamedTuple):
-    """A script and the occasion that it must give.
+    """A script and the precondition that its run must meet.
 
     Attributes:
-        mutation: that is injected; empty: none.
-        invariant: that must find the mutation; empty: none.
-        lease_seconds: of the roles.
-        seconds: duration.
-        faults: the script.
-        has_occasion: whether a history and the result line of the run can be judged.
+        mutation: the injected mutation; empty for none.
+        invariant: the invariant that must find the mutation; empty for none.
+        lease_seconds: lease of the roles.
+        seconds: duration of the run.
+        faults: the faults of the script.
+        is_conclusive: whether a run with this history and result line meets the precondition.
     """
 
     mutation: str
@@ -53,10 +54,10 @@
     lease_seconds: float
     seconds: float
     faults: Sequence[Fault]
-    has_occasion: Callable[[Sequence[HistoryEvent], dict[str, Any]], bool]
+    is_conclusive: Callable[[Sequence[HistoryEvent], dict[str, Any]], bool]
 
-    def stretched(self, factor: int) -> LeadershipRun:
-        """The same run with all times multiplied."""
+    def scaled(self, factor: int) -> LeadershipRun:
+        """Returns the same run with all times multiplied by the factor."""
         faults = [
             msgspec.structs.replace(
                 fault,
@@ -70,30 +71,33 @@
         )
 
 
-class Attempt(NamedTuple):
-    """One run: its result line, and whether it gave the occasion."""
+class RunOutcome(NamedTuple):
+    """The result line of one run, and whether the run met the precondition."""
 
     result: dict[str, Any]
-    had_occasion: bool
+    was_conclusive: bool
 
     @property
     def violated_invariants(self) -> set[str]:
-        """Names of the invariants that were violated."""
+        """The names of the violated invariants."""
         return {violation["rule"] for violation in self.result["breaches"]}
 
 
-def run_until_occasion(run: LeadershipRun) -> list[Attempt]:
-    """Returns all attempts; the last gave the occasion or found the mutation, or they were `MAX_ATTEMPTS`."""
-    attempts: list[Attempt] = []
-    for factor in range(1, MAX_ATTEMPTS + 1):
-        attempts.append(run_once(run.stretched(factor)))
-        if attempts[-1].had_occasion or run.invariant in attempts[-1].violated_invariants:
+def run_until_conclusive(run: LeadershipRun) -> list[RunOutcome]:
+    """Repeats a run until it meets the precondition or finds the mutation, and returns all outcomes.
+
+    There are at most `MAX_RUNS` outcomes, and the last one may be inconclusive.
+    """
+    outcomes: list[RunOutcome] = []
+    for factor in range(1, MAX_RUNS + 1):
+        outcomes.append(run_once(run.scaled(factor)))
+        if outcomes[-1].was_conclusive or run.invariant in outcomes[-1].violated_invariants:
             break
-    return attempts
+    return outcomes
 
 
-def run_once(run: LeadershipRun) -> Attempt:
-    """Runs the script in a process of its own."""
+def run_once(run: LeadershipRun) -> RunOutcome:
+    """Runs the script once, in its own process."""
     memory = MEMORY_FOLDER if MEMORY_FOLDER.is_dir() else None
     with tempfile.TemporaryDirectory(dir=memory) as name:
         folder = Path(name)
@@ -105,14 +109,14 @@
         (folder / INPUT_FILE).write_bytes(encode_script(script))
         run_in_process(scenario, folder, run.seconds + STARTUP_TIMEOUT_SECONDS)
         result: dict[str, Any] = msgspec.json.decode((folder / RESULT_FILE).read_bytes())
-        return Attempt(result, run.has_occasion(read_history(folder / HISTORY_FILE), result))
+        return RunOutcome(result, run.is_conclusive(read_history(folder / HISTORY_FILE), result))
 
 
 def run_in_process(scenario: Path, folder: Path, timeout_seconds: float) -> None:
-    """Runs the script of the folder in a process of its own.
+    """Runs the script in the folder in its own process.
 
     Raises:
-        ScriptFailedError: the process failed or did not end in time; with what it and its nodes wrote.
+        ScriptFailedError: the process failed or did not end in time; with the output of process and nodes.
     """
     command = [sys.executable, "-m", "tests.simulation.multiprocess.run_script", str(scenario), str(folder)]
     try:
@@ -125,12 +129,14 @@
             timeout=timeout_seconds,
         )
     except subprocess.TimeoutExpired as error:
-        raise ScriptFailedError(f"no end in {timeout_seconds} s\n{node_errors(folder)}") from error
+        raise ScriptFailedError(
+            f"the run did not end within {timeout_seconds} s\n{node_errors(folder)}"
+        ) from error
     if process.returncode != 0:
         raise ScriptFailedError(f"exit status {process.returncode}\n{process.stdout}{node_errors(folder)}")
 
 
 def node_errors(folder: Path) -> str:
-    """What the nodes wrote to standard error, each text with the name of its file."""
+    """Returns what the nodes wrote to standard error, each text after the name of its file."""
     texts = {path.name: path.read_text(errors="replace") for path in sorted(folder.glob("*.err"))}
     return "".join(f"--- {name}\n{text}" for name, text in texts.items() if text)
--- a/tests/simulation/multiprocess/occasions.py
+++ b/tests/simulation/multiprocess/preconditions.py
@@ -1,4 +1,4 @@
-"""Occasions: what must have happened in a run for a mutation to be found."""
+"""Preconditions: what must have happened in a run for its mutation to be found."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
     from onyxpost.simulation.multiprocess.history import HistoryEvent
 
 MS_PER_SECOND = 1000.0
-# Of the isolation of a leader: by then restarted acceptors must serve, so that an election fits into the rest
-# of its lease, of which at least three quarters are left when it is isolated.
-RESTART_FRACTION = 0.25
-MAX_LAG_FRACTION = 0.03  # of the isolation: more lag may delay an election past the lease
+# Part of a leader's isolation within which restarted acceptors must serve. An election must fit into the rest
+# of the leader's lease, of which at least three quarters are left when the leader is isolated.
+MAX_RESTART_FRACTION = 0.25
+MAX_LAG_FRACTION = 0.03  # part of the isolation; more lag may delay an election past the lease
 
 
 def stale_token_was_received(events: Sequence[HistoryEvent]) -> bool:
-    """Whether the resource received a call with a lower token than it had accepted of the role before."""
+    """Whether the resource received a call with a lower token than an earlier call for the role."""
     highest: dict[str, int] = {}
     for event in events:
         if not isinstance(event, FencedCallReceived):
@@ -39,7 +39,7 @@
 
 
 def successor_was_elected_during_isolation(events: Sequence[HistoryEvent]) -> bool:
-    """Whether another node was elected for a role of a leader while that one was isolated."""
+    """Whether another node was elected for a role while the role's leader was isolated."""
     terms_by_role = leadership_terms(events)
     for isolation in _isolations(events):
         end_ms = isolation.at_ms + isolation.duration_seconds * MS_PER_SECOND
@@ -56,11 +56,11 @@
 
 
 def acceptors_restarted_early_during_isolation(events: Sequence[HistoryEvent]) -> bool:
-    """Whether two acceptors restarted early in the isolation of a leader, without lag of the machine."""
+    """Whether two acceptors restarted early in a leader's isolation, and scheduling lag was small."""
     for isolation in _isolations(events):
         duration_ms = isolation.duration_seconds * MS_PER_SECOND
         end_ms = isolation.at_ms + duration_ms
-        latest_ms = isolation.at_ms + RESTART_FRACTION * duration_ms
+        latest_ms = isolation.at_ms + MAX_RESTART_FRACTION * duration_ms
         restarted = {
             event.node
             for event in events
@@ -87,7 +87,7 @@
 
 
 def leader_followed_a_committed_record(events: Sequence[HistoryEvent]) -> bool:
-    """Whether a node was elected for a role of which an earlier leader had committed a record."""
+    """Whether a node was elected for a role for which a leader with a lower token had committed a record."""
     committed = [event for event in events if isinstance(event, RecordCommitted)]
     return any(
         record.role == event.role and record.fencing_token < event.fencing_token
--- a/tests/simulation/multiprocess/run_script.py
+++ b/tests/simulation/multiprocess/run_script.py
@@ -1,6 +1,7 @@
-"""Runs a script and leaves its history: `python -m tests.simulation.multiprocess.run_script SCENARIO FOLDER`.
+"""Runs a fault script: `python -m tests.simulation.multiprocess.run_script SCENARIO FOLDER`.
 
-The folder has `input.json`, a fault script. The run adds the history, and `result.json`, its result line.
+The script is read from `input.json` in the folder. The run writes its history there, and its result line to
+`result.json`.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 def main(scenario_name: str, folder: Path) -> None:
-    """Runs the script of the folder."""
+    """Runs the script in the folder, and writes history and result there."""
     script = decode_script((folder / INPUT_FILE).read_bytes(), INPUT_FILE)
     scenario = with_size(load_scenario(scenario_name), script.nodes, script.seconds)
     result = asyncio.run(ScenarioRunner(scenario, script, folder).run())
--- a/tests/simulation/multiprocess/test_command_line.py
+++ b/tests/simulation/multiprocess/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command's exits, its refusals, and its old spellings."""
+"""`onyxpost simulate processes`: exit codes, errors for invalid input, and old names."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 from onyxpost.simulation.multiprocess.leadership_mutations import LEADERSHIP_MUTATIONS, current_name
 
-pytestmark = pytest.mark.xdist_group("quiet")  # many processes: not beside what measures time
+pytestmark = pytest.mark.xdist_group("quiet")  # many processes would disturb tests that measure time
 
 COMMAND = [sys.executable, "-m", "onyxpost", "simulate", "processes"]
 
 
 def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
-    """Runs the command to its end."""
+    """Runs the command, and returns its exit code and output."""
     return subprocess.run([*COMMAND, *arguments], capture_output=True, text=True, timeout=60.0)
 
 
@@ -39,7 +39,7 @@
     for process_id in process_ids:
         with contextlib.suppress(ProcessLookupError):
             os.kill(int(process_id), 0)
-            pytest.fail(f"process {process_id} is left")
+            pytest.fail(f"process {process_id} is still running after the command was interrupted")
 
 
 def test_option_out_of_range_is_refused_in_one_line_with_exit_2() -> None:
--- a/tests/simulation/multiprocess/test_edge_invariants.py
+++ b/tests/simulation/multiprocess/test_edge_invariants.py
@@ -1,4 +1,4 @@
-"""Each invariant of edge nodes is found violated by its name, and what faults excuse is not."""
+"""Violations of each invariant of edge nodes are found, and effects of faults are excused."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
     from onyxpost.simulation.multiprocess.history import HistoryEvent
 
-pytestmark = pytest.mark.xdist_group("quiet")  # many processes: not beside what measures time
+pytestmark = pytest.mark.xdist_group("quiet")  # many processes would disturb tests that measure time
 
 SEED = 9
 DEPLOYMENT = deployment.decode_deployment(SETTINGS | {"ordinal": 0, "n_instances": 3})
@@ -57,14 +57,14 @@
 
 
 def violated_invariants(events: Iterable[HistoryEvent]) -> list[str]:
-    """Names of the invariants that a history violates; each violation has the seed."""
+    """Returns the sorted names of violated invariants; all violations must have the seed."""
     violations = check_history(events, (no_process_failures, EDGE_INVARIANTS), SEED)
     assert all(violation.seed == SEED for violation in violations)
     return sorted({violation.invariant for violation in violations})
 
 
 def burst_beyond_the_hard_limit() -> list[HistoryEvent]:
-    """Six requests of a customer with a low hard limit, all of them forwarded."""
+    """Returns six requests of a customer with a low hard limit, all of them forwarded."""
     return [
         event
         for index in range(6)
@@ -77,7 +77,7 @@
 
 
 def attempts_after_clients_disconnected() -> list[HistoryEvent]:
-    """Three requests that are forwarded long after their clients have closed the connection."""
+    """Returns three requests that are forwarded long after their clients closed the connection."""
     return [
         event
         for trace in ("r0", "r1", "r2")
@@ -90,7 +90,7 @@
 
 
 def calls_to_a_server_that_starts(count: int) -> list[HistoryEvent]:
-    """Calls at one moment to a server that was started just before."""
+    """Returns calls that all reach a server 2 ms after its start."""
     started: list[HistoryEvent] = [
         ServerStarted(0.0, server="s0-0", capacity=0.1, work_per_call_ms=20.0),
         notified(0.0, EndpointState.READY),
--- a/tests/simulation/multiprocess/test_edge_processes.py
+++ b/tests/simulation/multiprocess/test_edge_processes.py
@@ -1,4 +1,8 @@
-"""Edge nodes as real processes: the invariants hold under faults, and a mutation is found and run again."""
+"""Runs edge nodes as real processes.
+
+The invariants must hold under faults. A mutation must violate its invariant, also when its kept script is run
+again.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +23,7 @@
 
     from onyxpost.simulation.multiprocess.run_result import RunResult
 
-pytestmark = pytest.mark.xdist_group("quiet")  # many processes: not beside what measures time
+pytestmark = pytest.mark.xdist_group("quiet")  # many processes would disturb tests that measure time
 
 SEED = 3
 MIN_SUCCEEDED = 60
--- a/tests/simulation/multiprocess/test_fault_proxy.py
+++ b/tests/simulation/multiprocess/test_fault_proxy.py
@@ -1,4 +1,4 @@
-"""The fault proxy does with bytes and datagrams what the faults of their link say."""
+"""The fault proxy applies the faults of a link to bytes and datagrams."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
     from onyxpost.config.address import Address
 
-pytestmark = pytest.mark.xdist_group("quiet")  # many processes: not beside what measures time
+pytestmark = pytest.mark.xdist_group("quiet")  # many processes would disturb tests that measure time
 
 CUT = LinkBehavior(cut=True)
 STALL = LinkBehavior(stall=True)
 
 
 class Observation(NamedTuple):
-    """Bytes that the proxy reported."""
+    """Bytes that the proxy reported to its observer."""
 
     source: str
     data: bytes
@@ -55,7 +55,7 @@
 
     @contextlib.asynccontextmanager
     async def run(self) -> AsyncIterator[ProxiedPair]:
-        """Listens at `b`, and closes everything in the end."""
+        """Listens at `b`, and closes the proxy and the listener at the end."""
         listener = await asyncio.start_server(
             lambda reader, writer: self.accepted.put_nowait((reader, writer)), LOOPBACK, 0
         )
@@ -78,7 +78,7 @@
         await wait_until(lambda: observation in self.observations)
 
     def forwarded_from_a(self) -> list[Observation]:
-        """What the proxy passed on to `b`."""
+        """Returns the bytes from `a` that the proxy forwarded."""
         return [
             observation
             for observation in self.observations
@@ -90,13 +90,13 @@
 
 
 class DatagramReceiver(asyncio.DatagramProtocol):
-    """Keeps datagrams with the address that they came from."""
+    """Queues received datagrams with their source addresses."""
 
     def __init__(self) -> None:
         self.received: asyncio.Queue[tuple[bytes, Address]] = asyncio.Queue()
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Keeps a datagram."""
+        """Queues a datagram with its source address."""
         self.received.put_nowait((data, addr))
 
 
@@ -127,10 +127,10 @@
         link = pair.proxy.links.link("a", "b")
         link.start_fault(1, LinkBehavior(delay_ms=50.0))
         link.start_fault(2, LinkBehavior(delay_ms=50.0))
-        began = time.monotonic()
+        started_seconds = time.monotonic()
         connection.client_writer.write(b"x")
         await connection.server_reader.readexactly(1)
-        assert time.monotonic() - began > 0.099
+        assert time.monotonic() - started_seconds > 0.099
         assert pair.proxy.tcp.reset("b", "a") == 1
         for reader in (connection.client_reader, connection.server_reader):
             with pytest.raises(ConnectionResetError):
@@ -156,7 +156,8 @@
             link.start_fault(1, behavior)
             proxy.datagram_received(data, to_b)
         link.end_fault(1)
-        sender.sendto(b"plain", to_b)  # by the socket: it comes from where `b` would answer
+        # Sent over a real socket, a datagram must arrive from the address to which `b` answers `a`.
+        sender.sendto(b"plain", to_b)
         assert await receiver.received.get() == (b"held", to_a)
         assert await receiver.received.get() == (b"plain", to_a)
         link.start_fault(1, LinkBehavior(reordering=1.0))
--- a/tests/simulation/multiprocess/test_fault_script.py
+++ b/tests/simulation/multiprocess/test_fault_script.py
@@ -1,4 +1,4 @@
-"""Equal seeds draw equal scripts; a script that cannot be run is refused with its place."""
+"""Equal seeds draw equal scripts; the error for an invalid script or scenario names the place."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-pytestmark = pytest.mark.xdist_group("quiet")  # many processes: not beside what measures time
+pytestmark = pytest.mark.xdist_group("quiet")  # many processes would disturb tests that measure time
 
 LEASE_SECONDS = 6.0
 SETTINGS = DrawSettings(nodes=5, servers=4, seconds=20.0, lease_seconds=LEASE_SECONDS)
@@ -62,7 +62,7 @@
 
 
 def script_with_unknown_node() -> bytes:
-    """The file of a script with a fault of n2, of two nodes."""
+    """Returns a script for two nodes, n0 and n1, with a fault that targets n2."""
     return encode_script(FaultScript("edge-cuts", 1, 2, 5.0, [Fault(1.0, "kill", "n2", 1.0)]))
 
 
--- a/tests/simulation/multiprocess/test_fenced_resource.py
+++ b/tests/simulation/multiprocess/test_fenced_resource.py
@@ -1,4 +1,4 @@
-"""The fenced resource rejects lower tokens, and tells the highest one."""
+"""The fenced resource rejects tokens below the highest one of a role, which it returns."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from onyxpost.simulation.multiprocess.history import FencedCallReceived
 
-pytestmark = pytest.mark.xdist_group("quiet")  # many processes: not beside what measures time
+pytestmark = pytest.mark.xdist_group("quiet")  # many processes would disturb tests that measure time
 
 CALLS = (("a", "5"), ("a", "4"), ("b", "4"), ("a", "5"), ("a", "-1"))
 
--- a/tests/simulation/multiprocess/test_late_simulation.py
+++ b/tests/simulation/multiprocess/test_late_simulation.py
@@ -1,4 +1,8 @@
-"""A late simulation accuses no node, and hides none that sends after its answer."""
+"""Invariants must hold no node responsible for lag of the simulation, and still find real violations.
+
+A late event loop reads an answer and an attempt long after both arrived, in any order. An attempt from before
+the answer must then be no violation, and an attempt from after the answer must be one.
+"""
 
 from __future__ import annotations
 
@@ -23,20 +27,20 @@
 pytestmark = pytest.mark.xdist_group("quiet")  # measures time
 
 ATTEMPT_TIMEOUT_SECONDS = 0.02
-LATE_SECONDS = 0.15  # more than the order of two sockets may be unknown for
+LATE_SECONDS = 0.15  # longer than the error in the order of events of two sockets
 MIN_REQUESTS = 5
 
 
 def reject_after_attempt(client: socket.socket, trace: bytes, proxy: Address) -> None:
-    """Sends an attempt, gives it up, and rejects the request."""
+    """Sends an attempt, rejects the request after a timeout, and closes the attempt last."""
     with send_attempt(trace, proxy):
         time.sleep(ATTEMPT_TIMEOUT_SECONDS)
         client.sendall(REJECTION)
-        client.recv(1)  # until the client closes
+        client.recv(1)  # returns when the client closes the connection
 
 
 def send_after_rejection(client: socket.socket, trace: bytes, proxy: Address) -> None:
-    """Rejects the request, and sends an attempt all the same."""
+    """Rejects the request, and then sends an attempt, which is a violation."""
     client.sendall(REJECTION)
     time.sleep(LATE_SECONDS)
     with send_attempt(trace, proxy):
@@ -46,7 +50,7 @@
 def find_violations(
     handle: Callable[[socket.socket, bytes, Address], None], folder: Path
 ) -> tuple[int, list[str]]:
-    """Returns the number of rejected requests that were sent to the server, and what violated `answers`."""
+    """Returns the number of answered requests with an attempt, and descriptions of `answers` violations."""
     events, invariant = asyncio.run(record_history(handle, folder))
     answered = {event.trace for event in events if isinstance(event, RequestAnswered)}
     forwarded = {event.trace for event in events if isinstance(event, AttemptForwarded)}
--- a/tests/simulation/multiprocess/test_leadership_failover.py
+++ b/tests/simulation/multiprocess/test_leadership_failover.py
@@ -1,4 +1,4 @@
-"""Durations of failovers, by the fault of the leader."""
+"""Durations of failovers are computed from a history, by name of the leader's fault."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from onyxpost.simulation.multiprocess.leadership_failover import failover_durations_ms
 from tests.simulation.multiprocess.events import acquired, lost, paused
 
-pytestmark = pytest.mark.xdist_group("quiet")  # many processes: not beside what measures time
+pytestmark = pytest.mark.xdist_group("quiet")  # many processes would disturb tests that measure time
 
 
 def test_failover_of_a_paused_leader_counts_and_a_role_that_was_kept_does_not() -> None:
--- a/tests/simulation/multiprocess/test_leadership_invariants.py
+++ b/tests/simulation/multiprocess/test_leadership_invariants.py
@@ -1,4 +1,4 @@
-"""Each invariant of leader election is found violated by its name, and nothing else is."""
+"""Violations of each invariant of leader election are found, and no others are reported."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 
     from onyxpost.simulation.multiprocess.history import HistoryEvent
 
-pytestmark = pytest.mark.xdist_group("quiet")  # many processes: not beside what measures time
+pytestmark = pytest.mark.xdist_group("quiet")  # many processes would disturb tests that measure time
 
 
 def violated_invariants(events: Sequence[HistoryEvent]) -> list[str]:
-    """Names of the invariants that a history violates, one for each violation."""
+    """Returns the name of the violated invariant for each violation in a history."""
     return [violation.invariant for violation in check_history(events, LEADERSHIP_INVARIANTS, 1)]
 
 
--- a/tests/simulation/multiprocess/test_leadership_processes.py
+++ b/tests/simulation/multiprocess/test_leadership_processes.py
@@ -1,4 +1,7 @@
-"""Roles led by real processes: the invariants hold under faults, and each mutation violates its own."""
+"""Runs leader election with real processes.
+
+The invariants must hold under faults, and each mutation must violate the invariant that is meant to find it.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +16,8 @@
     FENCING_TOKENS,
     SINGLE_LEADER,
 )
-from tests.simulation.multiprocess import occasions
-from tests.simulation.multiprocess.leadership_runs import Attempt, LeadershipRun, run_until_occasion
+from tests.simulation.multiprocess import preconditions
+from tests.simulation.multiprocess.leadership_runs import LeadershipRun, RunOutcome, run_until_conclusive
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -28,7 +31,7 @@
 
 
 def all_faults_had_an_effect(events: Sequence[HistoryEvent], result: dict[str, Any]) -> bool:
-    """Each fault hit a leader, the delayed call came after its successor's, and records were committed."""
+    """Whether each fault hit a leader, a delayed call was rejected, and enough records were committed."""
     return (
         result["refused_by_fence"] > 0
         and all(result.get(failover) for failover in FAILOVERS)
@@ -37,14 +40,14 @@
 
 
 DELAYED_CALL = Fault(2.0, "late-act", "h0", 1.3)
-RUNS = (  # the first without a mutation
+RUNS = (  # the first run has no mutation
     LeadershipRun(
         "",
         invariant="",
         lease_seconds=1.0,
         seconds=9.0,
         faults=[DELAYED_CALL, Fault(4.6, "kill", "h1", 0.1), Fault(6.6, "alone", "h2", 1.4)],
-        has_occasion=all_faults_had_an_effect,
+        is_conclusive=all_faults_had_an_effect,
     ),
     LeadershipRun(
         "ignore-fencing-tokens",
@@ -52,7 +55,7 @@
         lease_seconds=1.0,
         seconds=5.0,
         faults=[DELAYED_CALL],
-        has_occasion=lambda events, _: occasions.stale_token_was_received(events),
+        is_conclusive=lambda events, _: preconditions.stale_token_was_received(events),
     ),
     LeadershipRun(
         "ignore-lease-expiry",
@@ -60,15 +63,16 @@
         lease_seconds=1.0,
         seconds=4.5,
         faults=[Fault(2.0, "alone", "h0", 1.8)],
-        has_occasion=lambda events, _: occasions.successor_was_elected_during_isolation(events),
+        is_conclusive=lambda events, _: preconditions.successor_was_elected_during_isolation(events),
     ),
-    LeadershipRun(  # the lease is longer than a restart, and the leader's own acceptor is not restarted
+    # The lease must be longer than a restart. The acceptor on the leader's node is not restarted.
+    LeadershipRun(
         "vote-without-recovery",
         invariant=SINGLE_LEADER,
         lease_seconds=4.0,
         seconds=9.5,
         faults=[Fault(6.0, "alone", "h0", 3.4), Fault(6.1, "voters-killed", "h0", 0.05)],
-        has_occasion=lambda events, _: occasions.acceptors_restarted_early_during_isolation(events),
+        is_conclusive=lambda events, _: preconditions.acceptors_restarted_early_during_isolation(events),
     ),
     LeadershipRun(
         "drop-committed-record",
@@ -76,34 +80,37 @@
         lease_seconds=1.0,
         seconds=3.5,
         faults=[Fault(2.5, "term", "h0", 0.1)],
-        has_occasion=lambda events, _: occasions.leader_followed_a_committed_record(events),
+        is_conclusive=lambda events, _: preconditions.leader_followed_a_committed_record(events),
     ),
 )
 
 
 @pytest.fixture(scope="module")
-def attempts() -> dict[str, list[Attempt]]:
-    """All runs by mutation. They run at once: most of the time they wait for leases to end."""
+def outcomes() -> dict[str, list[RunOutcome]]:
+    """The outcomes of all runs, by mutation.
+
+    The runs are concurrent, because they mostly wait for leases to end.
+    """
     with ThreadPoolExecutor(len(RUNS)) as pool:
-        return dict(zip((run.mutation for run in RUNS), pool.map(run_until_occasion, RUNS), strict=True))
+        return dict(zip((run.mutation for run in RUNS), pool.map(run_until_conclusive, RUNS), strict=True))
 
 
 def test_leaders_that_are_killed_isolated_and_paused_violate_no_invariant(
-    attempts: dict[str, list[Attempt]],
+    outcomes: dict[str, list[RunOutcome]],
 ) -> None:
-    for attempt in attempts[""]:
-        assert attempt.result["breaches"] == []
-    result = attempts[""][-1].result
+    for outcome in outcomes[""]:
+        assert outcome.result["breaches"] == []
+    result = outcomes[""][-1].result
     assert result["refused_by_fence"] > 0, result
     for failover in FAILOVERS:
         assert result[failover], result
-    stretched_by = len(attempts[""])  # a longer run has to commit as many more records
-    assert result["wrote"] > MIN_COMMITTED_RECORDS * stretched_by, result
+    time_factor = len(outcomes[""])  # the minimum grows with the duration of the run
+    assert result["wrote"] > MIN_COMMITTED_RECORDS * time_factor, result
 
 
 @pytest.mark.parametrize("run", RUNS[1:], ids=[run.mutation for run in RUNS[1:]])
 def test_mutation_is_found_by_the_invariant_that_it_violates(
-    attempts: dict[str, list[Attempt]], run: LeadershipRun
+    outcomes: dict[str, list[RunOutcome]], run: LeadershipRun
 ) -> None:
-    last = attempts[run.mutation][-1]
+    last = outcomes[run.mutation][-1]
     assert run.invariant in last.violated_invariants, last
--- a/tests/simulation/multiprocess/test_leadership_runs.py
+++ b/tests/simulation/multiprocess/test_leadership_runs.py
@@ -1,4 +1,4 @@
-"""A run that fails says what its process and its nodes wrote to standard error."""
+"""The error of a failed run contains what its process and its nodes wrote to standard error."""
 
 from __future__ import annotations
 
--- a/tests/simulation/multiprocess/test_port_reservation.py
+++ b/tests/simulation/multiprocess/test_port_reservation.py
@@ -1,4 +1,4 @@
-"""Ports that are reserved for a run are given to no other one, and become free again."""
+"""Reserved ports are not given to other runs, and are free again after release or the end of the process."""
 
 from __future__ import annotations
 
--- a/tests/simulation/multiprocess/test_socket_arrival.py
+++ b/tests/simulation/multiprocess/test_socket_arrival.py
@@ -1,4 +1,4 @@
-"""The time that bytes wait in a socket is known when they are read, and never overstated."""
+"""`unread_ms` measures how long bytes waited in a socket, and never returns more than the real wait."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 async def connect() -> (
     tuple[asyncio.StreamWriter, asyncio.StreamReader, asyncio.StreamWriter, asyncio.Server]
 ):
-    """A sender, and the reader, writer and listener of its connection's other end."""
+    """Returns a sender, and the reader, writer and listener of the other end of its connection."""
     accepted: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
     listener = await asyncio.start_server(
         lambda reader, writer: accepted.put_nowait((reader, writer)), LOOPBACK, 0
@@ -34,7 +34,7 @@
         sender, reader, writer, listener = await connect()
         sent_at = time.monotonic()
         sender.write(b"early")
-        time.sleep(WAIT_SECONDS)  # noqa: ASYNC251 - the blocked event loop is what is tested
+        time.sleep(WAIT_SECONDS)  # noqa: ASYNC251 - the test needs a blocked event loop
         await reader.read(100)
         waited_ms = unread_ms(writer)
         elapsed_ms = (time.monotonic() - sent_at) * MS_PER_SECOND
@@ -51,7 +51,7 @@
     async def measure() -> tuple[float, float]:
         sender, reader, writer, listener = await connect()
         sender.write(b"early")
-        time.sleep(WAIT_SECONDS)  # noqa: ASYNC251 - the blocked event loop is what is tested
+        time.sleep(WAIT_SECONDS)  # noqa: ASYNC251 - the test needs a blocked event loop
         sent_at = time.monotonic()
         sender.write(b"late")
         await reader.readexactly(len(b"earlylate"))
