--- a/onyxpost/simulation/multiprocess/batch.py
+++ b/onyxpost/simulation/multiprocess/batch.py
@@ -25,7 +25,7 @@
 
 
 class BatchOptions(NamedTuple):
-    """The arguments of the command; None or an empty `mutation` if one was not given."""
+    """The arguments of the command; None, or an empty `mutation`, stands for one that was not given."""
 
     scenario: str | None
     nodes: int | None
--- a/onyxpost/simulation/multiprocess/client_invariants.py
+++ b/onyxpost/simulation/multiprocess/client_invariants.py
@@ -110,7 +110,7 @@
 
 
 def may_execute_again(frontend: Frontend, first: AttemptReceived, attempt: AttemptReceived) -> bool:
-    """Whether a second execution of the request is harmless: idempotent, or deduplicated in its scope."""
+    """Whether a request may be executed again: it is idempotent, or both servers are in one scope."""
     match frontend.idempotency:
         case Idempotency.IDEMPOTENT:
             return True
--- a/onyxpost/simulation/multiprocess/edge_invariants.py
+++ b/onyxpost/simulation/multiprocess/edge_invariants.py
@@ -58,7 +58,7 @@
 
 
 class EdgeLimits(NamedTuple):
-    """The settings of the nodes' deployment against which the invariants are checked."""
+    """The settings of the nodes that the invariants depend on."""
 
     frontends: Sequence[Frontend]
     plans: Sequence[Plan]
--- a/onyxpost/simulation/multiprocess/fault_draws.py
+++ b/onyxpost/simulation/multiprocess/fault_draws.py
@@ -29,7 +29,7 @@
 MINUTE_SECONDS = 60.0
 LEADER_PROBABILITY = 2.0 / 3.0  # probability that a fault targets a leader
 SHARED_NODE_PROBABILITY = 1.0 / 3.0  # probability that one node is in both groups
-REVERSED_LINK_PROBABILITY = 0.5  # probability that a link is drawn in the other direction
+REVERSED_LINK_PROBABILITY = 0.5  # probability that the direction of a drawn link is reversed
 LEASE_FACTORS = (1.1, 2.0)  # range of the minimum duration of a pause, in leases
 NODE_FAULTS = ("stop", "kill", "term", "servers-cut", "alone", "late-act")
 
--- a/onyxpost/simulation/multiprocess/fault_script.py
+++ b/onyxpost/simulation/multiprocess/fault_script.py
@@ -14,7 +14,7 @@
 
 from onyxpost.simulation.multiprocess.errors import InvalidScenarioError
 
-VERSION = 1
+SCRIPT_VERSION = 1
 
 # "lose", "duplicate" and "reorder" affect datagrams only. "stall" and "reset" affect both directions of a
 # link, "groups" all links between nodes without a common group, and "servers-cut" the links between a node
@@ -74,7 +74,7 @@
     seconds: float
     faults: list[Fault]
     mutation: str = field(name="plant", default="")
-    version: int = VERSION
+    version: int = SCRIPT_VERSION
 
 
 def encode_script(script: FaultScript) -> bytes:
@@ -96,12 +96,14 @@
         script: FaultScript = msgspec.json.decode(data, type=FaultScript)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise InvalidScenarioError(str(error), source) from error
-    if script.version != VERSION:
-        raise InvalidScenarioError(f"the script has version {script.version}, expected {VERSION}", source)
+    if script.version != SCRIPT_VERSION:
+        raise InvalidScenarioError(
+            f"the script has version {script.version}, expected {SCRIPT_VERSION}", source
+        )
     for index, fault in enumerate(script.faults):
         names_in_groups = [name for group in fault.groups for name in group]
         for name in [*link_ends(fault.target), *names_in_groups]:
-            if not _is_known(name, script.nodes):
+            if not _is_valid_target(name, script.nodes):
                 raise InvalidScenarioError(f"unknown target {name!r} - at `$.faults[{index}]`", source)
     return script
 
@@ -111,7 +113,7 @@
     return target.split(LINK_SEPARATOR)
 
 
-def _is_known(name: str, nodes: int) -> bool:
+def _is_valid_target(name: str, nodes: int) -> bool:
     if name == ALL_TARGETS:
         return True
     prefix = name[:1]
--- a/onyxpost/simulation/multiprocess/leadership_environment.py
+++ b/onyxpost/simulation/multiprocess/leadership_environment.py
@@ -33,7 +33,7 @@
 
 SKEW_MS = 200.0  # maximum difference between two clocks, as set in the nodes' files
 DRIFT = 0.01  # maximum relative error of a clock's rate, as set in the nodes' files
-CALL_INTERVAL_MS = 200.0  # between a leader's fenced calls
+CALL_INTERVAL_MS = 200.0  # interval between the fenced calls of a leader
 REPORT_VALIDITY_LEASES = 3.0  # an acceptor uses another one's report for this many times lease plus skew
 # A node must know an app server, although no request is sent.
 UNUSED_SERVER = {
--- a/onyxpost/simulation/multiprocess/leadership_invariants.py
+++ b/onyxpost/simulation/multiprocess/leadership_invariants.py
@@ -1,8 +1,8 @@
 """Invariants of leader election. No I/O.
 
-They compare events of the nodes' logs (`node_log.py`), fenced calls that arrived in fault proxies, and fenced
-calls that the resource received. The times can be compared because all processes of a machine share one
-monotonic clock.
+The invariants compare events of the nodes' logs (`node_log.py`), fenced calls that arrived in fault proxies,
+and fenced calls that the resource received. The times can be compared because all processes of a machine
+share one monotonic clock.
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
 
 
 def no_call_after_lease(events: Sequence[HistoryEvent]) -> Iterator[Finding]:
-    """No node sends a fenced call after the end of its lease that it logged, not even when just resumed."""
+    """No node sends a fenced call after the logged end of its lease, not even a node just resumed."""
     lag = SchedulingLag(events)
     ends_ms = {
         (role, term.node, term.fencing_token): term.end_ms
--- a/onyxpost/simulation/multiprocess/leadership_terms.py
+++ b/onyxpost/simulation/multiprocess/leadership_terms.py
@@ -27,7 +27,7 @@
 
     @property
     def node(self) -> str:
-        """The leader."""
+        """The node that led the role."""
         return self.acquired.node
 
     @property
--- a/onyxpost/simulation/multiprocess/link.py
+++ b/onyxpost/simulation/multiprocess/link.py
@@ -16,7 +16,7 @@
 
     Attributes:
         cut: whether datagrams are lost, and bytes and ends of TCP streams are held until the link heals, as
-            retransmission would have it.
+            if they were retransmitted.
         stall: whether datagrams, bytes and ends of TCP streams are all held until the link heals.
         delay_ms: delay of each datagram and of each chunk of bytes.
         loss: probability that a datagram is lost.
--- a/onyxpost/simulation/multiprocess/port_reservation.py
+++ b/onyxpost/simulation/multiprocess/port_reservation.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from random import Random
 
-NAME_PREFIX = "\0onyxpost-simulation-port-"
+NAME_PREFIX = "\0onyxpost-simulation-port-"  # a null byte starts names of the abstract namespace
 ATTEMPTS_PER_PORT = 100
 
 
--- a/onyxpost/simulation/multiprocess/process_availability.py
+++ b/onyxpost/simulation/multiprocess/process_availability.py
@@ -54,7 +54,7 @@
         self._close_at_infinity()
 
     def is_unavailable(self, node: str, begin_ms: float, end_ms: float) -> bool:
-        """Whether the node was unavailable at some time between the two."""
+        """Whether the node was unavailable at some time from `begin_ms` to `end_ms`."""
         return any(interval.overlaps(begin_ms, end_ms) for interval in self.unavailable.get(node, ()))
 
     def is_dead(self, node: str, at_ms: float) -> bool:
--- a/onyxpost/simulation/multiprocess/recovery_epochs.py
+++ b/onyxpost/simulation/multiprocess/recovery_epochs.py
@@ -41,7 +41,7 @@
             if acquired.recovery_epoch_ms <= latest_epoch_ms.get(acquired.role, 0.0):
                 continue
             latest_epoch_ms[acquired.role] = acquired.recovery_epoch_ms
-            assert acquired.unix_ms is not None, "the program's own lines have their Unix time"
+            assert acquired.unix_ms is not None, "every line of a node's log has a Unix time"
             started_at_ms = acquired.recovery_epoch_ms - acquired.unix_ms + acquired.at_ms
             acceptors_without_state = [
                 acceptor
--- a/onyxpost/simulation/multiprocess/run_context.py
+++ b/onyxpost/simulation/multiprocess/run_context.py
@@ -37,7 +37,7 @@
     The addresses of a node are named `n0` (clients), `n0/udp` (peers) and `n0/fleet` (cluster).
 
     Attributes:
-        started_at: the time at which all nodes were serving, in seconds of the monotonic clock.
+        started_at_seconds: the time at which all nodes were serving, on the monotonic clock.
         events: the history so far.
         addresses: real addresses by name; see `endpoints.py`.
         processes: the nodes' processes.
@@ -48,7 +48,7 @@
         self.scenario = scenario
         self.script = script
         self.folder = folder
-        self.started_at = time.monotonic()
+        self.started_at_seconds = time.monotonic()
         self.events: list[HistoryEvent] = []
         self.addresses: dict[str, Address] = {}
         self.processes = NodeProcesses(folder, script.mutation, self.addresses, self._on_process_change)
@@ -74,7 +74,7 @@
 
     def now_ms(self) -> float:
         """Returns the time for an event: milliseconds since the start, with two decimals."""
-        return round((time.monotonic() - self.started_at) * MS_PER_SECOND, 2)
+        return round((time.monotonic() - self.started_at_seconds) * MS_PER_SECOND, 2)
 
     def ms_before_now(self, elapsed_ms: float) -> float:
         """Returns the time for an event of `elapsed_ms` ago, but never a time before the start."""
@@ -82,11 +82,11 @@
 
     def now_seconds(self) -> float:
         """Returns the seconds since the start."""
-        return time.monotonic() - self.started_at
+        return time.monotonic() - self.started_at_seconds
 
     def start_clock(self) -> None:
         """Starts the run's clock, once all nodes are serving; earlier events get time 0."""
-        self.started_at = time.monotonic()
+        self.started_at_seconds = time.monotonic()
         self.events = [msgspec.structs.replace(event, at_ms=0.0) for event in self.events]
 
     def record(self, event: HistoryEvent) -> None:
--- a/onyxpost/simulation/multiprocess/scenario_runner.py
+++ b/onyxpost/simulation/multiprocess/scenario_runner.py
@@ -108,7 +108,7 @@
     def _history(self) -> list[HistoryRecord]:
         """Returns the records of the simulation and of the nodes' logs, in order of time."""
         unix_offset_ms = (time.time() - time.monotonic()) * MS_PER_SECOND
-        started_at_ms = self.context.started_at * MS_PER_SECOND
+        started_at_ms = self.context.started_at_seconds * MS_PER_SECOND
         recorded = [HistoryRecord(_to_line(event), event) for event in self.context.events]
         logged = read_node_logs(self.folder, started_at_ms, unix_offset_ms)
         return sorted(recorded + logged, key=lambda record: float(record.line["t"]))
--- a/onyxpost/simulation/multiprocess/scheduling_lag.py
+++ b/onyxpost/simulation/multiprocess/scheduling_lag.py
@@ -14,7 +14,8 @@
 
     from onyxpost.simulation.multiprocess.history import HistoryEvent
 
-# Lag from this length on excuses the violations it may have caused; shorter lag extends each limit in time.
+# Lags of at least this length excuse the violations that they may have caused. Shorter lags extend each limit
+# in time.
 LONG_LAG_MS = 40.0
 SIMULATION = ""  # names no node: lag of the simulation's event loop, which counts for all nodes
 
--- a/onyxpost/simulation/multiprocess/tcp_proxy.py
+++ b/onyxpost/simulation/multiprocess/tcp_proxy.py
@@ -150,7 +150,7 @@
         except (OSError, ExceptionGroup):
             self.reset()
         except asyncio.CancelledError:
-            pass  # `reset` cancels the task
+            pass  # cancelled by `reset`
         finally:
             connections.discard(self)
             for writer in self.writers:
--- a/tests/simulation/multiprocess/test_command_line.py
+++ b/tests/simulation/multiprocess/test_command_line.py
@@ -27,9 +27,9 @@
 def test_interrupted_command_exits_130_and_leaves_no_process() -> None:
     with subprocess.Popen([*COMMAND, "edge-cuts", "--nodes", "3"], stderr=subprocess.PIPE) as command:
         children = Path(f"/proc/{command.pid}/task/{command.pid}/children")
-        until = time.monotonic() + 20.0
+        deadline_seconds = time.monotonic() + 20.0
         process_ids: list[str] = []
-        while len(process_ids) < 3 and time.monotonic() < until:
+        while len(process_ids) < 3 and time.monotonic() < deadline_seconds:
             process_ids = children.read_text().split()
             time.sleep(0.02)
         command.send_signal(signal.SIGINT)
