--- a/onyxpost/simulation/multiprocess/cli.py
+++ b/onyxpost/simulation/multiprocess/cli.py
@@ -1,4 +1,4 @@
-"""`onyxpost simulate processes`: many seeds of one scenario in turn, with real processes."""
+"""`onyxpost simulate processes`: runs the seeds of a scenario one after another, with real processes."""
 
 from __future__ import annotations
 
@@ -25,28 +25,29 @@
 
 @click.command()
 @click.argument("scenario", required=False)
-@click.option("--nodes", type=int, help="Processes, in place of the scenario's; up to 64.")
+@click.option("--nodes", type=int, help="Number of nodes instead of the scenario's; 1 to 64.")
 @click.option("--seeds", default="1", show_default=True, help="Seeds, as in 1-20 or 1,4,9-12.")
-@click.option("--seconds", type=float, help="In place of the scenario's; up to 600.")
-@click.option("--out", type=FILE, help="JSON lines, a seed each.")
-@click.option("--kept", type=FOLDER, help="Keep failing seeds there.")
-@click.option("--replay", type=FILE, help="Run a kept script.json.")
-@click.option("--mutation", default="", help="Inject a known bug: it must be found.")
+@click.option("--seconds", type=float, help="Duration instead of the scenario's; up to 600.")
+@click.option("--out", type=FILE, help="File for the results: JSON lines, one for each seed.")
+@click.option("--kept", type=FOLDER, help="Folder in which failed runs are kept.")
+@click.option("--replay", type=FILE, help="Run a kept script.json again.")
+@click.option("--mutation", default="", help="Inject a known bug, which the invariants must find.")
 @report_operator_errors
 def processes(out: Path | None, kept: Path | None, **options: object) -> None:
     """Run SCENARIO (a TOML file, or the name of a shipped one) with real processes on loopback.
 
-    Exit 0: run, no invariant violated. Exit 1: an invariant was violated. Exit 2: something given cannot be
-    used. Exit 130: interrupted; what was finished is kept, and no process is left.
+    Exit 0: no invariant was violated. Exit 1: an invariant was violated. Exit 2: an argument, option or file
+    is invalid, or a process did not start. Exit 130: interrupted; the results of finished seeds are written,
+    and no process is left.
     """
-    # Imported only here: they import the whole node.
+    # Imported only here, because these modules import the whole node.
     from onyxpost.simulation.multiprocess.batch import BatchOptions, create_batch
 
     batch = create_batch(BatchOptions(**options))  # type: ignore[arg-type]
     finished: list[RunResult] = []
     with InterruptCatcher() as interrupt:
         for script in batch.scripts:
-            finished.append(_run(batch.scenario, script, kept))  # noqa: PERF401 - kept if interrupted
+            finished.append(_run(batch.scenario, script, kept))  # noqa: PERF401 - an interrupt keeps earlier results
     violated = sum(bool(result.violations) for result in finished)
     if out is not None and finished:
         total = {
@@ -63,15 +64,15 @@
 
 
 def _run(scenario: Scenario, script: FaultScript, kept: Path | None) -> RunResult:
-    """Runs one script and prints its figures."""
+    """Runs one script, and prints its figures and first violations."""
     from onyxpost.simulation.multiprocess.runner import kept_folder, run_script
 
-    began = time.perf_counter()
+    started_seconds = time.perf_counter()
     result = run_script(scenario, script, kept)
     counts = "  ".join(f"{name} {count}" for name, count in result.counts.items())
     click.echo(
         f"{scenario.name:16} seed {script.seed:<6} {counts}  faults {sum(result.faults.values())}"
-        f"  violations {len(result.violations)}  {time.perf_counter() - began:.1f} s"
+        f"  violations {len(result.violations)}  {time.perf_counter() - started_seconds:.1f} s"
     )
     for violation in result.violations[:PRINTED_VIOLATIONS]:
         click.echo(f"  {violation.to_line()}")
--- a/onyxpost/simulation/multiprocess/leadership_invariants.py
+++ b/onyxpost/simulation/multiprocess/leadership_invariants.py
@@ -1,7 +1,8 @@
 """Invariants of leader election. No I/O.
 
-They read the nodes' logs (`node_log.py`; all processes of a machine have one monotonic clock), what the fault
-proxies saw leave a node, and what the fenced resource received.
+The invariants compare events of the nodes' logs (`node_log.py`), fenced calls that arrived in fault proxies,
+and fenced calls that the resource received. The times can be compared because all processes of a machine
+share one monotonic clock.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
     from onyxpost.simulation.multiprocess.history import HistoryEvent
     from onyxpost.simulation.multiprocess.process_availability import Interval
 
-# Names of the invariants, as result files have them.
+# Names of the invariants in result files.
 SINGLE_LEADER = "one holder"
 FENCING_TOKENS = "fences"
 COMMITTED_RECORDS = "records"
 
 
 class ActiveSpan(NamedTuple):
-    """A part of a leadership term in which the leader's process ran; ordered by its begin."""
+    """A part of a leadership term in which the leader's process ran; sorts by start time."""
 
     begin_ms: float
     end_ms: float
@@ -37,7 +38,7 @@
 
 
 def single_leader(events: Sequence[HistoryEvent]) -> Iterator[Finding]:
-    """At no moment do two nodes lead a role; a node whose process is paused or just resumed does not lead."""
+    """No two nodes lead a role at the same time; a node that is paused or just resumed does not count."""
     availability = ProcessAvailability(events)
     for role, terms in leadership_terms(events).items():
         spans = sorted(
@@ -48,7 +49,7 @@
             if latest is not None and span.begin_ms < latest.end_ms and span.node != latest.node:
                 description = (
                     f"leads {role} with fencing token {span.fencing_token},"
-                    f" and so does {latest.node} with {latest.fencing_token}"
+                    f" while {latest.node} leads it with {latest.fencing_token}"
                 )
                 yield Finding(SINGLE_LEADER, span.begin_ms, span.node, description)
             if latest is None or span.end_ms > latest.end_ms:
@@ -56,7 +57,7 @@
 
 
 def active_spans(term: LeadershipTerm, unavailable: Sequence[Interval]) -> list[ActiveSpan]:
-    """Returns the parts of a term outside of the intervals in which its node did not run."""
+    """Returns the parts of a term outside the intervals in which its node was unavailable."""
     spans: list[ActiveSpan] = []
     begin_ms = term.begin_ms
     for interval in sorted(unavailable):
@@ -70,7 +71,7 @@
 
 
 def no_call_after_lease(events: Sequence[HistoryEvent]) -> Iterator[Finding]:
-    """No fenced call leaves a node after its lease, also just resumed; the end is the one that it logged."""
+    """No node sends a fenced call after the logged end of its lease, not even a node just resumed."""
     lag = SchedulingLag(events)
     ends_ms = {
         (role, term.node, term.fencing_token): term.end_ms
@@ -83,8 +84,8 @@
             continue
         if not lag.has_long_lag(call.node, end_ms, call.at_ms):
             description = (
-                f"calls for {call.role} with fencing token {call.fencing_token},"
-                f" {call.at_ms - end_ms:.0f} ms after its lease ended"
+                f"sent a call for {call.role} with fencing token {call.fencing_token},"
+                f" {call.at_ms - end_ms:.0f} ms after the end of its lease"
             )
             yield Finding(SINGLE_LEADER, call.at_ms, call.node, description)
 
@@ -96,8 +97,8 @@
         previous = highest.get(acquired.role)
         if previous is not None and acquired.fencing_token <= previous.fencing_token:
             description = (
-                f"leads {acquired.role} with fencing token {acquired.fencing_token}"
-                f" after {previous.node} had {previous.fencing_token}"
+                f"was elected for {acquired.role} with fencing token {acquired.fencing_token},"
+                f" not above {previous.fencing_token} of {previous.node}"
             )
             yield Finding(FENCING_TOKENS, acquired.at_ms, acquired.node, description)
         if previous is None or _token_and_node(acquired) > _token_and_node(previous):
@@ -109,7 +110,7 @@
 
 
 def accepted_tokens_never_decrease(events: Sequence[HistoryEvent]) -> Iterator[Finding]:
-    """The fenced resource accepts no lower token than before, and each token from one leader only."""
+    """For each role, the tokens that the resource accepts never decrease, and each is of one leader only."""
     latest: dict[str, FencedCallReceived] = {}
     for call in events_of_type(events, FencedCallReceived):
         if not call.accepted:
@@ -117,17 +118,17 @@
         previous = latest.setdefault(call.role, call)
         accepted = f"a call for {call.role} with fencing token {call.fencing_token}"
         if call.fencing_token < previous.fencing_token:
-            description = f"{accepted} was accepted after {previous.fencing_token} of {previous.leader}"
+            description = f"{accepted} was accepted after token {previous.fencing_token} of {previous.leader}"
             yield Finding(FENCING_TOKENS, call.at_ms, call.leader, description)
             continue
         if call.fencing_token == previous.fencing_token and call.leader != previous.leader:
-            description = f"{accepted}, which is {previous.leader}'s, was accepted"
+            description = f"{accepted} was accepted, but the token is that of {previous.leader}"
             yield Finding(FENCING_TOKENS, call.at_ms, call.leader, description)
         latest[call.role] = call
 
 
 def committed_records_survive(events: Sequence[HistoryEvent]) -> Iterator[Finding]:
-    """Each leader has read what earlier leaders committed, or what replaced it.
+    """Each new leader has read the newest record that earlier leaders committed, or a later one.
 
     Records that were committed before the recovery epoch that the leader read may be missing.
     """
@@ -141,7 +142,8 @@
             if newest is None or not _is_missing(newest, read):
                 continue
             description = (
-                f"leads {role} with record {read.sequence}, and {newest.sequence} had been committed"
+                f"was elected for {role} with record {read.sequence},"
+                f" although record {newest.sequence} was committed before"
             )
             yield Finding(COMMITTED_RECORDS, term.begin_ms, term.node, description)
 
--- a/tests/simulation/multiprocess/test_command_line.py
+++ b/tests/simulation/multiprocess/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command's exits, its refusals, and its old spellings."""
+"""`onyxpost simulate processes`: exit codes, errors for invalid input, and old names."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 from onyxpost.simulation.multiprocess.leadership_mutations import LEADERSHIP_MUTATIONS, current_name
 
-pytestmark = pytest.mark.xdist_group("quiet")  # many processes: not beside what measures time
+pytestmark = pytest.mark.xdist_group("quiet")  # many processes would disturb tests that measure time
 
 COMMAND = [sys.executable, "-m", "onyxpost", "simulate", "processes"]
 
 
 def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
-    """Runs the command to its end."""
+    """Runs the command, and returns its exit code and output."""
     return subprocess.run([*COMMAND, *arguments], capture_output=True, text=True, timeout=60.0)
 
 
 def test_interrupted_command_exits_130_and_leaves_no_process() -> None:
     with subprocess.Popen([*COMMAND, "edge-cuts", "--nodes", "3"], stderr=subprocess.PIPE) as command:
         children = Path(f"/proc/{command.pid}/task/{command.pid}/children")
-        until = time.monotonic() + 20.0
+        deadline_seconds = time.monotonic() + 20.0
         process_ids: list[str] = []
-        while len(process_ids) < 3 and time.monotonic() < until:
+        while len(process_ids) < 3 and time.monotonic() < deadline_seconds:
             process_ids = children.read_text().split()
             time.sleep(0.02)
         command.send_signal(signal.SIGINT)
@@ -39,19 +39,19 @@
     for process_id in process_ids:
         with contextlib.suppress(ProcessLookupError):
             os.kill(int(process_id), 0)
-            pytest.fail(f"process {process_id} is left")
+            pytest.fail(f"process {process_id} is still running after the command was interrupted")
 
 
 def test_option_out_of_range_is_refused_in_one_line_with_exit_2() -> None:
     refusal = run_command("edge-cuts", "--nodes", "99")
     assert (refusal.returncode, refusal.stderr.count("\n")) == (2, 1)
-    assert "99 nodes: 1 to 64 (name a shipped scenario" in refusal.stderr
+    assert "99 nodes given, expected 1 to 64 (name a shipped scenario" in refusal.stderr
 
 
 def test_unknown_mutation_is_refused_with_the_known_ones() -> None:
     refusal = run_command("edge-cuts", "--mutation", "nothing")
     assert (refusal.returncode, refusal.stderr.count("\n")) == (2, 1)
-    assert "no mutation 'nothing'; there are " in refusal.stderr
+    assert "unknown mutation 'nothing'; known are " in refusal.stderr
     for mutation in LEADERSHIP_MUTATIONS:
         assert mutation in refusal.stderr
 
@@ -59,7 +59,7 @@
 def test_mutation_of_leadership_is_refused_where_no_roles_are_led() -> None:
     refusal = run_command("edge-cuts", "--mutation", "ignore-lease-expiry")
     assert refusal.returncode == 2
-    assert "'ignore-lease-expiry' is of leadership, not of the environment 'edge'" in refusal.stderr
+    assert "'ignore-lease-expiry' needs the environment 'leadership', not 'edge'" in refusal.stderr
 
 
 @pytest.mark.parametrize(
