--- a/onyxpost/simulation/discrete_event/__init__.py
+++ b/onyxpost/simulation/discrete_event/__init__.py
@@ -1,1 +1,1 @@
-"""Discrete-event simulation of a whole installation; it hosts the decision code of real edge nodes."""
+"""Discrete-event simulation of a whole deployment, running the decision code of real edge nodes."""
--- a/onyxpost/simulation/discrete_event/attempts.py
+++ b/onyxpost/simulation/discrete_event/attempts.py
@@ -1,4 +1,4 @@
-"""Requests that a node has received, and their attempts on the way to servers and back."""
+"""Requests that a node has received, and their attempts between the node and app servers."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
     from onyxpost.simulation.discrete_event.outcomes import OutcomeCallback
     from onyxpost.simulation.discrete_event.workload import ClientRequest
 
-NEVER_SENT = -1
-# Results after which the connection can be used for another request.
+NEVER_SENT = -1  # `sent_index` of an attempt that has not reached a server
+# Results after which a connection stays open and can be used for another request.
 CONNECTION_REUSABLE = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.FULL)
 
 
 class PendingRequest:
-    """A try of a client's request that a node has received.
+    """One try of a client's request, as the node that received it tracks it.
 
     Attributes:
-        deadline_ms: time by which the node answers.
-        on_outcome: receives the final answer.
-        is_finished: whether it was answered, or its client disconnected.
-        units_counted: whether its units were counted, with the first attempt that reached a server.
-        attempts: by index; None if the attempt has ended.
+        deadline_ms: simulated time by which the node must answer.
+        on_outcome: called with the outcome of the try.
+        is_finished: whether the request was answered, or its client disconnected.
+        units_counted: whether the units were counted; they are when the first attempt reaches a server.
+        attempts: all attempts by their index; None for an attempt that has ended.
         sent_attempts: number of attempts that reached a server.
     """
 
@@ -54,7 +54,7 @@
         self.sent_attempts = 0
 
     def has_attempts_in_flight(self) -> bool:
-        """Returns whether an attempt has not ended."""
+        """Returns whether any attempt has not ended."""
         return any(attempt is not None for attempt in self.attempts)
 
 
@@ -67,26 +67,27 @@
     connections: ConnectionPool
 
     def on_attempt_sent(self, attempt: AttemptInFlight) -> None:
-        """The attempt's last byte arrived at its server."""
+        """Handles that the last byte of an attempt arrived at its server."""
 
     def on_attempt_ended(self, attempt: AttemptInFlight, result: AttemptResult) -> None:
-        """The attempt has its result."""
+        """Handles the result of an attempt."""
 
     def on_attempt_cancelled(self, attempt: AttemptInFlight, result: AttemptResult) -> None:
-        """The attempt was cancelled by the policy, which is handling events."""
+        """Handles that the policy cancelled an attempt while it was handling events."""
 
 
 class AttemptInFlight:
-    """One attempt between a node and a server; it has exactly one end.
+    """One attempt between a node and a server; it ends exactly once.
 
     Attributes:
-        index: index of the attempt in its request.
-        started_at_ms: when the policy started it.
-        is_finished: whether it has its end.
-        has_connection: whether it holds a connection at the server.
-        is_written: whether bytes of it may have arrived at the server.
-        sent_index: how many attempts of the request reached a server before; `NEVER_SENT`: it did not.
-        work_ms: work on a core of speed 1, with that of its handshake.
+        index: index of the attempt among those of its request.
+        started_at_ms: simulated time at which the policy started the attempt.
+        is_finished: whether the attempt has ended.
+        has_connection: whether the attempt holds a connection to the server.
+        is_written: whether any of its bytes may have arrived at the server.
+        sent_index: number of earlier attempts of the request that reached a server; `NEVER_SENT` until
+            this attempt does.
+        work_ms: work on a core of speed 1, including the handshake of a new connection.
     """
 
     __slots__ = (
@@ -122,13 +123,13 @@
 
     @property
     def origin(self) -> AttemptOrigin:
-        """The node and the request that this attempt belongs to."""
+        """The node and the request to which this attempt belongs."""
         return AttemptOrigin(self._owner.name, self.request.request_id)
 
-    # Way to the server
+    # From the node to the server
 
     def start(self, timeout_ms: float) -> None:
-        """Takes a pooled connection, or starts to open one."""
+        """Sends the attempt over an idle connection, or opens a new one; it expires after `timeout_ms`."""
         clock = self._environment.clock
         network = self._environment.network
         zone = self._owner.zone
@@ -151,7 +152,7 @@
         self.has_connection = True
         self._owner.connections.opened += 1
         handshake_ms = self._environment.scenario.cluster.handshake_ms
-        self.work_ms += handshake_ms  # the server's cores pay for it
+        self.work_ms += handshake_ms  # a server's cores also execute the handshake
         self._environment.clock.call_after(handshake_ms, self._arrive)
 
     def _arrive(self) -> None:
@@ -162,16 +163,19 @@
             return
         self.is_written = True
         if not self._environment.network.is_reachable(self._owner.zone, self.server.zone):
-            return  # no packet comes back: its timeout ends it
+            return  # no response gets through a partition: the attempt ends by its timeout
         self.sent_index = self.request.sent_attempts
         self.request.sent_attempts += 1
         self._owner.on_attempt_sent(self)
         self.server.receive_attempt(self)
 
-    # Way back
+    # From the server to the node
 
     def send_result(self, result: AttemptResult) -> None:
-        """The server has completed it; the response still has its way to go."""
+        """Sends the result to the node, where it arrives after the network delay.
+
+        A result is dropped if the zones of node and server are partitioned.
+        """
         network = self._environment.network
         zone = self._owner.zone
         server_zone = self.server.zone
@@ -184,7 +188,7 @@
             self._finish(AttemptResult.EXPIRED if self.is_written else AttemptResult.NO_CONNECTION)
 
     def cancel(self) -> None:
-        """Ends it because its result is of no use any more."""
+        """Cancels the attempt, whose result is no longer needed."""
         if not self.is_finished:
             self.release()
             result = AttemptResult.CANCELLED if self.is_written else AttemptResult.UNUSED
@@ -202,7 +206,7 @@
         self._owner.on_attempt_ended(self, result)
 
     def release(self) -> None:
-        """Ends it without a result, and closes its connection."""
+        """Ends the attempt without notifying its node, and closes its connection."""
         self.is_finished = True
         self.server.abandon_attempt(self)
         if self.has_connection and self.server.alive:
--- a/onyxpost/simulation/discrete_event/batch.py
+++ b/onyxpost/simulation/discrete_event/batch.py
@@ -1,4 +1,4 @@
-"""Runs many seeds of one scenario on several processes; the results do not depend on their number."""
+"""Runs many seeds of one scenario in worker processes; the results do not depend on how many."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class SeedResult(NamedTuple):
-    """Results of one seed.
+    """Results of the run of one seed.
 
     Attributes:
-        data: result lines, encoded.
-        duration_seconds: real time that the run took.
+        data: encoded lines of a result file.
+        duration_seconds: wall-clock duration of the run.
     """
 
     seed: int
@@ -31,7 +31,13 @@
 
 
 def run_seed(scenario: bytes, seed: int, overrides: PolicyOverrides) -> SeedResult:
-    """Runs one seed of a scenario that `encode_scenario` wrote."""
+    """Runs one seed of an encoded scenario.
+
+    Args:
+        scenario: output of `encode_scenario`.
+        seed: the seed.
+        overrides: constants of the policy that have other values during the run.
+    """
     started_at = time.perf_counter()
     with override_policy(overrides):
         world = World(decode_scenario(scenario, "scenario"), seed)
@@ -43,7 +49,7 @@
 def run_seeds(
     scenario: Scenario, seeds: Sequence[int], jobs: int, overrides: PolicyOverrides | None = None
 ) -> Iterator[SeedResult]:
-    """Runs seeds on `jobs` processes; results come in the order of the seeds, each once it is there."""
+    """Runs seeds in `jobs` processes, and yields their results in the order of the seeds."""
     encoded = encode_scenario(scenario)
     if jobs <= 1:
         for seed in seeds:
--- a/onyxpost/simulation/discrete_event/client_model.py
+++ b/onyxpost/simulation/discrete_event/client_model.py
@@ -18,23 +18,23 @@
 
 
 class RequestReceiver(Protocol):
-    """An edge node as its clients reach it."""
+    """The interface of an edge node to its clients."""
 
     alive: bool
     incarnation: int
 
     def receive_request(self, request: ClientRequest, on_outcome: OutcomeCallback) -> str:
-        """Handles a try of a request and returns its id; `on_outcome` may be called at once."""
+        """Handles a try of a request and returns its id; `on_outcome` may be called before this returns."""
 
     def disconnect_client(self, request_id: str) -> None:
-        """Handles that the client of a request disconnected."""
+        """Handles that the client of a request has disconnected."""
 
 
 class ClientModel:
     """All clients of all customers.
 
     Attributes:
-        customers: the customers, in the order of their plans.
+        customers: all customers, in the order of their plans.
     """
 
     def __init__(self, environment: Environment, nodes: Sequence[RequestReceiver]) -> None:
@@ -60,21 +60,25 @@
         self._nodes_considered_up[node_index] = is_up
 
     def start_surge(self, plan: str, factor: float) -> list[Customer]:
-        """Multiplies the load of the customers of one plan, or of all if `plan` is empty; returns them."""
+        """Multiplies the load of a plan's customers, or of all customers if `plan` is empty.
+
+        Returns:
+            The customers whose load was changed.
+        """
         customers = [customer for customer in self.customers if not plan or customer.plan.name == plan]
         for customer in customers:
             customer.load_factor *= factor
         return customers
 
     def end_surge(self, customers: Iterable[Customer], factor: float) -> None:
-        """Takes back what `start_surge` did."""
+        """Divides the load of customers by the factor of an earlier surge."""
         for customer in customers:
             customer.load_factor /= factor
 
     # Arrivals
 
     def _change_node_weights(self, customer: Customer) -> None:
-        """Draws anew which nodes receive most requests of a customer."""
+        """Draws new weights by which a customer's requests are spread over its nodes."""
         customer.node_weights = [self._rng.expovariate(1.0) for _ in range(customer.node_count)]
         duration_ms = MS_PER_SECOND * self._rng.uniform(*self._options.weight_change_s)
         self._clock.call_after(duration_ms, self._change_node_weights, customer)
@@ -120,7 +124,7 @@
             )
 
     def _choose_node(self, customer: Customer) -> RequestReceiver | None:
-        """Chooses a node of the customer's set; None if all are considered down."""
+        """Draws a node of the customer's set by its weight; None if all of them are considered down."""
         count = len(self._nodes)
         indexes = [(customer.first_node + offset) % count for offset in range(customer.node_count)]
         weights = [
--- a/onyxpost/simulation/discrete_event/connection_pool.py
+++ b/onyxpost/simulation/discrete_event/connection_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections of a node to servers."""
+"""Pool of the idle connections of a node to app servers."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
     from onyxpost.simulation.discrete_event.event_queue import EventQueue
     from onyxpost.simulation.discrete_event.server_model import ServerModel
 
-# Part of the servers' keep-alive after which an idle connection is not used again: the server might close it
-# while a request is on its way.
+# Idle connections are not reused after this fraction of the servers' keep-alive time: a server might close
+# the connection while a request is on its way.
 MAX_IDLE_FRACTION = 0.75
 
 
 class ConnectionPool:
-    """Connections that can be used for another request; the most recently used one is taken first.
+    """Idle connections; the most recently used connection to a server is reused first.
 
     Attributes:
         opened: number of connections that the node opened, in all its incarnations.
@@ -25,13 +25,13 @@
 
         Args:
             clock: the simulated clock.
-            endpoints: servers that the node knows; the node updates it.
+            endpoints: servers that the node knows, by id; updated in place by the node.
             keep_alive_ms: time after which servers close an idle connection.
         """
         self._clock = clock
         self._endpoints = endpoints
         self._max_idle_ms = MAX_IDLE_FRACTION * keep_alive_ms
-        self._idle_since: dict[str, list[float]] = {}  # by server: times in ms, the oldest first
+        self._idle_since: dict[str, list[float]] = {}  # by server id; times in ms, the oldest first
         self.opened = 0
 
     def idle_count(self, server_id: str) -> int:
@@ -39,7 +39,10 @@
         return len(self._idle_since.get(server_id, ()))
 
     def take(self, server: ServerModel) -> bool:
-        """Takes an idle connection out of the pool; returns whether there was one that can be used."""
+        """Takes the most recently used idle connection; returns False if there is no usable one.
+
+        If that connection has expired, all others to the server have too, and all are closed.
+        """
         idle_since = self._idle_since.get(server.server_id)
         if not idle_since:
             return False
@@ -53,7 +56,7 @@
         return False
 
     def give_back(self, server: ServerModel) -> None:
-        """Puts a connection into the pool, or closes it if the node no longer knows the server."""
+        """Returns a connection to the pool, or closes it if the node no longer knows the server."""
         if not server.alive:
             return
         if server.server_id in self._endpoints:
@@ -62,7 +65,7 @@
             server.connections -= 1
 
     def close_expired(self) -> None:
-        """Closes connections that were idle for too long."""
+        """Closes connections that have been idle for longer than the maximum."""
         oldest_usable = self._clock.now_ms - self._max_idle_ms
         for server_id, idle_since in list(self._idle_since.items()):
             usable = [since for since in idle_since if since >= oldest_usable]
@@ -75,7 +78,7 @@
                 del self._idle_since[server_id]
 
     def close_all(self) -> None:
-        """Closes all connections."""
+        """Closes all idle connections."""
         for server_id, idle_since in self._idle_since.items():
             server = self._endpoints.get(server_id)
             if server is not None and server.alive:
@@ -83,5 +86,5 @@
         self._idle_since = {}
 
     def remove_server(self, server_id: str) -> None:
-        """Forgets the connections to a server that died or is gone."""
+        """Removes the connections to a server that died or is gone."""
         self._idle_since.pop(server_id, None)
--- a/onyxpost/simulation/discrete_event/decision_sink.py
+++ b/onyxpost/simulation/discrete_event/decision_sink.py
@@ -1,4 +1,4 @@
-"""Carries out the decisions of a node's gateway in the simulation."""
+"""Carries out the decisions of a simulated node's gateway."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 class DecidingNode(AttemptOwner, PeerNode, Forwarder, Protocol):
-    """The node whose gateway decides."""
+    """The node whose gateway makes the decisions."""
 
     endpoints: EndpointUpdates
     pending: PendingRequests
 
     def on_timer(self, incarnation: int, token: int) -> None:
-        """A timer of this incarnation of the node has fired."""
+        """Handles a timer that was started in the given incarnation of the node."""
 
 
 class NodeDecisionSink:
@@ -42,23 +42,26 @@
         self._deferred_events: list[Event] = []
 
     def set_peers(self, peers: Sequence[PeerNode]) -> None:
-        """Sets all nodes, by their index."""
+        """Sets all nodes of the deployment, in the order of their index."""
         self._peers = peers
 
     def defer(self, event: Event) -> None:
-        """Keeps an event that a decision caused until the gateway has handled those before."""
+        """Queues an event that a decision caused until the gateway has handled the current events."""
         self._deferred_events.append(event)
 
     def take_deferred_events(self) -> list[Event]:
-        """Returns the deferred events, and keeps none."""
+        """Removes and returns the deferred events."""
         deferred = self._deferred_events
         self._deferred_events = []
         return deferred
 
     # Requests
 
-    def start_attempt(self, request_id: str, server: str, timeout: float, begin_before: float) -> None:  # noqa: ARG002 - simulated attempts begin at once
-        """Starts an attempt, or ends it at once if its server is not known or no time is left."""
+    def start_attempt(self, request_id: str, server: str, timeout: float, begin_before: float) -> None:  # noqa: ARG002 - simulated attempts are sent without a delay
+        """Starts an attempt.
+
+        The attempt ends unused if its server is unknown, or its request is finished or past its deadline.
+        """
         pending = self._node.pending[request_id]
         server_model = self._node.endpoints.known_servers.get(server)
         timeout_ms = min(timeout, pending.deadline_ms - self._environment.clock.now_ms)
@@ -73,7 +76,7 @@
         attempt.start(timeout_ms)
 
     def cancel_attempt(self, request_id: str, attempt_index: int) -> None:
-        """Cancels an attempt that has not ended."""
+        """Cancels an attempt; does nothing if the attempt has ended."""
         pending = self._node.pending.get(request_id)
         if pending is None or attempt_index >= len(pending.attempts):
             return
@@ -102,23 +105,23 @@
         self._environment.network.send_peer_message(self._node, self._peers[peer], body)
 
     def start_timer(self, delay: float, token: int) -> None:
-        """Fires a timer after `delay` ms, unless the node dies before."""
+        """Fires a timer after `delay` ms, unless the node's incarnation ends first."""
         node = self._node
         self._environment.clock.call_after(delay, node.on_timer, node.incarnation, token)
 
     def log(self, line: str) -> None:
-        """Counts a change of mode."""
+        """Counts the log line by its kind."""
         self._environment.metrics.count_mode_change(line)
 
     def watch_endpoints(self) -> None:
-        """Does nothing: endpoint updates are pushed."""
+        """Does nothing, as simulated endpoint updates are pushed to the nodes."""
 
     def report_units_spent(self, customer: int, plan: str, units: int, lease: int) -> None:
-        """Reports spent units to the planners, if there are any."""
+        """Reports spent units to the planners, if the scenario has any."""
         if self._planners is not None:
             self._planners.report_units_spent(self._node, customer, plan, units, lease)
 
     def return_lease(self, lease: int, units: int) -> None:
-        """Returns a lease to the planners, if there are any."""
+        """Returns a lease to the planners, if the scenario has any."""
         if self._planners is not None:
             self._planners.return_lease(self._node, lease, units)
--- a/onyxpost/simulation/discrete_event/endpoint_updates.py
+++ b/onyxpost/simulation/discrete_event/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Endpoint updates on their way to one node."""
+"""Delivery of endpoint updates to one node."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     from onyxpost.simulation.discrete_event.event_queue import EventQueue
     from onyxpost.simulation.discrete_event.server_model import ServerModel
 
-NODE_DOWN_RETRY_MS = 200.0  # until a node that is down is tried again
+NODE_DOWN_RETRY_MS = 200.0  # time until an update is sent again to a node that is down
 
 
 class UpdateReceiver(Protocol):
@@ -22,17 +22,17 @@
     alive: bool
 
     def receive_endpoint_update(self, statuses: list[EndpointStatus]) -> None:
-        """Handles the endpoints that changed."""
+        """Handles the current status of the endpoints that changed."""
 
 
 class EndpointUpdates:
-    """The endpoints that a node knows, and changes that it has not received yet.
+    """The endpoints that a node knows, and the changes that it has not received yet.
 
-    Changes that happen until the next update is delivered are part of it.
+    An update contains all changes that happen before its delivery.
 
     Attributes:
         known_servers: servers that the node knows, by id.
-        statuses: what the node knows of them.
+        statuses: status of each of these servers in the last update that the node received.
     """
 
     def __init__(self, clock: EventQueue, receiver: UpdateReceiver) -> None:
@@ -50,7 +50,7 @@
             self.statuses[server.server_id] = server.endpoint_status(EPOCH)
 
     def schedule(self, server: ServerModel, delay_ms: float) -> None:
-        """Delivers a change after a delay, or with the update that is already scheduled."""
+        """Delivers a change after a delay, or earlier with the update that is already scheduled."""
         self._changed[server.server_id] = server
         if not self._is_scheduled:
             self._is_scheduled = True
--- a/onyxpost/simulation/discrete_event/environment.py
+++ b/onyxpost/simulation/discrete_event/environment.py
@@ -1,4 +1,4 @@
-"""What all models of one run share."""
+"""Objects that all models of one run share."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """Clock, network, counters and checks of one run, and what its scenario says.
+    """Clock, network, metrics and invariant checks of one run, with values derived from its scenario.
 
     Attributes:
-        seed: determines all random draws; each model has a random source of its own.
+        seed: determines all random draws; each model has its own random generator.
         clock: the simulated time in ms since the start of the run.
     """
 
@@ -37,7 +37,7 @@
 
 
 def create_environment(scenario: Scenario, seed: int) -> Environment:
-    """Creates the environment of a run at time 0."""
+    """Creates the environment of a run, with its clock at 0 ms."""
     clock = EventQueue()
     metrics = RunMetrics(clock, scenario.seconds)
     plans = create_plans(scenario)
--- a/onyxpost/simulation/discrete_event/event_queue.py
+++ b/onyxpost/simulation/discrete_event/event_queue.py
@@ -1,4 +1,4 @@
-"""The event queue of the discrete-event simulation, and its clock, which jumps from one event to the next."""
+"""The event queue of the discrete-event simulation, whose clock advances from one event to the next."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class EventQueue:
-    """Calls that are due at times of the simulated clock.
+    """Calls that are scheduled at points of simulated time.
 
     Calls that are due at the same time are made in the order in which they were scheduled.
 
     Attributes:
-        now_ms: the simulated time since the start of the run.
-        processed: number of calls that were made.
+        now_ms: simulated time since the start of the run.
+        processed: number of calls made so far.
     """
 
     def __init__(self) -> None:
@@ -25,12 +25,12 @@
         self._heap: list[ScheduledCall] = []
 
     def call_at(self, time_ms: float, call: Callable[..., None], *arguments: object) -> None:
-        """Schedules a call at a time; one in the past is made now."""
+        """Schedules a call at a time; a time in the past is replaced by the current time."""
         self._scheduled += 1
         heapq.heappush(self._heap, (max(time_ms, self.now_ms), self._scheduled, call, arguments))
 
     def call_after(self, delay_ms: float, call: Callable[..., None], *arguments: object) -> None:
-        """Schedules a call after a delay."""
+        """Schedules a call `delay_ms` after the current time."""
         self.call_at(self.now_ms + delay_ms, call, *arguments)
 
     def run_until(self, end_ms: float) -> None:
--- a/onyxpost/simulation/discrete_event/exact_quota.py
+++ b/onyxpost/simulation/discrete_event/exact_quota.py
@@ -1,4 +1,4 @@
-"""An exact count of a customer's use, to compare the nodes' decisions with."""
+"""Exact count of a customer's usage across all nodes, the reference for the nodes' decisions."""
 
 from __future__ import annotations
 
@@ -6,9 +6,15 @@
 
 
 class ExactQuota:
-    """A token bucket that counts all requests of a customer, whatever node they went through.
+    """A token bucket that counts the requests of one customer at all nodes.
 
-    It may owe as many tokens as are refilled in a second. `rate` is tokens a second, `burst` its capacity.
+    The level may fall below zero by as many tokens as are refilled in a second.
+
+    Attributes:
+        rate: tokens refilled in a second.
+        burst: capacity in tokens.
+        tokens: current level; negative while the customer has exceeded its quota.
+        refilled_at_ms: time of the last refill.
     """
 
     def __init__(self, rate: float, burst: float) -> None:
@@ -18,7 +24,7 @@
         self.refilled_at_ms = 0.0
 
     def refill(self, now_ms: float) -> float:
-        """Adds the tokens since the last refill, and returns how many there are."""
+        """Adds the tokens due since the last refill, and returns the new level."""
         self.tokens = min(
             self.burst, self.tokens + self.rate * (now_ms - self.refilled_at_ms) / MS_PER_SECOND
         )
@@ -26,7 +32,7 @@
         return self.tokens
 
     def consume(self, now_ms: float, units: int) -> float:
-        """Counts units of a request, and returns how many of them are beyond the quota."""
+        """Counts the units of a request, and returns how many of them exceed the quota."""
         beyond = min(float(units), max(0.0, units - self.refill(now_ms)))
         self.tokens = max(-self.rate, self.tokens - units)
         return beyond
--- a/onyxpost/simulation/discrete_event/fault_injector.py
+++ b/onyxpost/simulation/discrete_event/fault_injector.py
@@ -1,4 +1,4 @@
-"""Starts and ends the faults of a scenario."""
+"""Injects the faults and load changes of a scenario at their simulated times."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class FaultInjector:
-    """Carries out faults by their type."""
+    """Starts faults by their type, and ends timed faults after their duration."""
 
     def __init__(
         self,
@@ -163,7 +163,7 @@
         self._clients.set_node_considered_up(node.node_index, True)
 
     def _lose_planners(self, fault: PlannersLost) -> None:
-        """Kills the first planners by name; they restart without state."""
+        """Kills the share of planners with the lowest indexes; they restart without state at the end."""
         planners = self._planners
         if planners is None:
             return
--- a/onyxpost/simulation/discrete_event/invariant_recorder.py
+++ b/onyxpost/simulation/discrete_event/invariant_recorder.py
@@ -1,4 +1,4 @@
-"""Reports the events of a run to the checker of invariants; no other module calls the checker."""
+"""Reports the events of a run to the invariant checker, which no other module here calls."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     from onyxpost.simulation.discrete_event.scenario import Scenario
     from onyxpost.simulation.invariants import Violation
 
-TOLERANCE_MS = 50.0  # that the checker allows beside each limit in time
+TOLERANCE_MS = 50.0  # tolerance of the checker for each limit in time
 
 
 def zone_name(zone: int) -> str:
@@ -23,7 +23,7 @@
 
 
 class InvariantRecorder:
-    """Feeds one checker with the events of a run, at the simulated time."""
+    """Reports events to an invariant checker, stamped with the simulated time."""
 
     def __init__(
         self, clock: EventQueue, scenario: Scenario, slow_start: SlowStartPolicy, plans: list[Plan]
@@ -39,11 +39,11 @@
 
     @property
     def violations(self) -> list[Violation]:
-        """All violations so far."""
+        """All violations found so far."""
         return self._checker.violations
 
     def violation_records(self) -> Iterator[dict[str, Any]]:
-        """Returns the violations as result files have them."""
+        """Yields the violations in the format of result files."""
         for violation in self._checker.violations:
             yield violation.to_record()
 
@@ -52,67 +52,67 @@
     def request_received(
         self, node: str, request_id: str, frontend: Frontend, customer: str, units: int, deadline_ms: float
     ) -> None:
-        """A node received a client's request."""
+        """Records that a node received a client's request."""
         self._checker.on_request_received(
             self._clock.now_ms, node, request_id, frontend, customer, units, deadline_ms
         )
 
     def attempt_sent(self, node: str, request_id: str, server: str, zone: int, cell: int, plan: str) -> None:
-        """The last byte of an attempt arrived at a server."""
+        """Records that the last byte of an attempt arrived at a server."""
         now_ms = self._clock.now_ms
         self._checker.on_attempt_sent(
             AttemptRecord(node, request_id, server, now_ms, now_ms, zone_name(zone), cell, plan)
         )
 
     def attempt_ended(self, node: str, request_id: str, sent_index: int, never_executed: bool) -> None:
-        """An attempt that was sent has its result; it was the `sent_index`-th of its request, from 0."""
+        """Records the result of an attempt; `sent_index` counts the sent attempts of its request from 0."""
         self._checker.on_attempt_ended(self._clock.now_ms, node, request_id, sent_index, never_executed)
 
     def request_answered(self, node: str, request_id: str, outcome: str) -> None:
-        """A node sent the final answer of a request."""
+        """Records that a node sent the final answer to a request."""
         self._checker.on_final_answer(self._clock.now_ms, node, request_id, outcome)
 
     def client_disconnected(self, node: str, request_id: str) -> None:
-        """A client disconnected before its answer."""
+        """Records that a client disconnected before it was answered."""
         self._checker.on_client_disconnected(self._clock.now_ms, node, request_id)
 
     def request_forgotten(self, node: str, request_id: str) -> None:
-        """A request is answered and has no attempt in flight."""
+        """Ends the tracking of a request that is finished and has no attempt in flight."""
         self._checker.forget_request(node, request_id)
 
     # Nodes and servers
 
     def node_killed(self, node: str) -> None:
-        """A node died."""
+        """Records that a node was killed."""
         self._checker.on_node_killed(self._clock.now_ms, node)
 
     def endpoint_notified(self, node: str, server: str, state: EndpointState) -> None:
-        """A node received the state of a server."""
+        """Records that a node was notified of the state of a server."""
         self._checker.on_endpoint_notified(self._clock.now_ms, node, server, state)
 
     def server_started(self, server: str, capacity: float) -> None:
-        """A server started; `capacity` is the work in ms that it executes in 1 ms when it is warm."""
+        """Records a server's start; `capacity` is the work in ms that it executes in 1 ms after warm-up."""
         self._checker.on_server_started(self._clock.now_ms, server, capacity)
 
     def server_removed(self, server: str) -> None:
-        """A server died."""
+        """Records that a server died."""
         self._checker.on_server_removed(server)
 
     def work_received(self, server: str, work_ms: float, node: str, request_id: str) -> bool:
-        """Work arrived at a server; returns whether the server can bear it while it warms up."""
+        """Records work that arrived at a server; returns False if it overloads a server in slow start."""
         return self._checker.on_work_received(self._clock.now_ms, server, work_ms, node, request_id)
 
     # Time
 
     def check_deadlines(self) -> None:
-        """Checks the invariants that time alone can violate."""
+        """Checks the invariants that can be violated by the passing of time alone."""
         self._checker.check_deadlines(self._clock.now_ms)
 
     def finish(self) -> None:
-        """Checks what is judged at the end of a run."""
+        """Runs the checks that are due at the end of a run."""
         self._checker.finish(self._clock.now_ms)
 
     def max_slow_start_load(self) -> float:
-        """Returns the largest work at a server that warms up, as a share of what overloads it."""
+        """Returns the highest load of a server in slow start, as a fraction of the load that overloads it."""
         checker = self._checker
         return max((checker.slow_start_load(server) for server in checker.slow_start.servers), default=0.0)
--- a/onyxpost/simulation/discrete_event/message_rate_limit.py
+++ b/onyxpost/simulation/discrete_event/message_rate_limit.py
@@ -1,4 +1,4 @@
-"""How many messages of its peers a node receives."""
+"""Rate limit of the messages that a node receives from its peers."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class MessageRateLimit:
-    """Drops messages beyond a number a second, over a sliding window.
+    """Drops messages beyond a maximum per second, over a sliding window of one second.
 
     Attributes:
-        dropped: number of dropped messages.
+        dropped: number of messages dropped so far.
     """
 
     def __init__(self, clock: EventQueue, max_messages_per_second: float) -> None:
@@ -24,7 +24,7 @@
         self.dropped = 0
 
     def accept(self) -> bool:
-        """Returns whether a message that arrives now is received."""
+        """Counts a message that arrives now; returns False if it is dropped."""
         now_ms = self._clock.now_ms
         window_start_ms = now_ms - MS_PER_SECOND
         self._received_at_ms = [
--- a/onyxpost/simulation/discrete_event/metrics.py
+++ b/onyxpost/simulation/discrete_event/metrics.py
@@ -1,4 +1,4 @@
-"""Counters of a run, second by second. Their names are the keys of result files."""
+"""Metrics of a run for each simulated second. Their names are keys of result files."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 # Clients
-OFFERED = "offered"  # requests, each with all its tries
+OFFERED = "offered"  # requests; the tries of a request are counted once
 OFFERED_WITHIN_QUOTA = "offered_inside"
 WEIGHT_OFFERED_WITHIN_QUOTA = "value_inside"
 TRIES = "tries"
@@ -39,11 +39,11 @@
 
 
 class RunMetrics:
-    """Counts what happens in a run.
+    """Counters and maxima of a run.
 
     Attributes:
-        seconds: the counters of each simulated second, and of what is left at the end.
-        mode_changes: log lines of the policy by their kind.
+        seconds: metrics of each complete simulated second, and in the last entry those of the rest.
+        mode_changes: number of the policy's log lines by kind.
     """
 
     def __init__(self, clock: EventQueue, seconds: float) -> None:
@@ -52,15 +52,15 @@
         self.mode_changes: Counter[str] = Counter()
 
     def current_second(self) -> Counter[str]:
-        """Returns the counters of the current second."""
+        """Returns the metrics of the current second."""
         return self.seconds[min(len(self.seconds) - 1, int(self._clock.now_ms // MS_PER_SECOND))]
 
     def count(self, name: str, amount: float = 1) -> None:
         """Adds to a counter of the current second."""
-        self.current_second()[name] += amount  # type: ignore[assignment]  # counters of weights and times
+        self.current_second()[name] += amount  # type: ignore[assignment]  # weights and times are not integers
 
     def record_maximum(self, name: str, value: int) -> None:
-        """Records the largest value of the current second."""
+        """Records a value of which the maximum in each second is kept."""
         second = self.current_second()
         second[name] = max(second[name], value)
 
@@ -70,7 +70,7 @@
         self.mode_changes[kind] += 1
 
     def totals(self) -> Counter[str]:
-        """Returns the sums over all seconds."""
+        """Returns the sum of each metric over all seconds."""
         totals: Counter[str] = Counter()
         for second in self.seconds:
             totals.update(second)
--- a/onyxpost/simulation/discrete_event/network.py
+++ b/onyxpost/simulation/discrete_event/network.py
@@ -1,4 +1,4 @@
-"""Delays, partitions and losses of the simulated network."""
+"""Delays, partitions and message loss of the simulated network."""
 
 from __future__ import annotations
 
@@ -18,17 +18,20 @@
 
 
 class PeerNode(Protocol):
-    """An edge node as its peers reach it."""
+    """The interface of an edge node to its peers."""
 
     node_index: int
     zone: int
 
     def receive_peer_message(self, sender: int, body: str) -> None:
-        """Handles a message of another node."""
+        """Handles a gossip message from the node with index `sender`."""
 
 
 class Network:
-    """The network between nodes, servers and planners. Delays are drawn in the order of the calls."""
+    """The network between nodes, servers and planners.
+
+    Delays are drawn from one generator in the order of the calls, so a run depends on that order.
+    """
 
     def __init__(self, clock: EventQueue, metrics: RunMetrics, scenario: Scenario, seed: int) -> None:
         self._clock = clock
@@ -43,38 +46,38 @@
     # Partitions
 
     def start_partition(self, fault: Partition) -> None:
-        """Separates a zone from the others."""
+        """Partitions a zone from all others."""
         self._partitioned_zone = fault.zone
         self._gossip_blocked = fault.gossip_blocked
         self._additional_update_delay_ms = MS_PER_SECOND * fault.endpoint_delay_s
 
     def end_partition(self) -> None:
-        """Ends the partition."""
+        """Ends the current partition and its additional effects."""
         self._partitioned_zone = None
         self._gossip_blocked = False
         self._additional_update_delay_ms = 0.0
 
     def is_reachable(self, source_zone: int, target_zone: int) -> bool:
-        """Returns whether packets pass between two zones."""
+        """Returns whether two zones can exchange packets."""
         partitioned = self._partitioned_zone
         return partitioned is None or (source_zone == partitioned) == (target_zone == partitioned)
 
     # Delays
 
     def one_way_ms(self, source_zone: int, target_zone: int) -> float:
-        """Draws a one-way delay between two zones."""
+        """Draws a one-way delay in ms between two zones, which may be the same."""
         options = self._options
         same_zone = source_zone == target_zone
         return self._rng.uniform(*(options.within_zone_ms if same_zone else options.between_zones_ms))
 
     def endpoint_update_delay_ms(self) -> float:
-        """Draws the time until a node receives a change of an endpoint."""
+        """Draws the time in ms until a node receives a change of an endpoint."""
         return self._additional_update_delay_ms + self._rng.uniform(*self._update_delay_ms)
 
     # Messages
 
     def send_peer_message(self, sender: PeerNode, receiver: PeerNode, body: str) -> None:
-        """Sends a message between edge nodes; it may be lost."""
+        """Sends a gossip message between edge nodes; the message may be lost."""
         options = self._options
         self._metrics.count(MESSAGES)
         self._metrics.count(MESSAGE_BYTES, len(body))
@@ -93,7 +96,10 @@
         )
 
     def send_planner_message(self, size_bytes: int, deliver: Callable[[], None]) -> None:
-        """Sends a message between a node and a planner; the receiver checks the connection on arrival."""
+        """Sends a message between a node and a planner.
+
+        `deliver` has to check whether the connection is still open when the message arrives.
+        """
         self._metrics.count(MESSAGES)
         self._metrics.count(MESSAGE_BYTES, size_bytes)
         self._clock.call_after(self._rng.uniform(*self._options.between_zones_ms), deliver)
--- a/onyxpost/simulation/discrete_event/node_model.py
+++ b/onyxpost/simulation/discrete_event/node_model.py
@@ -1,4 +1,4 @@
-"""An edge node: the real decision code, with connections and messages that take simulated time."""
+"""An edge node that runs the real decision code over simulated connections and messages."""
 
 from __future__ import annotations
 
@@ -35,19 +35,19 @@
     from onyxpost.simulation.discrete_event.server_model import ServerModel
     from onyxpost.simulation.discrete_event.workload import ClientRequest
 
-TICK_MS = 2.0  # resolution of timers
-SEED_BITS = 48
+TICK_MS = 2.0  # resolution of the gateway's timers
+SEED_BITS = 48  # size of the seed of a gateway
 
 
 class NodeModel:
-    """One edge node: the host of one gateway for each of its incarnations.
+    """One edge node, which hosts a new gateway in each of its incarnations.
 
     Attributes:
-        incarnation: number of starts.
+        incarnation: number of starts so far.
         connections: idle connections to servers.
-        endpoints: what it knows of servers.
-        pending: requests that have no answer, or have attempts in flight.
-        peer_rate_limit: limits the messages that it receives from other nodes.
+        endpoints: endpoints that the node knows.
+        pending: requests that are unanswered or have attempts in flight.
+        peer_rate_limit: limits the gossip messages that the node receives.
     """
 
     def __init__(
@@ -76,13 +76,13 @@
         )
 
     def set_peers(self, peers: Sequence[NodeModel]) -> None:
-        """Sets all nodes, by their index."""
+        """Sets all nodes of the deployment, in the order of their index."""
         self._sink.set_peers(peers)
 
     # Process
 
     def start(self) -> None:
-        """Starts a new incarnation, which knows the endpoints of the previous one and nothing else."""
+        """Starts a new incarnation, which keeps only the known endpoints of the previous one."""
         self.incarnation += 1
         self.alive = True
         if self._planners is not None:
@@ -108,7 +108,7 @@
         )
 
     def kill(self) -> None:
-        """Ends the process at once; its clients see their connections close."""
+        """Kills the process; its clients see their connections close."""
         self.alive = False
         for attempt in self.pending.in_flight_attempts():
             if not attempt.is_finished:
@@ -123,7 +123,7 @@
         return EPOCH + self._clock.now_ms
 
     def handle(self, *events: Event) -> None:
-        """Has the gateway handle events, and then the ends of attempts that it caused itself."""
+        """Passes events to the gateway, and then the events that its decisions caused."""
         gateway = self._gateway
         assert gateway is not None, "the node was not started"
         gateway.handle(self._now(), events, self._sink)
@@ -135,7 +135,7 @@
     def receive_request(self, request: ClientRequest, on_outcome: OutcomeCallback) -> str:
         """Handles a try of a client's request; returns its id.
 
-        `on_outcome` receives the final answer, maybe before this returns.
+        `on_outcome` receives the final answer; it may be called before this returns.
         """
         self._received_requests += 1
         request_id = f"{self.incarnation}.{self._received_requests}"
@@ -155,7 +155,7 @@
         return request_id
 
     def disconnect_client(self, request_id: str) -> None:
-        """Handles that the client of a request disconnected."""
+        """Notifies the gateway that the client of a request has disconnected."""
         pending = self.pending.get(request_id)
         if pending is not None and not pending.is_finished and self.alive:
             self.pending.finish_without_answer(pending)
@@ -169,7 +169,7 @@
         self.pending.record_sent(attempt)
 
     def on_attempt_ended(self, attempt: AttemptInFlight, result: AttemptResult) -> None:
-        """Answers the request if the attempt succeeded, and notifies the gateway."""
+        """Answers the request if the attempt succeeded, and notifies the gateway of the result."""
         pending = attempt.request
         was_finished = pending.is_finished
         self.pending.record_end(attempt, result)
@@ -180,7 +180,7 @@
         self.pending.remove_if_complete(pending)
 
     def on_attempt_cancelled(self, attempt: AttemptInFlight, result: AttemptResult) -> None:
-        """Notifies the gateway, which has cancelled the attempt, after the events that it is handling."""
+        """Notifies the gateway of the attempt that it cancelled, after the events that it is handling."""
         self.pending.record_end(attempt, result)
         self._sink.defer(self._attempt_finished(attempt, result, attempt.request.is_finished))
 
@@ -194,20 +194,20 @@
     # Peers, discovery and timers
 
     def receive_peer_message(self, sender: int, body: str) -> None:
-        """Handles a message of another node."""
+        """Handles a gossip message of another node, unless the rate limit drops the message."""
         if self.alive and self.peer_rate_limit.accept():
             self.handle(PeerMessageReceived(sender, body))
 
     def on_server_died(self, server_id: str) -> None:
-        """Forgets the connections to a server that died."""
+        """Removes the connections to a server that died."""
         self.connections.remove_server(server_id)
 
     def on_endpoint_changed(self, server: ServerModel, delay_ms: float) -> None:
-        """Receives the change of an endpoint after a delay."""
+        """Schedules the delivery of a changed endpoint after a delay."""
         self.endpoints.schedule(server, delay_ms)
 
     def receive_endpoint_update(self, statuses: list[EndpointStatus]) -> None:
-        """Handles the endpoints that changed."""
+        """Notifies the gateway of endpoints that changed, and removes connections to those that are gone."""
         for status in statuses:
             self._invariants.endpoint_notified(self.name, status.server, status.state)
             if status.state is EndpointState.GONE:
@@ -215,6 +215,6 @@
         self.handle(EndpointsUpdated(False, statuses))
 
     def on_timer(self, incarnation: int, token: int) -> None:
-        """Notifies the gateway of a timer, unless its incarnation has ended."""
+        """Notifies the gateway of a timer; a timer of an earlier incarnation is ignored."""
         if self.alive and incarnation == self.incarnation:
             self.handle(TimerFired(token))
--- a/onyxpost/simulation/discrete_event/outcomes.py
+++ b/onyxpost/simulation/discrete_event/outcomes.py
@@ -1,4 +1,4 @@
-"""How a try of a client's request ends."""
+"""Outcomes of the tries of a client's request."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Outcome(StrEnum):
-    """The end of a try; the values are keys of result files."""
+    """Outcome of a try; the values are keys of result files."""
 
     SUCCEEDED = "passed"
     REJECTED = "denied"
@@ -16,4 +16,4 @@
     CLIENT_DISCONNECTED = "gave_up"
 
 
-OutcomeCallback = Callable[[Outcome, float], None]  # receives the outcome and `Retry-After` in ms
+OutcomeCallback = Callable[[Outcome, float], None]  # arguments: outcome, and `Retry-After` in ms (0: none)
--- a/onyxpost/simulation/discrete_event/pending_requests.py
+++ b/onyxpost/simulation/discrete_event/pending_requests.py
@@ -1,4 +1,4 @@
-"""The requests of one node that have no final answer, or have attempts in flight."""
+"""The requests of one node that are unanswered or have attempts in flight."""
 
 from __future__ import annotations
 
@@ -14,12 +14,11 @@
     from onyxpost.simulation.discrete_event.outcomes import Outcome, OutcomeCallback
     from onyxpost.simulation.discrete_event.workload import ClientRequest
 
-# A node answers so long before the client timeout, so that the answer arrives in time.
-ANSWER_MARGIN_MS = 2.0
+ANSWER_MARGIN_MS = 2.0  # before the client timeout, so that the answer still arrives in time
 
 
 class PendingRequests:
-    """Requests by id. It counts their units, and reports what happens to them to the invariants."""
+    """Pending requests by id; counts their units, and reports their events to the invariant checker."""
 
     def __init__(self, environment: Environment, node: str) -> None:
         self._clock = environment.clock
@@ -32,16 +31,16 @@
         return self._requests[request_id]
 
     def get(self, request_id: str) -> PendingRequest | None:
-        """Returns a request, or None if it is complete or unknown."""
+        """Returns a request, or None if its id is unknown or its request is complete."""
         return self._requests.get(request_id)
 
     def add(
         self, request_id: str, client_request: ClientRequest, on_outcome: OutcomeCallback
     ) -> PendingRequest:
-        """Adds a request that the node has received now."""
+        """Adds a request that the node receives at the current time."""
         frontend = client_request.frontend
         client_deadline_ms = self._clock.now_ms + frontend.client_timeout_ms
-        # Not `client_deadline_ms - ANSWER_MARGIN_MS`, which may be rounded differently.
+        # Written out, as `client_deadline_ms - ANSWER_MARGIN_MS` may be rounded differently.
         deadline_ms = self._clock.now_ms + frontend.client_timeout_ms - ANSWER_MARGIN_MS
         pending = PendingRequest(request_id, client_request, deadline_ms, on_outcome)
         self._requests[request_id] = pending
@@ -52,19 +51,19 @@
         return pending
 
     def answer(self, pending: PendingRequest, outcome: Outcome, retry_after_ms: float) -> None:
-        """Sends the final answer, unless the request is finished."""
+        """Sends the final answer; does nothing if the request is finished."""
         if not pending.is_finished:
             pending.is_finished = True
             self._invariants.request_answered(self._node, pending.request_id, outcome.value)
             pending.on_outcome(outcome, retry_after_ms)
 
     def finish_without_answer(self, pending: PendingRequest) -> None:
-        """Finishes a request whose client disconnected."""
+        """Marks a request finished whose client disconnected."""
         pending.is_finished = True
         self._invariants.client_disconnected(self._node, pending.request_id)
 
     def remove_if_complete(self, pending: PendingRequest) -> None:
-        """Removes a request that is finished and has no attempt in flight."""
+        """Removes a request if it is finished and has no attempt in flight."""
         if not pending.is_finished or pending.has_attempts_in_flight():
             return
         if self._requests.pop(pending.request_id, None) is not None:
@@ -73,7 +72,7 @@
     # Attempts
 
     def in_flight_attempts(self) -> list[AttemptInFlight]:
-        """Returns all attempts that have not ended."""
+        """Returns all attempts of all requests that have not ended."""
         return [
             attempt
             for pending in self._requests.values()
@@ -82,7 +81,7 @@
         ]
 
     def record_sent(self, attempt: AttemptInFlight) -> None:
-        """Counts the units of a request with its first attempt that reached a server."""
+        """Records an attempt that reached a server; the first of a request also counts its units."""
         pending = attempt.request
         request = pending.client_request
         if not pending.units_counted:
@@ -98,7 +97,7 @@
         )
 
     def record_end(self, attempt: AttemptInFlight, result: AttemptResult) -> None:
-        """Removes an attempt that has its result from its request."""
+        """Records the result of an attempt, and removes the attempt from its request."""
         pending = attempt.request
         pending.attempts[attempt.index] = None
         if attempt.sent_index != NEVER_SENT:
@@ -107,7 +106,7 @@
             )
 
     def remove_all(self) -> list[PendingRequest]:
-        """Removes and returns all requests, as their node died."""
+        """Removes and returns all requests, for a node that is killed."""
         removed = list(self._requests.values())
         self._requests = {}
         return removed
--- a/onyxpost/simulation/discrete_event/planner_model.py
+++ b/onyxpost/simulation/discrete_event/planner_model.py
@@ -1,4 +1,4 @@
-"""Planners and forwarders: the real state machines, with messages that take simulated time."""
+"""Planners and forwarders that run the real state machines and exchange simulated messages."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
     from onyxpost.simulation.discrete_event.environment import Environment
     from onyxpost.simulation.discrete_event.scenario_sections import PlannerSection
 
-TICK_MS = 50.0  # as in the programs
-CLOCK_DRIFT = 0.01
+TICK_MS = 50.0  # the same interval as in real planners and forwarders
+CLOCK_DRIFT = 0.01  # maximum relative drift of clocks that the lease terms allow for
 MEMBERSHIP_VERSION = 1
-UNUSED_ADDRESS = ("10.9.0.1", 7000)
+UNUSED_ADDRESS = ("10.9.0.1", 7000)  # required by the configuration; nothing listens there
 
 
 class _Connection(NamedTuple):
-    """The incarnations of a node and a planner that are connected."""
+    """Incarnations of a connected node and planner."""
 
     node_incarnation: int
     planner_incarnation: int
 
 
 class Forwarder(Protocol):
-    """An edge node that holds leases."""
+    """The interface of an edge node that holds leases."""
 
     name: str
     zone: int
@@ -41,11 +41,11 @@
     alive: bool
 
     def handle(self, *events: Event) -> None:
-        """Has the node's policy handle events."""
+        """Passes events to the node's gateway."""
 
 
 def _ignore_event(event: str, /, **fields: object) -> None:
-    """Simulated planners write no log."""
+    """Discards a log event, as simulated planners write no log."""
 
 
 class PlannerModel:
@@ -58,10 +58,10 @@
         self.lease_terms = LeaseTerms(options.lease_ms, CLOCK_DRIFT)
         self.names = [f"p{index}" for index in range(options.count)]
         self.nodes: dict[str, Forwarder] = {}
-        self.planners: dict[str, LeaseCoordinator | None] = {}  # None while a planner is down
+        self.planners: dict[str, LeaseCoordinator | None] = {}  # by name; None while a planner is down
         self.incarnations = dict.fromkeys(self.names, 0)
-        self.caches: dict[str, LeaseCache] = {}  # by node
-        self.connections: dict[tuple[str, str], _Connection] = {}  # by node and planner
+        self.caches: dict[str, LeaseCache] = {}  # by name of the node
+        self.connections: dict[tuple[str, str], _Connection] = {}  # by names of node and planner
 
     def _now(self) -> float:
         return EPOCH + self._clock.now_ms
@@ -82,24 +82,24 @@
     # Processes
 
     def start(self, nodes: Sequence[Forwarder]) -> None:
-        """Starts all planners, and the timer of planners and nodes."""
+        """Starts all planners, and the periodic timer of planners and lease caches."""
         self.nodes = {node.name: node for node in nodes}
         for name in self.names:
             self.start_planner(name)
         self._clock.call_after(TICK_MS, self._tick)
 
     def start_planner(self, name: str) -> None:
-        """Starts a new incarnation of a planner."""
+        """Starts a new incarnation of a planner, without state."""
         self.incarnations[name] += 1
         epoch = f"{name}-{self.incarnations[name]}"
         self.planners[name] = LeaseCoordinator(self._config(name), epoch, self._now(), _ignore_event)
 
     def kill_planner(self, name: str) -> None:
-        """Ends a planner at once, without a message to anyone."""
+        """Kills a planner without a message to its forwarders."""
         self.planners[name] = None
 
     def on_node_started(self, node: Forwarder) -> None:
-        """A new incarnation of a node holds no lease."""
+        """Gives a new incarnation of a node an empty lease cache."""
         self.caches[node.name] = LeaseCache(node.name, self.names, MEMBERSHIP_VERSION)
 
     def _tick(self) -> None:
@@ -143,7 +143,7 @@
             planner.handle_disconnect(node.name)
 
     def _is_reachable(self, node: Forwarder, planner: str) -> bool:
-        """Planners are spread over the zones, as nodes are."""
+        """Returns whether a node reaches a planner; planners, like nodes, are assigned to zones in turn."""
         zone = self.names.index(planner) % self._environment.scenario.cluster.zones
         return self._environment.network.is_reachable(node.zone, zone)
 
@@ -190,15 +190,15 @@
         self.caches[node.name].handle_message(self._now(), planner.config.name, answer)
         self._deliver(node)
 
-    # Events of the policy
+    # Reports of the policy
 
     def report_units_spent(self, node: Forwarder, customer: int, plan: str, units: int, lease: int) -> None:
-        """A node's policy spent units, or lacked them."""
+        """Reports units that a node's policy spent, or lacked when it rejected a request."""
         self.caches[node.name].report_units_spent(self._now(), customer, plan, units, lease)
         self._clock.call_after(0.0, self._deliver_if_alive, node, node.incarnation)
 
     def return_lease(self, node: Forwarder, lease: int, units: int) -> None:
-        """A node's policy uses a lease no more."""
+        """Returns a lease that a node's policy no longer uses, with the units left."""
         self.caches[node.name].return_lease(lease, units)
         self._clock.call_after(0.0, self._deliver_if_alive, node, node.incarnation)
 
--- a/onyxpost/simulation/discrete_event/policy_overrides.py
+++ b/onyxpost/simulation/discrete_event/policy_overrides.py
@@ -1,4 +1,4 @@
-"""Runs with constants of the policy at other values, as the option `--with Class.NAME=value` names them."""
+"""Overrides of the policy's constants, as given by the option `--with Class.NAME=value`."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-PolicyOverrides = dict[str, float]  # by name, as in `LatencyLoadShedder.PERIOD_MS`
+PolicyOverrides = dict[str, float]  # values by name, as in `LatencyLoadShedder.PERIOD_MS`
 
 OVERRIDABLE_CLASSES: tuple[type, ...] = (
     ConcurrencyLimit,
@@ -49,7 +49,7 @@
     ServerAssessment,
     SlowStart,
 )
-# Earlier names of the constants, which notes and scripts of earlier runs use.
+# Current names by earlier names, which scripts and records of earlier runs use.
 EARLIER_NAMES = {
     "Customer.AGE": "PeerUsageAccounting.MAX_AGE_MS",
     "Customer.DEBT": "QuotaPolicy.MAX_DEBT_MS",
@@ -98,23 +98,24 @@
 
 
 class PolicyConstant(NamedTuple):
-    """A constant of a class of the policy."""
+    """A constant of a policy class."""
 
     owner: Any
     name: str
 
     @property
     def value(self) -> float:
-        """The value in force."""
+        """The current value."""
         value: float = getattr(self.owner, self.name)
         return value
 
 
 def parse_overrides(options: Iterable[str]) -> PolicyOverrides:
-    """Reads options such as `LatencyLoadShedder.PERIOD_MS=250`.
+    """Parses options such as `LatencyLoadShedder.PERIOD_MS=250`.
 
     Raises:
-        InvalidOptionError: there is no such constant, it is not a number, or the value is not one.
+        InvalidOptionError: an option names no constant of the policy whose value is a number, or its value is
+                not a number.
     """
     overrides: PolicyOverrides = {}
     for option in options:
@@ -143,7 +144,7 @@
 
 @contextlib.contextmanager
 def override_policy(overrides: PolicyOverrides) -> Iterator[None]:
-    """Sets constants of the policy for the time of the context; a value takes the type of the constant."""
+    """Overrides constants of the policy within the context; values are converted to the constants' types."""
     previous_values: list[tuple[PolicyConstant, Any]] = []
     for name, value in overrides.items():
         constant = _find_constant(name)
--- a/onyxpost/simulation/discrete_event/run_results.py
+++ b/onyxpost/simulation/discrete_event/run_results.py
@@ -1,4 +1,4 @@
-"""Result lines of one run; their keys are those of result files."""
+"""Results of one run, as lines of a result file."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def result_lines(world: World) -> Iterator[dict[str, Any]]:
-    """Returns the results of a run that has ended: its size, seconds, violations and totals."""
+    """Yields the lines of a run that has ended: its parameters, seconds, violations and totals."""
     scenario = world.scenario
     run = {
         "scenario": scenario.name,
@@ -79,7 +79,10 @@
 
 
 def _worst_stretch(seconds: Sequence[Counter[str]]) -> float:
-    """Returns the least share of the offered weight that succeeded, over all stretches of ten seconds."""
+    """Returns the lowest share of the offered weight that succeeded, among all windows of ten seconds.
+
+    A shorter run is one window.
+    """
     size = min(WORST_STRETCH_SECONDS, len(seconds))
     shares = []
     for start in range(len(seconds) - size + 1):
--- a/onyxpost/simulation/discrete_event/scenario.py
+++ b/onyxpost/simulation/discrete_event/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario of the discrete-event simulation, as its TOML file describes it."""
+"""A scenario of the discrete-event simulation, as defined by its TOML file."""
 
 from typing import Annotated
 
@@ -23,15 +23,15 @@
 
 
 class Scenario(ScenarioSection):
-    """All that determines a run beside its seed.
+    """The parameters of a run. A scenario and a seed determine the run completely.
 
     Attributes:
-        about: a line for people.
+        about: a description in one line.
         seconds: simulated duration.
-        planners: None: nodes exchange usage by gossip.
-        drain_grace_ms: time for which a draining server may still receive requests.
-        max_attempts: attempts of one request.
-        max_retry_after_ms: the longest `Retry-After` that a node may give.
+        planners: None if nodes exchange usage by gossip.
+        drain_grace_ms: time for which a node may still send requests to a server after notice of its drain.
+        max_attempts: maximum number of attempts of one request.
+        max_retry_after_ms: largest `Retry-After` that a node may send.
         events: faults and load changes.
     """
 
@@ -52,7 +52,7 @@
     events: list[AnyFault] = field(default_factory=list)
 
     def gateway_limits(self) -> GatewayLimits:
-        """Returns what the deployment permits each node."""
+        """Returns the limits that the deployment sets for each node's gateway."""
         return GatewayLimits(
             self.max_attempts,
             True,
@@ -65,5 +65,5 @@
 
 
 def encode_scenario(scenario: Scenario) -> bytes:
-    """Encodes a scenario for another process."""
+    """Encodes a scenario as JSON, for a worker process."""
     return msgspec.json.encode(scenario)
--- a/onyxpost/simulation/discrete_event/scenario_faults.py
+++ b/onyxpost/simulation/discrete_event/scenario_faults.py
@@ -1,4 +1,4 @@
-"""Faults and load changes that a scenario file names under `events`, by their `kind`."""
+"""Faults and load changes, which a scenario file lists under `events` by their `kind`."""
 
 from typing import Annotated
 
@@ -20,7 +20,7 @@
 
 
 class Release(TimedFault, tag="release"):
-    """A share of the servers is replaced in steps; each server drains for `drain_s` seconds first."""
+    """A share of the servers is replaced in steps; each drains for `drain_s` seconds first."""
 
     share: Share
     steps: Annotated[int, Meta(ge=1, le=100)] = 5
@@ -35,17 +35,17 @@
 
 
 class ZoneLost(TimedFault, tag="zone-lost"):
-    """All servers of a zone die at once and are replaced at the end."""
+    """All servers of a zone die at once, and are replaced at the end of the fault."""
 
     zone: Annotated[int, Meta(ge=0)] = 0
 
 
 class Partition(TimedFault, tag="split"):
-    """A zone cannot reach the others.
+    """A zone is partitioned from the others.
 
     Attributes:
-        gossip_blocked: whether all messages between edge nodes are lost meanwhile.
-        endpoint_delay_s: additional delay of endpoint updates meanwhile.
+        gossip_blocked: whether all gossip messages between edge nodes are lost during the partition.
+        endpoint_delay_s: additional delay of endpoint updates during the partition.
     """
 
     zone: Annotated[int, Meta(ge=0)] = 0
@@ -54,40 +54,46 @@
 
 
 class SlowServers(TimedFault, tag="slow"):
-    """Servers are slower by a factor: a shared dependency if the share is 1, else noisy neighbors."""
+    """A share of the servers is slower by a factor.
+
+    A share of 1 models a slow shared dependency, a smaller share noisy neighbors.
+    """
 
     factor: Positive = field(name="times")
     share: Share = 1.0
 
 
 class FailingServers(TimedFault, tag="failing"):
-    """A share of the servers fails a part of its requests at once."""
+    """A share of the servers answers some of its requests with an immediate error."""
 
     share: Share
     error_probability: Share = field(name="fails")
 
 
 class HungServers(TimedFault, tag="hung"):
-    """A share of the servers accepts requests and never answers; requests that it holds are lost."""
+    """A share of the servers accepts requests but never answers them.
+
+    Requests that are queued when the fault starts are lost.
+    """
 
     share: Share
 
 
 class LoadSurge(TimedFault, tag="surge"):
-    """Customers of one plan, or of all plans, send more requests by a factor."""
+    """Customers of one plan, or of all plans if `plan` is empty, multiply their request rate by a factor."""
 
     factor: Positive = field(name="times")
     plan: str = ""
 
 
 class ResponsesLost(TimedFault, tag="answers-lost"):
-    """A share of the connections breaks before the response, though the request was executed."""
+    """A share of the responses is lost: the connection breaks after the request was executed."""
 
     share: Share
 
 
 class PlannersLost(TimedFault, tag="planners-lost"):
-    """A share of the planners dies; they restart without state at the end."""
+    """A share of the planners is killed; they restart without state at the end of the fault."""
 
     share: Share = 1.0
 
--- a/onyxpost/simulation/discrete_event/scenario_files.py
+++ b/onyxpost/simulation/discrete_event/scenario_files.py
@@ -1,4 +1,4 @@
-"""Reads scenarios from files, by name or from another process, and resizes them."""
+"""Loads scenarios from TOML files or encoded data, and resizes them."""
 
 from __future__ import annotations
 
@@ -19,25 +19,26 @@
     from onyxpost.simulation.discrete_event.scenario_sections import ClusterSection, PlanScenario
 
 SUFFIX = ".toml"
-# A plan whose customers use more than this share of the nodes keeps that share on a cluster of another size.
+# When a cluster is resized, customers' sets of more than one node in this many are resized in proportion;
+# smaller sets keep their size.
 LARGE_SET_DIVISOR = 4
 
 
 def parse_scenario(text: str, source: str) -> Scenario:
-    """Reads a scenario from the text of a TOML file.
+    """Parses a scenario from the text of a TOML file.
 
     Args:
-        text: the text.
-        source: the file or name, for errors.
+        text: content of the file.
+        source: path or name of the scenario, for errors.
 
     Raises:
-        InvalidFaultScriptError: the text is not a valid scenario; the message has the place.
+        InvalidFaultScriptError: the text is not a valid scenario; the message names the key.
     """
     return _decode(lambda: msgspec.toml.decode(text, type=Scenario), source)
 
 
 def decode_scenario(data: bytes, source: str) -> Scenario:
-    """Reads a scenario that `encode_scenario` wrote, and checks it as if it came from a file.
+    """Decodes output of `encode_scenario`, with the same checks as for a file.
 
     Raises:
         InvalidFaultScriptError: the scenario is not valid.
@@ -48,18 +49,18 @@
 def _decode(decode: Callable[[], Scenario], source: str) -> Scenario:
     try:
         scenario = decode()
-    except msgspec.DecodeError as error:  # malformed, or a value out of range: msgspec names the place
+    except msgspec.DecodeError as error:  # malformed, or a value out of range; msgspec names the key
         raise InvalidFaultScriptError(str(error), source) from error
     validate_scenario(scenario, source)
     return scenario
 
 
 def load_scenario(name: str) -> Scenario:
-    """Reads a scenario by its file's path, or by its name if it is shipped.
+    """Loads a scenario by the path of its file, or a shipped scenario by its name.
 
     Raises:
         InvalidFaultScriptError: the file is not a valid scenario.
-        SimulationFileError: there is no such file, or it is not text.
+        SimulationFileError: the file cannot be read, or is not text.
     """
     path = Path(name)
     if path.suffix != SUFFIX and name in shipped_scenarios():
@@ -73,7 +74,7 @@
 
 
 def shipped_scenarios() -> list[str]:
-    """Returns the names of the shipped scenarios."""
+    """Returns the names of the shipped scenarios, sorted."""
     names = (file.name for file in _directory().iterdir())
     return sorted(name.removesuffix(SUFFIX) for name in names if name.endswith(SUFFIX))
 
@@ -83,9 +84,9 @@
 
 
 def resize_scenario(scenario: Scenario, nodes: int | None, servers: int | None) -> Scenario:
-    """Returns the scenario on a cluster of another size; None keeps a number.
+    """Returns the scenario with other numbers of nodes and servers; None keeps a number.
 
-    The number of customers follows the number of servers.
+    The number of customers is scaled with the number of servers.
 
     Raises:
         InvalidFaultScriptError: the size is out of range, or does not fit the scenario.
@@ -99,7 +100,7 @@
         cluster=resized_cluster,
         plans=[_resize_plan(plan, cluster, resized_cluster) for plan in scenario.plans],
     )
-    # Decoded again, so that a size from the command line is checked like one from a file.
+    # Encode and decode the result, so that a size from the command line is checked like one from a file.
     return decode_scenario(encode_scenario(resized), scenario.name)
 
 
--- a/onyxpost/simulation/discrete_event/scenario_sections.py
+++ b/onyxpost/simulation/discrete_event/scenario_sections.py
@@ -1,6 +1,6 @@
-"""Sections of a scenario file. Keys of the file that differ from the attribute are given as `name`.
+"""Sections of a scenario file. `name` gives the key in the file where it differs from the attribute.
 
-Times are milliseconds; those whose key ends in `_s` are seconds. Pairs are the bounds of a uniform
+Times are in milliseconds, or in seconds if the key ends in `_s`. A pair holds the bounds of a uniform
 distribution.
 """
 
@@ -20,19 +20,19 @@
 
 
 class ScenarioSection(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """Base of all sections; a key that is not known is rejected."""
+    """Base class of all sections; unknown keys are rejected."""
 
 
 class ClusterSection(ScenarioSection):
     """Edge nodes and app servers.
 
     Attributes:
-        cells: number of cells that the servers are spread over.
-        cores: requests that one server executes at a time.
+        cells: number of cells; servers are assigned to them round-robin.
+        cores: number of requests that one server executes in parallel.
         speed: work in ms that a core completes in 1 ms, drawn for each server.
-        queue_limit: requests that may wait at one server.
-        connection_limit: connections that one server accepts.
-        handshake_ms: work of a server for a new connection, and time added to its first request.
+        queue_limit: maximum number of requests queued at one server.
+        connection_limit: maximum number of connections open at one server.
+        handshake_ms: work of a server for a new connection, and delay of the first request on the connection.
         keep_alive_ms: time after which a server closes an idle connection.
     """
 
@@ -49,15 +49,15 @@
 
 
 class NetworkSection(ScenarioSection):
-    """Delays and losses of the network.
+    """Delays and message loss of the network.
 
     Attributes:
         within_zone_ms: one-way delay inside a zone.
         between_zones_ms: one-way delay between two zones.
-        peer_message_ms: delay of a message between edge nodes.
-        peer_loss_probability: probability that such a message is lost.
-        peer_messages_per_second: such messages that one node receives in a second; more are dropped.
-        connect_timeout_ms: time after which a connection attempt without an answer fails.
+        peer_message_ms: delay of a gossip message between edge nodes.
+        peer_loss_probability: probability that a gossip message is lost.
+        peer_messages_per_second: maximum rate of gossip messages that one node receives; others are dropped.
+        connect_timeout_ms: time after which opening a connection fails if the server is unreachable.
     """
 
     within_zone_ms: DurationRange = field(name="within_ms", default=(0.2, 0.5))
@@ -69,20 +69,20 @@
 
 
 class EndpointUpdateSection(ScenarioSection):
-    """Updates of endpoints.
+    """Endpoint updates, which discovery sends to the nodes.
 
     Attributes:
-        delay_ms: time after which a node receives a change.
+        delay_ms: time from a change of an endpoint until a node receives it.
     """
 
     delay_ms: DurationRange = field(name="late_ms", default=(300.0, 1500.0))
 
 
 class WorkloadSection(ScenarioSection):
-    """Requests of one frontend.
+    """Workload of one frontend.
 
     Attributes:
-        share: part of all requests, relative to the shares of the other frontends.
+        share: share of all requests, relative to the shares of the other frontends.
         work_ms: work of one request on a core of speed 1.
         units: quota units of one request.
     """
@@ -100,7 +100,7 @@
     deduplication_window_ms: Duration = field(name="repeat_window_ms", default=3000.0)
 
     def frontend(self) -> Frontend:
-        """Returns the frontend as the policy knows it."""
+        """Returns the frontend's configuration for the policy."""
         return Frontend(
             self.name,
             self.latency_objective_ms,
@@ -120,9 +120,9 @@
 
     Attributes:
         quota_weight: quota of one customer, relative to customers of other plans.
-        burst_s: burst of the quota, as the time in which it is refilled.
+        burst_s: burst of the quota, as the time in which it is refilled; the mean of both bounds is used.
         nodes_per_customer: size of the set of nodes that a customer's requests go to.
-        hard_limit_factor: hard limit as a multiple of the quota; 0: none.
+        hard_limit_factor: hard limit as a multiple of the quota; 0: no hard limit.
     """
 
     name: str
@@ -135,18 +135,18 @@
 
 
 class ClientSection(ScenarioSection):
-    """How much customers send, and how their clients behave.
+    """Load of the customers, and behavior of their clients.
 
     Attributes:
-        utilization: use within the quotas, as a share of what all servers can execute.
-        demand_factor: requests of a customer, as a multiple of its quota.
-        greedy_share: share of customers that send far more.
-        greedy_demand_factor: the multiple of these.
-        weight_change_s: time after which other nodes receive most requests of a customer.
-        max_retries: retries of a client after its first try.
-        retry_delay_ms: shortest time until a retry.
-        patience_fraction: part of the client timeout after which a client disconnects.
-        failure_detection_s: time until clients know that a node is down.
+        utilization: load within the quotas, as a fraction of the capacity of all servers.
+        demand_factor: demand of a customer, as a multiple of its quota.
+        greedy_share: share of the customers whose demand exceeds their quota.
+        greedy_demand_factor: demand of these customers, as a multiple of their quota.
+        weight_change_s: time after which a customer's requests are spread over its nodes by new weights.
+        max_retries: maximum number of retries after the first try of a request.
+        retry_delay_ms: time until a retry; a longer `Retry-After` takes precedence.
+        patience_fraction: fraction of the client timeout after which a client disconnects.
+        failure_detection_s: time until clients send no more requests to a node that is down.
     """
 
     utilization: Positive = field(name="busy", default=0.5)
@@ -161,7 +161,14 @@
 
 
 class SlowStartSection(ScenarioSection):
-    """Capacity of an app server after its start, and the overload under which it fails."""
+    """Slow start of app servers.
+
+    Attributes:
+        initial_fraction: fraction of its capacity that a server has at its start.
+        warmup_ms: time after which a server has its full capacity.
+        overload_multiple: multiple of its current capacity at which a server in slow start fails.
+        overload_window_ms: window over which the load for this limit is measured.
+    """
 
     initial_fraction: Annotated[float, Meta(gt=0.0, le=1.0)] = field(name="start_share", default=0.2)
     warmup_ms: Positive = field(name="warm_ms", default=15_000.0)
@@ -169,17 +176,19 @@
     overload_window_ms: Positive = field(name="window_ms", default=1500.0)
 
     def policy(self) -> SlowStartPolicy:
-        """Returns the values as the policy knows them."""
+        """Returns the values in the form that the policy uses."""
         return SlowStartPolicy(
             self.initial_fraction, self.warmup_ms, self.overload_multiple, self.overload_window_ms
         )
 
 
 class PlannerSection(ScenarioSection):
-    """Planners, which grant leases of quota units in place of the gossip between nodes.
+    """Planners, which grant leases of quota units and replace the gossip between nodes.
 
     Attributes:
+        count: number of planners.
         safe_share: share of the quotas that nodes may use without a lease.
+        lease_ms: duration of a lease.
     """
 
     count: Annotated[int, Meta(ge=1, le=64)]
--- a/onyxpost/simulation/discrete_event/scenario_validation.py
+++ b/onyxpost/simulation/discrete_event/scenario_validation.py
@@ -1,4 +1,4 @@
-"""Checks of a scenario that the types of its keys cannot express. Places are those of the file's keys."""
+"""Checks of a scenario that the types of its keys cannot express; errors name the key in the file."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
     Args:
         scenario: the scenario.
-        source: the file or name that it was read from, for the error.
+        source: path or name of the scenario, for the error.
 
     Raises:
-        InvalidFaultScriptError: values do not fit each other; the message ends with the key.
+        InvalidFaultScriptError: values contradict each other; the message ends with the path of a key.
     """
     for key, problem in _problems(scenario):
         raise InvalidFaultScriptError(f"{problem} - at `$.{key}`", source)
--- a/onyxpost/simulation/discrete_event/server_model.py
+++ b/onyxpost/simulation/discrete_event/server_model.py
@@ -1,4 +1,4 @@
-"""App servers: cores, a queue, connections, slow start, and the faults that they can have."""
+"""An app server with cores, a queue, connections, slow start and injected faults."""
 
 from __future__ import annotations
 
@@ -14,35 +14,35 @@
 
     from onyxpost.simulation.discrete_event.environment import Environment
 
-FAST_ANSWER_MS = 2.0  # in which a server fails or rejects a request that it does not execute
+FAST_ANSWER_MS = 2.0  # time in which a server answers a request that it does not execute
 
 
 class AttemptOrigin(NamedTuple):
-    """The node and the request that an attempt belongs to."""
+    """The node and the request to which an attempt belongs."""
 
     node: str
     request_id: str
 
 
 class ReceivedAttempt(Protocol):
-    """One attempt, as a server sees it."""
+    """The interface of an attempt to the server that receives it."""
 
     work_ms: float
 
     @property
     def origin(self) -> AttemptOrigin:
-        """The node and the request that it belongs to."""
+        """The node and the request to which the attempt belongs."""
 
     def send_result(self, result: AttemptResult) -> None:
         """Sends the result back to the node."""
 
 
 class ServerOptions(NamedTuple):
-    """What distinguishes one server from the others.
+    """Parameters that differ between servers.
 
     Attributes:
         speed: work in ms that a core completes in 1 ms.
-        started_at_ms: simulated time of its start; 0: it was warm when the run started.
+        started_at_ms: simulated time of the start; 0: the server is warm at the start of the run.
     """
 
     server_id: str
@@ -56,11 +56,11 @@
     """One app server.
 
     Attributes:
-        state: what endpoint updates say of it.
-        alive: False once it died; it does not come back.
-        was_overloaded: whether it died of too much work while it warmed up.
-        connections: open connections.
-        in_flight: attempts that wait, are executed, or hang.
+        state: state in endpoint updates.
+        alive: False after the server died; it is never restarted.
+        was_overloaded: whether the server died of overload during slow start.
+        connections: number of open connections.
+        in_flight: attempts that are queued, executing or hung.
     """
 
     def __init__(
@@ -96,12 +96,12 @@
             self._invariants.server_started(self.server_id, self._cluster.cores * self._speed)
 
     def endpoint_status(self, epoch_ms: float) -> EndpointStatus:
-        """Returns what an endpoint update says of the server; `epoch_ms` is the start of the run."""
+        """Returns the server's status for endpoint updates; `epoch_ms` is the start of the run."""
         started_at = epoch_ms + self._started_at_ms if self._started_at_ms > 0.0 else 0.0
         return EndpointStatus(self.server_id, zone_name(self.zone), self.cell, self.state, 1.0, started_at)
 
     def _capacity_fraction(self) -> float:
-        """Returns the part of its capacity that the server has while it warms up, 1 after that."""
+        """Returns the fraction of its capacity that the server has: below 1 in slow start, then 1."""
         age_ms = self._clock.now_ms - self._started_at_ms
         slow_start = self._slow_start
         if self._started_at_ms <= 0.0 or age_ms >= slow_start.warmup_ms:
@@ -111,14 +111,14 @@
     # Requests
 
     def accept_connection(self) -> bool:
-        """Returns whether the server accepts a new connection, and counts it if so."""
+        """Accepts and counts a new connection; returns False if the server refuses the connection."""
         if not self.alive or self.connections >= self._cluster.connection_limit:
             return False
         self.connections += 1
         return True
 
     def receive_attempt(self, attempt: ReceivedAttempt) -> None:
-        """Handles the last byte of an attempt."""
+        """Handles an attempt whose last byte has arrived."""
         if self.state is EndpointState.DRAINING or len(self._queue) >= self._cluster.queue_limit:
             self._clock.call_after(FAST_ANSWER_MS, attempt.send_result, AttemptResult.FULL)
             return
@@ -140,7 +140,7 @@
             self._queue.append(attempt)
 
     def abandon_attempt(self, attempt: ReceivedAttempt) -> None:
-        """Handles that the node wants no result: not executed if it waits; if it runs, it runs on."""
+        """Handles that the node needs no result: a queued attempt is skipped, an executing one completes."""
         self.in_flight.pop(attempt, None)
 
     def _execute(self, attempt: ReceivedAttempt) -> None:
@@ -165,19 +165,19 @@
     # Faults
 
     def set_slowdown(self, factor: float) -> None:
-        """Sets the factor by which requests take longer."""
+        """Sets the factor by which requests take longer; 1 is normal."""
         self._slowdown = factor
 
     def set_error_probability(self, probability: float) -> None:
-        """Sets the probability with which a request fails at once."""
+        """Sets the probability with which a request is answered with an immediate error."""
         self._error_probability = probability
 
     def set_response_loss_probability(self, probability: float) -> None:
-        """Sets the probability with which a response is lost."""
+        """Sets the probability with which the response of an executed request is lost."""
         self._response_loss_probability = probability
 
     def hang(self) -> None:
-        """Stops answering; requests that wait are lost."""
+        """Stops executing new requests; queued requests are lost without an answer."""
         if not self._is_hung:
             self._queue.clear()
         self._is_hung = True
@@ -187,7 +187,7 @@
         self._is_hung = False
 
     def die(self) -> None:
-        """Dies at once; requests that it holds are lost."""
+        """Terminates the server at once; its attempts in flight are lost."""
         if not self.alive:
             return
         self.alive = False
--- a/onyxpost/simulation/discrete_event/server_pool.py
+++ b/onyxpost/simulation/discrete_event/server_pool.py
@@ -1,4 +1,4 @@
-"""All app servers of a run: their start, death and replacement, and the endpoint updates about them."""
+"""The app servers of a run: starts, deaths, replacements and the resulting endpoint updates."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 
 
 class EndpointSubscriber(Protocol):
-    """An edge node as discovery and servers reach it."""
+    """The interface of an edge node to discovery and app servers."""
 
     def on_server_died(self, server_id: str) -> None:
-        """A server closed all its connections."""
+        """Handles that a server died, which closes all its connections."""
 
     def on_endpoint_changed(self, server: ServerModel, delay_ms: float) -> None:
-        """An endpoint changed; the node is notified after a delay."""
+        """Handles a changed endpoint, of which the node is notified after a delay."""
 
 
 def server_number(server_id: str) -> int:
-    """Returns the number of a server in the order of starts."""
+    """Returns the number of a server in the order of starts, from 1."""
     return int(server_id[1:])
 
 
 class ServerPool:
-    """All app servers.
+    """The app servers of a run.
 
     Attributes:
         servers: servers that are alive, by id, in the order of their starts.
@@ -48,11 +48,11 @@
             self.start_server(index % cluster.zones, index % cluster.cells)
 
     def subscribe(self, subscribers: Iterable[EndpointSubscriber]) -> None:
-        """Notifies nodes of all changes from now on."""
+        """Adds nodes that are notified of all later changes."""
         self._subscribers.extend(subscribers)
 
     def start_server(self, zone: int, cell: int) -> ServerModel:
-        """Starts a server; one that starts with the run is warm."""
+        """Starts a server; a server started at time 0 needs no slow start."""
         self._started += 1
         environment = self._environment
         options = ServerOptions(
@@ -68,22 +68,22 @@
         return server
 
     def replace(self, server: ServerModel) -> None:
-        """Starts a new server in the zone and cell of another one, and notifies the nodes."""
+        """Starts a new server in the zone and cell of another server, and notifies the nodes."""
         self.notify(self.start_server(server.zone, server.cell))
 
     def drain(self, server: ServerModel) -> None:
-        """Has a server drain, and notifies the nodes."""
+        """Drains a server, and notifies the nodes."""
         server.state = EndpointState.DRAINING
         self.notify(server)
 
     def notify(self, server: ServerModel) -> None:
-        """Notifies all nodes of the server's state, each after a delay of its own."""
+        """Notifies all nodes of the server's state, each after its own random delay."""
         for subscriber in self._subscribers:
             delay_ms = self._environment.network.endpoint_update_delay_ms()
             subscriber.on_endpoint_changed(server, delay_ms)
 
     def sample(self, rng: Random, share: float) -> list[ServerModel]:
-        """Draws a share of the servers."""
+        """Draws a share of the servers that are alive."""
         server_ids = sorted(self.servers, key=server_number)
         chosen = rng.sample(server_ids, round(share * len(server_ids)))
         return [self.servers[server_id] for server_id in chosen]
--- a/onyxpost/simulation/discrete_event/workload.py
+++ b/onyxpost/simulation/discrete_event/workload.py
@@ -1,4 +1,4 @@
-"""Plans, customers and client requests, as a scenario describes them."""
+"""Plans, customers and client requests of a scenario."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
     from onyxpost.simulation.discrete_event.scenario import Scenario
     from onyxpost.simulation.discrete_event.scenario_sections import ClientSection
 
-MIN_BURST_UNITS = 2.0
+MIN_BURST_UNITS = 2.0  # smallest burst of a quota
 
 
 class Customer:
-    """A customer.
+    """A customer, with its load and the exact counts of its usage.
 
     Attributes:
         key: name of the customer in requests.
-        plan: its plan.
-        demand: quota units that it asks for in a second.
-        first_node: index of the first node of its set.
-        node_count: size of its set of nodes.
-        quota: counts the units that nodes sent to servers.
-        ideal_quota: counts the units that a single counter of all requests would admit.
-        node_weights: how its requests are spread over its nodes.
-        load_factor: demand relative to `demand`, raised by load surges.
+        plan: plan of the customer.
+        demand: quota units that its clients request in a second.
+        first_node: index of the first node of the customer's set.
+        node_count: number of nodes in the customer's set.
+        quota: counts the units of requests that nodes sent to servers.
+        ideal_quota: counts the units that one counter for all nodes would admit.
+        node_weights: relative shares of its requests that its nodes receive.
+        load_factor: current multiple of `demand`; load surges raise it above 1.
     """
 
     def __init__(self, key: str, plan: Plan, demand: float, first_node: int, node_count: int) -> None:
@@ -44,14 +44,15 @@
 
 
 class ClientRequest:
-    """A client's request with all its tries.
+    """A client's request, including all its tries.
 
     Attributes:
         work_ms: work on a core of speed 1.
         created_at_ms: time of the first try.
-        within_quota: whether it was first sent to a server while the customer's quota held its units.
+        within_quota: whether the customer's quota held its units when it was first sent to a server.
         tries: number of tries so far.
-        open_try: number that identifies the try whose answer counts; a try that ended raises it.
+        open_try: id of the current try, raised when a try starts or ends; an outcome with another id is
+            ignored.
     """
 
     __slots__ = (
@@ -78,17 +79,17 @@
         self.open_try = 0
 
     def weight(self) -> float:
-        """Returns the weight of an answer in time."""
+        """Returns the weight of an answer within the latency objective."""
         return self.frontend.priority_weight * self.units * self.customer.plan.priority_factor
 
 
 def mean_units(scenario: Scenario) -> float:
-    """Returns the mean quota units of a request."""
+    """Returns the mean number of quota units of a request."""
     return sum(work.share * work.units for work in scenario.work) / sum(work.share for work in scenario.work)
 
 
 def create_plans(scenario: Scenario) -> list[Plan]:
-    """Returns plans under which use within all quotas is the scenario's share of the servers' capacity."""
+    """Returns the plans, with quotas that give the scenario's utilization of the servers."""
     rate_per_weight = _rate_per_weight(scenario)
     plans = []
     for section in scenario.plans:
@@ -102,22 +103,22 @@
 
 
 def _rate_per_weight(scenario: Scenario) -> float:
-    """Returns the quota of a customer of weight 1, in units a second."""
+    """Returns the quota of a customer with weight 1, in units per second."""
     cluster = scenario.cluster
     clients = scenario.clients
     share_sum = sum(work.share for work in scenario.work)
     mean_work_ms = sum(work.share / share_sum * sum(work.work_ms) / 2.0 for work in scenario.work)
     units = sum(work.share / share_sum * work.units for work in scenario.work)
     core_speed = cluster.servers * cluster.cores * sum(cluster.speed) / 2.0
-    capacity = core_speed * MS_PER_SECOND / mean_work_ms  # requests a second
-    # The part of its quota that a customer uses on average: the greedy ones use all of it.
+    capacity = core_speed * MS_PER_SECOND / mean_work_ms  # requests per second
+    # Mean share of the quota that a customer uses; greedy customers use all of theirs.
     used_share = clients.greedy_share + (1.0 - clients.greedy_share) * sum(clients.demand_factor) / 2.0
     weight = sum(plan.customers * plan.quota_weight for plan in scenario.plans)
     return clients.utilization * capacity * units / (used_share * weight)
 
 
 def create_customers(scenario: Scenario, plans: list[Plan], seed: int) -> list[Customer]:
-    """Draws the customers of all plans."""
+    """Draws the customers of all plans, in the order of the plans."""
     rng = Random(f"{seed}/customers")
     clients = scenario.clients
     customers = []
@@ -134,5 +135,5 @@
 
 
 def _greedy_customers(rng: Random, count: int, clients: ClientSection) -> set[int]:
-    """Draws which customers are greedy; their number is fixed, as else seeds would differ in their load."""
+    """Draws the indexes of greedy customers; their number is fixed, so that all seeds have the same load."""
     return set(rng.sample(range(count), round(clients.greedy_share * count)))
--- a/onyxpost/simulation/discrete_event/world.py
+++ b/onyxpost/simulation/discrete_event/world.py
@@ -1,4 +1,4 @@
-"""One run of the discrete-event simulation: all models, put together and run from a seed."""
+"""One run of the discrete-event simulation, with all its models."""
 
 from __future__ import annotations
 
@@ -26,7 +26,10 @@
 
 
 class World:
-    """All that a scenario describes, at one seed. The same scenario and seed give the same events."""
+    """The simulated deployment of a scenario with one seed.
+
+    The same scenario and seed always give the same events.
+    """
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         environment = create_environment(scenario, seed)
@@ -65,7 +68,7 @@
         self.invariants.finish()
 
     def _sample_state(self) -> None:
-        """Checks the invariants that time alone can violate, and records how loaded servers are."""
+        """Checks the invariants that can be violated by time alone, and records the load of the servers."""
         self.invariants.check_deadlines()
         servers = self.server_pool.servers.values()
         slow_start_load = round(PERMILLE * self.invariants.max_slow_start_load())
--- a/onyxpost/simulation/planner_cluster/__init__.py
+++ b/onyxpost/simulation/planner_cluster/__init__.py
@@ -1,7 +1,8 @@
-"""Forwarders and planners as processes on loopback, under load, with planners killed at random from a seed.
+"""Runs forwarders and planners as processes on loopback, under load, and kills planners at random.
 
-What is sent is counted where it arrives, at the app servers: units beyond each customer's quota, and
-violations of its hard limit. The same run can use the nodes' own gossip in place of planners.
+The seed determines the load and the kills. Requests are counted on arrival at the app servers, to measure
+units beyond each customer's quota and to detect violations of its hard limit. A run can use gossip between
+the nodes in place of planners, for comparison.
 """
 
 from onyxpost.simulation.planner_cluster.options import ClusterOptions, check_options
--- a/onyxpost/simulation/planner_cluster/files.py
+++ b/onyxpost/simulation/planner_cluster/files.py
@@ -1,4 +1,4 @@
-"""Configuration files of a cluster's nodes and planners."""
+"""Contents of the configuration files of a cluster's forwarders and planners."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 PLAN = "p"
 FRONTEND = "look"
-SAFE_SHARE = 0.2
+SAFE_SHARE = 0.2  # share of the quotas that forwarders may use without a lease
 
 
 class ClusterPorts(NamedTuple):
-    """Ports on 127.0.0.1 of the processes, in the order of their index."""
+    """Ports on 127.0.0.1 of all processes, each list in the order of the processes' index."""
 
     forwarders: list[int]
     forwarder_peers: list[int]  # for gossip datagrams
@@ -28,17 +28,17 @@
 
 
 def forwarder_name(index: int) -> str:
-    """Name of a forwarder's process, file and log."""
+    """Returns the name of a forwarder's process, which its file and log have too."""
     return f"f{index}"
 
 
 def planner_name(index: int) -> str:
-    """Name of a planner's process, file and log."""
+    """Returns the name of a planner's process, which its file and log have too."""
     return f"p{index}"
 
 
 def planner_file(options: ClusterOptions, ports: ClusterPorts, index: int) -> dict[str, Any]:
-    """Content of a planner's file."""
+    """Returns the content of a planner's configuration file."""
     return {
         "name": planner_name(index),
         "listen": _loopback(ports.planners[index]),
@@ -51,7 +51,15 @@
 def node_file(
     options: ClusterOptions, ports: ClusterPorts, index: int, discovery: Address, known: dict[str, Any]
 ) -> dict[str, Any]:
-    """Content of a forwarder's file; `known` are the servers that it knows at its start."""
+    """Returns the content of a forwarder's configuration file.
+
+    Args:
+        options: options of the run.
+        ports: ports of all processes.
+        index: index of the forwarder.
+        discovery: address of the discovery agent.
+        known: endpoints that the forwarder knows at its start.
+    """
     fields = {
         "name": forwarder_name(index),
         "listen": _loopback(ports.forwarders[index]),
--- a/onyxpost/simulation/planner_cluster/load_generator.py
+++ b/onyxpost/simulation/planner_cluster/load_generator.py
@@ -1,4 +1,4 @@
-"""Open-loop load for a cluster: requests of random customers, at forwarders of changing popularity."""
+"""Open-loop load for a cluster: requests of random customers to forwarders, weighted by popularity."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
     from onyxpost.simulation.planner_cluster.options import ClusterOptions
     from onyxpost.simulation.planner_cluster.usage_counter import UsageCounter
 
-ANSWER_GRACE_SECONDS = 0.25  # beyond the client's timeout: an answer on its way is not lost
-DRAIN_SECONDS = 10.0  # for the last requests to be answered
-REQUESTS_PER_POPULARITY = 1000  # after so many requests other forwarders get most of the traffic
-HEAVY_CUSTOMER_INTERVAL = 4  # each fourth customer sends more than the others
-HEAVY_CUSTOMER_WEIGHT = 3.0
+ANSWER_GRACE_SECONDS = 0.25  # after the client timeout, for an answer that is on its way
+DRAIN_SECONDS = 10.0  # time for the last requests to be answered
+REQUESTS_PER_POPULARITY = 1000  # requests after which the popularity of the forwarders changes
+HEAVY_CUSTOMER_INTERVAL = 4  # every fourth customer is heavy
+HEAVY_CUSTOMER_WEIGHT = 3.0  # request rate of a heavy customer, relative to the others
 
 
 class SentRequest(NamedTuple):
-    """What a client sent, to be recognised where it arrives."""
+    """Customer and units of a request, looked up by its trace id when it reaches an app server."""
 
     customer: int
     units: int
@@ -49,17 +49,17 @@
         self._requests = BackgroundTasks()
 
     def now(self) -> float:
-        """Milliseconds since the start of the load."""
+        """Returns the time in ms since the start of the load."""
         return self._elapsed_seconds() * MS_PER_SECOND
 
     def handle_arrival(self, trace: str) -> None:
-        """A request reached an app server; attempts after its first are not counted."""
+        """Counts a request that reached an app server; only its first attempt is counted."""
         request = self.unseen_requests.pop(trace, None)
         if request is not None:
             self.counter.count_sent(self.now(), request.customer, request.units)
 
     async def run(self) -> None:
-        """Sends requests for the seconds of the run, and waits for their answers."""
+        """Sends requests for the duration of the run, and waits for their answers."""
         self.started_at = time.monotonic()
         weights = [
             HEAVY_CUSTOMER_WEIGHT if customer % HEAVY_CUSTOMER_INTERVAL == 0 else 1.0
@@ -95,7 +95,7 @@
                 response = await client.exchange(self._http_request(trace, request))
             outcome = outcome_of(response.status)
         except (OSError, h11.ProtocolError):
-            pass  # counted as lost
+            pass  # the request is counted as lost
         finally:
             if client is not None:
                 client.close()
--- a/onyxpost/simulation/planner_cluster/options.py
+++ b/onyxpost/simulation/planner_cluster/options.py
@@ -1,4 +1,4 @@
-"""Options of one run of a planner cluster, and their bounds."""
+"""Options of a planner cluster's run, and their bounds."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 MAX_PLANNERS = 9
 MAX_REQUEST_RATE = 2000.0
 
-HARD_LIMIT_FACTOR = 1.5  # a customer's hard limit, as a multiple of its quota's rate and burst
-MAX_REQUEST_UNITS = 3
+HARD_LIMIT_FACTOR = 1.5  # rate and burst of a hard limit, as a multiple of those of the quota
+MAX_REQUEST_UNITS = 3  # largest number of quota units of one request
 LATENCY_OBJECTIVE_US = 800_000
 CLIENT_TIMEOUT_US = 2_000_000
 
 
 class ClusterOptions(NamedTuple):
-    """Size, load and faults of a run; rates are a second."""
+    """Size, load and faults of a run; rates are per second."""
 
     forwarders: int = 20
     planners: int = 3
     seconds: float = 30.0
-    request_rate: float = 150.0  # of all customers together
+    request_rate: float = 150.0  # requests per second of all customers together
     customers: int = 12
     seed: int = 1
-    kill_interval_seconds: float = 3.0  # mean time between kills of a planner; 0: none
+    kill_interval_seconds: float = 3.0  # mean time between kills of a planner; 0: no kills
     use_gossip: bool = False
-    quota_rate: float = 12.0  # units, of one customer
+    quota_rate: float = 12.0  # units per second of one customer
     quota_burst: float = 40.0
 
 
 def check_options(options: ClusterOptions) -> ClusterOptions:
-    """Returns the options. Raises InvalidOptionError for one that is out of bounds."""
+    """Returns the options unchanged. Raises InvalidOptionError if one is out of bounds."""
     if not 0.0 < options.seconds <= MAX_SECONDS:
         raise InvalidOptionError(f"{options.seconds:g} s: up to {MAX_SECONDS:.0f}")
     if not 0 < options.forwarders <= MAX_FORWARDERS or not 0 < options.planners <= MAX_PLANNERS:
--- a/onyxpost/simulation/planner_cluster/runner.py
+++ b/onyxpost/simulation/planner_cluster/runner.py
@@ -1,4 +1,4 @@
-"""One run of a planner cluster: stub upstreams, planners, forwarders, load and kills."""
+"""Runs a planner cluster: stub upstreams, planner and forwarder processes, load, and kills of planners."""
 
 from __future__ import annotations
 
@@ -35,24 +35,30 @@
 PROGRAM = ("-m", "onyxpost")
 APP_SERVERS = 4
 APP_SERVER_DELAY_MS = 5.0
-WARM_UP_SECONDS = 6.0  # for planners to wait for older leases to end, and forwarders to request some
+# Time for planners to wait until leases of earlier incarnations have ended, and for forwarders to get leases.
+WARM_UP_SECONDS = 6.0
 CONNECT_ATTEMPTS = 400
 CONNECT_INTERVAL_SECONDS = 0.05
 MAX_RESTART_DELAY_SECONDS = 1.0
 
 
 class ClusterReport(NamedTuple):
-    """Figures of a run, and violations of hard limits: none, in a correct run."""
+    """Metrics of a run, and violations of hard limits, of which a correct run has none."""
 
     figures: dict[str, Any]
     violations: list[str]
 
 
 def run(options: ClusterOptions, folder: Path | None = None) -> ClusterReport:
-    """Runs a cluster; its files and logs stay in `folder`, or are deleted if there is none.
+    """Runs a cluster.
 
-    Raises InvalidOptionError for options out of bounds, ProcessNotStartedError if a forwarder does not listen
-    in time.
+    Args:
+        options: size, load and faults of the run.
+        folder: where configuration files and logs are kept; None: they are deleted after the run.
+
+    Raises:
+        InvalidOptionError: an option is out of bounds.
+        ProcessNotStartedError: a forwarder does not accept connections in time.
     """
     with contextlib.ExitStack() as stack:
         if folder is None:
@@ -62,7 +68,7 @@
 
 
 class PlannerCluster(NullObserver):
-    """Stub upstreams in this process, planners and forwarders as processes."""
+    """A cluster with stub upstreams in this process, and planners and forwarders as child processes."""
 
     def __init__(self, options: ClusterOptions, folder: Path) -> None:
         self.options = check_options(options)
@@ -82,12 +88,12 @@
     def on_attempt_received(
         self, writer: asyncio.StreamWriter, trace_id: str, server: ServerIdentity
     ) -> AttemptKey:
-        """A request arrived at a stub app server."""
+        """Counts an attempt that arrived at a stub app server."""
         self.load.handle_arrival(trace_id)
         return super().on_attempt_received(writer, trace_id, server)
 
     async def run(self) -> ClusterReport:
-        """Starts everything, sends the load, and stops everything."""
+        """Starts upstreams and processes, generates the load, and stops the processes."""
         await self._start_upstreams()
         try:
             await self._start_processes()
--- a/onyxpost/simulation/planner_cluster/usage_counter.py
+++ b/onyxpost/simulation/planner_cluster/usage_counter.py
@@ -1,4 +1,7 @@
-"""Exact counts of what a cluster sends, beside each customer's quota and hard limit. Times are in ms."""
+"""Exact counts of the units that a cluster sends, compared with each customer's quota and hard limit.
+
+Times are in ms since the start of the load.
+"""
 
 from __future__ import annotations
 
@@ -12,11 +15,11 @@
 if TYPE_CHECKING:
     from onyxpost.simulation.planner_cluster.options import ClusterOptions
 
-SLACK_SHARE = 0.1  # tolerance of the hard limit, as a share of its burst; at least one largest request
+SLACK_SHARE = 0.1  # tolerance of the hard limit, as a share of its burst, but at least one request
 
 
 class UsageCounter:
-    """Counts requests at clients and at app servers."""
+    """Counts requests when clients send them, when they reach an app server and when they are answered."""
 
     def __init__(self, options: ClusterOptions) -> None:
         self.options = options
@@ -24,7 +27,7 @@
         self.quotas = {customer: self._new_quota() for customer in customers}
         self.ideal_quotas = {customer: self._new_quota() for customer in customers}
         self.hard_limits: dict[int, HardLimitBucket] = {}
-        self.outcomes: Counter[str] = Counter()  # requests by their final answer
+        self.outcomes: Counter[str] = Counter()  # number of requests by outcome
         self.kills = 0
         self.violations: list[str] = []
         self.units_sent = 0
@@ -36,13 +39,13 @@
         return ExactQuota(self.options.quota_rate, self.options.quota_burst)
 
     def count_arrival(self, now: float, customer: int, units: int) -> None:
-        """A client sends a request: would one counter that sees all of them admit it?"""
+        """Counts the units of a client's request, if one counter for all nodes would admit them."""
         if self.ideal_quotas[customer].refill(now) >= units:
             self.ideal_quotas[customer].consume(now, units)
             self.units_ideal += units
 
     def count_sent(self, now: float, customer: int, units: int) -> None:
-        """A request reached an app server."""
+        """Counts a request that reached an app server, and checks the hard limit of its customer."""
         self.units_sent += units
         self.units_beyond_quota += round(self.quotas[customer].consume(now, units))
         bucket = self.hard_limits.get(customer)
@@ -58,13 +61,13 @@
         return HardLimitBucket(now, rate, burst, max(SLACK_SHARE * burst, float(MAX_REQUEST_UNITS)))
 
     def count_outcome(self, now: float, customer: int, units: int, outcome: str) -> None:
-        """A request has its final answer: passed, denied, aborted, or lost for none at all."""
+        """Counts the outcome of a request: passed, denied, aborted, or lost if there was no answer."""
         self.outcomes[outcome] += 1
         if outcome == "denied" and self.quotas[customer].refill(now) >= units:
             self.rejected_within_quota += 1
 
     def figures(self) -> dict[str, Any]:
-        """The figures of the run, for people; their names are older than those here."""
+        """Returns the metrics of the run for printing; their names are those of earlier versions."""
         requests = max(1, sum(self.outcomes.values()))
         return {
             "mode": "gossip" if self.options.use_gossip else "planners",
