--- a/onyxpost/simulation/discrete_event/endpoint_updates.py
+++ b/onyxpost/simulation/discrete_event/endpoint_updates.py
@@ -50,7 +50,7 @@
             self.statuses[server.server_id] = server.endpoint_status(EPOCH)
 
     def schedule(self, server: ServerModel, delay_ms: float) -> None:
-        """Delivers a change after a delay, or earlier with the update that is already scheduled."""
+        """Delivers a change after a delay, or with the update that is already scheduled."""
         self._changed[server.server_id] = server
         if not self._is_scheduled:
             self._is_scheduled = True
--- a/onyxpost/simulation/discrete_event/scenario_files.py
+++ b/onyxpost/simulation/discrete_event/scenario_files.py
@@ -70,7 +70,7 @@
     except (OSError, UnicodeDecodeError) as error:
         reason = getattr(error, "strerror", None) or error
         names = ", ".join(shipped_scenarios())
-        raise SimulationFileError(f"{reason}; shipped are: {names}", name) from error
+        raise SimulationFileError(f"{reason}; shipped scenarios: {names}", name) from error
 
 
 def shipped_scenarios() -> list[str]:
--- a/onyxpost/simulation/planner_cluster/runner.py
+++ b/onyxpost/simulation/planner_cluster/runner.py
@@ -150,7 +150,7 @@
                 await asyncio.sleep(CONNECT_INTERVAL_SECONDS)
             else:
                 raise ProcessNotStartedError(
-                    f"no node listens; its log is in {self.folder}", f"127.0.0.1:{port}"
+                    f"the forwarder accepts no connections; its log is in {self.folder}", f"127.0.0.1:{port}"
                 )
 
     async def _kill_planners(self) -> None:
@@ -166,6 +166,6 @@
 
 def _bound_address(listener: Listener | None) -> Address:
     if listener is None:
-        raise ValueError("not listening")
+        raise ValueError("the listener is not open")
     address: Address = listener.sockets[0].getsockname()
     return address
--- a/onyxpost/simulation/planner_cluster/usage_counter.py
+++ b/onyxpost/simulation/planner_cluster/usage_counter.py
@@ -53,7 +53,7 @@
             bucket = self._new_hard_limit(now)
             self.hard_limits[customer] = bucket
         if not bucket.consume(now, units):
-            self.violations.append(f"{now:.0f} ms: customer {customer} at {bucket.level:.1f} units")
+            self.violations.append(f"{now:.0f} ms: customer {customer} has {bucket.level:.1f} units left")
 
     def _new_hard_limit(self, now: float) -> HardLimitBucket:
         rate = HARD_LIMIT_FACTOR * self.options.quota_rate
--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -103,6 +103,64 @@
     ),
     # Descriptions of violations in result files.
     (" ms after it was told", " ms after its node was notified of the drain"),
+    # Refusals of the discrete-event simulation.
+    ("; shipped are: calm, ", "; shipped scenarios: calm, "),
+    ("': a constant of the policy and a number, ", "': expected a constant of the policy and a number, "),
+    (
+        "9.0 to 1.0 is no range - at `$.links.peer_ms`",
+        "minimum 9.0 is greater than maximum 1.0 - at `$.links.peer_ms`",
+    ),
+    ("no range - at `$.work[0].work_ms`", "the minimum is greater than the maximum - at `$.work[0].work_ms`"),
+    (
+        "longer than the client timeout - at `$.work[0].response_target_ms`",
+        "must not be longer than `client_timeout_ms` - at `$.work[0].response_target_ms`",
+    ),
+    (
+        "a range that is none - at `$.plans[0]`",
+        "the minimum of `spread` or `burst_s` is greater than its maximum - at `$.plans[0]`",
+    ),
+    (
+        "5 of 4 nodes - at `$.plans[0].spread`",
+        "up to 5 nodes per customer, but only 4 nodes - at `$.plans[0].spread`",
+    ),
+    ("a name twice - at `$.plans`", "names must be unique - at `$.plans`"),
+    (
+        "more zones than servers - at `$.fleet.zones`",
+        "more zones than servers; each zone must have a server - at `$.fleet.zones`",
+    ),
+    (
+        "after the end - at `$.events[0].at_s`",
+        "must be less than `seconds`, the duration of the run - at `$.events[0].at_s`",
+    ),
+    ("no plan x - at `$.events[0].plan`", "no plan has the name x - at `$.events[0].plan`"),
+    # Refusals of the planner cluster.
+    ("onyxpost: 0 s: up to 600 (", "onyxpost: 0 s, expected more than 0 and up to 600 ("),
+    ("onyxpost: 600.5 s: up to 600 (", "onyxpost: 600.5 s, expected more than 0 and up to 600 ("),
+    (
+        "0 forwarders, 3 planners: 1 to 64, 1 to 9 (",
+        "0 forwarders and 3 planners, expected 1 to 64 and 1 to 9 (",
+    ),
+    (
+        "65 forwarders, 3 planners: 1 to 64, 1 to 9 (",
+        "65 forwarders and 3 planners, expected 1 to 64 and 1 to 9 (",
+    ),
+    (
+        "20 forwarders, 0 planners: 1 to 64, 1 to 9 (",
+        "20 forwarders and 0 planners, expected 1 to 64 and 1 to 9 (",
+    ),
+    (
+        "20 forwarders, 10 planners: 1 to 64, 1 to 9 (",
+        "20 forwarders and 10 planners, expected 1 to 64 and 1 to 9 (",
+    ),
+    (
+        "onyxpost: 0 requests a second: up to 2000, of at least one customer (",
+        "onyxpost: 0 requests per second, expected more than 0 and up to 2000, from at least one customer (",
+    ),
+    (
+        "onyxpost: 2000.5 requests a second: up to 2000, of at least one customer (",
+        "onyxpost: 2000.5 requests per second,"
+        " expected more than 0 and up to 2000, from at least one customer (",
+    ),
 )
 
 USAGE_ERROR = re.compile(r"^Error: .*", re.MULTILINE | re.DOTALL)
