--- a/onyxpost/simulation/discrete_event/attempts.py
+++ b/onyxpost/simulation/discrete_event/attempts.py
@@ -25,7 +25,7 @@
         deadline_ms: simulated time by which the node must answer.
         on_outcome: called with the outcome of the try.
         is_finished: whether the request was answered, or its client disconnected.
-        units_counted: whether the units were counted; they are when the first attempt reaches a server.
+        has_counted_units: whether the units were counted; they are when the first attempt reaches a server.
         attempts: all attempts by their index; None for an attempt that has ended.
         sent_attempts: number of attempts that reached a server.
     """
@@ -34,11 +34,11 @@
         "attempts",
         "client_request",
         "deadline_ms",
+        "has_counted_units",
         "is_finished",
         "on_outcome",
         "request_id",
         "sent_attempts",
-        "units_counted",
     )
 
     def __init__(
@@ -49,7 +49,7 @@
         self.deadline_ms = deadline_ms
         self.on_outcome = on_outcome
         self.is_finished = False
-        self.units_counted = False
+        self.has_counted_units = False
         self.attempts: list[AttemptInFlight | None] = []
         self.sent_attempts = 0
 
@@ -136,7 +136,7 @@
         server_zone = self.server.zone
         clock.call_after(timeout_ms, self._expire)
         one_way_ms = network.one_way_ms(zone, server_zone)
-        if self._owner.connections.take(self.server):
+        if self._owner.connections.acquire(self.server):
             self.has_connection = True
             clock.call_after(one_way_ms, self._arrive)
         elif not network.is_reachable(zone, server_zone):
@@ -158,7 +158,7 @@
     def _arrive(self) -> None:
         if self.is_finished:
             return
-        if not self.server.alive:
+        if not self.server.is_alive:
             self._finish(AttemptResult.NO_CONNECTION)
             return
         self.is_written = True
@@ -200,7 +200,7 @@
         if result in CONNECTION_REUSABLE:
             self.is_finished = True
             self.has_connection = False
-            self._owner.connections.give_back(self.server)
+            self._owner.connections.release(self.server)
         else:
             self.release()
         self._owner.on_attempt_ended(self, result)
@@ -209,6 +209,6 @@
         """Ends the attempt without notifying its node, and closes its connection."""
         self.is_finished = True
         self.server.abandon_attempt(self)
-        if self.has_connection and self.server.alive:
+        if self.has_connection and self.server.is_alive:
             self.server.connections -= 1
         self.has_connection = False
--- a/onyxpost/simulation/discrete_event/client_model.py
+++ b/onyxpost/simulation/discrete_event/client_model.py
@@ -20,7 +20,7 @@
 class RequestReceiver(Protocol):
     """The interface of an edge node to its clients."""
 
-    alive: bool
+    is_alive: bool
     incarnation: int
 
     def receive_request(self, request: ClientRequest, on_outcome: OutcomeCallback) -> str:
@@ -93,13 +93,13 @@
         (index,) = self._rng.choices(range(len(sections)), [work.share for work in sections])
         work = sections[index]
         now_ms = self._clock.now_ms
-        within_ideal_quota = customer.ideal_quota.refill(now_ms) >= work.units
-        if within_ideal_quota:
+        is_within_ideal_quota = customer.ideal_quota.refill(now_ms) >= work.units
+        if is_within_ideal_quota:
             customer.ideal_quota.consume(now_ms, work.units)
         work_ms = self._rng.uniform(*work.work_ms)
         request = ClientRequest(customer, self._environment.frontends[index], work.units, work_ms, now_ms)
         self._metrics.count(counters.OFFERED)
-        if within_ideal_quota:
+        if is_within_ideal_quota:
             self._metrics.count(counters.OFFERED_WITHIN_QUOTA)
             self._metrics.count(counters.WEIGHT_OFFERED_WITHIN_QUOTA, request.weight())
         self._send(request)
@@ -110,17 +110,17 @@
         request.tries += 1
         self._metrics.count(counters.TRIES)
         node = self._choose_node(request.customer)
-        if node is None or not node.alive:
+        if node is None or not node.is_alive:
             self._finish_try(request, Outcome.NODE_DOWN, 0.0)
             return
         timeout_ms = request.frontend.client_timeout_ms
-        patience_ms = timeout_ms * self._rng.uniform(*self._options.patience_fraction)
-        request.open_try += 1
-        current_try = request.open_try
-        request_id = node.receive_request(request, partial(self._on_outcome, request, current_try))
-        if request.open_try == current_try:
+        disconnect_after_ms = timeout_ms * self._rng.uniform(*self._options.disconnect_fraction)
+        request.current_try_id += 1
+        try_id = request.current_try_id
+        request_id = node.receive_request(request, partial(self._on_outcome, request, try_id))
+        if request.current_try_id == try_id:
             self._clock.call_after(
-                patience_ms, self._disconnect, request, current_try, node, node.incarnation, request_id
+                disconnect_after_ms, self._disconnect, request, try_id, node, node.incarnation, request_id
             )
 
     def _choose_node(self, customer: Customer) -> RequestReceiver | None:
@@ -136,22 +136,22 @@
         return self._nodes[self._rng.choices(indexes, weights)[0]]
 
     def _on_outcome(
-        self, request: ClientRequest, answered_try: int, outcome: Outcome, retry_after_ms: float
+        self, request: ClientRequest, try_id: int, outcome: Outcome, retry_after_ms: float
     ) -> None:
-        if request.open_try == answered_try:
-            request.open_try += 1
+        if request.current_try_id == try_id:
+            request.current_try_id += 1
             self._finish_try(request, outcome, retry_after_ms)
 
     def _disconnect(
         self,
         request: ClientRequest,
-        current_try: int,
+        try_id: int,
         node: RequestReceiver,
         incarnation: int,
         request_id: str,
     ) -> None:
-        if request.open_try == current_try:
-            request.open_try += 1
+        if request.current_try_id == try_id:
+            request.current_try_id += 1
             if node.incarnation == incarnation:
                 node.disconnect_client(request_id)
             self._finish_try(request, Outcome.CLIENT_DISCONNECTED, 0.0)
@@ -172,7 +172,7 @@
         frontend = request.frontend
         latency_ms = self._clock.now_ms - request.created_at_ms
         is_late = latency_ms > frontend.latency_objective_ms
-        if request.within_quota:
+        if request.is_within_quota:
             weight = request.weight() * (frontend.late_weight if is_late else 1.0)
             self._metrics.count(counters.SUCCEEDED_WEIGHT, weight)
         self._metrics.count(counters.LATE if is_late else counters.ON_TIME)
--- a/onyxpost/simulation/discrete_event/connection_pool.py
+++ b/onyxpost/simulation/discrete_event/connection_pool.py
@@ -38,7 +38,7 @@
         """Returns the number of idle connections to a server."""
         return len(self._idle_since.get(server_id, ()))
 
-    def take(self, server: ServerModel) -> bool:
+    def acquire(self, server: ServerModel) -> bool:
         """Takes the most recently used idle connection; returns False if there is no usable one.
 
         If that connection has expired, all others to the server have too, and all are closed.
@@ -46,18 +46,18 @@
         idle_since = self._idle_since.get(server.server_id)
         if not idle_since:
             return False
-        oldest_usable = self._clock.now_ms - self._max_idle_ms
+        oldest_usable_ms = self._clock.now_ms - self._max_idle_ms
         newest = idle_since.pop()
-        if newest >= oldest_usable and server.alive:
+        if newest >= oldest_usable_ms and server.is_alive:
             return True
-        if server.alive:
+        if server.is_alive:
             server.connections -= len(idle_since) + 1
         idle_since.clear()
         return False
 
-    def give_back(self, server: ServerModel) -> None:
+    def release(self, server: ServerModel) -> None:
         """Returns a connection to the pool, or closes it if the node no longer knows the server."""
-        if not server.alive:
+        if not server.is_alive:
             return
         if server.server_id in self._endpoints:
             self._idle_since.setdefault(server.server_id, []).append(self._clock.now_ms)
@@ -66,11 +66,11 @@
 
     def close_expired(self) -> None:
         """Closes connections that have been idle for longer than the maximum."""
-        oldest_usable = self._clock.now_ms - self._max_idle_ms
+        oldest_usable_ms = self._clock.now_ms - self._max_idle_ms
         for server_id, idle_since in list(self._idle_since.items()):
-            usable = [since for since in idle_since if since >= oldest_usable]
+            usable = [since for since in idle_since if since >= oldest_usable_ms]
             server = self._endpoints.get(server_id)
-            if server is not None and server.alive:
+            if server is not None and server.is_alive:
                 server.connections -= len(idle_since) - len(usable)
             if usable:
                 self._idle_since[server_id] = usable
@@ -81,7 +81,7 @@
         """Closes all idle connections."""
         for server_id, idle_since in self._idle_since.items():
             server = self._endpoints.get(server_id)
-            if server is not None and server.alive:
+            if server is not None and server.is_alive:
                 server.connections -= len(idle_since)
         self._idle_since = {}
 
--- a/onyxpost/simulation/discrete_event/decision_sink.py
+++ b/onyxpost/simulation/discrete_event/decision_sink.py
@@ -21,7 +21,7 @@
     from onyxpost.simulation.discrete_event.planner_model import PlannerModel
 
 
-class DecidingNode(AttemptOwner, PeerNode, Forwarder, Protocol):
+class GatewayNode(AttemptOwner, PeerNode, Forwarder, Protocol):
     """The node whose gateway makes the decisions."""
 
     endpoints: EndpointUpdates
@@ -34,7 +34,7 @@
 class NodeDecisionSink:
     """Implements `DecisionSink` for one node."""
 
-    def __init__(self, environment: Environment, node: DecidingNode, planners: PlannerModel | None) -> None:
+    def __init__(self, environment: Environment, node: GatewayNode, planners: PlannerModel | None) -> None:
         self._environment = environment
         self._node = node
         self._planners = planners
@@ -57,15 +57,15 @@
 
     # Requests
 
-    def start_attempt(self, request_id: str, server: str, timeout: float, begin_before: float) -> None:  # noqa: ARG002 - simulated attempts are sent without a delay
+    def start_attempt(self, request_id: str, server: str, timeout_ms: float, begin_before: float) -> None:  # noqa: ARG002 - simulated attempts are sent without a delay
         """Starts an attempt.
 
         The attempt ends unused if its server is unknown, or its request is finished or past its deadline.
         """
         pending = self._node.pending[request_id]
         server_model = self._node.endpoints.known_servers.get(server)
-        timeout_ms = min(timeout, pending.deadline_ms - self._environment.clock.now_ms)
-        if server_model is None or pending.is_finished or timeout_ms <= 0.0:
+        attempt_timeout_ms = min(timeout_ms, pending.deadline_ms - self._environment.clock.now_ms)
+        if server_model is None or pending.is_finished or attempt_timeout_ms <= 0.0:
             index = len(pending.attempts)
             pending.attempts.append(None)
             self.defer(AttemptFinished(request_id, index, AttemptResult.UNUSED, 0.0, pending.is_finished, 0))
@@ -73,7 +73,7 @@
         attempt = AttemptInFlight(self._environment, self._node, pending, server_model)
         pending.attempts.append(attempt)
         self._environment.metrics.count(ATTEMPTS)
-        attempt.start(timeout_ms)
+        attempt.start(attempt_timeout_ms)
 
     def cancel_attempt(self, request_id: str, attempt_index: int) -> None:
         """Cancels an attempt; does nothing if the attempt has ended."""
@@ -84,19 +84,19 @@
         if attempt is not None:
             attempt.cancel()
 
-    def reject(self, request_id: str, retry_after: float) -> None:
+    def reject(self, request_id: str, retry_after_ms: float) -> None:
         """Answers that the request was not executed and may be sent again after the given time in ms."""
-        self._answer(request_id, Outcome.REJECTED, retry_after)
+        self._answer(request_id, Outcome.REJECTED, retry_after_ms)
 
     def abort(self, request_id: str) -> None:
         """Answers that the request failed and may have been executed."""
         self._answer(request_id, Outcome.ABORTED, 0.0)
 
     def _answer(self, request_id: str, outcome: Outcome, retry_after_ms: float) -> None:
-        requests = self._node.pending
-        if pending := requests.get(request_id):
-            requests.answer(pending, outcome, retry_after_ms)
-            requests.remove_if_complete(pending)
+        pending_requests = self._node.pending
+        if pending := pending_requests.get(request_id):
+            pending_requests.answer(pending, outcome, retry_after_ms)
+            pending_requests.remove_if_complete(pending)
 
     # Messages, timers and leases
 
@@ -104,10 +104,10 @@
         """Sends a message to another node."""
         self._environment.network.send_peer_message(self._node, self._peers[peer], body)
 
-    def start_timer(self, delay: float, token: int) -> None:
-        """Fires a timer after `delay` ms, unless the node's incarnation ends first."""
+    def start_timer(self, delay_ms: float, token: int) -> None:
+        """Fires a timer after `delay_ms`, unless the node's incarnation ends first."""
         node = self._node
-        self._environment.clock.call_after(delay, node.on_timer, node.incarnation, token)
+        self._environment.clock.call_after(delay_ms, node.on_timer, node.incarnation, token)
 
     def log(self, line: str) -> None:
         """Counts the log line by its kind."""
--- a/onyxpost/simulation/discrete_event/endpoint_updates.py
+++ b/onyxpost/simulation/discrete_event/endpoint_updates.py
@@ -19,7 +19,7 @@
 class UpdateReceiver(Protocol):
     """The node that receives the updates."""
 
-    alive: bool
+    is_alive: bool
 
     def receive_endpoint_update(self, statuses: list[EndpointStatus]) -> None:
         """Handles the current status of the endpoints that changed."""
@@ -57,7 +57,7 @@
             self._clock.call_after(delay_ms, self._deliver)
 
     def _deliver(self) -> None:
-        if not self._receiver.alive:
+        if not self._receiver.is_alive:
             self._clock.call_after(NODE_DOWN_RETRY_MS, self._deliver)
             return
         self._is_scheduled = False
--- a/onyxpost/simulation/discrete_event/exact_quota.py
+++ b/onyxpost/simulation/discrete_event/exact_quota.py
@@ -33,6 +33,6 @@
 
     def consume(self, now_ms: float, units: int) -> float:
         """Counts the units of a request, and returns how many of them exceed the quota."""
-        beyond = min(float(units), max(0.0, units - self.refill(now_ms)))
+        units_beyond_quota = min(float(units), max(0.0, units - self.refill(now_ms)))
         self.tokens = max(-self.rate, self.tokens - units)
-        return beyond
+        return units_beyond_quota
--- a/onyxpost/simulation/discrete_event/fault_injector.py
+++ b/onyxpost/simulation/discrete_event/fault_injector.py
@@ -57,14 +57,14 @@
         self._handlers: dict[type[Fault], Callable[[Any], None]] = {
             Release: self._start_release,
             NodesKilled: self._kill_nodes,
-            ZoneLost: self._lose_zone,
+            ZoneLost: self._start_zone_loss,
             Partition: self._start_partition,
             SlowServers: self._slow_servers,
             FailingServers: self._fail_servers,
             HungServers: self._hang_servers,
             LoadSurge: self._start_surge,
-            ResponsesLost: self._lose_responses,
-            PlannersLost: self._lose_planners,
+            ResponsesLost: self._start_response_loss,
+            PlannersLost: self._kill_planners,
         }
 
     def schedule(self, faults: Sequence[AnyFault]) -> None:
@@ -87,7 +87,7 @@
 
     def _drain_servers(self, servers: list[ServerModel], drain_ms: float) -> None:
         for server in servers:
-            if server.alive:
+            if server.is_alive:
                 self._servers.drain(server)
                 self._clock.call_after(drain_ms, self._replace_server, server)
 
@@ -95,43 +95,43 @@
         server.die()
         self._servers.replace(server)
 
-    def _lose_zone(self, fault: ZoneLost) -> None:
-        lost = [server for server in self._servers.servers.values() if server.zone == fault.zone]
-        for server in lost:
+    def _start_zone_loss(self, fault: ZoneLost) -> None:
+        lost_servers = [server for server in self._servers.servers.values() if server.zone == fault.zone]
+        for server in lost_servers:
             server.die()
-        self._call_at_end(fault, self._replace_lost_servers, lost)
+        self._call_at_end(fault, self._replace_lost_servers, lost_servers)
 
-    def _replace_lost_servers(self, lost: list[ServerModel]) -> None:
-        for server in lost:
+    def _replace_lost_servers(self, lost_servers: list[ServerModel]) -> None:
+        for server in lost_servers:
             self._servers.replace(server)
 
     def _slow_servers(self, fault: SlowServers) -> None:
         servers = self._servers.sample(self._rng, fault.share)
-        self._set_for_duration(fault, servers, ServerModel.set_slowdown, fault.factor, normal=1.0)
+        self._apply_for_duration(fault, servers, ServerModel.set_slowdown, fault.factor, normal_value=1.0)
 
     def _fail_servers(self, fault: FailingServers) -> None:
         servers = self._servers.sample(self._rng, fault.share)
         setting = ServerModel.set_error_probability
-        self._set_for_duration(fault, servers, setting, fault.error_probability, normal=0.0)
+        self._apply_for_duration(fault, servers, setting, fault.error_probability, normal_value=0.0)
 
-    def _lose_responses(self, fault: ResponsesLost) -> None:
+    def _start_response_loss(self, fault: ResponsesLost) -> None:
         servers = list(self._servers.servers.values())
         setting = ServerModel.set_response_loss_probability
-        self._set_for_duration(fault, servers, setting, fault.share, normal=0.0)
+        self._apply_for_duration(fault, servers, setting, fault.share, normal_value=0.0)
 
-    def _set_for_duration(
+    def _apply_for_duration(
         self,
         fault: TimedFault,
         servers: list[ServerModel],
         setting: ServerSetting,
         value: float,
         *,
-        normal: float,
+        normal_value: float,
     ) -> None:
-        self._set(servers, setting, value)
-        self._call_at_end(fault, self._set, servers, setting, normal)
+        self._apply_setting(servers, setting, value)
+        self._call_at_end(fault, self._apply_setting, servers, setting, normal_value)
 
-    def _set(self, servers: list[ServerModel], setting: ServerSetting, value: float) -> None:
+    def _apply_setting(self, servers: list[ServerModel], setting: ServerSetting, value: float) -> None:
         for server in servers:
             setting(server, value)
 
@@ -150,19 +150,19 @@
     def _kill_nodes(self, fault: NodesKilled) -> None:
         detection_ms = MS_PER_SECOND * self._environment.scenario.clients.failure_detection_s
         for node in self._rng.sample(self._nodes, round(fault.share * len(self._nodes))):
-            if node.alive:
+            if node.is_alive:
                 node.kill()
                 self._clock.call_after(detection_ms, self._detect_failure, node)
                 self._clock.call_after(MS_PER_SECOND * fault.restart_s, self._restart_node, node)
 
     def _detect_failure(self, node: NodeModel) -> None:
-        self._clients.set_node_considered_up(node.node_index, node.alive)
+        self._clients.set_node_considered_up(node.node_index, node.is_alive)
 
     def _restart_node(self, node: NodeModel) -> None:
         node.start()
         self._clients.set_node_considered_up(node.node_index, True)
 
-    def _lose_planners(self, fault: PlannersLost) -> None:
+    def _kill_planners(self, fault: PlannersLost) -> None:
         """Kills the share of planners with the lowest indexes; they restart without state at the end."""
         planners = self._planners
         if planners is None:
--- a/onyxpost/simulation/discrete_event/network.py
+++ b/onyxpost/simulation/discrete_event/network.py
@@ -40,7 +40,7 @@
         self._update_delay_ms = scenario.endpoint_updates.delay_ms
         self._rng = Random(f"{seed}/links")
         self._partitioned_zone: int | None = None
-        self._gossip_blocked = False
+        self._is_gossip_blocked = False
         self._additional_update_delay_ms = 0.0
 
     # Partitions
@@ -48,13 +48,13 @@
     def start_partition(self, fault: Partition) -> None:
         """Partitions a zone from all others."""
         self._partitioned_zone = fault.zone
-        self._gossip_blocked = fault.gossip_blocked
+        self._is_gossip_blocked = fault.is_gossip_blocked
         self._additional_update_delay_ms = MS_PER_SECOND * fault.endpoint_delay_s
 
     def end_partition(self) -> None:
         """Ends the current partition and its additional effects."""
         self._partitioned_zone = None
-        self._gossip_blocked = False
+        self._is_gossip_blocked = False
         self._additional_update_delay_ms = 0.0
 
     def is_reachable(self, source_zone: int, target_zone: int) -> bool:
@@ -82,7 +82,7 @@
         self._metrics.count(MESSAGES)
         self._metrics.count(MESSAGE_BYTES, len(body))
         if (
-            self._gossip_blocked
+            self._is_gossip_blocked
             or not self.is_reachable(sender.zone, receiver.zone)
             or self._rng.random() < options.peer_loss_probability
         ):
--- a/onyxpost/simulation/discrete_event/node_model.py
+++ b/onyxpost/simulation/discrete_event/node_model.py
@@ -65,7 +65,7 @@
         self.name = f"n{node_index}"
         self.zone = zone
         self.incarnation = 0
-        self.alive = False
+        self.is_alive = False
         self.endpoints = EndpointUpdates(self._clock, self)
         self.connections = ConnectionPool(
             self._clock, self.endpoints.known_servers, environment.scenario.cluster.keep_alive_ms
@@ -84,7 +84,7 @@
     def start(self) -> None:
         """Starts a new incarnation, which keeps only the known endpoints of the previous one."""
         self.incarnation += 1
-        self.alive = True
+        self.is_alive = True
         if self._planners is not None:
             self._planners.on_node_started(self)
         self._gateway = Gateway(self._now(), self._gateway_options())
@@ -109,7 +109,7 @@
 
     def kill(self) -> None:
         """Kills the process; its clients see their connections close."""
-        self.alive = False
+        self.is_alive = False
         for attempt in self.pending.in_flight_attempts():
             if not attempt.is_finished:
                 attempt.release()
@@ -157,7 +157,7 @@
     def disconnect_client(self, request_id: str) -> None:
         """Notifies the gateway that the client of a request has disconnected."""
         pending = self.pending.get(request_id)
-        if pending is not None and not pending.is_finished and self.alive:
+        if pending is not None and not pending.is_finished and self.is_alive:
             self.pending.finish_without_answer(pending)
             self.handle(RequestCancelled(request_id))
             self.pending.remove_if_complete(pending)
@@ -195,7 +195,7 @@
 
     def receive_peer_message(self, sender: int, body: str) -> None:
         """Handles a gossip message of another node, unless the rate limit drops the message."""
-        if self.alive and self.peer_rate_limit.accept():
+        if self.is_alive and self.peer_rate_limit.accept():
             self.handle(PeerMessageReceived(sender, body))
 
     def on_server_died(self, server_id: str) -> None:
@@ -216,5 +216,5 @@
 
     def on_timer(self, incarnation: int, token: int) -> None:
         """Notifies the gateway of a timer; a timer of an earlier incarnation is ignored."""
-        if self.alive and incarnation == self.incarnation:
+        if self.is_alive and incarnation == self.incarnation:
             self.handle(TimerFired(token))
--- a/onyxpost/simulation/discrete_event/pending_requests.py
+++ b/onyxpost/simulation/discrete_event/pending_requests.py
@@ -84,12 +84,12 @@
         """Records an attempt that reached a server; the first of a request also counts its units."""
         pending = attempt.request
         request = pending.client_request
-        if not pending.units_counted:
-            pending.units_counted = True
+        if not pending.has_counted_units:
+            pending.has_counted_units = True
             self._metrics.count(UNITS, request.units)
-            units_beyond = request.customer.quota.consume(self._clock.now_ms, request.units)
-            request.within_quota = not units_beyond
-            self._metrics.count(UNITS_BEYOND_QUOTA, units_beyond)
+            units_beyond_quota = request.customer.quota.consume(self._clock.now_ms, request.units)
+            request.is_within_quota = not units_beyond_quota
+            self._metrics.count(UNITS_BEYOND_QUOTA, units_beyond_quota)
         server = attempt.server
         plan = request.customer.plan.name
         self._invariants.attempt_sent(
--- a/onyxpost/simulation/discrete_event/planner_model.py
+++ b/onyxpost/simulation/discrete_event/planner_model.py
@@ -38,7 +38,7 @@
     name: str
     zone: int
     incarnation: int
-    alive: bool
+    is_alive: bool
 
     def handle(self, *events: Event) -> None:
         """Passes events to the node's gateway."""
@@ -108,7 +108,7 @@
             if planner is not None:
                 planner.tick(now)
         for node in self.nodes.values():
-            if node.alive:
+            if node.is_alive:
                 self._update_connections(node)
                 self.caches[node.name].tick(now)
                 self._deliver(node)
@@ -203,5 +203,5 @@
         self._clock.call_after(0.0, self._deliver_if_alive, node, node.incarnation)
 
     def _deliver_if_alive(self, node: Forwarder, node_incarnation: int) -> None:
-        if node.alive and node.incarnation == node_incarnation:
+        if node.is_alive and node.incarnation == node_incarnation:
             self._deliver(node)
--- a/onyxpost/simulation/discrete_event/policy_overrides.py
+++ b/onyxpost/simulation/discrete_event/policy_overrides.py
@@ -124,8 +124,10 @@
             overrides[name] = float(value)
             _require_number(name)
         except (ValueError, AttributeError, TypeError):
-            form = "expected a constant of the policy and a number, as in LatencyLoadShedder.PERIOD_MS=250"
-            raise InvalidOptionError(f"{option!r}: {form}", "--with") from None
+            expected = (
+                "expected a constant of the policy and a number, as in LatencyLoadShedder.PERIOD_MS=250"
+            )
+            raise InvalidOptionError(f"{option!r}: {expected}", "--with") from None
     return overrides
 
 
--- a/onyxpost/simulation/discrete_event/run_results.py
+++ b/onyxpost/simulation/discrete_event/run_results.py
@@ -13,7 +13,7 @@
 
     from onyxpost.simulation.discrete_event.world import World
 
-WORST_STRETCH_SECONDS = 10
+WORST_WINDOW_SECONDS = 10
 PERMILLE = 1000.0
 
 
@@ -50,7 +50,7 @@
         "passed_value": _share(
             totals[counters.SUCCEEDED_WEIGHT], totals[counters.WEIGHT_OFFERED_WITHIN_QUOTA]
         ),
-        "worst_10s": _worst_stretch(_complete_seconds(world)),
+        "worst_10s": _worst_window(_complete_seconds(world)),
         "denied_with_room": round(totals[counters.REJECTED_WITHIN_QUOTA] / tries, 4),
         "beyond_quota": round(totals[counters.UNITS_BEYOND_QUOTA] / units_sent, 4),
         "late": _share(totals[counters.LATE], succeeded),
@@ -78,16 +78,16 @@
     return round(part / total, 4) if total else 0.0
 
 
-def _worst_stretch(seconds: Sequence[Counter[str]]) -> float:
+def _worst_window(seconds: Sequence[Counter[str]]) -> float:
     """Returns the lowest share of the offered weight that succeeded, among all windows of ten seconds.
 
     A shorter run is one window.
     """
-    size = min(WORST_STRETCH_SECONDS, len(seconds))
+    size = min(WORST_WINDOW_SECONDS, len(seconds))
     shares = []
     for start in range(len(seconds) - size + 1):
-        stretch = seconds[start : start + size]
-        offered = sum(second[counters.WEIGHT_OFFERED_WITHIN_QUOTA] for second in stretch)
+        window = seconds[start : start + size]
+        offered = sum(second[counters.WEIGHT_OFFERED_WITHIN_QUOTA] for second in window)
         if offered:
-            shares.append(sum(second[counters.SUCCEEDED_WEIGHT] for second in stretch) / offered)
+            shares.append(sum(second[counters.SUCCEEDED_WEIGHT] for second in window) / offered)
     return round(min(shares, default=0.0), 4)
--- a/onyxpost/simulation/discrete_event/scenario.py
+++ b/onyxpost/simulation/discrete_event/scenario.py
@@ -14,7 +14,7 @@
     EndpointUpdateSection,
     NetworkSection,
     PlannerSection,
-    PlanScenario,
+    PlanSection,
     Positive,
     ScenarioSection,
     SlowStartSection,
@@ -40,7 +40,7 @@
     seconds: Annotated[float, Meta(gt=0.0, le=3600.0)]
     cluster: ClusterSection = field(name="fleet")
     work: Annotated[list[WorkloadSection], Meta(min_length=1)]
-    plans: Annotated[list[PlanScenario], Meta(min_length=1)]
+    plans: Annotated[list[PlanSection], Meta(min_length=1)]
     network: NetworkSection = field(name="links", default_factory=NetworkSection)
     endpoint_updates: EndpointUpdateSection = field(name="lists", default_factory=EndpointUpdateSection)
     clients: ClientSection = field(name="customers", default_factory=ClientSection)
--- a/onyxpost/simulation/discrete_event/scenario_faults.py
+++ b/onyxpost/simulation/discrete_event/scenario_faults.py
@@ -44,12 +44,12 @@
     """A zone is partitioned from the others.
 
     Attributes:
-        gossip_blocked: whether all gossip messages between edge nodes are lost during the partition.
+        is_gossip_blocked: whether all gossip messages between edge nodes are lost during the partition.
         endpoint_delay_s: additional delay of endpoint updates during the partition.
     """
 
     zone: Annotated[int, Meta(ge=0)] = 0
-    gossip_blocked: bool = field(name="deaf", default=True)
+    is_gossip_blocked: bool = field(name="deaf", default=True)
     endpoint_delay_s: Duration = field(name="list_late_s", default=4.0)
 
 
--- a/onyxpost/simulation/discrete_event/scenario_files.py
+++ b/onyxpost/simulation/discrete_event/scenario_files.py
@@ -16,11 +16,11 @@
     from collections.abc import Callable
     from importlib.resources.abc import Traversable
 
-    from onyxpost.simulation.discrete_event.scenario_sections import ClusterSection, PlanScenario
+    from onyxpost.simulation.discrete_event.scenario_sections import ClusterSection, PlanSection
 
 SUFFIX = ".toml"
-# When a cluster is resized, customers' sets of more than one node in this many are resized in proportion;
-# smaller sets keep their size.
+# When a cluster is resized, customers' sets of more than 1 / LARGE_SET_DIVISOR of its nodes are resized in
+# proportion; smaller sets keep their size.
 LARGE_SET_DIVISOR = 4
 
 
@@ -104,7 +104,7 @@
     return decode_scenario(encode_scenario(resized), scenario.name)
 
 
-def _resize_plan(plan: PlanScenario, cluster: ClusterSection, resized: ClusterSection) -> PlanScenario:
+def _resize_plan(plan: PlanSection, cluster: ClusterSection, resized: ClusterSection) -> PlanSection:
     min_nodes, max_nodes = plan.nodes_per_customer
     if max_nodes > cluster.nodes // LARGE_SET_DIVISOR:
         node_ratio = resized.nodes / cluster.nodes
--- a/onyxpost/simulation/discrete_event/scenario_sections.py
+++ b/onyxpost/simulation/discrete_event/scenario_sections.py
@@ -115,7 +115,7 @@
         )
 
 
-class PlanScenario(ScenarioSection):
+class PlanSection(ScenarioSection):
     """A plan and its customers.
 
     Attributes:
@@ -140,23 +140,23 @@
     Attributes:
         utilization: load within the quotas, as a fraction of the capacity of all servers.
         demand_factor: demand of a customer, as a multiple of its quota.
-        greedy_share: share of the customers whose demand exceeds their quota.
-        greedy_demand_factor: demand of these customers, as a multiple of their quota.
+        heavy_share: share of the customers whose demand exceeds their quota.
+        heavy_demand_factor: demand of these customers, as a multiple of their quota.
         weight_change_s: time after which a customer's requests are spread over its nodes by new weights.
         max_retries: maximum number of retries after the first try of a request.
         retry_delay_ms: time until a retry; a longer `Retry-After` takes precedence.
-        patience_fraction: fraction of the client timeout after which a client disconnects.
+        disconnect_fraction: fraction of the client timeout after which a client disconnects.
         failure_detection_s: time until clients send no more requests to a node that is down.
     """
 
     utilization: Positive = field(name="busy", default=0.5)
     demand_factor: PositiveRange = field(name="steady", default=(0.3, 0.9))
-    greedy_share: Share = field(name="greedy", default=0.08)
-    greedy_demand_factor: PositiveRange = field(name="greedy_times", default=(2.0, 5.0))
+    heavy_share: Share = field(name="greedy", default=0.08)
+    heavy_demand_factor: PositiveRange = field(name="greedy_times", default=(2.0, 5.0))
     weight_change_s: PositiveRange = field(name="shift_s", default=(7.0, 20.0))
     max_retries: Annotated[int, Meta(ge=0, le=10)] = field(name="retries", default=2)
     retry_delay_ms: DurationRange = field(name="retry_ms", default=(20.0, 200.0))
-    patience_fraction: PositiveRange = field(name="patience", default=(0.5, 1.0))
+    disconnect_fraction: PositiveRange = field(name="patience", default=(0.5, 1.0))
     failure_detection_s: Duration = field(name="front_s", default=2.0)
 
 
--- a/onyxpost/simulation/discrete_event/scenario_validation.py
+++ b/onyxpost/simulation/discrete_event/scenario_validation.py
@@ -23,21 +23,21 @@
     Raises:
         InvalidFaultScriptError: values contradict each other; the message ends with the path of a key.
     """
-    for key, problem in _problems(scenario):
+    for key, problem in _find_problems(scenario):
         raise InvalidFaultScriptError(f"{problem} - at `$.{key}`", source)
 
 
-def _problems(scenario: Scenario) -> Iterable[tuple[str, str]]:
-    yield from _invalid_ranges(scenario)
-    yield from _invalid_work(scenario)
-    yield from _invalid_plans(scenario)
-    yield from _repeated_names(scenario)
+def _find_problems(scenario: Scenario) -> Iterable[tuple[str, str]]:
+    yield from _find_invalid_ranges(scenario)
+    yield from _find_invalid_work(scenario)
+    yield from _find_invalid_plans(scenario)
+    yield from _find_repeated_names(scenario)
     if scenario.cluster.zones > scenario.cluster.servers:
         yield "fleet.zones", "more zones than servers; each zone must have a server"
-    yield from _invalid_faults(scenario)
+    yield from _find_invalid_faults(scenario)
 
 
-def _invalid_ranges(scenario: Scenario) -> Iterable[tuple[str, str]]:
+def _find_invalid_ranges(scenario: Scenario) -> Iterable[tuple[str, str]]:
     network = scenario.network
     clients = scenario.clients
     ranges = {
@@ -47,17 +47,17 @@
         "links.peer_ms": network.peer_message_ms,
         "lists.late_ms": scenario.endpoint_updates.delay_ms,
         "customers.steady": clients.demand_factor,
-        "customers.greedy_times": clients.greedy_demand_factor,
+        "customers.greedy_times": clients.heavy_demand_factor,
         "customers.shift_s": clients.weight_change_s,
         "customers.retry_ms": clients.retry_delay_ms,
-        "customers.patience": clients.patience_fraction,
+        "customers.patience": clients.disconnect_fraction,
     }
     for key, (low, high) in ranges.items():
         if low > high:
             yield key, f"minimum {low} is greater than maximum {high}"
 
 
-def _invalid_work(scenario: Scenario) -> Iterable[tuple[str, str]]:
+def _find_invalid_work(scenario: Scenario) -> Iterable[tuple[str, str]]:
     for index, work in enumerate(scenario.work):
         if work.work_ms[0] > work.work_ms[1]:
             yield f"work[{index}].work_ms", "the minimum is greater than the maximum"
@@ -65,7 +65,7 @@
             yield f"work[{index}].response_target_ms", "must not be longer than `client_timeout_ms`"
 
 
-def _invalid_plans(scenario: Scenario) -> Iterable[tuple[str, str]]:
+def _find_invalid_plans(scenario: Scenario) -> Iterable[tuple[str, str]]:
     nodes = scenario.cluster.nodes
     for index, plan in enumerate(scenario.plans):
         min_nodes, max_nodes = plan.nodes_per_customer
@@ -75,7 +75,7 @@
             yield f"plans[{index}].spread", f"up to {max_nodes} nodes per customer, but only {nodes} nodes"
 
 
-def _repeated_names(scenario: Scenario) -> Iterable[tuple[str, str]]:
+def _find_repeated_names(scenario: Scenario) -> Iterable[tuple[str, str]]:
     names_by_key = {
         "work": [work.name for work in scenario.work],
         "plans": [plan.name for plan in scenario.plans],
@@ -85,7 +85,7 @@
             yield key, "names must be unique"
 
 
-def _invalid_faults(scenario: Scenario) -> Iterable[tuple[str, str]]:
+def _find_invalid_faults(scenario: Scenario) -> Iterable[tuple[str, str]]:
     zones = scenario.cluster.zones
     plans = {plan.name for plan in scenario.plans}
     for index, fault in enumerate(scenario.events):
--- a/onyxpost/simulation/discrete_event/server_model.py
+++ b/onyxpost/simulation/discrete_event/server_model.py
@@ -57,7 +57,7 @@
 
     Attributes:
         state: state in endpoint updates.
-        alive: False after the server died; it is never restarted.
+        is_alive: False after the server died; it is never restarted.
         was_overloaded: whether the server died of overload during slow start.
         connections: number of open connections.
         in_flight: attempts that are queued, executing or hung.
@@ -82,7 +82,7 @@
         self._speed = options.speed
         self._started_at_ms = options.started_at_ms
         self.state = EndpointState.READY
-        self.alive = True
+        self.is_alive = True
         self.was_overloaded = False
         self.connections = 0
         self.in_flight: dict[ReceivedAttempt, None] = {}
@@ -112,7 +112,7 @@
 
     def accept_connection(self) -> bool:
         """Accepts and counts a new connection; returns False if the server refuses the connection."""
-        if not self.alive or self.connections >= self._cluster.connection_limit:
+        if not self.is_alive or self.connections >= self._cluster.connection_limit:
             return False
         self.connections += 1
         return True
@@ -149,7 +149,7 @@
         self._clock.call_after(duration_ms, self._complete, attempt)
 
     def _complete(self, attempt: ReceivedAttempt) -> None:
-        if not self.alive:
+        if not self.is_alive:
             return
         self._executing -= 1
         if attempt in self.in_flight:
@@ -158,9 +158,9 @@
             is_lost = bool(loss_probability) and self._rng.random() < loss_probability
             attempt.send_result(AttemptResult.LOST if is_lost else AttemptResult.OK)
         while self._queue and self._executing < self._cluster.cores:
-            following = self._queue.popleft()
-            if following in self.in_flight:
-                self._execute(following)
+            next_attempt = self._queue.popleft()
+            if next_attempt in self.in_flight:
+                self._execute(next_attempt)
 
     # Faults
 
@@ -188,9 +188,9 @@
 
     def die(self) -> None:
         """Terminates the server at once; its attempts in flight are lost."""
-        if not self.alive:
+        if not self.is_alive:
             return
-        self.alive = False
+        self.is_alive = False
         self._invariants.server_removed(self.server_id)
         lost_attempts = list(self.in_flight)
         self.in_flight = {}
--- a/onyxpost/simulation/discrete_event/workload.py
+++ b/onyxpost/simulation/discrete_event/workload.py
@@ -49,20 +49,20 @@
     Attributes:
         work_ms: work on a core of speed 1.
         created_at_ms: time of the first try.
-        within_quota: whether the customer's quota held its units when it was first sent to a server.
+        is_within_quota: whether the customer's quota held its units when it was first sent to a server.
         tries: number of tries so far.
-        open_try: id of the current try, raised when a try starts or ends; an outcome with another id is
+        current_try_id: id of the current try, raised when a try starts or ends; an outcome with another id is
             ignored.
     """
 
     __slots__ = (
         "created_at_ms",
+        "current_try_id",
         "customer",
         "frontend",
-        "open_try",
+        "is_within_quota",
         "tries",
         "units",
-        "within_quota",
         "work_ms",
     )
 
@@ -74,9 +74,9 @@
         self.units = units
         self.work_ms = work_ms
         self.created_at_ms = created_at_ms
-        self.within_quota = False
+        self.is_within_quota = False
         self.tries = 0
-        self.open_try = 0
+        self.current_try_id = 0
 
     def weight(self) -> float:
         """Returns the weight of an answer within the latency objective."""
@@ -108,13 +108,13 @@
     clients = scenario.clients
     share_sum = sum(work.share for work in scenario.work)
     mean_work_ms = sum(work.share / share_sum * sum(work.work_ms) / 2.0 for work in scenario.work)
-    units = sum(work.share / share_sum * work.units for work in scenario.work)
-    core_speed = cluster.servers * cluster.cores * sum(cluster.speed) / 2.0
-    capacity = core_speed * MS_PER_SECOND / mean_work_ms  # requests per second
-    # Mean share of the quota that a customer uses; greedy customers use all of theirs.
-    used_share = clients.greedy_share + (1.0 - clients.greedy_share) * sum(clients.demand_factor) / 2.0
-    weight = sum(plan.customers * plan.quota_weight for plan in scenario.plans)
-    return clients.utilization * capacity * units / (used_share * weight)
+    units_per_request = sum(work.share / share_sum * work.units for work in scenario.work)
+    total_speed = cluster.servers * cluster.cores * sum(cluster.speed) / 2.0
+    max_requests_per_second = total_speed * MS_PER_SECOND / mean_work_ms
+    # Mean share of the quota that a customer uses; heavy customers use all of theirs.
+    used_share = clients.heavy_share + (1.0 - clients.heavy_share) * sum(clients.demand_factor) / 2.0
+    total_weight = sum(plan.customers * plan.quota_weight for plan in scenario.plans)
+    return clients.utilization * max_requests_per_second * units_per_request / (used_share * total_weight)
 
 
 def create_customers(scenario: Scenario, plans: list[Plan], seed: int) -> list[Customer]:
@@ -123,9 +123,9 @@
     clients = scenario.clients
     customers = []
     for section, plan in zip(scenario.plans, plans, strict=True):
-        greedy = _greedy_customers(rng, section.customers, clients)
+        heavy_customers = _heavy_customers(rng, section.customers, clients)
         for index in range(section.customers):
-            demand_range = clients.greedy_demand_factor if index in greedy else clients.demand_factor
+            demand_range = clients.heavy_demand_factor if index in heavy_customers else clients.demand_factor
             demand_factor = rng.uniform(*demand_range)
             node_count = rng.randint(*section.nodes_per_customer)
             first_node = rng.randrange(scenario.cluster.nodes)
@@ -134,6 +134,6 @@
     return customers
 
 
-def _greedy_customers(rng: Random, count: int, clients: ClientSection) -> set[int]:
-    """Draws the indexes of greedy customers; their number is fixed, so that all seeds have the same load."""
-    return set(rng.sample(range(count), round(clients.greedy_share * count)))
+def _heavy_customers(rng: Random, count: int, clients: ClientSection) -> set[int]:
+    """Draws the indexes of heavy customers; a random number of them would make the load vary by seed."""
+    return set(rng.sample(range(count), round(clients.heavy_share * count)))
--- a/onyxpost/simulation/discrete_event/world.py
+++ b/onyxpost/simulation/discrete_event/world.py
@@ -80,6 +80,6 @@
         self.clock.call_after(SAMPLE_INTERVAL_MS, self._sample_state)
 
     def _close_idle_connections(self, node: NodeModel) -> None:
-        if node.alive:
+        if node.is_alive:
             node.connections.close_expired()
         self.clock.call_after(IDLE_CHECK_INTERVAL_MS, self._close_idle_connections, node)
--- a/onyxpost/simulation/planner_cluster/files.py
+++ b/onyxpost/simulation/planner_cluster/files.py
@@ -44,12 +44,16 @@
         "listen": _loopback(ports.planners[index]),
         "forwarders": [forwarder_name(forwarder) for forwarder in range(options.forwarders)],
         "planners": _planners_section(ports),
-        "packages": [_package(options)],
+        "packages": [_plan(options)],
     }
 
 
 def node_file(
-    options: ClusterOptions, ports: ClusterPorts, index: int, discovery: Address, known: dict[str, Any]
+    options: ClusterOptions,
+    ports: ClusterPorts,
+    index: int,
+    discovery: Address,
+    known_endpoints: dict[str, Any],
 ) -> dict[str, Any]:
     """Returns the content of a forwarder's configuration file.
 
@@ -58,7 +62,7 @@
         ports: ports of all processes.
         index: index of the forwarder.
         discovery: address of the discovery agent.
-        known: endpoints that the forwarder knows at its start.
+        known_endpoints: endpoints that the forwarder knows at its start.
     """
     fields = {
         "name": forwarder_name(index),
@@ -69,7 +73,7 @@
         "peer_listen": _loopback(ports.forwarder_peers[index]),
         "settings": _node_settings(options, index),
         "peers": [_loopback(port) for port in ports.forwarder_peers],
-        "known": known,
+        "known": known_endpoints,
     }
     if not options.use_gossip:
         fields["planners"] = _planners_section(ports)
@@ -85,7 +89,7 @@
     return {"version": 1, "members": members, "share": SAFE_SHARE}
 
 
-def _package(options: ClusterOptions) -> dict[str, Any]:
+def _plan(options: ClusterOptions) -> dict[str, Any]:
     return {
         "name": PLAN,
         "refill": options.quota_rate,
@@ -120,6 +124,6 @@
                 "effect": "retryable",
             }
         ],
-        "packages": [_package(options)],
+        "packages": [_plan(options)],
         "rules": {"drain_grace_us": 250_000},
     }
--- a/onyxpost/simulation/planner_cluster/load_generator.py
+++ b/onyxpost/simulation/planner_cluster/load_generator.py
@@ -43,24 +43,25 @@
         self.ports = ports
         self.counter = counter
         self.rng = Random(options.seed)
-        self.started_at = time.monotonic()
-        self.unseen_requests: dict[str, SentRequest] = {}  # by trace id, until they reach an app server
+        self.started_at_seconds = time.monotonic()
+        # By trace id; requests that have not reached an app server yet.
+        self.unreceived_requests: dict[str, SentRequest] = {}
         self._trace_prefix = f"{os.getpid():x}.{options.seed:x}"
         self._requests = BackgroundTasks()
 
-    def now(self) -> float:
+    def now_ms(self) -> float:
         """Returns the time in ms since the start of the load."""
         return self._elapsed_seconds() * MS_PER_SECOND
 
-    def handle_arrival(self, trace: str) -> None:
+    def on_request_received(self, trace_id: str) -> None:
         """Counts a request that reached an app server; only its first attempt is counted."""
-        request = self.unseen_requests.pop(trace, None)
+        request = self.unreceived_requests.pop(trace_id, None)
         if request is not None:
-            self.counter.count_sent(self.now(), request.customer, request.units)
+            self.counter.count_sent(self.now_ms(), request.customer, request.units)
 
     async def run(self) -> None:
         """Sends requests for the duration of the run, and waits for their answers."""
-        self.started_at = time.monotonic()
+        self.started_at_seconds = time.monotonic()
         weights = [
             HEAVY_CUSTOMER_WEIGHT if customer % HEAVY_CUSTOMER_INTERVAL == 0 else 1.0
             for customer in range(self.options.customers)
@@ -79,31 +80,31 @@
         await self._requests.wait(DRAIN_SECONDS)
 
     def _elapsed_seconds(self) -> float:
-        return time.monotonic() - self.started_at
+        return time.monotonic() - self.started_at_seconds
 
     def _random_popularity(self) -> list[float]:
         return [self.rng.random() ** 3 for _ in range(self.options.forwarders)]
 
-    async def _send(self, trace: str, port: int, request: SentRequest) -> None:
-        self.unseen_requests[trace] = request
-        self.counter.count_arrival(self.now(), request.customer, request.units)
+    async def _send(self, trace_id: str, port: int, request: SentRequest) -> None:
+        self.unreceived_requests[trace_id] = request
+        self.counter.count_offered(self.now_ms(), request.customer, request.units)
         outcome = "lost"
         client = None
         try:
             async with asyncio.timeout(CLIENT_TIMEOUT_US / 1e6 + ANSWER_GRACE_SECONDS):
                 client = await HttpClient.connect((LOOPBACK, port))
-                response = await client.exchange(self._http_request(trace, request))
+                response = await client.exchange(self._http_request(trace_id, request))
             outcome = outcome_of(response.status)
         except (OSError, h11.ProtocolError):
             pass  # the request is counted as lost
         finally:
             if client is not None:
                 client.close()
-        self.counter.count_outcome(self.now(), request.customer, request.units, outcome)
+        self.counter.count_outcome(self.now_ms(), request.customer, request.units, outcome)
 
-    def _http_request(self, trace: str, request: SentRequest) -> h11.Request:
+    def _http_request(self, trace_id: str, request: SentRequest) -> h11.Request:
         fields = RequestFields(
-            trace_id=trace,
+            trace_id=trace_id,
             plan=PLAN,
             customer=request.customer,
             timeout_ms=CLIENT_TIMEOUT_US / US_PER_MS,
--- a/onyxpost/simulation/planner_cluster/runner.py
+++ b/onyxpost/simulation/planner_cluster/runner.py
@@ -45,7 +45,7 @@
 class ClusterReport(NamedTuple):
     """Metrics of a run, and violations of hard limits, of which a correct run has none."""
 
-    figures: dict[str, Any]
+    metrics: dict[str, Any]
     violations: list[str]
 
 
@@ -78,18 +78,20 @@
             find_free_ports(options.forwarders, socket.SOCK_DGRAM),
             find_free_ports(options.planners),
         )
-        net = SocketTransport()
-        self.app_servers = [AppServer(net, self, index, 0, ANY_PORT, "a") for index in range(APP_SERVERS)]
-        self.discovery_agent = DiscoveryAgent(net, self, 0, ANY_PORT)
+        transport = SocketTransport()
+        self.app_servers = [
+            AppServer(transport, self, index, 0, ANY_PORT, "a") for index in range(APP_SERVERS)
+        ]
+        self.discovery_agent = DiscoveryAgent(transport, self, 0, ANY_PORT)
         self.processes = ProcessGroup(folder, log_files=LogFiles.APPENDED)
         self.counter = UsageCounter(options)
-        self.load = LoadGenerator(options, self.ports.forwarders, self.counter)
+        self.load_generator = LoadGenerator(options, self.ports.forwarders, self.counter)
 
     def on_attempt_received(
         self, writer: asyncio.StreamWriter, trace_id: str, server: ServerIdentity
     ) -> AttemptKey:
         """Counts an attempt that arrived at a stub app server."""
-        self.load.handle_arrival(trace_id)
+        self.load_generator.on_request_received(trace_id)
         return super().on_attempt_received(writer, trace_id, server)
 
     async def run(self) -> ClusterReport:
@@ -100,14 +102,14 @@
             await asyncio.sleep(WARM_UP_SECONDS)
             has_kills = self.options.kill_interval_seconds > 0.0 and not self.options.use_gossip
             killer = asyncio.create_task(self._kill_planners()) if has_kills else None
-            await self.load.run()
+            await self.load_generator.run()
             if killer is not None:
                 killer.cancel()
         finally:
             await self.processes.terminate_all()
             for writer in self.discovery_agent.writers:
                 writer.transport.abort()
-        return ClusterReport(self.counter.figures(), self.counter.violations)
+        return ClusterReport(self.counter.metrics(), self.counter.violations)
 
     async def _start_upstreams(self) -> None:
         for server in self.app_servers:
@@ -123,9 +125,9 @@
             self._write_file(planner_name(index), planner_file(self.options, self.ports, index))
             await self._start_planner(index)
         agent = self.discovery_agent
-        known = {"generation": agent.generation, "instances": list(agent.endpoints.values())}
+        known_endpoints = {"generation": agent.generation, "instances": list(agent.endpoints.values())}
         for index in range(self.options.forwarders):
-            fields = node_file(self.options, self.ports, index, agent.address, known)
+            fields = node_file(self.options, self.ports, index, agent.address, known_endpoints)
             path = self._write_file(forwarder_name(index), fields)
             environment = {"EDGE_CONFIG": str(path)}
             await self.processes.start(forwarder_name(index), [*PROGRAM, "serve"], environment)
--- a/onyxpost/simulation/planner_cluster/usage_counter.py
+++ b/onyxpost/simulation/planner_cluster/usage_counter.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from onyxpost.simulation.planner_cluster.options import ClusterOptions
 
-SLACK_SHARE = 0.1  # tolerance of the hard limit, as a share of its burst, but at least one request
+TOLERANCE_SHARE = 0.1  # tolerance of the hard limit, as a share of its burst, but at least one request
 
 
 class UsageCounter:
@@ -32,41 +32,41 @@
         self.violations: list[str] = []
         self.units_sent = 0
         self.units_beyond_quota = 0
-        self.units_ideal = 0
+        self.ideal_units = 0
         self.rejected_within_quota = 0
 
     def _new_quota(self) -> ExactQuota:
         return ExactQuota(self.options.quota_rate, self.options.quota_burst)
 
-    def count_arrival(self, now: float, customer: int, units: int) -> None:
+    def count_offered(self, now_ms: float, customer: int, units: int) -> None:
         """Counts the units of a client's request, if one counter for all nodes would admit them."""
-        if self.ideal_quotas[customer].refill(now) >= units:
-            self.ideal_quotas[customer].consume(now, units)
-            self.units_ideal += units
+        if self.ideal_quotas[customer].refill(now_ms) >= units:
+            self.ideal_quotas[customer].consume(now_ms, units)
+            self.ideal_units += units
 
-    def count_sent(self, now: float, customer: int, units: int) -> None:
+    def count_sent(self, now_ms: float, customer: int, units: int) -> None:
         """Counts a request that reached an app server, and checks the hard limit of its customer."""
         self.units_sent += units
-        self.units_beyond_quota += round(self.quotas[customer].consume(now, units))
+        self.units_beyond_quota += round(self.quotas[customer].consume(now_ms, units))
         bucket = self.hard_limits.get(customer)
         if bucket is None:
-            bucket = self._new_hard_limit(now)
+            bucket = self._new_hard_limit(now_ms)
             self.hard_limits[customer] = bucket
-        if not bucket.consume(now, units):
-            self.violations.append(f"{now:.0f} ms: customer {customer} has {bucket.level:.1f} units left")
+        if not bucket.consume(now_ms, units):
+            self.violations.append(f"{now_ms:.0f} ms: customer {customer} has {bucket.level:.1f} units left")
 
-    def _new_hard_limit(self, now: float) -> HardLimitBucket:
+    def _new_hard_limit(self, now_ms: float) -> HardLimitBucket:
         rate = HARD_LIMIT_FACTOR * self.options.quota_rate
         burst = HARD_LIMIT_FACTOR * self.options.quota_burst
-        return HardLimitBucket(now, rate, burst, max(SLACK_SHARE * burst, float(MAX_REQUEST_UNITS)))
+        return HardLimitBucket(now_ms, rate, burst, max(TOLERANCE_SHARE * burst, float(MAX_REQUEST_UNITS)))
 
-    def count_outcome(self, now: float, customer: int, units: int, outcome: str) -> None:
+    def count_outcome(self, now_ms: float, customer: int, units: int, outcome: str) -> None:
         """Counts the outcome of a request: passed, denied, aborted, or lost if there was no answer."""
         self.outcomes[outcome] += 1
-        if outcome == "denied" and self.quotas[customer].refill(now) >= units:
+        if outcome == "denied" and self.quotas[customer].refill(now_ms) >= units:
             self.rejected_within_quota += 1
 
-    def figures(self) -> dict[str, Any]:
+    def metrics(self) -> dict[str, Any]:
         """Returns the metrics of the run for printing; their names are those of earlier versions."""
         requests = max(1, sum(self.outcomes.values()))
         return {
@@ -75,7 +75,7 @@
             "asked": requests,
             **dict(sorted(self.outcomes.items())),
             "kills": self.kills,
-            "units_of_ideal": round(self.units_sent / max(1, self.units_ideal), 4),
+            "units_of_ideal": round(self.units_sent / max(1, self.ideal_units), 4),
             "beyond_quota": round(self.units_beyond_quota / max(1, self.units_sent), 4),
             "denied_with_room": round(self.rejected_within_quota / requests, 4),
             "ceiling_passed": len(self.violations),
--- a/tests/simulation/discrete_event/test_runs.py
+++ b/tests/simulation/discrete_event/test_runs.py
@@ -30,6 +30,6 @@
     world = World(scenario, 1)
     capacity = 4 * 2 * 1.0 * 1000.0 / 50.0  # requests a second
     clients = scenario.clients
-    used_share = clients.greedy_share + (1 - clients.greedy_share) * 0.6
+    used_share = clients.heavy_share + (1 - clients.heavy_share) * 0.6
     expected = clients.utilization * capacity
     assert 40 * world.plans[0].rate * used_share == pytest.approx(expected, rel=0.0, abs=5e-8)
