--- a/tests/simulation/discrete_event/small_scenario.py
+++ b/tests/simulation/discrete_event/small_scenario.py
@@ -1,4 +1,4 @@
-"""A small scenario, and its run with faults."""
+"""A small scenario, and functions that run it with other sections or faults."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 SMALL_SCENARIO = """
 name = "small"
-about = "A few of each."
+about = "Four nodes, four servers and forty customers of one plan."
 seconds = 6
 [fleet]
 nodes = 4
@@ -30,7 +30,7 @@
 
 
 def run_scenario(more: str = "", text: str = SMALL_SCENARIO, seed: int = 3) -> World:
-    """Runs a scenario with further sections, and returns its world at the end."""
+    """Runs a scenario with the sections in `more` appended; returns its world at the end of the run."""
     world = World(parse_scenario(text + more, "small"), seed)
     world.run()
     return world
--- a/tests/simulation/discrete_event/test_command_line.py
+++ b/tests/simulation/discrete_event/test_command_line.py
@@ -1,4 +1,4 @@
-"""The commands that run and compare scenarios, as a user meets them."""
+"""The commands that run and compare scenarios: results, exit codes, errors and interruption."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def run_command(*arguments: object) -> Result:
-    """Runs a command of the simulation in this process."""
+    """Runs a subcommand of `simulate` in this process."""
     return CliRunner().invoke(main, ["simulate", *map(str, arguments)])
 
 
@@ -80,7 +80,7 @@
 
 
 def session_ends(process_group: int) -> bool:
-    """Returns whether no process of a group is left, waiting for that for up to five seconds."""
+    """Returns whether all processes of a group end within five seconds."""
     for _ in range(100):
         try:
             os.killpg(process_group, 0)
--- a/tests/simulation/discrete_event/test_exact_quota.py
+++ b/tests/simulation/discrete_event/test_exact_quota.py
@@ -1,4 +1,4 @@
-"""The exact count of a customer's use."""
+"""The exact count of a customer's usage, including units beyond the quota."""
 
 from __future__ import annotations
 
--- a/tests/simulation/discrete_event/test_faults.py
+++ b/tests/simulation/discrete_event/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults: each has an effect, and none violates an invariant."""
+"""Faults have their intended effect on a run, and invariants hold during them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(
-    ("fault", "figure", "min_change"),
+    ("fault", "metric", "min_change"),
     [
         (fault_section("hung", at_s=1, for_s=4, share=0.5), "passed_value", -0.03),
         (fault_section("slow", at_s=1, for_s=4, times=8), "mean_ms", 20.0),
@@ -26,32 +26,32 @@
     ],
     ids=["hung", "slow", "failing", "surge", "answers-lost"],
 )
-def test_fault_changes_its_figure(
-    totals_without_faults: dict[str, Any], fault: str, figure: str, min_change: float
+def test_fault_changes_the_metric_that_it_affects(
+    totals_without_faults: dict[str, Any], fault: str, metric: str, min_change: float
 ) -> None:
     totals = run_totals(run_scenario(fault))
-    change = totals[figure] - totals_without_faults[figure]
-    assert change / min_change > 1.0, f"{totals_without_faults[figure]} to {totals[figure]}"
+    change = totals[metric] - totals_without_faults[metric]
+    assert change / min_change > 1.0, f"{metric}: {totals_without_faults[metric]} to {totals[metric]}"
 
 
 def test_replaced_servers_warm_up_and_all_nodes_are_notified() -> None:
     world = run_scenario(fault_section("release", at_s=1, for_s=2, share=0.5, steps=2, drain_s=1))
     servers = world.server_pool.servers
     assert sorted(servers, key=lambda server_id: int(server_id[1:]))[-2:] == ["s5", "s6"]
-    known = {node.name: sorted(node.endpoints.known_servers) for node in world.nodes}
-    assert known == {node.name: sorted(servers) for node in world.nodes}
+    known_servers = {node.name: sorted(node.endpoints.known_servers) for node in world.nodes}
+    assert known_servers == {node.name: sorted(servers) for node in world.nodes}
     assert run_totals(world)["cold_load_most"] > 0.0
     assert world.invariants.violations == []
 
 
-def test_killed_nodes_restart_and_owe_no_answer_of_their_earlier_incarnation() -> None:
+def test_killed_nodes_restart_and_need_not_answer_requests_of_their_earlier_incarnation() -> None:
     world = run_scenario(fault_section("kill", at_s=2, share=1.0))
     assert [node.incarnation for node in world.nodes] == [2, 2, 2, 2]
     assert sum(second["cut"] for second in world.metrics.seconds) > 0
     assert world.invariants.violations == []
 
 
-def test_planners_hold_the_hard_limit_also_while_they_are_lost() -> None:
+def test_hard_limit_holds_while_planners_are_lost() -> None:
     limited = SMALL_SCENARIO.replace("spread = [1, 1]", "spread = [2, 4]\nceiling = 1.2").replace(
         "= 40", "= 8"
     )
@@ -66,7 +66,7 @@
     assert sum(coordinator.ledger.counters.spent for coordinator in coordinators) > 20
 
 
-def test_connection_is_counted_at_its_server_as_long_as_a_node_holds_it() -> None:
+def test_connection_is_counted_at_its_server_while_a_node_holds_the_connection() -> None:
     killed_nodes = fault_section("kill", at_s=2, share=0.5)
     world = run_scenario(killed_nodes + fault_section("hung", at_s=3, for_s=1, share=0.5))
     for server in world.server_pool.servers.values():
--- a/tests/simulation/discrete_event/test_policy_overrides.py
+++ b/tests/simulation/discrete_event/test_policy_overrides.py
@@ -1,4 +1,4 @@
-"""Constants of the policy at other values, as `--with` names them."""
+"""Every numeric constant of the policy can be overridden by its current and earlier names."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def policy_constants() -> list[tuple[str, str]]:
-    """Returns class and name of all constants of the policy that are fractions or times."""
+    """Returns the class and name of each constant of the policy whose value is a float."""
     modules = [
         importlib.import_module(f"onyxpost.policy.{found.name}")
         for found in pkgutil.iter_modules(policy.__path__)
@@ -29,7 +29,7 @@
     assert ("LatencyLoadShedder", "PERIOD_MS") in policy_constants()
 
 
-def test_every_constant_of_the_policy_can_be_overridden_also_by_its_earlier_name() -> None:
+def test_every_constant_of_the_policy_can_be_overridden_by_its_current_and_earlier_names() -> None:
     names = [f"{owner}.{name}" for owner, name in policy_constants()]
     for name in (*names, *EARLIER_NAMES):
         assert parse_overrides([f"{name}=1"]) == {name: 1.0}
--- a/tests/simulation/discrete_event/test_scenario_files.py
+++ b/tests/simulation/discrete_event/test_scenario_files.py
@@ -1,4 +1,4 @@
-"""Scenario files: those shipped, refusals with their location, sizes from the command line."""
+"""Scenario files: shipped scenarios, errors that name the key, and sizes from the command line."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     [
         (SMALL_SCENARIO.replace("nodes = 4", 'nodes = "4"'), "$.fleet.nodes"),
         (SMALL_SCENARIO.replace("nodes = 4", "nodes = 0"), "$.fleet.nodes"),
-        (SMALL_SCENARIO.replace("zones = 2", "hals = 2"), "hals"),
+        (SMALL_SCENARIO.replace("zones = 2", "unknown_key = 2"), "unknown_key"),
         (SMALL_SCENARIO.replace("[40, 60]", "[60, 40]"), "$.work[0].work_ms"),
         (SMALL_SCENARIO.replace("seconds = 6", "seconds = -1"), "$.seconds"),
         (SMALL_SCENARIO + fault_section("zone-lost", at_s=1, for_s=1, zone=2), "$.events[0].zone"),
@@ -55,7 +55,7 @@
     assert "\n" not in str(caught.value)
 
 
-def test_size_from_the_command_line_replaces_the_scenarios() -> None:
+def test_size_from_the_command_line_replaces_that_of_the_scenario() -> None:
     scenario = parse_scenario(SMALL_SCENARIO, "small")
     assert resize_scenario(scenario, 8, None).cluster.nodes == 8
 
