--- a/onyxpost/simulation/discrete_event/client_model.py
+++ b/onyxpost/simulation/discrete_event/client_model.py
@@ -89,15 +89,15 @@
 
     def _create_request(self, customer: Customer) -> None:
         self._schedule_request(customer)
-        sections = self._scenario.work
-        (index,) = self._rng.choices(range(len(sections)), [work.share for work in sections])
-        work = sections[index]
+        workloads = self._scenario.workloads
+        (index,) = self._rng.choices(range(len(workloads)), [workload.share for workload in workloads])
+        workload = workloads[index]
         now_ms = self._clock.now_ms
-        is_within_ideal_quota = customer.ideal_quota.refill(now_ms) >= work.units
+        is_within_ideal_quota = customer.ideal_quota.refill(now_ms) >= workload.units
         if is_within_ideal_quota:
-            customer.ideal_quota.consume(now_ms, work.units)
-        work_ms = self._rng.uniform(*work.work_ms)
-        request = ClientRequest(customer, self._environment.frontends[index], work.units, work_ms, now_ms)
+            customer.ideal_quota.consume(now_ms, workload.units)
+        work_ms = self._rng.uniform(*workload.work_ms)
+        request = ClientRequest(customer, self._environment.frontends[index], workload.units, work_ms, now_ms)
         self._metrics.count(counters.OFFERED)
         if is_within_ideal_quota:
             self._metrics.count(counters.OFFERED_WITHIN_QUOTA)
--- a/onyxpost/simulation/discrete_event/environment.py
+++ b/onyxpost/simulation/discrete_event/environment.py
@@ -49,7 +49,7 @@
         metrics=metrics,
         network=Network(clock, metrics, scenario, seed),
         invariants=InvariantRecorder(clock, scenario, slow_start, plans),
-        frontends=[work.frontend() for work in scenario.work],
+        frontends=[workload.frontend() for workload in scenario.workloads],
         plans=plans,
         slow_start=slow_start,
     )
--- a/onyxpost/simulation/discrete_event/invariant_recorder.py
+++ b/onyxpost/simulation/discrete_event/invariant_recorder.py
@@ -34,7 +34,7 @@
             slow_start=slow_start,
             plans=plans,
             tolerance_ms=TOLERANCE_MS,
-            max_request_units=max(work.units for work in scenario.work),
+            max_request_units=max(workload.units for workload in scenario.workloads),
         )
 
     @property
--- a/onyxpost/simulation/discrete_event/scenario.py
+++ b/onyxpost/simulation/discrete_event/scenario.py
@@ -39,7 +39,7 @@
     about: str
     seconds: Annotated[float, Meta(gt=0.0, le=3600.0)]
     cluster: ClusterSection = field(name="fleet")
-    work: Annotated[list[WorkloadSection], Meta(min_length=1)]
+    workloads: Annotated[list[WorkloadSection], Meta(min_length=1)] = field(name="work")
     plans: Annotated[list[PlanSection], Meta(min_length=1)]
     network: NetworkSection = field(name="links", default_factory=NetworkSection)
     endpoint_updates: EndpointUpdateSection = field(name="lists", default_factory=EndpointUpdateSection)
--- a/onyxpost/simulation/discrete_event/scenario_validation.py
+++ b/onyxpost/simulation/discrete_event/scenario_validation.py
@@ -58,10 +58,10 @@
 
 
 def _find_invalid_work(scenario: Scenario) -> Iterable[tuple[str, str]]:
-    for index, work in enumerate(scenario.work):
-        if work.work_ms[0] > work.work_ms[1]:
+    for index, workload in enumerate(scenario.workloads):
+        if workload.work_ms[0] > workload.work_ms[1]:
             yield f"work[{index}].work_ms", "the minimum is greater than the maximum"
-        if work.latency_objective_ms > work.client_timeout_ms:
+        if workload.latency_objective_ms > workload.client_timeout_ms:
             yield f"work[{index}].response_target_ms", "must not be longer than `client_timeout_ms`"
 
 
@@ -77,7 +77,7 @@
 
 def _find_repeated_names(scenario: Scenario) -> Iterable[tuple[str, str]]:
     names_by_key = {
-        "work": [work.name for work in scenario.work],
+        "work": [workload.name for workload in scenario.workloads],
         "plans": [plan.name for plan in scenario.plans],
     }
     for key, names in names_by_key.items():
--- a/onyxpost/simulation/discrete_event/workload.py
+++ b/onyxpost/simulation/discrete_event/workload.py
@@ -85,7 +85,9 @@
 
 def mean_units(scenario: Scenario) -> float:
     """Returns the mean number of quota units of a request."""
-    return sum(work.share * work.units for work in scenario.work) / sum(work.share for work in scenario.work)
+    return sum(workload.share * workload.units for workload in scenario.workloads) / sum(
+        workload.share for workload in scenario.workloads
+    )
 
 
 def create_plans(scenario: Scenario) -> list[Plan]:
@@ -106,9 +108,11 @@
     """Returns the quota of a customer with weight 1, in units per second."""
     cluster = scenario.cluster
     clients = scenario.clients
-    share_sum = sum(work.share for work in scenario.work)
-    mean_work_ms = sum(work.share / share_sum * sum(work.work_ms) / 2.0 for work in scenario.work)
-    units_per_request = sum(work.share / share_sum * work.units for work in scenario.work)
+    share_sum = sum(workload.share for workload in scenario.workloads)
+    mean_work_ms = sum(
+        workload.share / share_sum * sum(workload.work_ms) / 2.0 for workload in scenario.workloads
+    )
+    units_per_request = sum(workload.share / share_sum * workload.units for workload in scenario.workloads)
     total_speed = cluster.servers * cluster.cores * sum(cluster.speed) / 2.0
     max_requests_per_second = total_speed * MS_PER_SECOND / mean_work_ms
     # Mean share of the quota that a customer uses; heavy customers use all of theirs.
