--- a/onyxpost/simulation/discrete_event/endpoint_updates.py
+++ b/onyxpost/simulation/discrete_event/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Endpoint updates on their way to one node."""
+"""Delivery of endpoint updates to one node."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
     from onyxpost.simulation.discrete_event.event_queue import EventQueue
     from onyxpost.simulation.discrete_event.server_model import ServerModel
 
-NODE_DOWN_RETRY_MS = 200.0  # until a node that is down is tried again
+NODE_DOWN_RETRY_MS = 200.0  # time until an update is sent again to a node that is down
 
 
 class UpdateReceiver(Protocol):
     """The node that receives the updates."""
 
-    alive: bool
+    is_alive: bool
 
     def receive_endpoint_update(self, statuses: list[EndpointStatus]) -> None:
-        """Handles the endpoints that changed."""
+        """Handles the current status of the endpoints that changed."""
 
 
 class EndpointUpdates:
-    """The endpoints that a node knows, and changes that it has not received yet.
+    """The endpoints that a node knows, and the changes that it has not received yet.
 
-    Changes that happen until the next update is delivered are part of it.
+    An update contains all changes that happen before its delivery.
 
     Attributes:
         known_servers: servers that the node knows, by id.
-        statuses: what the node knows of them.
+        statuses: status of each of these servers in the last update that the node received.
     """
 
     def __init__(self, clock: EventQueue, receiver: UpdateReceiver) -> None:
@@ -57,7 +57,7 @@
             self._clock.call_after(delay_ms, self._deliver)
 
     def _deliver(self) -> None:
-        if not self._receiver.alive:
+        if not self._receiver.is_alive:
             self._clock.call_after(NODE_DOWN_RETRY_MS, self._deliver)
             return
         self._is_scheduled = False
--- a/onyxpost/simulation/discrete_event/scenario_validation.py
+++ b/onyxpost/simulation/discrete_event/scenario_validation.py
@@ -1,4 +1,4 @@
-"""Checks of a scenario that the types of its keys cannot express. Places are those of the file's keys."""
+"""Checks of a scenario that the types of its keys cannot express; errors name the key in the file."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 
     Args:
         scenario: the scenario.
-        source: the file or name that it was read from, for the error.
+        source: path or name of the scenario, for the error.
 
     Raises:
-        InvalidFaultScriptError: values do not fit each other; the message ends with the key.
+        InvalidFaultScriptError: values contradict each other; the message ends with the path of a key.
     """
-    for key, problem in _problems(scenario):
+    for key, problem in _find_problems(scenario):
         raise InvalidFaultScriptError(f"{problem} - at `$.{key}`", source)
 
 
-def _problems(scenario: Scenario) -> Iterable[tuple[str, str]]:
-    yield from _invalid_ranges(scenario)
-    yield from _invalid_work(scenario)
-    yield from _invalid_plans(scenario)
-    yield from _repeated_names(scenario)
+def _find_problems(scenario: Scenario) -> Iterable[tuple[str, str]]:
+    yield from _find_invalid_ranges(scenario)
+    yield from _find_invalid_work(scenario)
+    yield from _find_invalid_plans(scenario)
+    yield from _find_repeated_names(scenario)
     if scenario.cluster.zones > scenario.cluster.servers:
-        yield "fleet.zones", "more zones than servers"
-    yield from _invalid_faults(scenario)
+        yield "fleet.zones", "more zones than servers; each zone must have a server"
+    yield from _find_invalid_faults(scenario)
 
 
-def _invalid_ranges(scenario: Scenario) -> Iterable[tuple[str, str]]:
+def _find_invalid_ranges(scenario: Scenario) -> Iterable[tuple[str, str]]:
     network = scenario.network
     clients = scenario.clients
     ranges = {
@@ -47,51 +47,51 @@
         "links.peer_ms": network.peer_message_ms,
         "lists.late_ms": scenario.endpoint_updates.delay_ms,
         "customers.steady": clients.demand_factor,
-        "customers.greedy_times": clients.greedy_demand_factor,
+        "customers.greedy_times": clients.heavy_demand_factor,
         "customers.shift_s": clients.weight_change_s,
         "customers.retry_ms": clients.retry_delay_ms,
-        "customers.patience": clients.patience_fraction,
+        "customers.patience": clients.disconnect_fraction,
     }
     for key, (low, high) in ranges.items():
         if low > high:
-            yield key, f"{low} to {high} is no range"
+            yield key, f"minimum {low} is greater than maximum {high}"
 
 
-def _invalid_work(scenario: Scenario) -> Iterable[tuple[str, str]]:
-    for index, work in enumerate(scenario.work):
-        if work.work_ms[0] > work.work_ms[1]:
-            yield f"work[{index}].work_ms", "no range"
-        if work.latency_objective_ms > work.client_timeout_ms:
-            yield f"work[{index}].response_target_ms", "longer than the client timeout"
+def _find_invalid_work(scenario: Scenario) -> Iterable[tuple[str, str]]:
+    for index, workload in enumerate(scenario.workloads):
+        if workload.work_ms[0] > workload.work_ms[1]:
+            yield f"work[{index}].work_ms", "the minimum is greater than the maximum"
+        if workload.latency_objective_ms > workload.client_timeout_ms:
+            yield f"work[{index}].response_target_ms", "must not be longer than `client_timeout_ms`"
 
 
-def _invalid_plans(scenario: Scenario) -> Iterable[tuple[str, str]]:
+def _find_invalid_plans(scenario: Scenario) -> Iterable[tuple[str, str]]:
     nodes = scenario.cluster.nodes
     for index, plan in enumerate(scenario.plans):
         min_nodes, max_nodes = plan.nodes_per_customer
         if min_nodes > max_nodes or plan.burst_s[0] > plan.burst_s[1]:
-            yield f"plans[{index}]", "a range that is none"
+            yield f"plans[{index}]", "the minimum of `spread` or `burst_s` is greater than its maximum"
         if max_nodes > nodes:
-            yield f"plans[{index}].spread", f"{max_nodes} of {nodes} nodes"
+            yield f"plans[{index}].spread", f"up to {max_nodes} nodes per customer, but only {nodes} nodes"
 
 
-def _repeated_names(scenario: Scenario) -> Iterable[tuple[str, str]]:
+def _find_repeated_names(scenario: Scenario) -> Iterable[tuple[str, str]]:
     names_by_key = {
-        "work": [work.name for work in scenario.work],
+        "work": [workload.name for workload in scenario.workloads],
         "plans": [plan.name for plan in scenario.plans],
     }
     for key, names in names_by_key.items():
         if len(set(names)) < len(names):
-            yield key, "a name twice"
+            yield key, "names must be unique"
 
 
-def _invalid_faults(scenario: Scenario) -> Iterable[tuple[str, str]]:
+def _find_invalid_faults(scenario: Scenario) -> Iterable[tuple[str, str]]:
     zones = scenario.cluster.zones
     plans = {plan.name for plan in scenario.plans}
     for index, fault in enumerate(scenario.events):
         if isinstance(fault, ZoneLost | Partition) and fault.zone >= zones:
             yield f"events[{index}].zone", f"there are {zones} zones, numbered from 0"
         if fault.at_s >= scenario.seconds:
-            yield f"events[{index}].at_s", "after the end"
+            yield f"events[{index}].at_s", "must be less than `seconds`, the duration of the run"
         if isinstance(fault, LoadSurge) and fault.plan and fault.plan not in plans:
-            yield f"events[{index}].plan", f"no plan {fault.plan}"
+            yield f"events[{index}].plan", f"no plan has the name {fault.plan}"
--- a/onyxpost/simulation/planner_cluster/runner.py
+++ b/onyxpost/simulation/planner_cluster/runner.py
@@ -1,4 +1,4 @@
-"""One run of a planner cluster: stub upstreams, planners, forwarders, load and kills."""
+"""Runs a planner cluster: stub upstreams, planner and forwarder processes, load, and kills of planners."""
 
 from __future__ import annotations
 
@@ -35,24 +35,30 @@
 PROGRAM = ("-m", "onyxpost")
 APP_SERVERS = 4
 APP_SERVER_DELAY_MS = 5.0
-WARM_UP_SECONDS = 6.0  # for planners to wait for older leases to end, and forwarders to request some
+# Time for planners to wait until leases of earlier incarnations have ended, and for forwarders to get leases.
+WARM_UP_SECONDS = 6.0
 CONNECT_ATTEMPTS = 400
 CONNECT_INTERVAL_SECONDS = 0.05
 MAX_RESTART_DELAY_SECONDS = 1.0
 
 
 class ClusterReport(NamedTuple):
-    """Figures of a run, and violations of hard limits: none, in a correct run."""
+    """Metrics of a run, and violations of hard limits, of which a correct run has none."""
 
-    figures: dict[str, Any]
+    metrics: dict[str, Any]
     violations: list[str]
 
 
 def run(options: ClusterOptions, folder: Path | None = None) -> ClusterReport:
-    """Runs a cluster; its files and logs stay in `folder`, or are deleted if there is none.
+    """Runs a cluster.
 
-    Raises InvalidOptionError for options out of bounds, ProcessNotStartedError if a forwarder does not listen
-    in time.
+    Args:
+        options: size, load and faults of the run.
+        folder: where configuration files and logs are kept; None: they are deleted after the run.
+
+    Raises:
+        InvalidOptionError: an option is out of bounds.
+        ProcessNotStartedError: a forwarder does not accept connections in time.
     """
     with contextlib.ExitStack() as stack:
         if folder is None:
@@ -62,7 +68,7 @@
 
 
 class PlannerCluster(NullObserver):
-    """Stub upstreams in this process, planners and forwarders as processes."""
+    """A cluster with stub upstreams in this process, and planners and forwarders as child processes."""
 
     def __init__(self, options: ClusterOptions, folder: Path) -> None:
         self.options = check_options(options)
@@ -72,36 +78,38 @@
             find_free_ports(options.forwarders, socket.SOCK_DGRAM),
             find_free_ports(options.planners),
         )
-        net = SocketTransport()
-        self.app_servers = [AppServer(net, self, index, 0, ANY_PORT, "a") for index in range(APP_SERVERS)]
-        self.discovery_agent = DiscoveryAgent(net, self, 0, ANY_PORT)
+        transport = SocketTransport()
+        self.app_servers = [
+            AppServer(transport, self, index, 0, ANY_PORT, "a") for index in range(APP_SERVERS)
+        ]
+        self.discovery_agent = DiscoveryAgent(transport, self, 0, ANY_PORT)
         self.processes = ProcessGroup(folder, log_files=LogFiles.APPENDED)
         self.counter = UsageCounter(options)
-        self.load = LoadGenerator(options, self.ports.forwarders, self.counter)
+        self.load_generator = LoadGenerator(options, self.ports.forwarders, self.counter)
 
     def on_attempt_received(
         self, writer: asyncio.StreamWriter, trace_id: str, server: ServerIdentity
     ) -> AttemptKey:
-        """A request arrived at a stub app server."""
-        self.load.handle_arrival(trace_id)
+        """Counts an attempt that arrived at a stub app server."""
+        self.load_generator.on_request_received(trace_id)
         return super().on_attempt_received(writer, trace_id, server)
 
     async def run(self) -> ClusterReport:
-        """Starts everything, sends the load, and stops everything."""
+        """Starts upstreams and processes, generates the load, and stops the processes."""
         await self._start_upstreams()
         try:
             await self._start_processes()
             await asyncio.sleep(WARM_UP_SECONDS)
             has_kills = self.options.kill_interval_seconds > 0.0 and not self.options.use_gossip
             killer = asyncio.create_task(self._kill_planners()) if has_kills else None
-            await self.load.run()
+            await self.load_generator.run()
             if killer is not None:
                 killer.cancel()
         finally:
             await self.processes.terminate_all()
             for writer in self.discovery_agent.writers:
                 writer.transport.abort()
-        return ClusterReport(self.counter.figures(), self.counter.violations)
+        return ClusterReport(self.counter.metrics(), self.counter.violations)
 
     async def _start_upstreams(self) -> None:
         for server in self.app_servers:
@@ -117,9 +125,9 @@
             self._write_file(planner_name(index), planner_file(self.options, self.ports, index))
             await self._start_planner(index)
         agent = self.discovery_agent
-        known = {"generation": agent.generation, "instances": list(agent.endpoints.values())}
+        known_endpoints = {"generation": agent.generation, "instances": list(agent.endpoints.values())}
         for index in range(self.options.forwarders):
-            fields = node_file(self.options, self.ports, index, agent.address, known)
+            fields = node_file(self.options, self.ports, index, agent.address, known_endpoints)
             path = self._write_file(forwarder_name(index), fields)
             environment = {"EDGE_CONFIG": str(path)}
             await self.processes.start(forwarder_name(index), [*PROGRAM, "serve"], environment)
@@ -144,7 +152,7 @@
                 await asyncio.sleep(CONNECT_INTERVAL_SECONDS)
             else:
                 raise ProcessNotStartedError(
-                    f"no node listens; its log is in {self.folder}", f"127.0.0.1:{port}"
+                    f"the forwarder accepts no connections; its log is in {self.folder}", f"127.0.0.1:{port}"
                 )
 
     async def _kill_planners(self) -> None:
@@ -160,6 +168,6 @@
 
 def _bound_address(listener: Listener | None) -> Address:
     if listener is None:
-        raise ValueError("not listening")
+        raise ValueError("the listener is not open")
     address: Address = listener.sockets[0].getsockname()
     return address
