--- a/onyxpost/simulation/cli.py
+++ b/onyxpost/simulation/cli.py
@@ -1,4 +1,4 @@
-"""The group of commands `onyxpost simulate`, and its commands that run nothing: `scenarios` and `compare`."""
+"""The command group `onyxpost simulate`, with its commands that run no simulation: `scenarios`, `compare`."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 @click.group()
 def simulate() -> None:
     """Run the gateway in simulations: faults from seeds, load, and a comparison of results."""
-    signal.signal(signal.SIGTERM, signal.default_int_handler)  # ends as an interrupt does
+    signal.signal(signal.SIGTERM, signal.default_int_handler)  # SIGTERM is handled like SIGINT
 
 
 @simulate.command("scenarios")
--- a/onyxpost/simulation/cli_deterministic.py
+++ b/onyxpost/simulation/cli_deterministic.py
@@ -1,4 +1,4 @@
-"""The command `simulate deterministic`: seeds of scripted faults on whole edge nodes, on a virtual clock."""
+"""The command `simulate deterministic`: runs edge nodes on a virtual clock, with faults drawn from seeds."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class DeterministicOptions(NamedTuple):
-    """The arguments of the command, as they were given."""
+    """The parsed arguments of the command."""
 
     seeds: str
     jobs: int
@@ -35,7 +35,7 @@
 
 
 class FinishedSeeds:
-    """The outcomes of all seeds that are finished, and sums over them."""
+    """The outcomes of the finished seeds, and totals over them."""
 
     def __init__(self) -> None:
         self.outcomes: list[Outcome] = []
@@ -49,7 +49,7 @@
         return [outcome for outcome in self.outcomes if outcome.failed]
 
     def summary(self) -> str:
-        """Returns the sums over all seeds in one line."""
+        """Returns the totals over the finished seeds in one line of text."""
         requests = sum(outcome.requests for outcome in self.outcomes)
         passed = sum(outcome.succeeded for outcome in self.outcomes)
         steps = sum(outcome.steps for outcome in self.outcomes)
@@ -94,7 +94,7 @@
 
 
 def _check_mutation(name: str) -> None:
-    """Raises InvalidOptionError unless there is a mutation of this name, or none is asked for."""
+    """Raises InvalidOptionError unless the name is that of a mutation or empty."""
     from onyxpost.simulation.mutations import MUTATIONS, current_name, is_mutation
 
     if not is_mutation(name):
@@ -105,7 +105,7 @@
 
 
 def _echo_failed_seed(outcome: Outcome, mutation: str) -> None:
-    """Prints the faults that a failed seed takes, and its first violations with only these."""
+    """Shrinks a failed seed; prints the faults that still violate an invariant, and the first violations."""
     from onyxpost.simulation.deterministic import shrink
 
     smallest = shrink(outcome, mutation)
--- a/onyxpost/simulation/cli_discrete_event.py
+++ b/onyxpost/simulation/cli_discrete_event.py
@@ -1,4 +1,4 @@
-"""The command `simulate discrete-event`: many seeds of some scenarios in the discrete-event simulation."""
+"""The command `simulate discrete-event`: discrete-event simulation of scenarios, one run per seed."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class DiscreteEventOptions(NamedTuple):
-    """The arguments of the command, as they were given."""
+    """The parsed arguments of the command."""
 
     scenario: tuple[str, ...]
     seeds: str
@@ -37,7 +37,7 @@
 
 
 class Batch(NamedTuple):
-    """Scenarios, and the seeds and overridden constants with which each of them is run."""
+    """The scenarios to run, with the seeds and overridden policy constants for each of them."""
 
     scenarios: list[Scenario]
     seeds: list[int]
@@ -46,7 +46,7 @@
 
 
 class BatchResults:
-    """Results of the runs that are finished: their lines, and sums of their totals."""
+    """The encoded result lines of the finished runs, with their total numbers of violations and events."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -54,7 +54,7 @@
         self.events = 0
 
     def add(self, data: bytes) -> None:
-        """Adds the lines of one run, whose last is its totals."""
+        """Adds the encoded lines of one run; the last line holds its totals."""
         total = results.decode_totals(data)
         self.data += data
         self.violations += total["breaches"]
@@ -112,7 +112,7 @@
 
 
 def _run_scenario(scenario: Scenario, batch: Batch, finished: BatchResults) -> None:
-    """Runs all seeds of one scenario; adds and prints each as it is finished."""
+    """Runs all seeds of one scenario; adds and prints the results of each run once it has finished."""
     from onyxpost.simulation.discrete_event.batch import run_seeds
 
     for seed, data, seconds in run_seeds(scenario, batch.seeds, batch.jobs, batch.overrides):
--- a/onyxpost/simulation/cli_errors.py
+++ b/onyxpost/simulation/cli_errors.py
@@ -1,4 +1,4 @@
-"""How the commands of the simulation report an error to the operator."""
+"""Reports errors of the simulation commands to the operator."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 
 def report_operator_errors(command: Callable[Parameters, Returned]) -> Callable[Parameters, Returned]:
-    """Decorates a command: an `OperatorError` is written as one line to standard error, and ends the process.
+    """Decorates a command so that an `OperatorError` ends it with one line on standard error.
 
-    The exit code is 2 for input that cannot be used, and 1 for a simulation that stalled, which is a bug.
+    The exit code is 2 for invalid input, and 1 for a simulation that stalled, which is a bug.
     """
 
     @wraps(command)
--- a/onyxpost/simulation/cli_options.py
+++ b/onyxpost/simulation/cli_options.py
@@ -1,4 +1,4 @@
-"""Options that several commands of the simulation share; a command receives its options as one value."""
+"""Options that several simulation commands share, and a decorator that passes options as one value."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 def pass_options(
     options_type: Callable[..., Options],
 ) -> Callable[[Callable[[Options], None]], Callable[..., None]]:
-    """Decorates a command that takes its options as one typed value, made of all of them by their names."""
+    """Decorates a command that takes one value of `options_type`, built from its options by keyword."""
 
     def decorate(command: Callable[[Options], None]) -> Callable[..., None]:
         @wraps(command)
--- a/onyxpost/simulation/cli_output.py
+++ b/onyxpost/simulation/cli_output.py
@@ -1,4 +1,4 @@
-"""What the commands of the simulation have in common at their end: violations, interrupts, exit codes."""
+"""Printed violations, interrupts and exit codes, which the simulation commands share."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ViolationLine(NamedTuple):
-    """A violated invariant, with what it concerns: node, request and server are empty where there is none."""
+    """A violated invariant as it is printed; node, request and server are empty if it concerns none."""
 
     invariant: str
     at_ms: float
@@ -33,10 +33,10 @@
 
 
 class InterruptCatcher:
-    """A context that an interrupt (SIGINT, SIGTERM) ends early, without an exception.
+    """A context manager that suppresses an interrupt (SIGINT or SIGTERM) of its body and remembers it.
 
     Attributes:
-        was_interrupted: whether one did.
+        was_interrupted: whether the body was ended by an interrupt.
     """
 
     def __init__(self) -> None:
@@ -58,8 +58,8 @@
 def _is_interrupt(error: BaseException | None) -> bool:
     """Whether an exception is an interrupt, or was raised while one was being handled.
 
-    An interrupt that arrives while the main thread waits for a lock has the lock's own exit raise
-    RuntimeError ("cannot release un-acquired lock") in its place.
+    If an interrupt arrives while the main thread waits for a lock, leaving the lock's context raises
+    RuntimeError ("cannot release un-acquired lock"), which replaces the KeyboardInterrupt.
     """
     while error is not None:
         if isinstance(error, KeyboardInterrupt):
@@ -69,13 +69,13 @@
 
 
 def echo_violations(violations: Iterable[object], limit: int) -> None:
-    """Prints the first of some violations, a line each."""
+    """Prints the first `limit` violations, one per line."""
     for violation in islice(violations, limit):
         click.echo(f"  {violation}")
 
 
 def exit_code(*, violated: bool, was_interrupted: bool = False) -> int:
-    """Returns the exit code of a command that ran; an interrupt counts before violations."""
+    """Returns the exit code of a command; an interrupt takes precedence over violations."""
     if was_interrupted:
         return EXIT_INTERRUPTED
     return EXIT_VIOLATED if violated else 0
--- a/onyxpost/simulation/cli_sockets.py
+++ b/onyxpost/simulation/cli_sockets.py
@@ -1,4 +1,4 @@
-"""The commands that work with real sockets on loopback: load, stub upstreams, a cluster of planners."""
+"""The commands that use sockets on loopback: `load`, `stubs` and `planner-cluster`."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 MAX_CUSTOMER_IDS = 2**32
 MAX_CLUSTER_CUSTOMERS = 1000
 MAX_STUB_SERVERS = 200
-MAX_FIRST_PORT = 65_000  # leaves room for the servers' ports that follow it
+MAX_FIRST_PORT = 65_000  # the other servers use the ports after the first
 MIN_STUB_SECONDS = 0.1
 MAX_STUB_SECONDS = 3600.0
 MAX_PRINTED_VIOLATIONS = 5
 
 
 class LoadOptions(NamedTuple):
-    """The arguments of `load`, as they were given."""
+    """The parsed arguments of `load`."""
 
     address: str
     node_file: Path
@@ -42,12 +42,12 @@
 
 
 class StubOptions(NamedTuple):
-    """The arguments of `stubs`, as they were given."""
+    """The parsed arguments of `stubs`."""
 
     out: Path
     example: Path
     servers: int
-    delay: float  # ms
+    delay: float  # latency of the servers, in ms
     port: int
     discovery: str
     faults: Path | None
@@ -55,17 +55,17 @@
 
 
 class PlannerClusterOptions(NamedTuple):
-    """The arguments of `planner-cluster`, as they were given; `rate` and `quota` are a second."""
+    """The parsed arguments of `planner-cluster`; `rate` and `quota` are per second."""
 
     forwarders: int
     planners: int
     seconds: float
     rate: float
     seed: int
-    kills: float  # mean seconds between two
+    kills: float  # mean time between two kills, in seconds; 0: no kills
     customers: int
-    quota: float  # units
-    burst: float  # units
+    quota: float  # units of each customer per second
+    burst: float  # units that a customer may use at once
     gossip: bool
     logs: Path | None
 
--- a/onyxpost/simulation/demo.py
+++ b/onyxpost/simulation/demo.py
@@ -1,7 +1,7 @@
-"""A demonstration: one node before stub app servers and discovery, and a few requests.
+"""A demonstration: a node that forwards a few requests to stub app servers.
 
-`python -m onyxpost.simulation.demo` needs only what a node needs. Everything is on free ports of 127.0.0.1,
-and every process that is started is ended.
+`python -m onyxpost.simulation.demo` needs no packages beyond those of a node. It listens on free ports of
+127.0.0.1 only, and stops the node before it exits.
 """
 
 from __future__ import annotations
@@ -33,20 +33,20 @@
 
 EXAMPLE = Path(__file__).parents[2] / "deploy" / "example-node.json"
 SERVERS = 3
-LATENCY_MS = 20.0  # of the stub app servers
+LATENCY_MS = 20.0  # from a request to the answer of a stub app server
 READY_TIMEOUT_SECONDS = 10.0
 READY_POLL_SECONDS = 0.02
-STOP_TIMEOUT_SECONDS = 5.0  # after SIGTERM, before SIGKILL
+STOP_TIMEOUT_SECONDS = 5.0  # from SIGTERM to SIGKILL
 ANSWER_TIMEOUT_SECONDS = 5.0
-CLOSE_SECONDS = 0.05  # for connections that the node closed to end
+CLOSE_SECONDS = 0.05  # time for the stubs to notice that the node closed its connections
 CLIENT_TIMEOUT_MS = 1900.0
-MAX_TRIES = 4  # on a slow machine the quota is refilled meanwhile
-UNITS = 4  # of each request; the example's plan holds 10 at once
+MAX_TRIES = 4  # more than one, because the quota refills between requests on a slow machine
+UNITS = 4  # quota units of each request; the example's plan allows 10 at once
 HEALTH_CHECK = "/healthz"
 
 
 class Answer(NamedTuple):
-    """A node's answer; header names are in lower case."""
+    """A node's answer to a request; header names are in lower case."""
 
     status: int
     headers: Mapping[str, str]
@@ -55,7 +55,7 @@
 
 
 class DemoRequests:
-    """Requests of the example's first frontend and plan, each printed with its answer."""
+    """Sends requests for the example's first frontend and plan, and prints each with its answer."""
 
     def __init__(self, port: int, fields: dict[str, Any], show: Callable[[str], None]) -> None:
         self.port = port
@@ -65,7 +65,7 @@
         self._count = 0
 
     async def send(self, customer: int) -> Answer:
-        """Sends a request of a customer. Raises OSError or h11.ProtocolError if there is no answer."""
+        """Sends a request of a customer. Raises OSError or h11.ProtocolError without a complete answer."""
         self._count += 1
         fields = RequestFields(f"demo-{self._count}", self.plan["name"], customer, CLIENT_TIMEOUT_MS, UNITS)
         answer = await get(self.port, f"/{self.frontend['name']}/{self._count}", fields.headers())
@@ -78,7 +78,10 @@
         return answer
 
     async def run(self) -> bool:
-        """Whether requests within the quota passed, and one over it was rejected until the refill."""
+        """Sends requests within a quota and over it; returns whether all were answered as expected.
+
+        The rejected request is repeated after its Retry-After time, and must pass then.
+        """
         self.show(
             f"plan {self.plan['name']}: each customer may use {self.plan['refill']:g} units a second,"
             f" {self.plan['depth']:g} at once"
@@ -98,7 +101,7 @@
         return answer
 
     async def _retry(self, answer: Answer) -> int:
-        """Sends the request again when the answer says so; returns the last status."""
+        """Repeats a rejected request after each Retry-After time; returns the last status."""
         for _ in range(MAX_TRIES):
             if answer.status != HTTPStatus.TOO_MANY_REQUESTS:
                 break
@@ -135,7 +138,7 @@
 async def running_node(
     environment: StubEnvironment, fields: dict[str, Any], folder: Path
 ) -> AsyncIterator[int]:
-    """Runs a node as a process before the stubs; yields its port.
+    """Runs a node in a process, with the stubs as its upstreams; yields its port.
 
     Raises ProcessNotStartedError if it does not serve in time.
     """
@@ -161,7 +164,9 @@
 
 
 async def run_demo(environment: StubEnvironment, show: Callable[[str], None]) -> bool:
-    """Whether each request was answered as it must be; `show` is called with each line.
+    """Runs the demonstration and returns whether each request was answered as expected.
+
+    `show` is called with each line of output.
 
     Raises ProcessNotStartedError if the node does not serve in time.
     """
@@ -181,7 +186,7 @@
 
 
 async def main() -> int:
-    """Returns the exit code: 0 only if each request was answered as it must be."""
+    """Returns the exit code: 0 only if each request was answered as expected."""
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
@@ -197,7 +202,7 @@
 
 
 async def _start_node(node_file: Path, log: Path) -> asyncio.subprocess.Process:
-    """Starts a node whose settings come from its file alone."""
+    """Starts a node without the `EDGE_` variables of this process, so that only its file configures it."""
     environment = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
     with log.open("wb") as output:
         return await asyncio.create_subprocess_exec(
--- a/onyxpost/simulation/deprecation.py
+++ b/onyxpost/simulation/deprecation.py
@@ -1,4 +1,4 @@
-"""Old spellings of commands, options and names: they go on working, and say once what replaces them."""
+"""Accepts deprecated spellings of commands, options and names, and warns once with the current spelling."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 COMMANDS_WITH_MUTATIONS = ("deterministic", "processes")
 END_OF_OPTIONS = "--"
 
-_ANNOUNCED = f"{__name__}.announced"  # key of a click context's `meta`, which lives as long as one command
+_ANNOUNCED = f"{__name__}.announced"  # key in the `meta` of a click context, which lasts for one command
 
 
 class Spelling(NamedTuple):
-    """A word of a command line, as it was given and as it is spelled today."""
+    """A word of a command line, as given and in its current spelling."""
 
     given: str
     current: str
 
 
 class SimulationCommand(NamedTuple):
-    """A command line of the simulation in today's spelling.
+    """A command line of the simulation in its current spelling.
 
     Attributes:
-        argv: the whole command line in today's spelling.
+        argv: the whole command line in its current spelling.
         names: the group, the command and the renamed options that were given, without values and arguments.
     """
 
@@ -44,7 +44,7 @@
     names: list[Spelling]
 
     def warn_if_deprecated(self) -> None:
-        """Writes one line to standard error if any name was given in its old spelling."""
+        """Writes a warning to standard error if any name was given in a deprecated spelling."""
         if any(name.given != name.current for name in self.names):
             given = " ".join(name.given for name in self.names)
             current = " ".join(name.current for name in self.names)
@@ -52,11 +52,11 @@
 
 
 def warn_deprecated(old: str, new: str) -> None:
-    """Writes to standard error that an old spelling was used; one line at most for each command.
+    """Writes to standard error that a spelling is deprecated; at most one line per command.
 
     Args:
-        old: the spelling that was used.
-        new: the spelling that replaces it.
+        old: the deprecated spelling that was used.
+        new: the current spelling.
     """
     context = click.get_current_context(silent=True)
     if context is not None:
@@ -67,7 +67,7 @@
 
 
 def parse_simulation_command(argv: Sequence[str]) -> SimulationCommand:
-    """Translates a command line, whose first word is the group's name, into today's spelling."""
+    """Translates a command line, whose first word is the name of the group, into its current spelling."""
     names = [Spelling(argv[0], GROUP)]
     if len(argv) == 1:
         return SimulationCommand([GROUP], names)
@@ -81,7 +81,7 @@
 
 
 def _rename_options(arguments: list[str]) -> list[Spelling]:
-    """Replaces old names of options in place; returns each that was replaced, once."""
+    """Replaces deprecated option names in place; returns the spelling of each one that it replaced, once."""
     renamed: list[Spelling] = []
     for index, argument in enumerate(arguments):
         if argument == END_OF_OPTIONS:
--- a/onyxpost/simulation/errors.py
+++ b/onyxpost/simulation/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the simulation: input that cannot be used, and a simulation that cannot go on."""
+"""Errors of the simulation: invalid input, and a simulation that stalled."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class InvalidSimulationInputError(OperatorError):
-    """Base class of errors of files, options and addresses; a command ends with exit code 2."""
+    """Base class of errors in files, options and addresses; the command exits with code 2."""
 
 
 class SimulationFileError(InvalidSimulationInputError):
@@ -16,7 +16,7 @@
 
 
 class InvalidFaultScriptError(InvalidSimulationInputError):
-    """A scenario or a file of faults has an invalid key, or keys that contradict each other.
+    """A scenario or fault script has an invalid key, or keys that contradict each other.
 
     The message ends with the path of the key.
     """
@@ -25,19 +25,19 @@
 
 
 class InvalidResultsError(InvalidSimulationInputError):
-    """A file does not hold results of this build, or not those of a complete run."""
+    """A file does not hold results in the format of this build, or has no complete run."""
 
     remedy = "give a complete file, written by `onyxpost simulate discrete-event --out` of this build"
 
 
 class NoCommonScenarioError(InvalidSimulationInputError):
-    """Two files of results have no scenario in common, so that they cannot be compared."""
+    """Two result files cannot be compared, because they have no scenario in common."""
 
     remedy = "run the same scenarios for both, with `onyxpost simulate discrete-event --out`"
 
 
 class ResultsNotWrittenError(InvalidSimulationInputError):
-    """A file cannot be written."""
+    """A results file or node file cannot be written."""
 
     remedy = "name a folder that exists, can be written and has free space"
 
@@ -49,19 +49,19 @@
 
 
 class NotLoopbackError(InvalidSimulationInputError):
-    """An address is not on this machine; the simulation sends nothing elsewhere."""
+    """An address is not on loopback; the simulation uses no other addresses."""
 
     remedy = "name an address on loopback, as in 127.0.0.1:8081"
 
 
 class ProcessNotStartedError(InvalidSimulationInputError):
-    """A process of the simulation does not listen in time."""
+    """A process of the simulation did not start serving in time."""
 
     remedy = "read its log in that folder (`--logs` keeps it), and check for other load on this machine"
 
 
 class SimulationStalledError(OperatorError):
-    """No event is due any more on the virtual clock, or its time does not advance; exit code 1."""
+    """The virtual clock has no more events, or its time does not advance; the command exits with code 1."""
 
     remedy = (
         "a bug: report it with the seed, found by running fewer (`onyxpost simulate deterministic --seeds N`)"
--- a/onyxpost/simulation/free_ports.py
+++ b/onyxpost/simulation/free_ports.py
@@ -11,7 +11,8 @@
 
 LOOPBACK = "127.0.0.1"
 ANY_PORT = (LOOPBACK, 0)
-# Below the ports that the system gives to clients, which might take the port of a node that is down.
+# Range of ports below the system's ephemeral ports. A client's connection may be assigned an ephemeral port
+# while the node that listens there is down, and the node could not bind it again.
 RESTARTABLE_PORTS = (10_000, 30_000)
 ATTEMPTS_PER_PORT = 100
 
@@ -21,9 +22,9 @@
 
 
 def find_free_ports(count: int, kind: socket.SocketKind = socket.SOCK_STREAM) -> list[int]:
-    """Returns ports that nobody listens at, as the system chooses them.
+    """Returns different free ports, which the system chooses.
 
-    All are held until the last one is found, so that they differ.
+    Each port stays bound until the last one is found, so that no port is returned twice.
     """
     with contextlib.ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket(socket.AF_INET, kind)) for _ in range(count)]
@@ -33,7 +34,7 @@
 
 
 def find_restartable_ports(count: int, rng: Random) -> list[int]:
-    """Returns ports that are free for TCP and UDP, and stay free while the process that uses one is down.
+    """Returns ports that are free for TCP and UDP, and stay free while the process that uses them restarts.
 
     Raises:
         NoFreePortsError: not enough of them are free.
--- a/onyxpost/simulation/http_client.py
+++ b/onyxpost/simulation/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP as the simulation's clients speak it: one connection, and the headers of a request to a node."""
+"""The HTTP client of the simulations: one connection, and the headers of a request to a node."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 MAX_RESPONSE_BYTES = 2**24
 
 PASSED = "passed"
-REJECTED = "denied"  # the word of the result files
+REJECTED = "denied"  # the name in result files
 ABORTED = "aborted"
 OUTCOMES: dict[int, str] = {
     HTTPStatus.OK: PASSED,
@@ -26,23 +26,23 @@
 
 
 def outcome_of(status: int) -> str:
-    """Returns what a node's answer means for the client; any status but 200, 429 and 503 is an abort."""
+    """Returns the outcome for the status of an answer; any status but 200, 429 and 503 counts as aborted."""
     return OUTCOMES.get(status, ABORTED)
 
 
 class RequestFields(NamedTuple):
-    """What a node reads in a request's headers."""
+    """The fields of a request that a node reads from its headers."""
 
     trace_id: str
     plan: str
     customer: int
     timeout_ms: float
     units: int
-    node_count: int = 1  # of the customer's nodes
+    node_count: int = 1  # number of nodes that receive requests of this customer
     first_node: int = 0
 
     def headers(self) -> list[tuple[str, str]]:
-        """Returns the headers, `Host` among them."""
+        """Returns all headers of the request, including `Host`."""
         return [
             ("Host", "onyxpost"),
             ("X-Trace-Id", self.trace_id),
@@ -62,7 +62,7 @@
 
 
 class HttpClient:
-    """One connection, for one request after the other."""
+    """One connection, which carries one request at a time."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader = reader
@@ -71,7 +71,7 @@
 
     @classmethod
     async def connect(cls, address: Address) -> HttpClient:
-        """Opens a connection. Raises OSError."""
+        """Opens a connection. Raises OSError if the connection attempt fails."""
         reader, writer = await asyncio.open_connection(*address)
         return cls(reader, writer)
 
@@ -90,13 +90,13 @@
         return HttpResponse(response.status_code, headers, content)
 
     def start_next_request(self) -> bool:
-        """Whether both sides keep the connection for another request, which may then be sent."""
+        """Prepares the connection for another request; returns False if either side closes it instead."""
         return start_next_cycle(self._http)
 
     def is_open(self) -> bool:
-        """Whether neither side has closed the connection yet, as far as is known."""
+        """Whether neither side is known to have closed the connection."""
         return not self._reader.at_eof() and not self._writer.transport.is_closing()
 
     def close(self) -> None:
-        """Closes the connection."""
+        """Closes the connection without waiting for the transport to close."""
         self._writer.close()
--- a/onyxpost/simulation/load/__init__.py
+++ b/onyxpost/simulation/load/__init__.py
@@ -1,4 +1,4 @@
-"""Open-loop load for one node on loopback."""
+"""Open-loop load generator for one node on loopback."""
 
 from onyxpost.simulation.load.generator import LoadGenerator, generate_load
 from onyxpost.simulation.load.options import LoadOptions, check_options, require_loopback
--- a/onyxpost/simulation/load/generator.py
+++ b/onyxpost/simulation/load/generator.py
@@ -1,7 +1,7 @@
-"""Sends each request when it is due, whether or not earlier ones were answered.
+"""Open-loop load generator: sends each request at its due time, even if earlier requests are unanswered.
 
-A latency is measured from the time at which the request was due, so that a stall shows in full in every
-request that it held up (open-loop load, without coordinated omission).
+Latencies are measured from the due time, so that a stall of the node is fully visible in every request that
+it delayed (no coordinated omission).
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
     from onyxpost.config.deployment import Deployment
     from onyxpost.core.types import Frontend
 
-ANSWER_GRACE_MS = 250.0  # past the client's timeout, in which an answer on its way still counts
-LATE_MS = 5.0  # a request that is sent later than this after it was due was held up by the generator
-DRAIN_SECONDS = 60.0  # for the last requests to be answered
-CONNECTION_POLL_SECONDS = 0.001  # while all connections are in use
+ANSWER_GRACE_MS = 250.0  # added to the client's timeout, for answers that are on their way then
+LATE_MS = 5.0  # a request sent later than this after its due time was delayed by the generator itself
+DRAIN_SECONDS = 60.0  # time to wait for outstanding answers after the last request
+CONNECTION_POLL_SECONDS = 0.001  # interval of the checks for an idle connection
 MAX_UNITS = 4
 MAX_CUSTOMER_NODES = 3
 BODY = b"xx"
@@ -37,7 +37,7 @@
 
 
 class DrawnRequest(NamedTuple):
-    """A request, as it is drawn."""
+    """A randomly drawn request, ready to be sent."""
 
     frontend: Frontend
     head: h11.Request
@@ -45,14 +45,14 @@
 
 
 class LoadGenerator:
-    """Clients of one node, which share a bounded number of connections.
+    """Simulates clients of one node, which share a bounded number of connections.
 
     Args:
-        address: Of the node, on loopback.
-        deployment: Its frontends and plans, which the requests use.
-        options: The load.
-        answer_grace_ms: Time after a client's timeout in which its answer still counts; a test that must not
-            depend on the machine's speed gives more.
+        address: Address of the node, on loopback.
+        deployment: Settings of the node, whose frontends and plans the requests use.
+        options: Rate, duration, customers, connections and seed of the load.
+        answer_grace_ms: Time after a client's timeout in which its answer is still accepted. Tests that must
+            not depend on the speed of the machine set a larger value.
     """
 
     def __init__(
@@ -70,11 +70,11 @@
         self._rng = Random(options.seed)
         self._idle: list[HttpClient] = []
         self._open_connections = 0
-        self._trace_prefix = f"{time.time_ns() & 0xFFFFFFFF:08x}"  # trace ids are new in each run
+        self._trace_prefix = f"{time.time_ns() & 0xFFFFFFFF:08x}"  # makes the trace ids of each run unique
         self._started_at = 0.0
 
     async def run(self) -> LoadResults:
-        """Sends the load and returns its results once the last request has ended."""
+        """Sends the load; returns the results after the last request, or at most `DRAIN_SECONDS` later."""
         self._started_at = time.monotonic()
         tasks = BackgroundTasks()
         options = self.options
@@ -139,10 +139,10 @@
             self._close(client)
 
     async def _connection(self) -> HttpClient:
-        """Returns an idle connection, or a new one once fewer than the limit are open."""
+        """Returns an idle connection, or opens one; waits while the limit of connections is in use."""
         while self._idle or self._open_connections >= self.options.connections:
             if not self._idle:
-                await asyncio.sleep(CONNECTION_POLL_SECONDS)  # the request's time runs on
+                await asyncio.sleep(CONNECTION_POLL_SECONDS)  # the wait counts towards the request's timeout
                 continue
             client = self._idle.pop()
             if client.is_open():
@@ -163,5 +163,5 @@
 
 
 def generate_load(address: Address, deployment: Deployment, options: LoadOptions) -> LoadResults:
-    """Runs a `LoadGenerator` in an event loop of its own."""
+    """Runs a `LoadGenerator` in a new event loop, and returns its results."""
     return asyncio.run(LoadGenerator(address, deployment, options).run())
--- a/onyxpost/simulation/load/options.py
+++ b/onyxpost/simulation/load/options.py
@@ -1,4 +1,4 @@
-"""What load is sent, and its bounds."""
+"""Options of the load generator, and their limits."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class LoadOptions(NamedTuple):
-    """The load of a run; the field names are keys of the results.
+    """Options of a load run; the field names are keys in the result files.
 
     Attributes:
-        rate: Requests a second, on average.
-        seconds: Duration.
-        customers: Number of customers that the requests are of.
-        connections: Limit of connections that are open at once.
-        seed: Of the arrivals and of what is requested.
+        rate: Mean number of requests per second.
+        seconds: Duration of the run.
+        customers: Number of customers, one of which is drawn for each request.
+        connections: Maximal number of open connections.
+        seed: Seed of the arrival times and of the drawn requests.
     """
 
     rate: float
@@ -34,7 +34,7 @@
 
 
 def check_options(options: LoadOptions) -> LoadOptions:
-    """Returns the options. Raises InvalidOptionError if one is out of bounds."""
+    """Returns the options. Raises InvalidOptionError if one is out of range."""
     if not 0.0 < options.seconds <= MAX_SECONDS:
         raise InvalidOptionError(f"{options.seconds:g} s: from above 0 to {MAX_SECONDS:.0f}")
     if not 0.0 < options.rate * options.seconds <= MAX_REQUESTS:
@@ -47,7 +47,7 @@
 
 
 def require_loopback(address: Address) -> Address:
-    """Returns the address. Raises NotLoopbackError unless it is an IP address of this machine alone."""
+    """Returns the address. Raises NotLoopbackError unless its host is a loopback IP address."""
     try:
         if ipaddress.ip_address(address[0]).is_loopback:
             return address
--- a/onyxpost/simulation/load/results.py
+++ b/onyxpost/simulation/load/results.py
@@ -1,4 +1,4 @@
-"""Outcomes and latencies of the requests of a run."""
+"""Outcomes and latency histograms of the requests of a load run."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 if TYPE_CHECKING:
     from onyxpost.simulation.load.options import LoadOptions
 
-MAX_LATENCY_US = 60_000_000  # longer latencies count as this
+MAX_LATENCY_US = 60_000_000  # longer latencies are recorded as this value
 SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50, 90, 99, 99.9, 100)
 ALL = "all"
-MEASURED_OUTCOMES = (PASSED, REJECTED)  # with latencies of their own
+MEASURED_OUTCOMES = (PASSED, REJECTED)  # outcomes that have their own latency histograms
 
 
 class LoadResults:
-    """What became of the requests.
+    """Counters and latency histograms of the requests.
 
     Attributes:
         outcomes: Number of requests by outcome: passed, denied, aborted, cut (no complete answer), timed_out.
-        outcomes_by_second: The same, by the second in which a request was due.
-        latencies_us: Histograms of the latency from the time at which a request was due, by outcome.
-        late_requests: Requests that the generator itself sent late.
+        outcomes_by_second: The same for each second of the run, by the due time of a request.
+        latencies_us: Latency histograms by outcome; latencies are measured from the due time.
+        late_requests: Number of requests that the generator itself sent late.
         connections_opened: Number of connections opened.
     """
 
@@ -42,7 +42,7 @@
         self.connections_opened = 0
 
     def add(self, due_seconds: float, latency_ms: float, outcome: str) -> None:
-        """Counts a request that was due at `due_seconds` after the start of the run."""
+        """Records a request; `due_seconds` is its due time, relative to the start of the run."""
         self.outcomes[outcome] += 1
         latency_us = min(MAX_LATENCY_US, max(1, round(latency_ms * US_PER_MS)))
         for measured in (ALL, outcome):
@@ -53,7 +53,7 @@
         self.outcomes_by_second[int(due_seconds)][outcome] += 1
 
     def percentiles_ms(self) -> dict[str, dict[str, float]]:
-        """The percentiles of the latency in ms, by outcome and then by name, as in `p99`."""
+        """Returns the latency percentiles in ms, by outcome and then by name, as in `p99`."""
         return {
             outcome: {
                 f"p{percentile:g}": histogram.get_value_at_percentile(percentile) / US_PER_MS
@@ -64,7 +64,7 @@
         }
 
     def to_lines(self, options: LoadOptions) -> list[dict[str, Any]]:
-        """Returns the lines of a results file: the options, each second, and the total."""
+        """Returns the lines of a result file: the options, the outcomes of each second, and the totals."""
         seconds = [
             {"kind": "second", "t": second, **dict(sorted(outcomes.items()))}
             for second, outcomes in enumerate(self.outcomes_by_second)
@@ -76,7 +76,7 @@
         return [{"kind": "load", **options._asdict()}, *seconds, total]
 
     def to_text(self) -> str:
-        """Returns the total for people."""
+        """Returns the totals as readable text."""
         lines = ["  ".join(f"{outcome} {count}" for outcome, count in sorted(self.outcomes.items()))]
         for outcome, percentiles in self.percentiles_ms().items():
             figures = "  ".join(f"{name} {latency_ms:.2f}" for name, latency_ms in percentiles.items())
--- a/onyxpost/simulation/mutations.py
+++ b/onyxpost/simulation/mutations.py
@@ -1,6 +1,6 @@
 """Mutations of an edge node: known bugs that the simulations must find.
 
-Each wraps a handler or replaces a rule of one collaborator of the node.
+A mutation wraps a handler, or replaces a rule, of one component of the node.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
     Attributes:
         inject: Puts the bug into a node that has not started yet.
-        old_name: The name that the command line had for it before, and still accepts.
+        old_name: A deprecated name, which the command line still accepts.
     """
 
     name: str
@@ -37,10 +37,10 @@
 
 
 def find_mutation(name: str) -> Mutation | None:
-    """Returns the mutation of a name or old name; None for "".
+    """Returns the mutation with this current or deprecated name; None for an empty name.
 
     Raises:
-        KeyError: There is none.
+        KeyError: No mutation has this name.
     """
     if not name:
         return None
@@ -48,17 +48,17 @@
 
 
 def current_name(name: str) -> str:
-    """Returns the present name of a mutation by its present or old one; any other name as it is."""
+    """Returns the current name for a current or deprecated name of a mutation; other names are unchanged."""
     return next((one.name for one in MUTATIONS.values() if name == one.old_name), name)
 
 
 def is_mutation(name: str) -> bool:
-    """Whether `find_mutation` accepts the name."""
+    """Whether the name is empty, or a current or deprecated name of a mutation."""
     return not name or current_name(name) in MUTATIONS
 
 
 def _gateway_of(node: EdgeNode) -> Gateway:
-    """Returns the decision code of a node."""
+    """Returns the gateway that makes the decisions of a node."""
     gateway = node.state_machine.decision_maker
     if not isinstance(gateway, Gateway):
         raise TypeError(f"a mutation needs a Gateway, not {type(gateway).__name__}")
@@ -66,12 +66,12 @@
 
 
 def _retry_possibly_executed(node: EdgeNode) -> None:
-    """Retries go on whatever a server possibly executed."""
+    """Requests are retried even if a server possibly executed them."""
     _gateway_of(node).execution.replace_rule(lambda _request: None)
 
 
 def _ignore_drains(node: EdgeNode) -> None:
-    """Endpoints that drain are taken for ready."""
+    """Draining endpoints are treated as ready."""
 
     def with_drains_as_ready(update: EndpointUpdate) -> EndpointUpdate:
         endpoints = [
@@ -86,7 +86,7 @@
 
 
 def _skip_slow_start(node: EdgeNode) -> None:
-    """Servers that have just started are taken for warm."""
+    """Servers that have just started get no slow start."""
 
     def without_start_times(update: EndpointUpdate) -> EndpointUpdate:
         return update._replace(endpoints=[replace(endpoint, started_at=0.0) for endpoint in update.endpoints])
@@ -106,7 +106,7 @@
 
 
 def _lose_answers(node: EdgeNode) -> None:
-    """Answers of a round in which another client disconnects are lost."""
+    """Answers are dropped if any client disconnects in the same step."""
     state_machine = node.state_machine
     step = state_machine.step
 
@@ -120,12 +120,12 @@
 
 
 def _ignore_limits(node: EdgeNode) -> None:
-    """Quotas and hard limits always have capacity."""
+    """The quota capacity rule always grants capacity, so neither quotas nor hard limits apply."""
     _gateway_of(node).quota_control.quotas.replace_capacity_rule(lambda _now, _request: True)
 
 
 def _treat_lost_as_not_sent(node: EdgeNode) -> None:
-    """An attempt whose connection broke counts as never sent."""
+    """An attempt whose connection broke is treated as not sent."""
     servers = node.servers
     post = servers.post
 
@@ -138,7 +138,7 @@
 
 
 def _ignore_disconnects(node: EdgeNode) -> None:
-    """Clients that disconnect are not noticed, not even just before the first byte of an attempt."""
+    """Client disconnects are ignored, also in the check before the first byte of an attempt is sent."""
     connections = node.clients.connections
     post = connections.post
 
@@ -151,7 +151,7 @@
 
 
 def _never_repeat_silent_polls(node: EdgeNode) -> None:
-    """A poll of discovery that gets no answer is waited for, for ever."""
+    """A discovery poll without an answer is not repeated, because its timeout is an hour."""
     discovery = node.discovery
     start_watch = discovery.start_watch
 
--- a/onyxpost/simulation/open_loop.py
+++ b/onyxpost/simulation/open_loop.py
@@ -1,4 +1,4 @@
-"""Open-loop load: requests start when they are due, whether or not earlier ones were answered."""
+"""Open-loop load: requests start at their due times, whether or not earlier requests have been answered."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Arrival(NamedTuple):
-    """A request is due; `number` counts from 1."""
+    """An arrival of a request; `number` counts from 1, `due_seconds` is relative to the start."""
 
     number: int
     due_seconds: float
@@ -20,7 +20,7 @@
 async def poisson_arrivals(
     rng: Random, rate_per_second: float, duration_seconds: float, now_seconds: Callable[[], float]
 ) -> AsyncIterator[int]:
-    """Yields 1, 2, ... at the arrivals of a Poisson process; the arguments are those of `timed_arrivals`."""
+    """Yields only the numbers of the arrivals of `timed_arrivals`, with the same arguments."""
     async for arrival in timed_arrivals(rng, rate_per_second, duration_seconds, now_seconds):
         yield arrival.number
 
@@ -31,10 +31,10 @@
     """Yields the arrivals of a Poisson process, each when it is due, until the duration is over.
 
     Args:
-        rng: gives the interval before each arrival; the caller may draw from it between two of them.
+        rng: source of the intervals between arrivals; the caller may draw from it between two arrivals.
         rate_per_second: mean number of arrivals in a second.
         duration_seconds: no arrival is due at or after this time.
-        now_seconds: the clock, 0 at the start.
+        now_seconds: returns the time since the start.
     """
     count = 0
     due_seconds = rng.expovariate(rate_per_second)
@@ -46,7 +46,7 @@
 
 
 class BackgroundTasks:
-    """Tasks that run beside their caller until it waits for them."""
+    """Tasks that run concurrently with their caller, which can wait for all of them."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
@@ -58,6 +58,6 @@
         task.add_done_callback(self._tasks.discard)
 
     async def wait(self, timeout_seconds: float | None = None) -> None:
-        """Waits until all tasks have finished, or the timeout is over; None: as long as it takes."""
+        """Waits until all tasks have finished or the timeout has passed; None means no timeout."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=timeout_seconds)
--- a/onyxpost/simulation/process_group.py
+++ b/onyxpost/simulation/process_group.py
@@ -1,4 +1,4 @@
-"""Processes of this program by name: started with logs of their own, signalled, and ended by their id."""
+"""Starts named processes of this program with log files, sends them signals, and stops them by process id."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
 
-STOP_TIMEOUT_SECONDS = 5.0  # after SIGTERM, before SIGKILL
+STOP_TIMEOUT_SECONDS = 5.0  # from SIGTERM to SIGKILL
 NANOSECONDS_PER_MS = 1e6
 
 
 class ProcessChange(StrEnum):
-    """What happened to a process; the values stand in files of recorded runs."""
+    """A change of the state of a process; the values are stored in the files of recorded runs."""
 
     STARTED = "started"
     SERVING = "serving"
@@ -33,23 +33,23 @@
 
 
 class LogFiles(Enum):
-    """Where processes write."""
+    """The log files to which processes write."""
 
     PER_INCARNATION = auto()  # standard output to NAME.N.log, standard error to NAME.N.err, N from 1
-    APPENDED = auto()  # both to NAME.log, which is continued when the name is started again
+    APPENDED = auto()  # both to NAME.log, to which each incarnation appends
 
 
 def ignore_change(name: str, change: ProcessChange) -> None:
-    """The observer of a group whose changes nobody records."""
+    """Does nothing; the default observer of a process group."""
 
 
 class ProcessGroup:
     """Processes of this program, at most one of each name at a time.
 
     Args:
-        folder: where the processes' logs are written.
-        on_change: is called with the name and each change.
-        log_files: whether each incarnation has logs of its own.
+        folder: folder of the log files.
+        on_change: called with the name of a process and its change.
+        log_files: whether each incarnation of a process has its own log files.
     """
 
     def __init__(
@@ -69,12 +69,12 @@
     async def start(
         self, name: str, arguments: Sequence[str], environment: dict[str, str] | None = None
     ) -> None:
-        """Starts `python ARGUMENTS`; a process of the same name must have ended before.
+        """Starts `python ARGUMENTS`; an earlier process of the same name must have ended.
 
         Args:
-            name: the process's name in this group.
-            arguments: of the interpreter, as in `-m onyxpost serve`.
-            environment: variables in addition to those of this process.
+            name: name of the process in this group.
+            arguments: arguments of the interpreter, as in `-m onyxpost serve`.
+            environment: environment variables in addition to those of this process.
         """
         self.incarnations[name] = self.incarnations.get(name, 0) + 1
         with contextlib.ExitStack() as stack:
@@ -92,7 +92,7 @@
         self.on_change(name, ProcessChange.STARTED)
 
     def is_running(self, name: str) -> bool:
-        """Whether the process was started and has not ended; a paused one runs."""
+        """Whether the process was started and has not ended; a paused process counts as running."""
         process = self.processes.get(name)
         return process is not None and process.returncode is None
 
@@ -101,7 +101,7 @@
         return name in self.paused
 
     def run_queue_wait_ms(self, name: str) -> float:
-        """How long the process's main thread has waited for a core; 0 where the system keeps no count."""
+        """How long the process's main thread has waited for a CPU; 0 if the system does not report it."""
         try:
             text = Path(f"/proc/{self.processes[name].pid}/schedstat").read_bytes()
         except OSError:
@@ -109,7 +109,7 @@
         return int(text.split()[1]) / NANOSECONDS_PER_MS
 
     def pause(self, name: str) -> bool:
-        """Sends SIGSTOP; False if the process does not run, is paused or was told to terminate."""
+        """Sends SIGSTOP; returns False if the process is not running, is paused, or was sent SIGTERM."""
         if not self.is_running(name) or name in self.paused | self.terminating:
             return False
         self.paused.add(name)
@@ -118,7 +118,7 @@
         return True
 
     def resume(self, name: str) -> None:
-        """Sends SIGCONT to a process that is paused."""
+        """Sends SIGCONT if the process is paused."""
         if name not in self.paused:
             return
         self.paused.discard(name)
@@ -127,7 +127,7 @@
             self.processes[name].send_signal(signal.SIGCONT)
 
     async def kill(self, name: str) -> bool:
-        """Sends SIGKILL and waits for the end; False if the process had ended before."""
+        """Sends SIGKILL and waits for the exit; returns False if the process was not running."""
         if not self.is_running(name):
             return False
         self.paused.discard(name)
@@ -138,7 +138,7 @@
         return True
 
     async def terminate(self, name: str) -> None:
-        """Sends SIGTERM and waits for the end; kills the process if it does not end in time."""
+        """Sends SIGTERM and waits for the exit; kills the process if it does not exit in time."""
         if not self.is_running(name) or name in self.terminating:
             return
         self.resume(name)
@@ -148,7 +148,7 @@
         process.terminate()
         try:
             exit_code = await asyncio.wait_for(process.wait(), STOP_TIMEOUT_SECONDS)
-            if exit_code != -signal.SIGKILL:  # else a fault killed it before it could exit
+            if exit_code != -signal.SIGKILL:  # a fault that killed the process has been reported already
                 self.on_change(name, ProcessChange.EXITED if exit_code == 0 else ProcessChange.CRASHED)
         except TimeoutError:
             self.on_change(name, ProcessChange.STOP_TIMED_OUT)
@@ -157,11 +157,11 @@
             self.terminating.discard(name)
 
     async def terminate_all(self) -> None:
-        """Terminates all processes at once, and waits for all of them."""
+        """Terminates all processes concurrently, and waits for their exits."""
         await asyncio.gather(*(self.terminate(name) for name in list(self.processes)))
 
     async def kill_all(self) -> None:
-        """Kills what still runs, also after an interrupt; reports no changes."""
+        """Kills all running processes without reporting changes; for cleanup, also after an interrupt."""
         for process in self.processes.values():
             if process.returncode is None:
                 with contextlib.suppress(ProcessLookupError):
--- a/onyxpost/simulation/report.py
+++ b/onyxpost/simulation/report.py
@@ -1,4 +1,4 @@
-"""Compares two result files: figures that differ beyond the spread of the seeds, and plots over time."""
+"""Compares two result files: a table of figures with their ranges over the seeds, and plots over time."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
     from matplotlib.axes import Axes
 
-# Figures of a run's totals by their keys.
+# Keys of the compared figures in the totals of a run, with their meanings.
 FIGURES = {
     "passed_value": "weight that succeeded, of what was offered within quotas",
     "worst_10s": "the same, in the worst ten seconds",
@@ -34,7 +34,7 @@
 
 
 class PlottedShare(NamedTuple):
-    """A share that is plotted over time: a counter of each second over another one."""
+    """A plotted ratio of two counters of the same second, by the keys of the counters."""
 
     title: str
     numerator: str
@@ -50,12 +50,12 @@
 COLUMN_INCHES = 4.2
 ROW_INCHES = 2.6
 
-RunLines = list[ResultLine]  # the lines of one run
+RunLines = list[ResultLine]  # result lines of one run
 RunsByScenario = dict[str, list[RunLines]]
 
 
 class Spread(NamedTuple):
-    """A figure over several seeds."""
+    """The range and the mean of a figure over the runs of a scenario."""
 
     low: float
     mean: float
@@ -66,7 +66,7 @@
 
 
 class Comparison(NamedTuple):
-    """One figure of one scenario on both sides."""
+    """A figure of one scenario in both result files."""
 
     scenario: str
     figure: str
@@ -75,7 +75,7 @@
 
     @property
     def verdict(self) -> str:
-        """The difference of the means, if the spreads do not overlap."""
+        """The difference of the means if the ranges do not overlap, otherwise a text."""
         if self.first == self.second:
             return "the same"
         if self.first.low <= self.second.high and self.second.low <= self.first.high:
@@ -84,10 +84,10 @@
 
 
 def read_runs(path: Path) -> RunsByScenario:
-    """Reads the runs of a result file; a scenario at another size counts as another scenario.
+    """Reads the runs of a result file; another number of nodes or servers makes a scenario of its own.
 
     Raises:
-        InvalidSimulationInputError: the file cannot be read, or is no result file.
+        InvalidSimulationInputError: the file cannot be read, or is not a result file.
     """
     runs: RunsByScenario = defaultdict(list)
     current: RunLines = []
@@ -105,10 +105,10 @@
 
 
 def compare(first: RunsByScenario, second: RunsByScenario) -> list[Comparison]:
-    """Compares all figures of the scenarios that both sides have.
+    """Compares all figures of the scenarios that are in both result files.
 
     Raises:
-        NoCommonScenarioError: there is no such scenario.
+        NoCommonScenarioError: no scenario is in both files.
     """
     common = [scenario for scenario in first if scenario in second]
     if not common:
@@ -121,7 +121,7 @@
 
 
 def format_comparisons(comparisons: Sequence[Comparison], run_counts: tuple[int, int]) -> str:
-    """Returns a table for people; `run_counts` are the numbers of runs of both sides."""
+    """Returns a table as text; `run_counts` holds the number of runs in each file."""
     scenario = ""
     lines = [f"mean (least to most) over {run_counts[0]} and {run_counts[1]} runs"]
     for row in comparisons:
@@ -133,7 +133,7 @@
 
 
 def _share_over_time(run: RunLines, share: PlottedShare) -> list[float]:
-    """Returns the share of each second; not a number where the denominator is 0."""
+    """Returns the share for each second; NaN where the denominator is 0."""
     seconds = [line for line in run if line["kind"] == "second"]
     return [
         second.get(share.numerator, 0.0) / second[share.denominator]
@@ -144,14 +144,17 @@
 
 
 def _shares_over_time(runs: Sequence[RunLines], share: PlottedShare) -> list[list[float]]:
-    """Returns the shares of all runs, extended to the length of the longest."""
+    """Returns the shares of all runs; shorter runs are padded with NaN to the length of the longest."""
     shares = [_share_over_time(run, share) for run in runs]
     length = max(len(values) for values in shares)
     return [values + [float("nan")] * (length - len(values)) for values in shares]
 
 
 def plot(sides: dict[str, RunsByScenario], path: Path) -> None:
-    """Writes a PNG: a row a scenario, a column a share; each side has its mean and spread."""
+    """Writes a PNG with a row for each scenario and a column for each share.
+
+    Each plot shows the mean and the range of each side, whose label is its key in `sides`.
+    """
     import matplotlib
 
     matplotlib.use("Agg")
@@ -184,7 +187,7 @@
 
 
 def _plot_spread(axis: Axes, label: str, shares: list[list[float]]) -> None:
-    """Plots the mean of runs over time, and the range between the lowest and the highest."""
+    """Plots the mean over the runs, and the range from the lowest to the highest run, over time."""
     import numpy
 
     table = numpy.ma.masked_invalid(numpy.array(shares))
--- a/onyxpost/simulation/results.py
+++ b/onyxpost/simulation/results.py
@@ -1,4 +1,4 @@
-"""Result files: JSON lines, each with the version of their form; written completely or not at all."""
+"""Result files: JSON lines, each with the version of the format. A file is replaced atomically."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 VERSION = 1
 
-ResultLine = dict[str, Any]  # `kind` says which line it is; `version` is that of the form
+ResultLine = dict[str, Any]  # `kind` is the type of the line, `version` that of the format
 
 
 def encode(lines: Iterable[ResultLine]) -> bytes:
-    """Encodes lines with their version."""
+    """Encodes result lines as JSON, and adds the format version to each."""
     return b"".join(msgspec.json.encode({**line, "version": VERSION}) + b"\n" for line in lines)
 
 
 def write(path: Path, data: bytes) -> None:
-    """Writes a file in place of the one that is there, which stays if this is interrupted.
+    """Writes a file atomically: an existing file is kept until the new one is complete.
 
     Raises:
         ResultsNotWrittenError: the file cannot be written.
@@ -40,11 +40,11 @@
 
 
 def read(path: Path) -> list[ResultLine]:
-    """Reads the lines of a file.
+    """Reads the lines of a result file.
 
     Raises:
         SimulationFileError: the file cannot be read.
-        InvalidResultsError: a line is malformed or of another version, or no run has its totals.
+        InvalidResultsError: a line is malformed or has another version, or no line holds totals.
     """
     try:
         data = path.read_bytes()
@@ -68,7 +68,7 @@
 
 
 def decode_totals(data: bytes) -> ResultLine:
-    """Returns the totals of one encoded run: its last line."""
+    """Returns the totals of one encoded run, which are its last line."""
     return msgspec.json.decode(data.splitlines()[-1], type=ResultLine)
 
 
--- a/onyxpost/simulation/rollout_analysis/__init__.py
+++ b/onyxpost/simulation/rollout_analysis/__init__.py
@@ -1,1 +1,1 @@
-"""Emulated rollouts: which regressions the analysis finds, how soon, and how often it halts falsely."""
+"""Emulated rollouts, which measure how soon the analysis finds regressions and how often it halts falsely."""
--- a/onyxpost/simulation/rollout_analysis/cluster.py
+++ b/onyxpost/simulation/rollout_analysis/cluster.py
@@ -1,7 +1,7 @@
-"""The counters of an emulated cluster, drawn from a seed.
+"""Request counters of an emulated cluster, drawn from a seed.
 
-No single request is emulated: for each interval between two snapshots, each node draws how many requests
-each side had and how they ended.
+Single requests are not emulated: for each node and interval between two snapshots, the numbers of requests,
+failures and latencies of candidate and control are drawn from their distributions.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 OUTAGE_ENDS_S = 180.0
 OUTAGE_FAILURE_RATE = 0.6
 NODES_PER_OUTAGE = 4
-"""One in so many nodes is affected by an outage."""
+"""One of every so many nodes is affected by the outage."""
 
 
 class EmulatedCluster:
-    """Draws what all nodes count in one interval after another; equal seeds give equal counters."""
+    """Draws the counters of all nodes interval by interval; equal seeds give equal counters."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario = scenario
@@ -38,7 +38,7 @@
         self._candidate_bias = 1.0 + scenario.customer_bias * float(self._rng.standard_normal())
 
     def next_increments(self) -> list[CounterIncrement]:
-        """Returns what all nodes counted in the next interval, and advances the time by it."""
+        """Returns the counters of all nodes for the next interval, and advances the time by this interval."""
         scenario = self.scenario
         has_outage = scenario.outage and OUTAGE_BEGINS_S <= self.time_s < OUTAGE_ENDS_S
         self.time_s += scenario.snapshot_interval_s
@@ -58,7 +58,7 @@
         return increments
 
     def _burst_factor(self, shape: float) -> float:
-        """Draws a factor with a mean of one, which varies less for a larger shape; 1 without bursts."""
+        """Draws a gamma-distributed factor with mean 1 and variance 1 / `shape`; 1 without bursty traffic."""
         if not self.scenario.bursty:
             return 1.0
         return float(self._rng.gamma(shape, 1.0 / shape))
--- a/onyxpost/simulation/rollout_analysis/measure.py
+++ b/onyxpost/simulation/rollout_analysis/measure.py
@@ -1,6 +1,6 @@
-"""Measures the analysis on emulated clusters: `python -m onyxpost.simulation.rollout_analysis.measure`.
+"""Measures rollout analysis on emulated clusters: `python -m onyxpost.simulation.rollout_analysis.measure`.
 
-Prints the tables of docs/rollouts-analysis.md. All of them take about an hour on two cores.
+Prints the tables of docs/rollouts-analysis.md. Measuring all of them takes about an hour on two cores.
 """
 
 from __future__ import annotations
@@ -29,14 +29,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Stage:
-    """A stage: its part of the nodes, at least one node, and the candidate's part of the requests."""
+    """A stage of a rollout: its share of the nodes, and the candidate's share of their requests.
+
+    A stage has at least one node.
+    """
 
     name: str
     node_share: float
     candidate_share: float
 
     def nodes(self, cluster_nodes: int) -> int:
-        """Returns the number of nodes of a cluster that are in the stage."""
+        """Returns the number of nodes in the stage, for a cluster of `cluster_nodes` nodes."""
         return max(1, int(cluster_nodes * self.node_share))
 
 
@@ -66,14 +69,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutResult:
-    """Where a rollout of a healthy candidate halted (empty: nowhere), and whether half would advance."""
+    """Result of a rollout of a healthy candidate.
+
+    Attributes:
+        false_halt: stage and reason of a halt; empty if the rollout did not halt.
+        half_advances: whether the stage `HALF` would have advanced.
+    """
 
     false_halt: str
     half_advances: bool
 
 
 def run_rollout(scenario: Scenario, seed: int) -> RolloutResult:
-    """Runs all stages of a rollout whose candidate is no worse than control."""
+    """Runs the stages of a rollout whose candidate is no worse than control, up to a halt."""
     evidence = Evidence(Thresholds())
     half_advances = False
     for index, stage in enumerate(STAGES):
@@ -97,14 +105,14 @@
 
 
 def measure_regressions(cores: int) -> None:
-    """Prints how soon regressions are found, by size of the cluster and stage."""
+    """Prints how soon regressions halt a rollout, by regression, cluster size and stage."""
     with ProcessPoolExecutor(cores) as pool:
         print("| a regression of | nodes | stage | halted | requests of the candidate until then | s |")
         print("| --- | --- | --- | --- | --- | --- |", flush=True)
         for nodes, seeds in SEEDS_BY_CLUSTER.items():
             for stage in (ONE_NODE, TENTH, HALF):
                 if stage is ONE_NODE and nodes > SMALLEST_CLUSTER:
-                    continue  # one node is the same in each cluster
+                    continue  # the size of the cluster does not affect a stage of one node
                 for name, scenario in REGRESSIONS.items():
                     stage_scenario = replace(
                         scenario, nodes=stage.nodes(nodes), candidate_share=stage.candidate_share
@@ -114,7 +122,7 @@
 
 
 def measure_false_halts(kinds: Iterable[str], rollouts: int, cores: int) -> None:
-    """Prints how often rollouts of a healthy candidate halt, by kind of traffic."""
+    """Prints how often rollouts of a healthy candidate halt, for each kind of traffic in `HEALTHY`."""
     with ProcessPoolExecutor(cores) as pool:
         print("\n| traffic | rollouts | false halts | half would advance |")
         print("| --- | --- | --- | --- |", flush=True)
@@ -129,7 +137,7 @@
 
 
 def _halts(results: list[StageResult]) -> str:
-    """The columns of a table for the stages that halted."""
+    """Returns table cells: the share of halted stages, their candidate requests and their durations."""
     halted = [result for result in results if result.decision.outcome is Outcome.HALT]
     if not halted:
         return f"0/{len(results)} | - | -"
@@ -139,7 +147,7 @@
 
 
 def _spread(values: Iterable[float]) -> str:
-    """Median, and the 5th to the 95th percentile."""
+    """Returns the median and the range from the 5th to the 95th percentile, as text."""
     form: Callable[[float], str] = "{:,.0f}".format
     ordered = sorted(values)
     last = len(ordered) - 1
--- a/onyxpost/simulation/rollout_analysis/scenario.py
+++ b/onyxpost/simulation/rollout_analysis/scenario.py
@@ -1,4 +1,4 @@
-"""What an emulated cluster serves, and how the candidate differs from control."""
+"""Traffic of an emulated cluster, and the regression of the candidate."""
 
 from __future__ import annotations
 
@@ -7,23 +7,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """Traffic of a cluster in one stage; everything but a regression affects both sides alike.
+    """Traffic of a cluster in one stage of a rollout; only a regression affects the candidate alone.
 
     Attributes:
         nodes: number of nodes.
-        candidate_share: part of the requests that the candidate serves.
-        added_failure_rate: what the candidate's failure rate exceeds control's by.
-        latency_factor: what the candidate's latencies are multiplied by.
-        affected: a plan or zone that alone has the regression; empty: all have it.
-        failure_rate: of control.
-        requests_per_s: for each node.
-        cluster_size: failures come by so many at once.
-        bursty: whether traffic and failure rates change from interval to interval.
-        outage: whether for two minutes a quarter of the nodes fail often, on both sides.
-        customer_bias: standard deviation of the ratio of the sides' failure rates, by their customers.
+        candidate_share: share of the requests that the candidate serves.
+        added_failure_rate: failure rate of the candidate minus that of control.
+        latency_factor: factor by which the candidate's latencies are longer than control's.
+        affected: the only plan or zone with the regression; empty if all have it.
+        failure_rate: failure rate of control.
+        requests_per_s: mean requests per second of each node.
+        cluster_size: number of failures that occur together.
+        bursty: whether traffic and failure rates vary between intervals.
+        outage: whether a quarter of the nodes have many failures for two minutes, on both sides.
+        customer_bias: standard deviation of the ratio between the failure rates of candidate and control that
+            is due to their different customers.
         snapshot_interval_s: time between two snapshots of a node.
         duration_s: duration of the stage.
-        has_control: whether there is a control; the last stage has none.
+        has_control: whether some requests are served by control; false in the last stage.
     """
 
     nodes: int
--- a/onyxpost/simulation/rollout_analysis/stage.py
+++ b/onyxpost/simulation/rollout_analysis/stage.py
@@ -1,4 +1,4 @@
-"""Runs one stage of a rollout on an emulated cluster."""
+"""Runs one stage of an emulated rollout."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
     from onyxpost.simulation.rollout_analysis.scenario import Scenario
 
 PERIOD_S = 60.0
-"""Time between two calls of `Evidence.on_period_end`."""
+"""Interval between calls of `Evidence.on_period_end`."""
 
 
 @dataclass(frozen=True, slots=True)
 class StageResult:
-    """The last decision of a stage, and what led to it.
+    """The last decision of a stage, with the counters up to it.
 
     Attributes:
-        decision: to halt, or the last decision of a stage that did not halt.
-        duration_s: time until then.
-        candidate_requests: requests that the candidate served until then.
-        candidate_failures: those of them that failed.
-        advanced_at_s: when the stage would first have advanced; 0: never.
+        decision: the decision to halt, or the last decision of a stage that did not halt.
+        duration_s: time from the start of the stage to the decision.
+        candidate_requests: requests that the candidate served up to the decision.
+        candidate_failures: number of these requests that failed.
+        advanced_at_s: time of the first decision to advance; 0 if there was none.
     """
 
     decision: Decision
@@ -39,9 +39,9 @@
 
 
 def run_stage(scenario: Scenario, seed: int, evidence: Evidence | None = None) -> StageResult:
-    """Runs a stage until it halts, or for its whole duration, also past a decision to advance.
+    """Runs a stage until it halts or its duration is over; a decision to advance does not end it.
 
-    Going on where a rollout would advance gives a false halt more opportunities.
+    Continuing after a decision to advance gives the analysis more opportunities for a false halt.
     """
     cluster = EmulatedCluster(scenario, seed)
     evidence = evidence or Evidence(Thresholds())
--- a/onyxpost/simulation/seed_ranges.py
+++ b/onyxpost/simulation/seed_ranges.py
@@ -1,4 +1,4 @@
-"""Seeds as the command line gives them."""
+"""Parses the seeds of a command line."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def parse_seeds(text: str) -> list[int]:
-    """Reads seeds and ranges of seeds, as in `7`, `1-20` or `1,4,9-12`; each seed once, in their order.
+    """Parses seeds and ranges of seeds, as in `7`, `1-20` or `1,4,9-12`; returns each once, in this order.
 
     Raises:
-        InvalidOptionError: the text is not of this form, or a number is out of range.
+        InvalidOptionError: the text is malformed, a number is out of range, or a range is too long.
     """
     seeds: list[int] = []
     try:
--- a/onyxpost/simulation/settings.py
+++ b/onyxpost/simulation/settings.py
@@ -1,6 +1,6 @@
-"""Settings of the deployments that the deterministic and the multi-process simulation run.
+"""Deployment settings that the deterministic and the multi-process simulation use.
 
-Their keys are those of the operators' settings; times are microseconds.
+The keys are those of the settings that operators write; times are in microseconds.
 """
 
 from __future__ import annotations
@@ -46,7 +46,8 @@
         "drain_grace_us": 100_000,
     },
 }
-# The same with a connect timeout so long that clients disconnect while their connection is being opened.
+# The same settings with a longer connect timeout, so that clients may disconnect while the node still opens a
+# connection to a server.
 SLOW_CONNECT_SETTINGS = SETTINGS | {
     "bounds": SETTINGS["bounds"] | {"try_limit": 2, "connect_timeout_us": 600_000},
     "grades": [
--- a/onyxpost/simulation/slow_start/__init__.py
+++ b/onyxpost/simulation/slow_start/__init__.py
@@ -1,1 +1,1 @@
-"""Emulates servers in slow start under the requests of many nodes, and counts what each server receives."""
+"""Emulates servers in slow start that many nodes send requests to, and measures the load of each server."""
--- a/onyxpost/simulation/slow_start/case.py
+++ b/onyxpost/simulation/slow_start/case.py
@@ -1,4 +1,4 @@
-"""What is emulated: the number of nodes and servers, their load, and what fails. Times are in ms."""
+"""The parameters of a slow-start emulation: sizes, load, replacements and restarts."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStartCase:
-    """A situation to emulate.
+    """Parameters of one emulation.
 
     Attributes:
-        nodes: Number of nodes in the settings.
+        nodes: Number of nodes that the settings of the gateways name.
         servers: Number of servers.
         requests_per_second: Requests of mean work that a warm server completes in a second.
-        load: Requests sent by all nodes, as a share of what all servers complete when warm.
-        replaced_fraction: Of the servers.
-        restarted_fraction: Of the nodes; each is killed once while the new servers warm up.
-        restart_window_ms: From the first replacement on, in which these nodes are killed.
-        running_fraction: Of the nodes in the settings.
-        policy: The slow-start settings.
+        load: Request rate of all nodes together, as a share of the capacity of all servers when warm.
+        replaced_fraction: Fraction of the servers that are replaced.
+        restarted_fraction: Probability of each node to be killed once and restarted, while servers warm up.
+        restart_window_ms: Time span of these restarts, from the first replacement on.
+        running_fraction: Fraction of the `nodes` that run.
+        policy: Slow-start settings of the gateways.
     """
 
     nodes: int
@@ -37,5 +37,5 @@
 
     @property
     def servers_per_step(self) -> int:
-        """How many servers each of the two replacements starts."""
+        """The number of servers that each of the two replacements starts."""
         return round(self.replaced_fraction * self.servers / 2)
--- a/onyxpost/simulation/slow_start/emulation.py
+++ b/onyxpost/simulation/slow_start/emulation.py
@@ -1,4 +1,4 @@
-"""Servers that start at once under the requests of many nodes; everything is drawn from the seed."""
+"""Event-driven emulation of server replacements; all random choices are drawn from the seed."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 if TYPE_CHECKING:
     from onyxpost.simulation.slow_start.case import SlowStartCase
 
-SETTLING_MS = 8000.0  # before the first servers are replaced
-REPLACEMENT_INTERVAL_MS = 6500.0  # between the two replacements
+SETTLING_MS = 8000.0  # time from the start to the first replacement
+REPLACEMENT_INTERVAL_MS = 6500.0  # time between the two replacements
 REPLACEMENTS = 2
-ENDPOINT_DELAY_MS = (20.0, 400.0)  # until a node learns of a replacement
-WEIGHT_RANGE = (0.5, 1.5)  # of a node's share of the requests
+ENDPOINT_DELAY_MS = (20.0, 400.0)  # range of the time until a node learns of a replacement
+WEIGHT_RANGE = (0.5, 1.5)  # range of the relative request rates of nodes
 BUSY_NODE_PROBABILITY = 0.125
 BUSY_NODE_FACTOR = 4.0
-WORK_RANGE = (0.5, 1.5)  # of a request's work, in parts of the mean
+WORK_RANGE = (0.5, 1.5)  # range of the work of a request, relative to its mean
 
 
 class EmulationResult(NamedTuple):
-    """What one emulation counted: a figure for each replaced server, and requests."""
+    """Results of one emulation: the load of each new server during warmup, and request counters."""
 
     warm_up_loads: list[WarmUpLoad]
     requests: int
@@ -57,23 +57,23 @@
         self.events.call_after(self._draw_interval_ms(), self._send_request)
 
     def run(self) -> EmulationResult:
-        """Runs until the last servers are warm."""
+        """Runs until the servers of the last replacement are warm."""
         self.events.run_until(SETTLING_MS + REPLACEMENT_INTERVAL_MS + self.case.policy.warmup_ms)
         loads = [server.warm_up_load for server in self.started_servers]
         return EmulationResult(loads, self.requests, self.served_in_time)
 
-    # The nodes' environment
+    # Implementation of `node_model.Environment`
 
     def unix_time_ms(self) -> float:
-        """The time that the gateways are given."""
+        """Returns the time that is passed to the gateways."""
         return EPOCH_MS + self.events.now_ms
 
     def draw_work_ms(self) -> float:
-        """The work of one more attempt, for a warm server."""
+        """Draws the work of an attempt: the time that a warm server needs for it."""
         return self.rng.uniform(*WORK_RANGE) * MS_PER_SECOND / self.case.requests_per_second
 
     def count_served_in_time(self) -> None:
-        """A request was answered within the latency objective."""
+        """Counts a request that was answered within the latency objective."""
         self.served_in_time += 1
 
     # Events
@@ -84,7 +84,7 @@
         self.events.call_after(self._draw_interval_ms(), self._send_request)
 
     def _replace_servers(self, step: int) -> None:
-        """Some servers end and as many start; each node learns of it at a time of its own."""
+        """Replaces some servers; each node is notified after its own delay."""
         count = self.case.servers_per_step
         old = self._servers[count * step : count * (step + 1)]
         new = [ServerModel(f"t{step}.{index}", self.events.now_ms, self.case) for index in range(count)]
@@ -96,7 +96,10 @@
             self.events.call_after(delay_ms, node.update_endpoints, [*old, *new])
 
     def _draw_weight(self) -> float:
-        """One node in eight receives four times as much as the others, and no two the same."""
+        """Draws the relative request rate of a node.
+
+        Rates differ between nodes; on average one node in eight has four times the rate of the others.
+        """
         weight = self.rng.uniform(*WEIGHT_RANGE)
         return weight * (BUSY_NODE_FACTOR if self.rng.random() < BUSY_NODE_PROBABILITY else 1.0)
 
--- a/onyxpost/simulation/slow_start/measure.py
+++ b/onyxpost/simulation/slow_start/measure.py
@@ -1,6 +1,7 @@
 """Measures servers in slow start: `python -m onyxpost.simulation.slow_start.measure [--help]`.
 
-Prints the rows of docs/results.md. A thousand starts of 30 nodes take two minutes on two cores, of 200 ten.
+Prints the rows of docs/results.md. On two cores, a thousand server starts take two minutes with 30 nodes and
+ten minutes with 200 nodes.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
 
-# Overload at little over what a server can do: no operator's settings yet.
+# Counts a server as overloaded at 1.2 times its capacity. No operator's settings are this strict.
 STRICT_POLICY = SlowStartPolicy(0.2, 10_000.0, 1.2, 1500.0)
 SITUATIONS: dict[str, dict[str, Any]] = {
     "calm": {},
@@ -30,7 +31,7 @@
     },
 }
 NODE_COUNTS = [3, 20, 30, 200]
-LARGE_CLUSTER_NODES = 100  # above this there are more servers
+LARGE_CLUSTER_NODES = 100  # larger clusters have `LARGE_CLUSTER_SERVERS` servers
 SERVERS = 20
 LARGE_CLUSTER_SERVERS = 40
 HIGH_QUANTILE = 0.999
@@ -40,14 +41,14 @@
 
 
 class Job(NamedTuple):
-    """One emulation, for a worker process."""
+    """The parameters of one emulation, which a worker process runs."""
 
     case: SlowStartCase
     seed: int
 
 
 def named_cases(node_counts: Sequence[int]) -> Iterator[tuple[str, SlowStartCase]]:
-    """Yields every situation at every size, with its name in the table."""
+    """Yields a case and its name in the table, for each number of nodes and each situation."""
     for nodes in node_counts:
         servers = LARGE_CLUSTER_SERVERS if nodes > LARGE_CLUSTER_NODES else SERVERS
         for name, changes in SITUATIONS.items():
@@ -55,12 +56,12 @@
 
 
 def run_job(job: Job) -> EmulationResult:
-    """Runs one emulation."""
+    """Runs one emulation; called in a worker process."""
     return SlowStartEmulation(job.case, job.seed).run()
 
 
 def format_row(name: str, results: Sequence[EmulationResult]) -> str:
-    """Returns a row of the table; ratios are to N + 2 sqrt(N) + 2."""
+    """Returns a row of the table; the ratios are those of `WarmUpLoad`."""
     loads = sorted(load for result in results for load in result.warm_up_loads)
     high_ratio = loads[int(HIGH_QUANTILE * (len(loads) - 1))].ratio
     median_ratio = loads[len(loads) // 2].ratio
@@ -73,7 +74,7 @@
 
 
 def main() -> None:
-    """Prints the table."""
+    """Runs the emulations of the selected rows and prints the table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--nodes", type=int, nargs="+", default=NODE_COUNTS)
     parser.add_argument("--starts", type=int, default=1000)
--- a/onyxpost/simulation/slow_start/node_model.py
+++ b/onyxpost/simulation/slow_start/node_model.py
@@ -1,4 +1,4 @@
-"""A node: hosts one gateway at a time and answers its attempts from the server models."""
+"""A model of a node, which runs a gateway and sends its attempts to the server models."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 FRONTEND = Frontend(
     "f", 1000.0, CLIENT_TIMEOUT_MS, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0.0, 1.0, 0.0, 0.0, False
 )
-PLAN = Plan("p", 0.0, 0.0, 0, 1.0, 0.0, 0.0)  # without quota
+PLAN = Plan("p", 0.0, 0.0, 0, 1.0, 0.0, 0.0)  # without a quota
 LIMITS = GatewayLimits(2, False, False, False, 500.0, 0.0)
 TICK_MS = 2.0
 CUSTOMERS = 2000
@@ -36,26 +36,26 @@
 
 
 class Environment(Protocol):
-    """What a node needs of the emulation."""
+    """The part of the emulation that a node uses."""
 
     case: SlowStartCase
     events: EventQueue
     rng: Random
 
     def unix_time_ms(self) -> float:
-        """The time that the gateways are given."""
+        """Returns the time that is passed to the gateways."""
         ...
 
     def draw_work_ms(self) -> float:
-        """The work of one more attempt, for a warm server."""
+        """Draws the work of an attempt: the time that a warm server needs for it."""
         ...
 
     def count_served_in_time(self) -> None:
-        """A request was answered within the latency objective."""
+        """Counts a request that was answered within the latency objective."""
 
 
 class NodeModel:
-    """A node with one gateway, and its `DecisionSink`. A restart replaces the gateway by a new one."""
+    """A node with one gateway, whose `DecisionSink` it is. A restart replaces the gateway by a new one."""
 
     def __init__(self, environment: Environment, index: int, servers: list[ServerModel]) -> None:
         self.environment = environment
@@ -67,7 +67,7 @@
         self.restart()
 
     def restart(self) -> None:
-        """Starts a new gateway that knows the current servers and nothing else."""
+        """Starts a new gateway, whose only state is the list of current servers."""
         self.incarnation += 1
         case = self.environment.case
         options = GatewayOptions(
@@ -85,7 +85,7 @@
         self._handle(EndpointsUpdated(True, [server.status() for server in self.servers.values()]))
 
     def update_endpoints(self, servers: list[ServerModel]) -> None:
-        """Discovery tells the node of servers that are new or gone."""
+        """Notifies the gateway of servers that are new or gone."""
         self.servers |= {server.id: server for server in servers}
         self._handle(EndpointsUpdated(False, [server.status() for server in servers]))
         self.servers = {
@@ -95,7 +95,7 @@
         }
 
     def receive_request(self) -> None:
-        """A client sends a request."""
+        """Passes a request of a random customer to the gateway."""
         self._request_count += 1
         customer = f"c{self.environment.rng.randrange(CUSTOMERS)}"
         deadline_ms = self.environment.unix_time_ms() + CLIENT_TIMEOUT_MS
@@ -108,7 +108,7 @@
     # The gateway's decisions
 
     def start_attempt(self, request_id: str, server: str, timeout_ms: float, begin_before: float) -> None:  # noqa: ARG002 - an attempt begins at once
-        """Sends an attempt to a server; its result is known at once and reported when it is due."""
+        """Sends an attempt to a server model; its result is known at once, and reported when it is due."""
         now_ms = self.environment.events.now_ms
         attempt_index = len(self.gateway.state.requests[request_id].attempts) - 1
         latency_ms = self.servers[server].receive(now_ms, self.environment.draw_work_ms()) - now_ms
@@ -120,7 +120,7 @@
         self.environment.events.call_after(latency_ms, self._finish_attempt, self.incarnation, finished)
 
     def start_timer(self, delay_ms: float, token: int) -> None:  # noqa: ARG002 - the gateway starts one timer
-        """Starts the gateway's timer."""
+        """Starts the only timer of the gateway."""
         self.environment.events.call_after(delay_ms, self._fire_timer, self.incarnation)
 
     def reject(self, request_id: str, retry_after_ms: float) -> None:
@@ -130,16 +130,16 @@
         """Ignored: aborted requests are not counted."""
 
     def cancel_attempt(self, request_id: str, attempt_index: int) -> None:
-        """Ignored: the server has counted the attempt."""
+        """Ignored: the server model has already counted the attempt."""
 
     def send_peer_message(self, peer: int, body: str) -> None:
-        """Ignored: the nodes do not gossip."""
+        """Ignored: peer messages are not emulated."""
 
     def log(self, line: str) -> None:
-        """Ignored."""
+        """Ignored: the log is not part of the results."""
 
     def watch_endpoints(self) -> None:
-        """Ignored: discovery tells every node."""
+        """Ignored: the emulation notifies every node of endpoint updates."""
 
     def report_units_spent(self, customer: int, plan: str, units: int, lease: int) -> None:
         """Ignored: there are no planners."""
--- a/onyxpost/simulation/slow_start/server_model.py
+++ b/onyxpost/simulation/slow_start/server_model.py
@@ -1,4 +1,4 @@
-"""A server that counts what it receives in slow start, and goes on where a real one would fail."""
+"""A model of a server, which measures its load during warmup and, unlike a real server, never fails."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class WarmUpLoad(NamedTuple):
-    """What a server received in its worst window, N being the requests that it can do in a window.
+    """Load of a server in its worst window; N is the number of requests that it can serve in the window.
 
     Attributes:
-        ratio: Requests in that window over N + 2 sqrt(N) + 2.
-        is_overloaded: Whether they were more than N + 3 sqrt(N) + 3.
+        ratio: Received requests divided by N + 2 sqrt(N) + 2.
+        is_overloaded: Whether more than N + 3 sqrt(N) + 3 requests were received.
     """
 
     ratio: float
@@ -28,14 +28,14 @@
 
 
 class ServerModel:
-    """A server that does one request after the other.
+    """A server that processes one request at a time.
 
     Attributes:
-        id: Its instance id.
-        started_at_ms: Time of its start; 0 for a server that was warm from the beginning.
-        state: What discovery says of it.
-        arrivals_ms: Times of the requests in the current window of its slow start.
-        warm_up_load: The worst window so far.
+        id: Instance id of the server.
+        started_at_ms: Time of its start; 0 for a server that is warm from the beginning.
+        state: State of the endpoint, as discovery reports it.
+        arrivals_ms: Arrival times of the requests in the current window, during warmup only.
+        warm_up_load: Load in the worst window so far.
     """
 
     def __init__(self, server_id: str, started_at_ms: float, case: SlowStartCase) -> None:
@@ -48,7 +48,7 @@
         self._idle_at_ms = 0.0
 
     def status(self) -> EndpointStatus:
-        """What discovery tells the nodes."""
+        """Returns the status that discovery reports to the nodes."""
         started_at_ms = EPOCH_MS + self.started_at_ms if self.started_at_ms else 0.0
         return EndpointStatus(self.id, "h0", 0, self.state, 1.0, started_at_ms)
 
@@ -56,7 +56,7 @@
         """Receives a request and returns the time of its response.
 
         Args:
-            now_ms: Time of the request.
+            now_ms: Arrival time of the request.
             work_ms: Time that a warm server needs for it.
         """
         policy = self._case.policy
--- a/onyxpost/simulation/stub_upstreams/__init__.py
+++ b/onyxpost/simulation/stub_upstreams/__init__.py
@@ -1,4 +1,4 @@
-"""Stub app servers and discovery on loopback for one node, with faults from a TOML file."""
+"""Stub app servers and a discovery agent on loopback for one node, with faults from a TOML file."""
 
 from onyxpost.simulation.stub_upstreams.environment import StubEnvironment, run_environment
 from onyxpost.simulation.stub_upstreams.fault_script import StubFault, StubFaultScript, read_fault_script
--- a/onyxpost/simulation/stub_upstreams/environment.py
+++ b/onyxpost/simulation/stub_upstreams/environment.py
@@ -1,4 +1,4 @@
-"""The app servers and the discovery agent that one node speaks to, on loopback."""
+"""Runs the stub app servers and the discovery agent of one node on loopback, and injects faults."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 
 class StubEnvironment:
-    """Stub app servers and their discovery agent.
+    """Stub app servers and the discovery agent that reports them.
 
     Args:
         server_count: Number of servers.
-        latency_ms: Of the servers' answers.
-        first_port: Port of the first server, which the others follow; 0 for any free ports.
-        discovery: Address of the agent; port 0 for any free one.
+        latency_ms: Time from a request to the answer of a server.
+        first_port: Port of the first server; the others use the following ports. 0 selects any free ports.
+        discovery: Address of the agent; port 0 selects any free port.
 
     Attributes:
         servers: The current incarnation of each server.
-        agent: The discovery agent, with its address once it is open.
+        agent: The discovery agent; `open` sets its address to the bound one.
     """
 
     def __init__(self, server_count: int, latency_ms: float, first_port: int, discovery: Address) -> None:
@@ -51,7 +51,7 @@
         self.agent.address = self.agent.listener.sockets[0].getsockname()
 
     async def close(self) -> None:
-        """Stops listening, and aborts the polls that wait at the agent."""
+        """Closes all listeners, and aborts the connections of the agent."""
         for listener in (self.agent.listener, *(server.listener for server in self.servers)):
             if listener is not None:
                 listener.close()
@@ -59,11 +59,11 @@
             writer.transport.abort()
 
     def known_endpoints(self) -> dict[str, Any]:
-        """The field `known` of a node's file."""
+        """Returns the value of the field `known` of a node file."""
         return {"generation": self.agent.generation, "instances": list(self.agent.endpoints.values())}
 
     def schedule_faults(self, script: StubFaultScript, log: Callable[[str], None]) -> None:
-        """Starts each fault at its time from now on; `log` is called with a line for each."""
+        """Schedules the faults, with times relative to now; `log` is called with a line when each starts."""
         loop = asyncio.get_running_loop()
         for fault in script.faults:
             loop.call_later(fault.at_seconds, self._start_fault, fault, log)
@@ -96,7 +96,7 @@
         asyncio.get_running_loop().call_later(fault.duration_seconds, call, *arguments)
 
     def _replace_server(self, index: int) -> None:
-        """The server's next incarnation starts, at a port of its own."""
+        """Stops a server and starts its next incarnation, on a new port."""
         old = self.servers[index]
         _stop_listening(old)
         old.state = EndpointState.GONE
@@ -130,14 +130,14 @@
     on_ready: Callable[[], None],
     log: Callable[[str], None],
 ) -> int:
-    """Runs the stubs with the faults of a script; returns the number of requests that they served.
+    """Runs the stubs with the faults of a script; returns the number of requests that the servers served.
 
     Args:
-        environment: The stubs, not open yet.
-        script: The faults, with times from when the stubs are open.
-        duration_seconds: Time to run; the run also ends when its task is cancelled.
-        on_ready: Is called once the stubs are open.
-        log: Is called with a line for each fault.
+        environment: The stubs, which must not be open yet.
+        script: The faults; their times start when the stubs are open.
+        duration_seconds: Duration of the run, which also ends when its task is cancelled.
+        on_ready: Called once the stubs are open.
+        log: Called with a line when each fault starts.
     """
     await environment.open()
     on_ready()
--- a/onyxpost/simulation/stub_upstreams/fault_script.py
+++ b/onyxpost/simulation/stub_upstreams/fault_script.py
@@ -1,4 +1,4 @@
-"""Faults of stub app servers and of their discovery, as written in a TOML file."""
+"""Fault scripts for stub app servers and their discovery agent, read from TOML files."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class StubFaultKind(StrEnum):
-    """What happens to a server, or to discovery; the values are those of the file."""
+    """Kinds of faults of a server or of the discovery agent; the values are those of the file."""
 
     HANG = "hang"
     FAIL = "fail"
@@ -29,14 +29,14 @@
 
 
 class StubFault(msgspec.Struct, forbid_unknown_fields=True):
-    """A fault.
+    """A fault of a server or of the discovery agent.
 
     Attributes:
-        at_seconds: Time of its start, from the start of the run.
-        kind: What happens.
-        duration_seconds: Time until it ends; a server that drains or crashed is then replaced.
-        server: Index of the server.
-        latency_ms: Of a slow server.
+        at_seconds: Start time, from the start of the run.
+        kind: Kind of the fault.
+        duration_seconds: Time until the fault ends; a server that was drained or crashed is replaced then.
+        server: Index of the affected server; ignored for a fault of discovery.
+        latency_ms: Latency of the server during a fault of kind `slow`.
     """
 
     at_seconds: Annotated[float, Meta(ge=0.0)] = field(name="at_s")
@@ -47,16 +47,16 @@
 
 
 class StubFaultScript(msgspec.Struct, forbid_unknown_fields=True):
-    """The faults of a run, in any order."""
+    """The faults of a run; their order does not matter."""
 
     faults: list[StubFault] = []
 
 
 def read_fault_script(path: Path, server_count: int) -> StubFaultScript:
-    """Reads a file of faults for servers 0 to `server_count` - 1.
+    """Reads a fault script for servers 0 to `server_count` - 1.
 
     Raises:
-        InvalidFaultScriptError: The file does not have this form, or names a server that is not there.
+        InvalidFaultScriptError: The file is malformed, or names a server that does not exist.
         SimulationFileError: The file cannot be read.
     """
     try:
--- a/onyxpost/simulation/stub_upstreams/node_file.py
+++ b/onyxpost/simulation/stub_upstreams/node_file.py
@@ -1,4 +1,4 @@
-"""The file of the node before the stubs."""
+"""Writes the file of a node that uses the stubs as its upstreams."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 def write_node_file(example: Path, path: Path, environment: StubEnvironment) -> None:
-    """Writes the example node's file with these stubs as its discovery and as its known endpoints.
+    """Writes a copy of the example node file, with the stubs as its discovery agent and known endpoints.
 
-    Raises ResultsNotWrittenError if it cannot be written.
+    Raises ResultsNotWrittenError if the file cannot be written.
     """
     fields = read_json_file(str(example))
     fields["discovery"] = "{}:{}".format(*environment.agent.address)
--- a/onyxpost/simulation/stubs/__init__.py
+++ b/onyxpost/simulation/stubs/__init__.py
@@ -1,4 +1,4 @@
-"""Stub app servers and discovery agents: the published protocol, on sockets or on the virtual clock."""
+"""Stub app servers and discovery agents, which run on sockets or on the virtual clock of a simulation."""
 
 from onyxpost.simulation.stubs.app_server import AppServer, Malformation, ServerBehavior, malformed_response
 from onyxpost.simulation.stubs.discovery_agent import DiscoveryAgent, EndpointsResponse
--- a/onyxpost/simulation/stubs/app_server.py
+++ b/onyxpost/simulation/stubs/app_server.py
@@ -1,4 +1,4 @@
-"""A stub app server: it answers every request with a page, after a time, or fails in a chosen way."""
+"""A stub app server, which answers each request with a page after a latency, or fails in a chosen way."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
 
 
 class ServerBehavior(StrEnum):
-    """What becomes of the requests that a server receives."""
+    """How a server handles the requests that it receives."""
 
     SERVE = "serve"
-    BUSY = "busy"  # answers at once that it did not execute the request
+    BUSY = "busy"  # answers at once with 503 and `X-Never-Ran`, without executing the request
     HANG = "hang"
-    DROP = "drop"  # executes the request, then aborts the connection
+    DROP = "drop"  # executes the request, then aborts the connection without an answer
     FAIL = "fail"  # executes the request, then answers 500
 
 
 class Malformation(StrEnum):
-    """How a response is made malformed."""
+    """Ways in which a response is malformed."""
 
     TRUNCATED = "truncated"
     DUPLICATED = "duplicated"
@@ -48,13 +48,15 @@
     """One incarnation of a stub app server.
 
     Attributes:
-        address: Where it listens; a port of 0 is replaced by the owner once it does.
-        state: What discovery says of it; unless it is ready, it answers that it did not execute a request.
-        started_at_ms: Unix time of its start in ms; 0 if that was long ago.
-        behavior: What becomes of requests that it receives from now on.
-        latency_ms: From a request to its answer.
-        malformations: Of the next responses, one each; the connection is closed after such a response.
-        served_count: Complete responses so far.
+        address: Address to listen on; the owner replaces port 0 by the bound port.
+        state: State of its endpoint, as discovery reports it. Unless it is `READY`, the server answers as
+            under `ServerBehavior.BUSY`.
+        started_at_ms: Unix time of its start in ms; 0 if the server started long ago and is warm.
+        behavior: How the server handles requests that it receives from now on.
+        latency_ms: Time from a request to its answer.
+        malformations: Malformations of the next responses, one for each; the connection is closed after a
+            malformed response.
+        served_count: Number of well-formed pages sent so far.
     """
 
     def __init__(
@@ -81,32 +83,32 @@
 
     @property
     def id(self) -> str:
-        """The instance id that discovery knows it by."""
+        """The instance id of the server in discovery."""
         return self.identity.id
 
     @property
     def index(self) -> int:
-        """Its place among all servers, which its next incarnation takes."""
+        """The index of the server among all servers, which its incarnations share."""
         return self.identity.index
 
     @property
     def incarnation(self) -> int:
-        """How many others had its index before."""
+        """The number of earlier incarnations of the server."""
         return self.identity.incarnation
 
     @property
     def zone(self) -> str:
-        """The zone that it runs in."""
+        """The zone of the server."""
         return self.identity.zone
 
     async def open(self) -> None:
-        """Listens. Raises ListenError if the address cannot be bound."""
+        """Starts listening. Raises ListenError if the address cannot be bound."""
         self.listener = await self.transport.listen(
             self.serve, self.address, STREAM_LIMIT_BYTES, ACCEPTS_PER_TURN
         )
 
     def endpoint_row(self) -> dict[str, Any]:
-        """What discovery holds of it, in the form of the discovery protocol."""
+        """Returns the row of the server in the format of the discovery protocol."""
         return {
             "instanceId": self.id,
             "hostPort": "{}:{}".format(*self.address),
@@ -127,7 +129,7 @@
     async def _serve_request(
         self, http: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Serves one request; returns whether the connection may serve another."""
+        """Serves one request; returns whether the connection can be used for another."""
         request = await read_request(http, reader)
         if request is None:
             return False
@@ -150,7 +152,7 @@
         return self._send_page(http, writer, trace_id)
 
     def _send_page(self, http: h11.Connection, writer: asyncio.StreamWriter, trace_id: str) -> bool:
-        """Sends the page; returns whether the connection may serve another request."""
+        """Sends the page; returns whether the connection can be used for another request."""
         body = b"page of " + trace_id.encode()
         head = h11.Response(status_code=HTTPStatus.OK, headers=[("Content-Length", str(len(body)))])
         response = encode_message(http, head, body)
@@ -163,7 +165,7 @@
 
 
 def malformed_response(malformation: Malformation, response: bytes) -> bytes:
-    """Returns the bytes of `response` with one thing wrong."""
+    """Returns the bytes of `response` with the given malformation."""
     match malformation:
         case Malformation.TRUNCATED:
             return response[:-3]
@@ -176,6 +178,6 @@
 
 
 def _empty_response(status: HTTPStatus, *flags: str) -> h11.Response:
-    """A response without a body; each of `flags` is a header of value 1."""
+    """Returns a response head without a body; each of `flags` is a header with the value 1."""
     headers = [(flag, "1") for flag in flags]
     return h11.Response(status_code=status, headers=[*headers, ("Content-Length", "0")])
--- a/onyxpost/simulation/stubs/discovery_agent.py
+++ b/onyxpost/simulation/stubs/discovery_agent.py
@@ -1,4 +1,4 @@
-"""A stub discovery agent: the long polls of one node are answered with the endpoints that it was given."""
+"""A stub discovery agent, which answers the long polls of one node with the endpoints that it holds."""
 
 from __future__ import annotations
 
@@ -33,12 +33,12 @@
     """The discovery agent of one node.
 
     Attributes:
-        node_index: Of the node that it serves.
-        address: Where it listens; a port of 0 is replaced by the owner once it does.
-        generation: Of the endpoints that it holds; every update raises it by one.
-        endpoints: The latest row of each instance id, in the form of the discovery protocol.
-        is_silent: While set, no poll is answered.
-        writers: Of the open connections.
+        node_index: Index of the node that the agent serves.
+        address: Address to listen on; the owner replaces port 0 by the bound port.
+        generation: Generation of the endpoints; every update increments it.
+        endpoints: The latest row of each instance id, in the format of the discovery protocol.
+        is_silent: Whether polls are left unanswered.
+        writers: Writers of the open connections.
     """
 
     def __init__(
@@ -54,16 +54,16 @@
         self.writers: set[asyncio.StreamWriter] = set()
         self.listener: Listener | None = None
         self._updated = asyncio.Event()
-        self._updates: list[tuple[int, dict[str, Any]]] = []  # each with its generation
+        self._updates: list[tuple[int, dict[str, Any]]] = []  # generation and row of each update
 
     async def open(self) -> None:
-        """Listens. Raises ListenError if the address cannot be bound."""
+        """Starts listening. Raises ListenError if the address cannot be bound."""
         self.listener = await self.transport.listen(
             self.serve, self.address, STREAM_LIMIT_BYTES, ACCEPTS_PER_TURN
         )
 
     def update_endpoint(self, row: dict[str, Any]) -> None:
-        """Holds a row of the discovery protocol from now on, and answers the polls that wait for news."""
+        """Adds or replaces an endpoint by its row of the discovery protocol, and answers waiting polls."""
         self.generation += 1
         self.endpoints[row["instanceId"]] = row
         self._updates.append((self.generation, row))
@@ -85,14 +85,14 @@
 
     async def wait_while_silent(self) -> None:
         """Returns once the agent is not silent."""
-        while self.is_silent:  # noqa: ASYNC110 - owners set the flag; a poll every 50 ms needs no call of theirs
+        while self.is_silent:  # noqa: ASYNC110 - owners only set a flag; checks every 50 ms suffice
             await asyncio.sleep(SILENCE_CHECK_SECONDS)
 
     async def wait_for_update(self, head: bytes) -> EndpointsResponse:
-        """Returns the response to a poll, once there is something newer or the poll's time is over.
+        """Returns the response to a poll, once there is a newer update or the poll has timed out.
 
         Args:
-            head: The request's header section. Without `since` the response has all endpoints, at once.
+            head: The request's header section. Without `since`, all endpoints are returned immediately.
         """
         if b"since=" not in head:
             rows = [row for row in self.endpoints.values() if row["lifecycle"] != "removed"]
--- a/onyxpost/simulation/stubs/http.py
+++ b/onyxpost/simulation/stubs/http.py
@@ -1,4 +1,4 @@
-"""Reading one HTTP request on a stub's connection."""
+"""Reads HTTP requests on the connections of stubs."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 if TYPE_CHECKING:
     import asyncio
 
-STREAM_LIMIT_BYTES = 65536  # of the buffer of an accepted connection
-ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the event loop
+STREAM_LIMIT_BYTES = 65536  # buffer limit of an accepted connection
+ACCEPTS_PER_TURN = 16  # maximal number of connections accepted in one turn of the event loop
 
 
 class ReceivedRequest(NamedTuple):
-    """A complete request."""
+    """A request with its complete body."""
 
     head: h11.Request
     body: bytes
--- a/onyxpost/simulation/stubs/observer.py
+++ b/onyxpost/simulation/stubs/observer.py
@@ -1,4 +1,4 @@
-"""Who is notified of what reaches the stubs, and of the endpoints that they send."""
+"""The interface of observers, which are notified of received attempts and of sent endpoint updates."""
 
 from __future__ import annotations
 
@@ -13,40 +13,40 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerIdentity:
-    """A stub app server in one incarnation, as discovery names it."""
+    """The identity of one incarnation of a stub app server."""
 
     id: str
-    index: int  # of the server among all; its incarnations share it
+    index: int  # index of the server among all servers; its incarnations share it
     incarnation: int
     zone: str
 
     @property
     def cell(self) -> int:
-        """The part of the installation that the server belongs to."""
+        """The cell that the server belongs to."""
         return self.index % CELLS
 
 
 class AttemptKey(NamedTuple):
-    """What an observer calls an attempt that reached a server; the stub hands it back."""
+    """An observer's key of a received attempt, which the stub passes to later calls."""
 
     sender: str
     attempt_index: int
 
 
 class RequestObserver(Protocol):
-    """Is notified of attempts that reach stub app servers and of endpoints that discovery agents send."""
+    """Observes the attempts that stub app servers receive, and the endpoints that discovery agents send."""
 
     def on_attempt_received(
         self, writer: asyncio.StreamWriter, trace_id: str, server: ServerIdentity
     ) -> AttemptKey:
-        """A complete request arrived at `server` on the connection of `writer`."""
+        """Called when `server` has received a complete request on the connection of `writer`."""
         ...
 
     def on_attempt_not_executed(self, attempt: AttemptKey, trace_id: str) -> None:
-        """The server is about to answer that it did not execute the attempt."""
+        """Called before the server answers that it did not execute the attempt."""
 
     def on_endpoints_sent(self, node_index: int, rows: list[dict[str, Any]]) -> None:
-        """The node's discovery agent is about to send `rows`, in the form of the discovery protocol."""
+        """Called before the node's discovery agent sends `rows`, in the format of the discovery protocol."""
 
 
 class NullObserver:
@@ -58,7 +58,7 @@
         trace_id: str,  # noqa: ARG002
         server: ServerIdentity,  # noqa: ARG002
     ) -> AttemptKey:
-        """Names every attempt alike."""
+        """Returns the same key for every attempt."""
         return AttemptKey("", 0)
 
     def on_attempt_not_executed(self, attempt: AttemptKey, trace_id: str) -> None:
--- a/onyxpost/simulation/worker_pool.py
+++ b/onyxpost/simulation/worker_pool.py
@@ -1,4 +1,4 @@
-"""Worker processes that end with the command that started them."""
+"""A pool of worker processes that do not outlive the command that started them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @contextlib.contextmanager
 def worker_pool(jobs: int) -> Iterator[ProcessPoolExecutor]:
-    """Provides a pool of processes; if its body raises, the processes are ended and not waited for."""
+    """Yields a process pool; if the body raises, terminates the processes without waiting for their tasks."""
     context = multiprocessing.get_context("spawn")
     pool = ProcessPoolExecutor(jobs, mp_context=context, initializer=_configure_signals)
     try:
@@ -28,5 +28,5 @@
 
 
 def _configure_signals() -> None:
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent handles an interrupt
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent process handles interrupts
     signal.signal(signal.SIGTERM, signal.SIG_DFL)
