--- a/onyxpost/simulation/demo.py
+++ b/onyxpost/simulation/demo.py
@@ -181,7 +181,7 @@
     finally:
         await environment.close()
         await asyncio.sleep(CLOSE_SECONDS)
-    show("all ended" if is_correct else "not as it should be: see above")
+    show("all ended" if is_correct else "a request was not answered as expected: see above")
     return is_correct
 
 
@@ -222,7 +222,9 @@
     while not await _is_serving(port):
         if process.returncode is not None or time.monotonic() > deadline:
             last_line = log.read_text().strip().rsplit("\n", 1)[-1]
-            raise ProcessNotStartedError(f"the node at {LOOPBACK}:{port} does not serve: {last_line}")
+            raise ProcessNotStartedError(
+                f"the node at {LOOPBACK}:{port} did not start serving; last log line: {last_line}"
+            )
         await asyncio.sleep(READY_POLL_SECONDS)
 
 
--- a/onyxpost/simulation/free_ports.py
+++ b/onyxpost/simulation/free_ports.py
@@ -47,7 +47,7 @@
         if len(found) == count:
             return found
     first, last = RESTARTABLE_PORTS
-    raise NoFreePortsError(f"no {count} free ports from {first} to {last} on {LOOPBACK}")
+    raise NoFreePortsError(f"fewer than {count} free ports from {first} to {last} on {LOOPBACK}")
 
 
 def _is_free(port: int) -> bool:
--- a/onyxpost/simulation/load/results.py
+++ b/onyxpost/simulation/load/results.py
@@ -80,8 +80,9 @@
         lines = ["  ".join(f"{outcome} {count}" for outcome, count in sorted(self.outcomes.items()))]
         for outcome, percentiles in self.percentiles_ms().items():
             figures = "  ".join(f"{name} {latency_ms:.2f}" for name, latency_ms in percentiles.items())
-            lines.append(f"{outcome:8} ms from the time it was due: {figures}")
+            lines.append(f"{outcome:8} ms since the due time: {figures}")
         lines.append(
-            f"connections opened {self.connections_opened}; sent late by this tool {self.late_requests}"
+            f"connections opened {self.connections_opened};"
+            f" requests sent late by the generator {self.late_requests}"
         )
         return "\n".join(lines)
--- a/onyxpost/simulation/mutations.py
+++ b/onyxpost/simulation/mutations.py
@@ -61,7 +61,7 @@
     """Returns the gateway that makes the decisions of a node."""
     gateway = node.state_machine.decision_maker
     if not isinstance(gateway, Gateway):
-        raise TypeError(f"a mutation needs a Gateway, not {type(gateway).__name__}")
+        raise TypeError(f"mutations apply only to a node with a Gateway, not a {type(gateway).__name__}")
     return gateway
 
 
--- a/onyxpost/simulation/results.py
+++ b/onyxpost/simulation/results.py
@@ -52,7 +52,7 @@
         raise SimulationFileError(str(error.strerror), str(path)) from error
     lines = [_decode_line(text, number, path) for number, text in enumerate(data.splitlines(), 1)]
     if not any(line.get("kind") == "total" for line in lines):
-        raise InvalidResultsError("no run's totals in it", str(path))
+        raise InvalidResultsError("no line with the totals of a run", str(path))
     return lines
 
 
@@ -62,7 +62,7 @@
     except msgspec.DecodeError as error:
         raise InvalidResultsError(f"line {number}: {error}", str(path)) from error
     if line.get("version") != VERSION:
-        problem = f"line {number}: results of version {line.get('version')}, not {VERSION}"
+        problem = f"line {number}: results of version {line.get('version')}; expected version {VERSION}"
         raise InvalidResultsError(problem, str(path))
     return line
 
--- a/onyxpost/simulation/seed_ranges.py
+++ b/onyxpost/simulation/seed_ranges.py
@@ -19,7 +19,7 @@
         for item in text.split(","):
             seeds += _parse_range(item)
     except ValueError:
-        problem = f"{text!r}: numbers from 0 to {MAX_SEED}, as in 1-20 or 1,4,9-12"
+        problem = f"{text!r}: expected numbers from 0 to {MAX_SEED}, as in 1-20 or 1,4,9-12"
         raise InvalidOptionError(problem, "seeds") from None
     return list(dict.fromkeys(seeds))
 
--- a/onyxpost/simulation/stub_upstreams/fault_script.py
+++ b/onyxpost/simulation/stub_upstreams/fault_script.py
@@ -67,6 +67,6 @@
         raise SimulationFileError(str(error.strerror), str(path)) from error
     for index, fault in enumerate(script.faults):
         if fault.server >= server_count:
-            reason = f"there are {server_count} servers, numbered from 0"
+            reason = f"no such server; there are {server_count} servers, numbered from 0"
             raise InvalidFaultScriptError(f"{reason} - at `$.faults[{index}].server`", str(path))
     return script
--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -103,6 +103,33 @@
     ),
     # Descriptions of violations in result files.
     (" ms after it was told", " ms after its node was notified of the drain"),
+    (
+        ": numbers from 0 to 4294967295, as in 1-20 or 1,4,9-12 (",
+        ": expected numbers from 0 to 4294967295, as in 1-20 or 1,4,9-12 (",
+    ),
+    (
+        " reqs a second for 10 s: at most 1000000 reqs (",
+        " requests/s for 10 s: expected more than 0 and at most 1000000 requests (",
+    ),
+    (" s: from above 0 to 3600 (", " s: expected more than 0 s and at most 3600 s ("),
+    (" connections: from 1 to 20000 (", " connections: expected from 1 to 20000 ("),
+    (": only addresses on loopback are sent load (", ": not an IP address on loopback ("),
+    ("no run's totals in it", "no line with the totals of a run"),
+    ("results of version None, not 1 (", "results of version None; expected version 1 ("),
+    (
+        "no scenario is in both: short, 4 nodes, 4 servers / other, 4 nodes, 4 servers (",
+        "no scenario in common: short, 4 nodes, 4 servers in the first,"
+        " other, 4 nodes, 4 servers in the second (",
+    ),
+    (
+        "no scenario is in both: short, 4 nodes, 4 servers / short, 5 nodes, 4 servers (",
+        "no scenario in common: short, 4 nodes, 4 servers in the first,"
+        " short, 5 nodes, 4 servers in the second (",
+    ),
+    (
+        ": there are 3 servers, numbered from 0 - at `$.faults[0].server` (",
+        ": no such server; there are 3 servers, numbered from 0 - at `$.faults[0].server` (",
+    ),
 )
 
 USAGE_ERROR = re.compile(r"^Error: .*", re.MULTILINE | re.DOTALL)
