--- a/onyxpost/simulation/cli.py
+++ b/onyxpost/simulation/cli.py
@@ -45,15 +45,15 @@
     runs_a = report.read_runs(a)
     runs_b = report.read_runs(b)
     rows = report.compare(runs_a, runs_b)
-    counts = (_count(runs_a), _count(runs_b))
+    counts = (_count_runs(runs_a), _count_runs(runs_b))
     click.echo(report.format_comparisons(rows, counts))
     if plot_file is not None:
         report.plot({a.stem: runs_a, b.stem: runs_b}, plot_file)
 
 
-def _count(runs: dict[str, list[list[dict[str, object]]]]) -> int:
+def _count_runs(runs: dict[str, list[list[dict[str, object]]]]) -> int:
     """Returns the number of runs of all scenarios."""
-    return sum(len(of_scenario) for of_scenario in runs.values())
+    return sum(len(scenario_runs) for scenario_runs in runs.values())
 
 
 simulate.add_command(deterministic)
--- a/onyxpost/simulation/cli_deterministic.py
+++ b/onyxpost/simulation/cli_deterministic.py
@@ -78,7 +78,7 @@
 
     _check_mutation(options.mutation)
     seeds = parse_seeds(options.seeds)
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     finished = FinishedSeeds()
     with InterruptCatcher() as interrupt:
         for outcome in simulation.run_seeds(seeds, options.jobs, options.mutation):
@@ -88,7 +88,7 @@
     failed = finished.failed()
     for outcome in failed[:MAX_PRINTED_SEEDS]:
         _echo_failed_seed(outcome, options.mutation)
-    seconds = time.perf_counter() - began
+    seconds = time.perf_counter() - started_at
     click.echo(f"{finished.summary()}; {seconds:.1f} s on {options.jobs} processes")
     sys.exit(exit_code(violated=bool(failed), was_interrupted=interrupt.was_interrupted))
 
--- a/onyxpost/simulation/cli_discrete_event.py
+++ b/onyxpost/simulation/cli_discrete_event.py
@@ -84,13 +84,13 @@
     """
     batch = _create_batch(options)
     finished = BatchResults()
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     with InterruptCatcher() as interrupt:
         for scenario in batch.scenarios:
             _run_scenario(scenario, batch, finished)
     if options.out is not None and finished.data:
         results.write(options.out, finished.data)
-    events_per_second = finished.events / (time.perf_counter() - began)
+    events_per_second = finished.events / (time.perf_counter() - started_at)
     click.echo(f"{events_per_second:.0f} events per second", err=True)
     if interrupt.was_interrupted:
         kept = "the results of finished runs are kept" if finished.data else "no run was finished"
@@ -104,11 +104,11 @@
 
     seeds = parse_seeds(options.seeds)
     overrides = parse_overrides(options.overrides)
-    chosen = [
+    scenarios = [
         scenario_files.resize_scenario(scenario_files.load_scenario(name), options.nodes, options.servers)
         for name in options.scenario
     ]
-    return Batch(chosen, seeds, overrides, options.jobs)
+    return Batch(scenarios, seeds, overrides, options.jobs)
 
 
 def _run_scenario(scenario: Scenario, batch: Batch, finished: BatchResults) -> None:
--- a/onyxpost/simulation/cli_options.py
+++ b/onyxpost/simulation/cli_options.py
@@ -43,9 +43,9 @@
 
     def decorate(command: Callable[[Options], None]) -> Callable[..., None]:
         @wraps(command)
-        def command_of_parameters(**parameters: object) -> None:
+        def command_with_parameters(**parameters: object) -> None:
             command(options_type(**parameters))
 
-        return command_of_parameters
+        return command_with_parameters
 
     return decorate
--- a/onyxpost/simulation/cli_sockets.py
+++ b/onyxpost/simulation/cli_sockets.py
@@ -18,7 +18,7 @@
 
     from onyxpost.simulation.planner_cluster import ClusterOptions
 
-EXAMPLE = "deploy/example-node.json"
+EXAMPLE_NODE_FILE = "deploy/example-node.json"
 MAX_CUSTOMER_IDS = 2**32
 MAX_CLUSTER_CUSTOMERS = 1000
 MAX_STUB_SERVERS = 200
@@ -101,7 +101,7 @@
 
 @click.command()
 @click.argument("out", type=FILE)
-@click.option("--example", type=ANY_FILE, default=EXAMPLE, show_default=True)
+@click.option("--example", type=ANY_FILE, default=EXAMPLE_NODE_FILE, show_default=True)
 @click.option("--servers", type=click.IntRange(1, MAX_STUB_SERVERS), default=3, show_default=True)
 @click.option("--delay", default=20.0, show_default=True, help="Latency of the servers, in ms.")
 @click.option(
--- a/onyxpost/simulation/demo.py
+++ b/onyxpost/simulation/demo.py
@@ -31,17 +31,17 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator, Callable, Mapping
 
-EXAMPLE = Path(__file__).parents[2] / "deploy" / "example-node.json"
-SERVERS = 3
-LATENCY_MS = 20.0  # from a request to the answer of a stub app server
+EXAMPLE_NODE_FILE = Path(__file__).parents[2] / "deploy" / "example-node.json"
+SERVER_COUNT = 3
+SERVER_LATENCY_MS = 20.0  # from a request to the answer of a stub app server
 READY_TIMEOUT_SECONDS = 10.0
 READY_POLL_SECONDS = 0.02
 STOP_TIMEOUT_SECONDS = 5.0  # from SIGTERM to SIGKILL
 ANSWER_TIMEOUT_SECONDS = 5.0
-CLOSE_SECONDS = 0.05  # time for the stubs to notice that the node closed its connections
+CLOSE_GRACE_SECONDS = 0.05  # time for the stubs to notice that the node closed its connections
 CLIENT_TIMEOUT_MS = 1900.0
 MAX_TRIES = 4  # more than one, because the quota refills between requests on a slow machine
-UNITS = 4  # quota units of each request; the example's plan allows 10 at once
+UNITS_PER_REQUEST = 4  # quota units of each request; the example's plan allows 10 at once
 HEALTH_CHECK = "/healthz"
 
 
@@ -57,22 +57,24 @@
 class DemoRequests:
     """Sends requests for the example's first frontend and plan, and prints each with its answer."""
 
-    def __init__(self, port: int, fields: dict[str, Any], show: Callable[[str], None]) -> None:
+    def __init__(self, port: int, fields: dict[str, Any], print_line: Callable[[str], None]) -> None:
         self.port = port
         self.frontend = fields["settings"]["grades"][0]
         self.plan = fields["settings"]["packages"][0]
-        self.show = show
-        self._count = 0
+        self.print_line = print_line
+        self._request_count = 0
 
     async def send(self, customer: int) -> Answer:
         """Sends a request of a customer. Raises OSError or h11.ProtocolError without a complete answer."""
-        self._count += 1
-        fields = RequestFields(f"demo-{self._count}", self.plan["name"], customer, CLIENT_TIMEOUT_MS, UNITS)
-        answer = await get(self.port, f"/{self.frontend['name']}/{self._count}", fields.headers())
+        self._request_count += 1
+        fields = RequestFields(
+            f"demo-{self._request_count}", self.plan["name"], customer, CLIENT_TIMEOUT_MS, UNITS_PER_REQUEST
+        )
+        answer = await get(self.port, f"/{self.frontend['name']}/{self._request_count}", fields.headers())
         retry_after = answer.headers.get("retry-after")
         detail = f"Retry-After: {retry_after}" if retry_after is not None else answer.body
-        self.show(
-            f"  customer {customer}, {UNITS} units:  {answer.status} {outcome_of(answer.status)}"
+        self.print_line(
+            f"  customer {customer}, {UNITS_PER_REQUEST} units:  {answer.status} {outcome_of(answer.status)}"
             f"  {answer.latency_ms:4.0f} ms  {detail}"
         )
         return answer
@@ -82,7 +84,7 @@
 
         The rejected request is repeated after its Retry-After time, and must pass then.
         """
-        self.show(
+        self.print_line(
             f"plan {self.plan['name']}: each customer may use {self.plan['refill']:g} units a second,"
             f" {self.plan['depth']:g} at once"
         )
@@ -106,7 +108,7 @@
             if answer.status != HTTPStatus.TOO_MANY_REQUESTS:
                 break
             wait_seconds = float(answer.headers.get("retry-after", "1"))
-            self.show(f"  {wait_seconds:g} s later, as it was told:")
+            self.print_line(f"  {wait_seconds:g} s later, as it was told:")
             await asyncio.sleep(wait_seconds)
             answer = await self.send(1)
         return answer.status
@@ -163,25 +165,25 @@
         await _stop(process)
 
 
-async def run_demo(environment: StubEnvironment, show: Callable[[str], None]) -> bool:
+async def run_demo(environment: StubEnvironment, print_line: Callable[[str], None]) -> bool:
     """Runs the demonstration and returns whether each request was answered as expected.
 
-    `show` is called with each line of output.
+    `print_line` is called with each line of output.
 
     Raises ProcessNotStartedError if the node does not serve in time.
     """
-    fields = msgspec.json.decode(EXAMPLE.read_bytes())
+    fields = msgspec.json.decode(EXAMPLE_NODE_FILE.read_bytes())
     await environment.open()
     try:
         with tempfile.TemporaryDirectory() as folder:
             async with running_node(environment, fields, Path(folder)) as port:
                 stubs = f"{len(environment.servers)} stub app servers and discovery beside it"
-                show(f"a node at {LOOPBACK}:{port}, {stubs}")
-                is_correct = await DemoRequests(port, fields, show).run()
+                print_line(f"a node at {LOOPBACK}:{port}, {stubs}")
+                is_correct = await DemoRequests(port, fields, print_line).run()
     finally:
         await environment.close()
-        await asyncio.sleep(CLOSE_SECONDS)
-    show("all ended" if is_correct else "a request was not answered as expected: see above")
+        await asyncio.sleep(CLOSE_GRACE_SECONDS)
+    print_line("all ended" if is_correct else "a request was not answered as expected: see above")
     return is_correct
 
 
@@ -190,7 +192,7 @@
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
-    environment = StubEnvironment(SERVERS, LATENCY_MS, 0, ANY_PORT)
+    environment = StubEnvironment(SERVER_COUNT, SERVER_LATENCY_MS, 0, ANY_PORT)
     try:
         is_correct = await run_demo(environment, partial(print, flush=True))
     except (ProcessNotStartedError, OSError, h11.ProtocolError) as error:
@@ -213,7 +215,7 @@
             stdout=output,
             stderr=output,
             env=environment | {"EDGE_CONFIG": str(node_file)},
-            cwd=EXAMPLE.parents[1],
+            cwd=EXAMPLE_NODE_FILE.parents[1],
         )
 
 
--- a/onyxpost/simulation/deprecation.py
+++ b/onyxpost/simulation/deprecation.py
@@ -22,7 +22,7 @@
 COMMANDS_WITH_MUTATIONS = ("deterministic", "processes")
 END_OF_OPTIONS = "--"
 
-_ANNOUNCED = f"{__name__}.announced"  # key in the `meta` of a click context, which lasts for one command
+_WARNED_KEY = f"{__name__}.announced"  # key in the `meta` of a click context, which lasts for one command
 
 
 class Spelling(NamedTuple):
@@ -60,9 +60,9 @@
     """
     context = click.get_current_context(silent=True)
     if context is not None:
-        if context.meta.get(_ANNOUNCED):
+        if context.meta.get(_WARNED_KEY):
             return
-        context.meta[_ANNOUNCED] = True
+        context.meta[_WARNED_KEY] = True
     click.echo(f"onyxpost: '{old}' is deprecated, use '{new}'", err=True)
 
 
--- a/onyxpost/simulation/load/generator.py
+++ b/onyxpost/simulation/load/generator.py
@@ -26,12 +26,12 @@
     from onyxpost.core.types import Frontend
 
 ANSWER_GRACE_MS = 250.0  # added to the client's timeout, for answers that are on their way then
-LATE_MS = 5.0  # a request sent later than this after its due time was delayed by the generator itself
-DRAIN_SECONDS = 60.0  # time to wait for outstanding answers after the last request
+MAX_SEND_DELAY_MS = 5.0  # from the due time; a longer delay counts as caused by the generator itself
+DRAIN_TIMEOUT_SECONDS = 60.0  # time to wait for outstanding answers after the last request
 CONNECTION_POLL_SECONDS = 0.001  # interval of the checks for an idle connection
 MAX_UNITS = 4
 MAX_CUSTOMER_NODES = 3
-BODY = b"xx"
+REQUEST_BODY = b"xx"
 CUT = "cut"
 TIMED_OUT = "timed_out"
 
@@ -68,21 +68,21 @@
         self.results = LoadResults()
         self._answer_grace_ms = answer_grace_ms
         self._rng = Random(options.seed)
-        self._idle: list[HttpClient] = []
+        self._idle_connections: list[HttpClient] = []
         self._open_connections = 0
         self._trace_prefix = f"{time.time_ns() & 0xFFFFFFFF:08x}"  # makes the trace ids of each run unique
         self._started_at = 0.0
 
     async def run(self) -> LoadResults:
-        """Sends the load; returns the results after the last request, or at most `DRAIN_SECONDS` later."""
+        """Sends the load; returns the results at most `DRAIN_TIMEOUT_SECONDS` after the last arrival."""
         self._started_at = time.monotonic()
         tasks = BackgroundTasks()
         options = self.options
         arrivals = timed_arrivals(self._rng, options.rate, options.seconds, self._elapsed_seconds)
         async for arrival in arrivals:
             tasks.start(self._send(arrival.number, arrival.due_seconds))
-        await tasks.wait(DRAIN_SECONDS)
-        for client in self._idle:
+        await tasks.wait(DRAIN_TIMEOUT_SECONDS)
+        for client in self._idle_connections:
             client.close()
         return self.results
 
@@ -108,12 +108,14 @@
         target = f"/{frontend.name}/{number}"
         if frontend.idempotency is Idempotency.IDEMPOTENT:
             return DrawnRequest(frontend, h11.Request(method="GET", target=target, headers=headers), b"")
-        headers += [("Idempotency-Key", fields.trace_id), ("Content-Length", str(len(BODY)))]
-        return DrawnRequest(frontend, h11.Request(method="POST", target=target, headers=headers), BODY)
+        headers += [("Idempotency-Key", fields.trace_id), ("Content-Length", str(len(REQUEST_BODY)))]
+        return DrawnRequest(
+            frontend, h11.Request(method="POST", target=target, headers=headers), REQUEST_BODY
+        )
 
     async def _send(self, number: int, due_seconds: float) -> None:
         request = self._draw_request(number)
-        if (self._elapsed_seconds() - due_seconds) * MS_PER_SECOND > LATE_MS:
+        if (self._elapsed_seconds() - due_seconds) * MS_PER_SECOND > MAX_SEND_DELAY_MS:
             self.results.late_requests += 1
         timeout_ms = request.frontend.client_timeout_ms + self._answer_grace_ms
         deadline_seconds = due_seconds + timeout_ms / MS_PER_SECOND
@@ -121,7 +123,7 @@
         is_answered = False
         try:
             async with asyncio.timeout(max(0.0, deadline_seconds - self._elapsed_seconds())):
-                client = await self._connection()
+                client = await self._acquire_connection()
                 response = await client.exchange(request.head, request.body)
             is_answered = True
             outcome = outcome_of(response.status)
@@ -134,17 +136,17 @@
         if client is None:
             return
         if is_answered and client.start_next_request():
-            self._idle.append(client)
+            self._idle_connections.append(client)
         else:
             self._close(client)
 
-    async def _connection(self) -> HttpClient:
+    async def _acquire_connection(self) -> HttpClient:
         """Returns an idle connection, or opens one; waits while the limit of connections is in use."""
-        while self._idle or self._open_connections >= self.options.connections:
-            if not self._idle:
+        while self._idle_connections or self._open_connections >= self.options.connections:
+            if not self._idle_connections:
                 await asyncio.sleep(CONNECTION_POLL_SECONDS)  # the wait counts towards the request's timeout
                 continue
-            client = self._idle.pop()
+            client = self._idle_connections.pop()
             if client.is_open():
                 return client
             self._close(client)
--- a/onyxpost/simulation/load/results.py
+++ b/onyxpost/simulation/load/results.py
@@ -16,7 +16,7 @@
 MAX_LATENCY_US = 60_000_000  # longer latencies are recorded as this value
 SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50, 90, 99, 99.9, 100)
-ALL = "all"
+ALL_OUTCOMES = "all"
 MEASURED_OUTCOMES = (PASSED, REJECTED)  # outcomes that have their own latency histograms
 
 
@@ -36,7 +36,7 @@
         self.outcomes_by_second: list[Counter[str]] = []
         self.latencies_us = {
             outcome: HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
-            for outcome in (*MEASURED_OUTCOMES, ALL)
+            for outcome in (*MEASURED_OUTCOMES, ALL_OUTCOMES)
         }
         self.late_requests = 0
         self.connections_opened = 0
@@ -45,7 +45,7 @@
         """Records a request; `due_seconds` is its due time, relative to the start of the run."""
         self.outcomes[outcome] += 1
         latency_us = min(MAX_LATENCY_US, max(1, round(latency_ms * US_PER_MS)))
-        for measured in (ALL, outcome):
+        for measured in (ALL_OUTCOMES, outcome):
             if measured in self.latencies_us:
                 self.latencies_us[measured].record_value(latency_us)
         while len(self.outcomes_by_second) <= int(due_seconds):
--- a/onyxpost/simulation/mutations.py
+++ b/onyxpost/simulation/mutations.py
@@ -49,7 +49,7 @@
 
 def current_name(name: str) -> str:
     """Returns the current name for a current or deprecated name of a mutation; other names are unchanged."""
-    return next((one.name for one in MUTATIONS.values() if name == one.old_name), name)
+    return next((mutation.name for mutation in MUTATIONS.values() if name == mutation.old_name), name)
 
 
 def is_mutation(name: str) -> bool:
@@ -155,12 +155,12 @@
     discovery = node.discovery
     start_watch = discovery.start_watch
 
-    def start_patient_watch(*arguments: Any, **options: Any) -> None:  # noqa: ANN401 - passed on
+    def start_watch_without_repeats(*arguments: Any, **options: Any) -> None:  # noqa: ANN401 - passed on
         start_watch(*arguments, **options)
         for watch in discovery.watches.values():
             watch.tracker.on_poll_started = lambda *_arguments, **_options: NEVER_MS  # type: ignore[method-assign]
 
-    discovery.start_watch = start_patient_watch  # type: ignore[method-assign]
+    discovery.start_watch = start_watch_without_repeats  # type: ignore[method-assign]
 
 
 MUTATIONS: dict[str, Mutation] = {
--- a/onyxpost/simulation/rollout_analysis/cluster.py
+++ b/onyxpost/simulation/rollout_analysis/cluster.py
@@ -24,7 +24,7 @@
 OUTAGE_BEGINS_S = 60.0
 OUTAGE_ENDS_S = 180.0
 OUTAGE_FAILURE_RATE = 0.6
-NODES_PER_OUTAGE = 4
+NODES_PER_AFFECTED_NODE = 4
 """One of every so many nodes is affected by the outage."""
 
 
@@ -47,7 +47,7 @@
         for node in range(scenario.nodes):
             traffic_factor = self._burst_factor(2.0)
             failure_rate = scenario.failure_rate * cluster_factor * self._burst_factor(1.0)
-            if has_outage and node % NODES_PER_OUTAGE == 0:
+            if has_outage and node % NODES_PER_AFFECTED_NODE == 0:
                 failure_rate = OUTAGE_FAILURE_RATE
             for plan, plan_share in PLAN_SHARES.items():
                 stratum = Stratum(FRONTEND, plan, ZONES[node % len(ZONES)])
--- a/onyxpost/simulation/rollout_analysis/measure.py
+++ b/onyxpost/simulation/rollout_analysis/measure.py
@@ -50,7 +50,7 @@
 STAGES = (ONE_NODE, TENTH, HALF, ALL)
 
 BURSTY = Scenario(40, bursty=True, cluster_size=5)
-HEALTHY = {
+HEALTHY_SCENARIOS = {
     "even": Scenario(40),
     "bursty": BURSTY,
     "bursty, outage": replace(BURSTY, outage=True),
@@ -118,42 +118,42 @@
                         scenario, nodes=stage.nodes(nodes), candidate_share=stage.candidate_share
                     )
                     results = list(pool.map(partial(run_stage, stage_scenario), range(seeds)))
-                    print(f"| {name} | {nodes} | {stage.name} | {_halts(results)} |", flush=True)
+                    print(f"| {name} | {nodes} | {stage.name} | {_format_halts(results)} |", flush=True)
 
 
-def measure_false_halts(kinds: Iterable[str], rollouts: int, cores: int) -> None:
-    """Prints how often rollouts of a healthy candidate halt, for each kind of traffic in `HEALTHY`."""
+def measure_false_halts(traffic_kinds: Iterable[str], rollouts: int, cores: int) -> None:
+    """Prints how often rollouts of a healthy candidate halt, by kinds of traffic in `HEALTHY_SCENARIOS`."""
     with ProcessPoolExecutor(cores) as pool:
         print("\n| traffic | rollouts | false halts | half would advance |")
         print("| --- | --- | --- | --- |", flush=True)
-        for kind in kinds:
-            run = partial(run_rollout, HEALTHY[kind])
+        for traffic in traffic_kinds:
+            run = partial(run_rollout, HEALTHY_SCENARIOS[traffic])
             results = list(pool.map(run, range(rollouts), chunksize=ROLLOUTS_PER_TASK))
             false_halts = [result.false_halt for result in results if result.false_halt]
             advancing = sum(result.half_advances for result in results)
-            print(f"| {kind} | {rollouts} | {len(false_halts)} | {advancing} |", flush=True)
+            print(f"| {traffic} | {rollouts} | {len(false_halts)} | {advancing} |", flush=True)
             for reason in false_halts[:MAX_PRINTED_REASONS]:
                 print(f"    {reason}", flush=True)
 
 
-def _halts(results: list[StageResult]) -> str:
+def _format_halts(results: list[StageResult]) -> str:
     """Returns table cells: the share of halted stages, their candidate requests and their durations."""
     halted = [result for result in results if result.decision.outcome is Outcome.HALT]
     if not halted:
         return f"0/{len(results)} | - | -"
-    requests = _spread(result.candidate_requests for result in halted)
-    durations = _spread(result.duration_s for result in halted)
+    requests = _format_spread(result.candidate_requests for result in halted)
+    durations = _format_spread(result.duration_s for result in halted)
     return f"{len(halted)}/{len(results)} | {requests} | {durations}"
 
 
-def _spread(values: Iterable[float]) -> str:
+def _format_spread(values: Iterable[float]) -> str:
     """Returns the median and the range from the 5th to the 95th percentile, as text."""
-    form: Callable[[float], str] = "{:,.0f}".format
+    format_number: Callable[[float], str] = "{:,.0f}".format
     ordered = sorted(values)
     last = len(ordered) - 1
     low = ordered[int(0.05 * last)]
     high = ordered[int(0.95 * last + 0.5)]
-    return f"{form(statistics.median(ordered))} ({form(low)} to {form(high)})"
+    return f"{format_number(statistics.median(ordered))} ({format_number(low)} to {format_number(high)})"
 
 
 def main() -> None:
@@ -161,13 +161,15 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rollouts", type=int, default=1000)
     parser.add_argument("--cores", type=int, default=2)
-    parser.add_argument("--kind", choices=list(HEALTHY), help="false halts under this traffic alone")
+    parser.add_argument(
+        "--kind", choices=list(HEALTHY_SCENARIOS), help="measure only false halts, and only with this traffic"
+    )
     options = parser.parse_args()
     if options.kind:
         measure_false_halts([options.kind], options.rollouts, options.cores)
         return
     measure_regressions(options.cores)
-    measure_false_halts(HEALTHY, options.rollouts, options.cores)
+    measure_false_halts(HEALTHY_SCENARIOS, options.rollouts, options.cores)
 
 
 if __name__ == "__main__":
--- a/onyxpost/simulation/seed_ranges.py
+++ b/onyxpost/simulation/seed_ranges.py
@@ -5,7 +5,7 @@
 from onyxpost.simulation.errors import InvalidOptionError
 
 MAX_SEED = 2**32 - 1
-MAX_RANGE = 1_000_000
+MAX_RANGE_LENGTH = 1_000_000
 
 
 def parse_seeds(text: str) -> list[int]:
@@ -28,6 +28,6 @@
     low, _, high = text.partition("-")
     first = int(low)
     last = int(high or low)
-    if not 0 <= first <= last <= MAX_SEED or last - first >= MAX_RANGE:
+    if not 0 <= first <= last <= MAX_SEED or last - first >= MAX_RANGE_LENGTH:
         raise ValueError(text)
     return range(first, last + 1)
--- a/onyxpost/simulation/slow_start/case.py
+++ b/onyxpost/simulation/slow_start/case.py
@@ -36,6 +36,6 @@
     policy: SlowStartPolicy = DEFAULT_POLICY
 
     @property
-    def servers_per_step(self) -> int:
+    def servers_per_replacement(self) -> int:
         """The number of servers that each of the two replacements starts."""
         return round(self.replaced_fraction * self.servers / 2)
--- a/onyxpost/simulation/slow_start/emulation.py
+++ b/onyxpost/simulation/slow_start/emulation.py
@@ -9,12 +9,12 @@
 from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.simulation.discrete_event.event_queue import EventQueue
 from onyxpost.simulation.slow_start.node_model import NodeModel
-from onyxpost.simulation.slow_start.server_model import EPOCH_MS, ServerModel, WarmUpLoad
+from onyxpost.simulation.slow_start.server_model import EPOCH_MS, ServerModel, WarmupLoad
 
 if TYPE_CHECKING:
     from onyxpost.simulation.slow_start.case import SlowStartCase
 
-SETTLING_MS = 8000.0  # time from the start to the first replacement
+FIRST_REPLACEMENT_MS = 8000.0  # time from the start to the first replacement
 REPLACEMENT_INTERVAL_MS = 6500.0  # time between the two replacements
 REPLACEMENTS = 2
 ENDPOINT_DELAY_MS = (20.0, 400.0)  # range of the time until a node learns of a replacement
@@ -27,7 +27,7 @@
 class EmulationResult(NamedTuple):
     """Results of one emulation: the load of each new server during warmup, and request counters."""
 
-    warm_up_loads: list[WarmUpLoad]
+    warmup_loads: list[WarmupLoad]
     requests: int
     served_in_time: int
 
@@ -48,18 +48,22 @@
         running = max(1, round(case.running_fraction * case.nodes))
         self.nodes = [NodeModel(self, index, self._servers) for index in node_indexes[:running]]
         self._weights = [self._draw_weight() for _ in self.nodes]
-        for step in range(REPLACEMENTS):
-            self.events.call_at(SETTLING_MS + REPLACEMENT_INTERVAL_MS * step, self._replace_servers, step)
+        for replacement in range(REPLACEMENTS):
+            self.events.call_at(
+                FIRST_REPLACEMENT_MS + REPLACEMENT_INTERVAL_MS * replacement,
+                self._replace_servers,
+                replacement,
+            )
         for node in self.nodes:
             if self.rng.random() < case.restarted_fraction:
-                restart_at_ms = SETTLING_MS + self.rng.uniform(0.0, case.restart_window_ms)
+                restart_at_ms = FIRST_REPLACEMENT_MS + self.rng.uniform(0.0, case.restart_window_ms)
                 self.events.call_at(restart_at_ms, node.restart)
         self.events.call_after(self._draw_interval_ms(), self._send_request)
 
     def run(self) -> EmulationResult:
         """Runs until the servers of the last replacement are warm."""
-        self.events.run_until(SETTLING_MS + REPLACEMENT_INTERVAL_MS + self.case.policy.warmup_ms)
-        loads = [server.warm_up_load for server in self.started_servers]
+        self.events.run_until(FIRST_REPLACEMENT_MS + REPLACEMENT_INTERVAL_MS + self.case.policy.warmup_ms)
+        loads = [server.warmup_load for server in self.started_servers]
         return EmulationResult(loads, self.requests, self.served_in_time)
 
     # Implementation of `node_model.Environment`
@@ -83,11 +87,13 @@
         self.rng.choices(self.nodes, self._weights)[0].receive_request()
         self.events.call_after(self._draw_interval_ms(), self._send_request)
 
-    def _replace_servers(self, step: int) -> None:
+    def _replace_servers(self, replacement: int) -> None:
         """Replaces some servers; each node is notified after its own delay."""
-        count = self.case.servers_per_step
-        old = self._servers[count * step : count * (step + 1)]
-        new = [ServerModel(f"t{step}.{index}", self.events.now_ms, self.case) for index in range(count)]
+        count = self.case.servers_per_replacement
+        old = self._servers[count * replacement : count * (replacement + 1)]
+        new = [
+            ServerModel(f"t{replacement}.{index}", self.events.now_ms, self.case) for index in range(count)
+        ]
         self.started_servers += new
         for server in old:
             server.state = EndpointState.GONE
--- a/onyxpost/simulation/slow_start/measure.py
+++ b/onyxpost/simulation/slow_start/measure.py
@@ -61,8 +61,8 @@
 
 
 def format_row(name: str, results: Sequence[EmulationResult]) -> str:
-    """Returns a row of the table; the ratios are those of `WarmUpLoad`."""
-    loads = sorted(load for result in results for load in result.warm_up_loads)
+    """Returns a row of the table; the ratios are those of `WarmupLoad`."""
+    loads = sorted(load for result in results for load in result.warmup_loads)
     high_ratio = loads[int(HIGH_QUANTILE * (len(loads) - 1))].ratio
     median_ratio = loads[len(loads) // 2].ratio
     overloaded = sum(load.is_overloaded for load in loads)
@@ -79,13 +79,13 @@
     parser.add_argument("--nodes", type=int, nargs="+", default=NODE_COUNTS)
     parser.add_argument("--starts", type=int, default=1000)
     parser.add_argument("--jobs", type=int, default=2)
-    parser.add_argument("--only", default="", help="rows whose names hold this")
+    parser.add_argument("--only", default="", help="print only rows whose names contain this text")
     options = parser.parse_args()
     print(HEADER)
     with ProcessPoolExecutor(options.jobs) as pool:
         for name, case in named_cases(options.nodes):
             if options.only in name:
-                emulations = -(-options.starts // (REPLACEMENTS * case.servers_per_step))
+                emulations = -(-options.starts // (REPLACEMENTS * case.servers_per_replacement))
                 jobs = [Job(case, seed) for seed in range(emulations)]
                 print(format_row(name, list(pool.map(run_job, jobs))), flush=True)
 
--- a/onyxpost/simulation/slow_start/server_model.py
+++ b/onyxpost/simulation/slow_start/server_model.py
@@ -15,7 +15,7 @@
 NETWORK_DELAY_MS = 20.0
 
 
-class WarmUpLoad(NamedTuple):
+class WarmupLoad(NamedTuple):
     """Load of a server in its worst window; N is the number of requests that it can serve in the window.
 
     Attributes:
@@ -35,7 +35,7 @@
         started_at_ms: Time of its start; 0 for a server that is warm from the beginning.
         state: State of the endpoint, as discovery reports it.
         arrivals_ms: Arrival times of the requests in the current window, during warmup only.
-        warm_up_load: Load in the worst window so far.
+        warmup_load: Load in the worst window so far.
     """
 
     def __init__(self, server_id: str, started_at_ms: float, case: SlowStartCase) -> None:
@@ -43,7 +43,7 @@
         self.started_at_ms = started_at_ms
         self.state = EndpointState.READY
         self.arrivals_ms: list[float] = []
-        self.warm_up_load = WarmUpLoad(0.0, is_overloaded=False)
+        self.warmup_load = WarmupLoad(0.0, is_overloaded=False)
         self._case = case
         self._idle_at_ms = 0.0
 
@@ -65,11 +65,11 @@
         if self.started_at_ms:
             warmup_fraction = min(1.0, max(policy.initial_fraction, age_ms / policy.warmup_ms))
             if age_ms < policy.warmup_ms:
-                self._count(now_ms, warmup_fraction)
+                self._record_arrival(now_ms, warmup_fraction)
         self._idle_at_ms = max(now_ms, self._idle_at_ms) + work_ms / warmup_fraction
         return self._idle_at_ms + NETWORK_DELAY_MS
 
-    def _count(self, now_ms: float, warmup_fraction: float) -> None:
+    def _record_arrival(self, now_ms: float, warmup_fraction: float) -> None:
         policy = self._case.policy
         window_ms = policy.overload_window_ms
         self.arrivals_ms = [at_ms for at_ms in self.arrivals_ms if at_ms > now_ms - window_ms]
@@ -79,5 +79,5 @@
         capacity = rate * window_ms / MS_PER_SECOND
         ratio = received / (capacity + 2.0 * sqrt(capacity) + 2.0)
         is_overloaded = received > capacity + 3.0 * sqrt(capacity) + 3.0
-        worst = self.warm_up_load
-        self.warm_up_load = WarmUpLoad(max(worst.ratio, ratio), worst.is_overloaded or is_overloaded)
+        worst = self.warmup_load
+        self.warmup_load = WarmupLoad(max(worst.ratio, ratio), worst.is_overloaded or is_overloaded)
--- a/onyxpost/simulation/stub_upstreams/environment.py
+++ b/onyxpost/simulation/stub_upstreams/environment.py
@@ -73,9 +73,9 @@
         server = self.servers[fault.server]
         match fault.kind:
             case StubFaultKind.SLOW:
-                usual_latency_ms = server.latency_ms
+                previous_latency_ms = server.latency_ms
                 server.latency_ms = fault.latency_ms
-                self._call_at_end(fault, setattr, server, "latency_ms", usual_latency_ms)
+                self._call_at_end(fault, setattr, server, "latency_ms", previous_latency_ms)
             case StubFaultKind.MALFORMED_RESPONSES:
                 server.malformations += [*Malformation]
             case StubFaultKind.DISCOVERY_SILENT:
--- a/tests/simulation/slow_start/test_emulation.py
+++ b/tests/simulation/slow_start/test_emulation.py
@@ -33,7 +33,7 @@
     server: ServerModel, count: int, is_above_two_deviations: bool, is_overloaded: bool
 ) -> None:
     receive(server, count)
-    assert (server.warm_up_load.ratio > 1.0, server.warm_up_load.is_overloaded) == (
+    assert (server.warmup_load.ratio > 1.0, server.warmup_load.is_overloaded) == (
         is_above_two_deviations,
         is_overloaded,
     )
@@ -50,14 +50,14 @@
     first = run_job(Job(case, 1))
     assert first == run_job(Job(case, 1))
     assert first != run_job(Job(case, 2))
-    assert len(first.warm_up_loads) == 2
+    assert len(first.warmup_loads) == 2
 
 
 def test_restarts_with_half_of_the_nodes_running_overload_no_server() -> None:
     case = SlowStartCase(12, servers=6, restarted_fraction=0.5, running_fraction=0.5)
     emulation = SlowStartEmulation(case, 3)
     result = emulation.run()
-    loads = result.warm_up_loads
+    loads = result.warmup_loads
     assert len(emulation.nodes) == 6
     assert any(node.incarnation > 1 for node in emulation.nodes)
     assert len(loads) == 4
