--- a/tests/simulation/load/test_load_generator.py
+++ b/tests/simulation/load/test_load_generator.py
@@ -1,4 +1,4 @@
-"""The load generator against servers on loopback whose answers are known."""
+"""The load generator sends requests to servers on loopback with known latencies and answers."""
 
 import asyncio
 import contextlib
@@ -13,20 +13,24 @@
 from onyxpost.simulation.load import LoadGenerator, LoadOptions, check_options, require_loopback
 from tests.edge.harness import UPSTREAM_ANSWER, StubAppServer, node_fields
 
-pytestmark = pytest.mark.xdist_group("quiet")  # measures time: not beside tests that fill sockets
+pytestmark = pytest.mark.xdist_group("quiet")  # measures time; socket-heavy tests would disturb it
 
 STALL_SECONDS = 0.3
 VALID_OPTIONS = LoadOptions(rate=10.0, seconds=10.0, customers=3, connections=10, seed=1)
 
 
-def patient_deployment(*frontends: str) -> Deployment:
-    """A deployment whose clients wait long, however busy the machine is; with these frontends, or all."""
+def deployment_with_long_timeouts(*names: str) -> Deployment:
+    """Returns a deployment with the named frontends, or all, whose client timeouts outlast a busy machine."""
     deployment = config.decode(node_fields()).deployment
-    chosen = [each for each in deployment.frontends if not frontends or each.name in frontends]
-    return replace(deployment, frontends=[replace(each, client_timeout_ms=30_000.0) for each in chosen])
+    frontends = [frontend for frontend in deployment.frontends if not names or frontend.name in names]
+    return replace(
+        deployment, frontends=[replace(frontend, client_timeout_ms=30_000.0) for frontend in frontends]
+    )
 
 
-def test_a_stall_shows_in_the_latency_of_every_request_that_it_held_up() -> None:
+def test_a_stall_is_visible_in_the_latency_of_every_request_that_it_delayed() -> None:
+    """Guards against coordinated omission, where a latency is measured only from the time of sending."""
+
     async def answer_late_once(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         stall_seconds = STALL_SECONDS
         with contextlib.suppress(asyncio.IncompleteReadError):
@@ -39,7 +43,7 @@
         server = await asyncio.start_server(answer_late_once, "127.0.0.1", 0)
         options = LoadOptions(rate=100.0, seconds=0.4, customers=3, connections=1, seed=7)
         address = server.sockets[0].getsockname()
-        results = await LoadGenerator(address, patient_deployment("check"), options).run()
+        results = await LoadGenerator(address, deployment_with_long_timeouts("check"), options).run()
         server.close()
         assert results.outcomes["passed"] > 20
         assert results.latencies_us["all"].get_value_at_percentile(50) > 100_000
@@ -48,7 +52,7 @@
     asyncio.run(scenario())
 
 
-def test_each_kind_of_answer_is_an_outcome_of_its_own() -> None:
+def test_each_kind_of_answer_has_its_own_outcome() -> None:
     rejection = b"HTTP/1.1 429 No\r\nContent-Length: 0\r\n\r\n"
     answers = [
         (UPSTREAM_ANSWER, False),
@@ -60,7 +64,7 @@
 
     async def scenario() -> None:
         async with StubAppServer(*answers * 100) as server:
-            results = await LoadGenerator(server.address, patient_deployment(), options).run()
+            results = await LoadGenerator(server.address, deployment_with_long_timeouts(), options).run()
         assert set(results.outcomes) == {"passed", "denied", "aborted", "cut"}
         lines = results.to_lines(options)
         assert [lines[0]["kind"], lines[-1]["kind"]] == ["load", "total"]
--- a/tests/simulation/slow_start/test_emulation.py
+++ b/tests/simulation/slow_start/test_emulation.py
@@ -1,4 +1,4 @@
-"""What the emulation of slow start counts, and that equal seeds give equal results."""
+"""The slow-start emulation measures the load of servers during warmup; equal seeds give equal results."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def server() -> ServerModel:
-    """A server in slow start that can do nine requests in a window: limits of 17 and of 21 requests."""
+    """A server in slow start that can serve nine requests in a window; its limits are 17 and 21 requests."""
     policy = SlowStartPolicy(0.2, 10_000.0, 2.0, WINDOW_MS)
     return ServerModel("s", NOW_MS, SlowStartCase(1, requests_per_second=22.5, policy=policy))
 
@@ -62,5 +62,5 @@
     assert any(node.incarnation > 1 for node in emulation.nodes)
     assert len(loads) == 4
     assert not [load for load in loads if load.ratio > 1.0 or load.is_overloaded]
-    assert min(load.ratio for load in loads) > 0.0  # each was sent something
+    assert min(load.ratio for load in loads) > 0.0  # every new server received requests
     assert "| 4 | 0 | 0 |" in format_row("small", [result])
--- a/tests/simulation/stub_upstreams/test_environment.py
+++ b/tests/simulation/stub_upstreams/test_environment.py
@@ -1,4 +1,4 @@
-"""A node before stub app servers with faults, under load; everything runs in one event loop."""
+"""A node under load answers in time while its stub app servers have faults; all share one event loop."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
     from onyxpost.node.node_config import NodeConfig
     from onyxpost.simulation.load import LoadResults
 
-pytestmark = pytest.mark.xdist_group("quiet")  # measures time: not beside tests that fill sockets
+pytestmark = pytest.mark.xdist_group("quiet")  # measures time; socket-heavy tests would disturb it
 
-FAULTS = ("hang", "drain", "spoil", "slow", "crash")  # one for each server, a tenth of a second apart
-ANSWER_GRACE_MS = 250.0  # past a client's timeout, on a machine that stalls nothing
-LONG_GRACE_MS = 60_000.0
+FAULTS = ("hang", "drain", "spoil", "slow", "crash")  # of servers 0 to 4, starting 0.1 s apart
+ANSWER_GRACE_MS = 250.0  # allowed after a client's timeout, in addition to stalls of the event loop
+LONG_GRACE_MS = 60_000.0  # for the load generator, which then records the latency of late answers
 SAMPLE_SECONDS = 0.005
-MIN_STALL_MS = 20.0  # shorter delays of a timer are within the grace
+MIN_STALL_MS = 20.0  # shorter timer delays are covered by `ANSWER_GRACE_MS`
 
 
 class StallMeter:
-    """Measures how long the event loop was held up, by this process or by others on the machine."""
+    """Measures for how long the event loop was delayed, by this process or by others on the machine."""
 
     def __init__(self) -> None:
         self.stalled_ms = 0.0
@@ -64,7 +64,7 @@
 
 @contextlib.asynccontextmanager
 async def running_node(node_config: NodeConfig) -> AsyncIterator[Address]:
-    """Runs a node in this event loop; gives its address."""
+    """Runs a node in this event loop; yields its address."""
     node = EdgeNode(node_config, StructuredLog("n0", out=io.StringIO()), lambda: node_config)
     task = asyncio.create_task(node.run())
     while not node.is_ready():
@@ -78,18 +78,19 @@
         node.close()
 
 
-async def send_load(address: Address, deployment: Deployment, frontend: str) -> LoadResults:
-    """Sends half of the load, to one frontend; whatever is answered late is still counted."""
-    frontends = [each for each in deployment.frontends if each.name == frontend]
+async def send_load(address: Address, deployment: Deployment, frontend_name: str) -> LoadResults:
+    """Sends the load of one frontend; late answers are recorded with their latencies and outcomes."""
+    frontends = [frontend for frontend in deployment.frontends if frontend.name == frontend_name]
     options = LoadOptions(rate=40.0, seconds=1.2, customers=9, connections=25, seed=3)
     generator = LoadGenerator(address, replace(deployment, frontends=frontends), options, LONG_GRACE_MS)
     return await generator.run()
 
 
 def test_every_request_is_answered_in_time_while_servers_fail(tmp_path: Path) -> None:
-    """In time: within the client's timeout, a grace, and the time for which the event loop was stalled.
+    """Guards against requests that outlast the client's timeout when a server hangs, drains or crashes.
 
-    The node, the servers and the clients share this event loop, so its stalls delay each of their timers.
+    The limit is the timeout, a grace, and the time for which the event loop was stalled. The node, the
+    servers and the clients share this event loop, so that a stall delays each of their timers.
     """
 
     async def scenario() -> None:
@@ -100,20 +101,20 @@
         write_node_file(tmp_path / "example.json", tmp_path / "node.json", environment)
         node_config = config.decode(json.loads((tmp_path / "node.json").read_text()))
         deployment = node_config.deployment
-        timeouts_ms = {each.name: each.client_timeout_ms for each in deployment.frontends}
-        meter = StallMeter()
+        timeouts_ms = {frontend.name: frontend.client_timeout_ms for frontend in deployment.frontends}
+        stall_meter = StallMeter()
         async with running_node(node_config) as address:
             environment.schedule_faults(
                 read_fault_script(tmp_path / "faults.toml", len(FAULTS)), lambda line: None
             )
-            metering = asyncio.create_task(meter.run())
+            metering = asyncio.create_task(stall_meter.run())
             loads = [send_load(address, deployment, frontend) for frontend in timeouts_ms]
             all_results = await asyncio.gather(*loads)
             metering.cancel()
         for timeout_ms, results in zip(timeouts_ms.values(), all_results, strict=True):
             assert set(results.outcomes) <= {"passed", "denied", "aborted"}
             longest_ms = results.latencies_us["all"].get_value_at_percentile(100) / 1000.0
-            assert longest_ms <= timeout_ms + ANSWER_GRACE_MS + meter.stalled_ms
+            assert longest_ms <= timeout_ms + ANSWER_GRACE_MS + stall_meter.stalled_ms
         assert sum(results.outcomes["passed"] for results in all_results) > 0
         assert sorted(server.incarnation for server in environment.servers) == [0, 0, 0, 1, 1]
 
--- a/tests/simulation/stub_upstreams/test_fault_script.py
+++ b/tests/simulation/stub_upstreams/test_fault_script.py
@@ -1,4 +1,4 @@
-"""Files of faults that do not have the form are rejected with the place of the error."""
+"""Invalid fault scripts are rejected with the path of the invalid key."""
 
 from pathlib import Path
 
--- a/tests/simulation/test_commands.py
+++ b/tests/simulation/test_commands.py
@@ -1,4 +1,4 @@
-"""The commands of the simulation: today's names, and the old spellings that go on working."""
+"""Simulation commands work by their current names, and by deprecated spellings with a warning."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 
 def help_names(output: str) -> set[str]:
-    """The commands and options that a help text lists: the first words of its indented rows."""
+    """Returns the commands and options that a help text lists: the first two words of its indented rows."""
     rows = [line.strip() for line in output.splitlines() if line.startswith("  ")]
     return {name.strip(",") for row in rows for name in row.split()[:2]}
 
 
-def test_the_group_has_the_commands_of_todays_spelling_and_no_other() -> None:
+def test_the_group_has_exactly_the_current_commands() -> None:
     assert sorted(simulate.commands) == sorted(COMMANDS)
 
 
@@ -76,15 +76,15 @@
         ),
     ],
 )
-def test_an_old_spelling_works_and_is_announced_once_on_standard_error(
+def test_a_deprecated_spelling_works_with_one_warning_on_standard_error(
     arguments: str, old: str, current: str
 ) -> None:
     result = invoke(arguments)
     assert result.exit_code == 0
     assert result.stderr == f"onyxpost: '{old}' {DEPRECATED} '{current}'\n"
     assert DEPRECATED not in result.stdout
-    todays = invoke(" ".join(parse_simulation_command(arguments.split()).argv))
-    assert (todays.stdout, todays.stderr) == (result.stdout, "")
+    current_result = invoke(" ".join(parse_simulation_command(arguments.split()).argv))
+    assert (current_result.stdout, current_result.stderr) == (result.stdout, "")
 
 
 @pytest.mark.parametrize(
@@ -96,17 +96,17 @@
         ("lab rig edge-cuts --plant no-such", "'no-such'"),
     ],
 )
-def test_the_announcement_is_the_first_line_of_a_refused_command(arguments: str, error: str) -> None:
+def test_the_deprecation_warning_is_the_first_line_of_a_rejected_command(arguments: str, error: str) -> None:
     result = invoke(arguments)
     assert result.exit_code == 2
-    announced, *refusal = result.stderr.splitlines()
-    assert DEPRECATED in announced
+    warning, *refusal = result.stderr.splitlines()
+    assert DEPRECATED in warning
     assert error in "\n".join(refusal)
     assert DEPRECATED not in "\n".join(refusal)
     assert result.stdout == ""
 
 
-def test_the_old_option_injects_the_mutation_and_its_results_are_those_of_the_current_one(
+def test_the_deprecated_option_injects_the_mutation_with_the_same_results_as_the_current_one(
     tmp_path: Path,
 ) -> None:
     written = []
@@ -118,7 +118,7 @@
     assert written[0] == written[1]
 
 
-def test_a_process_announces_an_old_spelling_once_whatever_its_number_of_processes(tmp_path: Path) -> None:
+def test_a_command_with_several_processes_warns_of_a_deprecated_spelling_once(tmp_path: Path) -> None:
     arguments = ["lab", "seeds", "--seeds", "1-2", "--jobs", "2", "--out", str(tmp_path / "out.jsonl")]
     result = subprocess.run(
         [sys.executable, "-m", "onyxpost", *arguments],
@@ -146,28 +146,28 @@
     assert names.isdisjoint(CURRENT_OPTIONS)
 
 
-def test_arguments_that_are_no_names_keep_their_spelling() -> None:
+def test_arguments_that_are_not_command_or_option_names_are_unchanged() -> None:
     command = parse_simulation_command(["simulate", "stubs", "rig", "--plant", "lab"])
     assert command.argv == ["simulate", "stubs", "rig", "--plant", "lab"]
     assert command.names == [Spelling("simulate", "simulate"), Spelling("stubs", "stubs")]
 
 
-def test_what_follows_the_end_of_options_keeps_its_spelling() -> None:
+def test_arguments_after_the_end_of_options_are_unchanged() -> None:
     command = parse_simulation_command(["lab", "rig", "--plant", "x", "--", "--plant"])
     assert command.argv == ["simulate", "processes", "--mutation", "x", "--", "--plant"]
 
 
-def announcing_command(spellings: list[tuple[str, str]]) -> Callable[[], None]:
-    def announce() -> None:
+def warning_callback(spellings: list[tuple[str, str]]) -> Callable[[], None]:
+    def warn() -> None:
         for old, new in spellings:
             warn_deprecated(old, new)
 
-    return announce
+    return warn
 
 
-def test_a_command_announces_the_first_of_several_old_spellings_alone() -> None:
-    command = click.Command("any", callback=announcing_command([("a", "b"), ("a", "b"), ("c", "d")]))
-    for _ in range(2):  # each command anew
+def test_a_command_warns_only_of_the_first_of_several_deprecated_spellings() -> None:
+    command = click.Command("any", callback=warning_callback([("a", "b"), ("a", "b"), ("c", "d")]))
+    for _ in range(2):  # each run of a command warns again
         assert CliRunner().invoke(command).stderr == "onyxpost: 'a' is deprecated, use 'b'\n"
 
 
@@ -175,19 +175,19 @@
     ("violated", "was_interrupted", "code"),
     [(False, False, 0), (True, False, 1), (False, True, 130), (True, True, 130)],
 )
-def test_an_interrupt_decides_the_exit_code_before_violations(
+def test_an_interrupt_takes_precedence_over_violations_in_the_exit_code(
     violated: bool, was_interrupted: bool, code: int
 ) -> None:
     assert exit_code(violated=violated, was_interrupted=was_interrupted) == code
 
 
-def test_an_interrupt_ends_the_context_without_an_exception_and_is_remembered() -> None:
+def test_an_interrupt_is_suppressed_and_remembered() -> None:
     with InterruptCatcher() as interrupt:
         raise KeyboardInterrupt
     assert interrupt.was_interrupted
 
 
-def test_another_exception_leaves_the_context() -> None:
+def test_another_exception_is_not_suppressed() -> None:
     interrupt = InterruptCatcher()
     with pytest.raises(ValueError, match="bug"), interrupt:
         raise ValueError("bug")
@@ -203,7 +203,7 @@
     assert capsys.readouterr().out == line * 2
 
 
-def test_an_interrupt_that_a_lock_turns_into_another_error_still_counts_as_one() -> None:
+def test_an_interrupt_that_a_lock_replaces_by_another_error_is_recognized() -> None:
     with InterruptCatcher() as interrupt:
         try:
             raise KeyboardInterrupt
@@ -212,6 +212,6 @@
     assert interrupt.was_interrupted
 
 
-def test_an_error_without_an_interrupt_is_not_caught() -> None:
+def test_an_error_without_an_interrupt_is_not_suppressed() -> None:
     with pytest.raises(RuntimeError), InterruptCatcher():
         raise RuntimeError("any other")
--- a/tests/simulation/test_demo.py
+++ b/tests/simulation/test_demo.py
@@ -1,4 +1,4 @@
-"""The demonstration that the README promises, as a newcomer runs it, and before servers that fail."""
+"""The demonstration of the README succeeds as a command, reports failed requests, and stops its node."""
 
 import asyncio
 import os
@@ -13,7 +13,7 @@
 from onyxpost.simulation.stub_upstreams import StubEnvironment
 from onyxpost.simulation.stubs import ServerBehavior
 
-pytestmark = pytest.mark.xdist_group("quiet")  # a process of its own, and a quota that fills meanwhile
+pytestmark = pytest.mark.xdist_group("quiet")  # starts a process; in a slow run the quota would refill
 
 COMMAND = [sys.executable, "-m", "onyxpost.simulation.demo"]
 
@@ -30,7 +30,7 @@
     return False
 
 
-def test_requests_pass_one_over_its_quota_is_rejected_and_no_process_is_left() -> None:
+def test_only_the_request_over_its_quota_is_rejected_and_no_process_is_left() -> None:
     finished = subprocess.run(
         COMMAND,
         capture_output=True,
@@ -49,7 +49,7 @@
     assert is_connection_refused(node_port(lines[0]))
 
 
-def test_a_request_that_does_not_pass_is_reported() -> None:
+def test_a_failed_request_is_reported() -> None:
     environment = StubEnvironment(1, 5.0, 0, ANY_PORT)
     environment.servers[0].behavior = ServerBehavior.FAIL
     lines: list[str] = []
@@ -57,7 +57,7 @@
     assert lines[-1] == "a request was not answered as expected: see above"
 
 
-def test_a_demonstration_that_is_terminated_ends_its_node() -> None:
+def test_a_terminated_demonstration_stops_its_node() -> None:
     with subprocess.Popen(COMMAND, stdout=subprocess.PIPE, text=True) as running:
         assert running.stdout is not None
         port = node_port(running.stdout.readline())
--- a/tests/simulation/test_free_ports.py
+++ b/tests/simulation/test_free_ports.py
@@ -1,4 +1,4 @@
-"""Ports that are free, and stay so while a process that uses one is down."""
+"""Free ports can be bound; restartable ports lie outside the range that clients are assigned."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         bound.bind((LOOPBACK, ports[0]))
 
 
-def test_restartable_ports_differ_and_are_below_those_of_clients() -> None:
+def test_restartable_ports_differ_and_are_below_the_ephemeral_ports() -> None:
     ports = find_restartable_ports(20, Random(1))
     assert len(set(ports)) == 20
     first, last = RESTARTABLE_PORTS
--- a/tests/simulation/test_open_loop.py
+++ b/tests/simulation/test_open_loop.py
@@ -1,4 +1,4 @@
-"""Arrivals of open-loop load do not wait for earlier requests."""
+"""Arrivals of open-loop load depend only on the seed, rate and duration, not on earlier requests."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     while due_seconds < 0.5:
         expected += 1
         due_seconds += rng.expovariate(100.0)
-    late_clock = 1.0  # each arrival is due at once
-    arrivals = [number async for number in poisson_arrivals(Random(7), 100.0, 0.5, lambda: late_clock)]
+    now_seconds = 1.0  # after the end of the run, so that no arrival has to be waited for
+    arrivals = [number async for number in poisson_arrivals(Random(7), 100.0, 0.5, lambda: now_seconds)]
     assert arrivals == list(range(1, expected + 1))
 
 
--- a/tests/simulation/test_process_group.py
+++ b/tests/simulation/test_process_group.py
@@ -1,4 +1,4 @@
-"""Processes are started with logs of their own, signalled, and ended by their id."""
+"""Processes are started with log files, paused, killed and terminated, and their changes are reported."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-pytestmark = pytest.mark.xdist_group("quiet")  # starts processes: not beside what measures time
+pytestmark = pytest.mark.xdist_group("quiet")  # starts processes, which would disturb tests that measure time
 
 SLEEP = ["-c", "import time; print('started', flush=True); time.sleep(60)"]
 PRINT = ["-c", "import os, sys; print(os.environ['NAME']); print('error', file=sys.stderr)"]
 
 
 async def wait_for_end(group: ProcessGroup, name: str) -> None:
-    """Waits until the process has ended by itself."""
+    """Waits until the process has exited without a signal."""
     await asyncio.wait_for(group.processes[name].wait(), 20.0)
 
 
