--- a/onyxpost/simulation/cli_deterministic.py
+++ b/onyxpost/simulation/cli_deterministic.py
@@ -22,7 +22,7 @@
     from onyxpost.simulation.invariants import Violation
 
 MAX_PRINTED_SEEDS = 5
-MAX_PRINTED_VIOLATIONS = 3  # of one seed
+MAX_PRINTED_VIOLATIONS = 3  # for each failed seed
 
 
 class DeterministicOptions(NamedTuple):
--- a/onyxpost/simulation/cli_discrete_event.py
+++ b/onyxpost/simulation/cli_discrete_event.py
@@ -21,7 +21,7 @@
     from onyxpost.simulation.discrete_event.policy_overrides import PolicyOverrides
     from onyxpost.simulation.discrete_event.scenario import Scenario
 
-MAX_PRINTED_VIOLATIONS = 3  # of one run
+MAX_PRINTED_VIOLATIONS = 3  # for each run
 
 
 class DiscreteEventOptions(NamedTuple):
--- a/onyxpost/simulation/mutations.py
+++ b/onyxpost/simulation/mutations.py
@@ -20,7 +20,7 @@
     from onyxpost.edge.state_machine import EdgeStateMachine
     from onyxpost.node.edge_node import EdgeNode
 
-NEVER_MS = 3_600_000.0
+NEVER_MS = 3_600_000.0  # a poll timeout longer than any run
 
 
 class Mutation(NamedTuple):
@@ -151,7 +151,7 @@
 
 
 def _never_repeat_silent_polls(node: EdgeNode) -> None:
-    """A discovery poll without an answer is not repeated, because its timeout is an hour."""
+    """A discovery poll without an answer is not repeated, because its timeout is longer than the run."""
     discovery = node.discovery
     start_watch = discovery.start_watch
 
--- a/onyxpost/simulation/report.py
+++ b/onyxpost/simulation/report.py
@@ -75,7 +75,7 @@
 
     @property
     def verdict(self) -> str:
-        """The difference of the means if the ranges do not overlap, otherwise a text."""
+        """The difference of the means, or a text that says that the ranges are equal or overlap."""
         if self.first == self.second:
             return "the same"
         if self.first.low <= self.second.high and self.second.low <= self.first.high:
--- a/onyxpost/simulation/results.py
+++ b/onyxpost/simulation/results.py
@@ -1,4 +1,4 @@
-"""Result files: JSON lines, each with the version of the format. A file is replaced atomically."""
+"""Result files: JSON lines, each with the version of the format. Files are written atomically."""
 
 from __future__ import annotations
 
--- a/onyxpost/simulation/slow_start/measure.py
+++ b/onyxpost/simulation/slow_start/measure.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
 
-# Counts a server as overloaded at 1.2 times its capacity. No operator's settings are this strict.
+# A server counts as overloaded at 1.2 times its capacity. No operator uses such settings yet.
 STRICT_POLICY = SlowStartPolicy(0.2, 10_000.0, 1.2, 1500.0)
 SITUATIONS: dict[str, dict[str, Any]] = {
     "calm": {},
--- a/onyxpost/simulation/slow_start/server_model.py
+++ b/onyxpost/simulation/slow_start/server_model.py
@@ -1,4 +1,7 @@
-"""A model of a server, which measures its load during warmup and, unlike a real server, never fails."""
+"""A model of a server, which measures its load during warmup.
+
+Unlike a real server it does not fail under overload.
+"""
 
 from __future__ import annotations
 
--- a/onyxpost/simulation/stubs/observer.py
+++ b/onyxpost/simulation/stubs/observer.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     import asyncio
 
-CELLS = 2
+CELLS = 2  # servers are assigned to cells by their index
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/simulation/test_commands.py
+++ b/tests/simulation/test_commands.py
@@ -195,11 +195,9 @@
 
 
 def test_violations_are_printed_in_lines_up_to_the_limit(capsys: pytest.CaptureFixture[str]) -> None:
-    violation = ViolationLine("drains", 826.0801, "n1", "t16", "s1-0", "sent 176 ms after it was told")
+    violation = ViolationLine("drains", 826.0801, "n1", "t16", "s1-0", "sent 176 ms after the drain")
     echo_violations([violation] * 3, 2)
-    line = (
-        "  drains violated at 826.080 ms: node n1, request t16, server s1-0: sent 176 ms after it was told\n"
-    )
+    line = "  drains violated at 826.080 ms: node n1, request t16, server s1-0: sent 176 ms after the drain\n"
     assert capsys.readouterr().out == line * 2
 
 
