--- a/onyxpost/simulation/cli_deterministic.py
+++ b/onyxpost/simulation/cli_deterministic.py
@@ -1,4 +1,4 @@
-"""The command `simulate deterministic`: seeds of scripted faults on whole edge nodes, on a virtual clock."""
+"""The command `simulate deterministic`: runs edge nodes on a virtual clock, with faults drawn from seeds."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     from onyxpost.simulation.invariants import Violation
 
 MAX_PRINTED_SEEDS = 5
-MAX_PRINTED_VIOLATIONS = 3  # of one seed
+MAX_PRINTED_VIOLATIONS = 3  # for each failed seed
 
 
 class DeterministicOptions(NamedTuple):
-    """The arguments of the command, as they were given."""
+    """The parsed arguments of the command."""
 
     seeds: str
     jobs: int
@@ -35,7 +35,7 @@
 
 
 class FinishedSeeds:
-    """The outcomes of all seeds that are finished, and sums over them."""
+    """The outcomes of the finished seeds, and totals over them."""
 
     def __init__(self) -> None:
         self.outcomes: list[Outcome] = []
@@ -49,7 +49,7 @@
         return [outcome for outcome in self.outcomes if outcome.failed]
 
     def summary(self) -> str:
-        """Returns the sums over all seeds in one line."""
+        """Returns the totals over the finished seeds in one line of text."""
         requests = sum(outcome.requests for outcome in self.outcomes)
         passed = sum(outcome.succeeded for outcome in self.outcomes)
         steps = sum(outcome.steps for outcome in self.outcomes)
@@ -67,18 +67,18 @@
 @report_operator_errors
 @pass_options(DeterministicOptions)
 def deterministic(options: DeterministicOptions) -> None:
-    """Run faults scripted from seeds on whole edge nodes under a virtual clock.
+    """Run edge nodes on a virtual clock, with faults drawn from seeds.
 
-    A failing seed is shrunk to the faults that it takes; run again it does the same. Exit 0: no invariant
-    violated. Exit 1: one was violated. Exit 2: something given cannot be used. Exit 130: interrupted; what
-    was finished is kept.
+    A failing seed is shrunk to the faults that are needed for the violation. Equal seeds give equal runs.
+    Exit 0: no invariant violated. Exit 1: an invariant was violated. Exit 2: invalid input. Exit 130:
+    interrupted; the results of finished seeds are kept.
     """
     from onyxpost.simulation import deterministic as simulation
     from onyxpost.simulation.seed_ranges import parse_seeds
 
     _check_mutation(options.mutation)
     seeds = parse_seeds(options.seeds)
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     finished = FinishedSeeds()
     with InterruptCatcher() as interrupt:
         for outcome in simulation.run_seeds(seeds, options.jobs, options.mutation):
@@ -88,13 +88,13 @@
     failed = finished.failed()
     for outcome in failed[:MAX_PRINTED_SEEDS]:
         _echo_failed_seed(outcome, options.mutation)
-    seconds = time.perf_counter() - began
+    seconds = time.perf_counter() - started_at
     click.echo(f"{finished.summary()}; {seconds:.1f} s on {options.jobs} processes")
     sys.exit(exit_code(violated=bool(failed), was_interrupted=interrupt.was_interrupted))
 
 
 def _check_mutation(name: str) -> None:
-    """Raises InvalidOptionError unless there is a mutation of this name, or none is asked for."""
+    """Raises InvalidOptionError unless the name is that of a mutation or empty."""
     from onyxpost.simulation.mutations import MUTATIONS, current_name, is_mutation
 
     if not is_mutation(name):
@@ -105,11 +105,11 @@
 
 
 def _echo_failed_seed(outcome: Outcome, mutation: str) -> None:
-    """Prints the faults that a failed seed takes, and its first violations with only these."""
+    """Shrinks a failed seed; prints the faults that still violate an invariant, and the first violations."""
     from onyxpost.simulation.deterministic import shrink
 
     smallest = shrink(outcome, mutation)
-    click.echo(f"seed {outcome.seed}: {len(outcome.faults)} faults, {len(smallest.faults)} of them needed")
+    click.echo(f"seed {outcome.seed}: {len(outcome.faults)} faults, {len(smallest.faults)} needed to fail")
     for fault in smallest.faults:
         click.echo(
             f"  at {fault.at_seconds:.4f} s  {fault.kind} {fault.target} for {fault.duration_seconds} s"
--- a/onyxpost/simulation/cli_discrete_event.py
+++ b/onyxpost/simulation/cli_discrete_event.py
@@ -1,4 +1,4 @@
-"""The command `simulate discrete-event`: many seeds of some scenarios in the discrete-event simulation."""
+"""The command `simulate discrete-event`: discrete-event simulation of scenarios, one run per seed."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     from onyxpost.simulation.discrete_event.policy_overrides import PolicyOverrides
     from onyxpost.simulation.discrete_event.scenario import Scenario
 
-MAX_PRINTED_VIOLATIONS = 3  # of one run
+MAX_PRINTED_VIOLATIONS = 3  # for each run
 
 
 class DiscreteEventOptions(NamedTuple):
-    """The arguments of the command, as they were given."""
+    """The parsed arguments of the command."""
 
     scenario: tuple[str, ...]
     seeds: str
@@ -37,7 +37,7 @@
 
 
 class Batch(NamedTuple):
-    """Scenarios, and the seeds and overridden constants with which each of them is run."""
+    """The scenarios to run, with the seeds and overridden policy constants for each of them."""
 
     scenarios: list[Scenario]
     seeds: list[int]
@@ -46,7 +46,7 @@
 
 
 class BatchResults:
-    """Results of the runs that are finished: their lines, and sums of their totals."""
+    """The encoded result lines of the finished runs, with their total numbers of violations and events."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -54,7 +54,7 @@
         self.events = 0
 
     def add(self, data: bytes) -> None:
-        """Adds the lines of one run, whose last is its totals."""
+        """Adds the encoded lines of one run; the last line holds its totals."""
         total = results.decode_totals(data)
         self.data += data
         self.violations += total["breaches"]
@@ -64,36 +64,36 @@
 @click.command("discrete-event")
 @click.argument("scenario", nargs=-1, required=True)
 @click.option("--seeds", default="1", show_default=True, help=SEEDS_HELP)
-@click.option("--nodes", type=int, help="Edge nodes, in place of the scenario's.")
-@click.option("--servers", type=int, help="App servers, in place of the scenario's.")
+@click.option("--nodes", type=int, help="Number of edge nodes; overrides the scenario.")
+@click.option("--servers", type=int, help="Number of app servers; overrides the scenario.")
 @seconds_out_option
 @jobs_option
 @click.option(
     "--with",
     "overrides",
     multiple=True,
-    help="Run with another value of a policy's constant, as in LatencyLoadShedder.PERIOD_MS=250.",
+    help="Override a constant of a policy, as in LatencyLoadShedder.PERIOD_MS=250.",
 )
 @report_operator_errors
 @pass_options(DiscreteEventOptions)
 def discrete_event(options: DiscreteEventOptions) -> None:
     """Run SCENARIO (a TOML file, or the name of a shipped one) in the discrete-event simulation.
 
-    Exit 0: run, no invariant violated. Exit 1: an invariant was violated. Exit 2: something given cannot be
-    used. Exit 130: interrupted; what was finished is kept.
+    Exit 0: no invariant violated. Exit 1: an invariant was violated. Exit 2: invalid input. Exit 130:
+    interrupted; the results of finished runs are kept.
     """
     batch = _create_batch(options)
     finished = BatchResults()
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     with InterruptCatcher() as interrupt:
         for scenario in batch.scenarios:
             _run_scenario(scenario, batch, finished)
     if options.out is not None and finished.data:
         results.write(options.out, finished.data)
-    events_per_second = finished.events / (time.perf_counter() - began)
-    click.echo(f"{events_per_second:.0f} events a second", err=True)
+    events_per_second = finished.events / (time.perf_counter() - started_at)
+    click.echo(f"{events_per_second:.0f} events per second", err=True)
     if interrupt.was_interrupted:
-        kept = "what was finished is kept" if finished.data else "nothing was finished"
+        kept = "the results of finished runs are kept" if finished.data else "no run was finished"
         click.echo(f"interrupted: {kept}", err=True)
     sys.exit(exit_code(violated=finished.violations > 0, was_interrupted=interrupt.was_interrupted))
 
@@ -104,15 +104,15 @@
 
     seeds = parse_seeds(options.seeds)
     overrides = parse_overrides(options.overrides)
-    chosen = [
+    scenarios = [
         scenario_files.resize_scenario(scenario_files.load_scenario(name), options.nodes, options.servers)
         for name in options.scenario
     ]
-    return Batch(chosen, seeds, overrides, options.jobs)
+    return Batch(scenarios, seeds, overrides, options.jobs)
 
 
 def _run_scenario(scenario: Scenario, batch: Batch, finished: BatchResults) -> None:
-    """Runs all seeds of one scenario; adds and prints each as it is finished."""
+    """Runs all seeds of one scenario; adds and prints the results of each run once it has finished."""
     from onyxpost.simulation.discrete_event.batch import run_seeds
 
     for seed, data, seconds in run_seeds(scenario, batch.seeds, batch.jobs, batch.overrides):
--- a/onyxpost/simulation/cli_options.py
+++ b/onyxpost/simulation/cli_options.py
@@ -1,4 +1,4 @@
-"""Options that several commands of the simulation share; a command receives its options as one value."""
+"""Options that several simulation commands share, and a decorator that passes options as one value."""
 
 from __future__ import annotations
 
@@ -22,10 +22,16 @@
 FOLDER = click.Path(file_okay=False, path_type=Path)
 
 jobs_option = click.option(
-    "--jobs", type=click.IntRange(1, MAX_JOBS), default=DEFAULT_JOBS, show_default=True, help="Processes."
+    "--jobs",
+    type=click.IntRange(1, MAX_JOBS),
+    default=DEFAULT_JOBS,
+    show_default=True,
+    help="Number of processes.",
 )
-seconds_out_option = click.option("--out", type=FILE, help="JSON lines with all seconds.")
-seeds_out_option = click.option("--out", type=FILE, help="JSON lines, a seed each.")
+seconds_out_option = click.option(
+    "--out", type=FILE, help="Result file: JSON lines with the figures of each second."
+)
+seeds_out_option = click.option("--out", type=FILE, help="Result file: JSON lines, one for each seed.")
 
 Options = TypeVar("Options")
 
@@ -33,13 +39,13 @@
 def pass_options(
     options_type: Callable[..., Options],
 ) -> Callable[[Callable[[Options], None]], Callable[..., None]]:
-    """Decorates a command that takes its options as one typed value, made of all of them by their names."""
+    """Decorates a command that takes one value of `options_type`, built from its options by keyword."""
 
     def decorate(command: Callable[[Options], None]) -> Callable[..., None]:
         @wraps(command)
-        def command_of_parameters(**parameters: object) -> None:
+        def command_with_parameters(**parameters: object) -> None:
             command(options_type(**parameters))
 
-        return command_of_parameters
+        return command_with_parameters
 
     return decorate
--- a/onyxpost/simulation/rollout_analysis/measure.py
+++ b/onyxpost/simulation/rollout_analysis/measure.py
@@ -1,6 +1,6 @@
-"""Measures the analysis on emulated clusters: `python -m onyxpost.simulation.rollout_analysis.measure`.
+"""Measures rollout analysis on emulated clusters: `python -m onyxpost.simulation.rollout_analysis.measure`.
 
-Prints the tables of docs/rollouts-analysis.md. All of them take about an hour on two cores.
+Prints the tables of docs/rollouts-analysis.md. Measuring all of them takes about an hour on two cores.
 """
 
 from __future__ import annotations
@@ -29,14 +29,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Stage:
-    """A stage: its part of the nodes, at least one node, and the candidate's part of the requests."""
+    """A stage of a rollout: its share of the nodes, and the candidate's share of their requests.
+
+    A stage has at least one node.
+    """
 
     name: str
     node_share: float
     candidate_share: float
 
     def nodes(self, cluster_nodes: int) -> int:
-        """Returns the number of nodes of a cluster that are in the stage."""
+        """Returns the number of nodes in the stage, for a cluster of `cluster_nodes` nodes."""
         return max(1, int(cluster_nodes * self.node_share))
 
 
@@ -47,7 +50,7 @@
 STAGES = (ONE_NODE, TENTH, HALF, ALL)
 
 BURSTY = Scenario(40, bursty=True, cluster_size=5)
-HEALTHY = {
+HEALTHY_SCENARIOS = {
     "even": Scenario(40),
     "bursty": BURSTY,
     "bursty, outage": replace(BURSTY, outage=True),
@@ -66,14 +69,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutResult:
-    """Where a rollout of a healthy candidate halted (empty: nowhere), and whether half would advance."""
+    """Result of a rollout of a healthy candidate.
+
+    Attributes:
+        false_halt: stage and reason of a halt; empty if the rollout did not halt.
+        half_advances: whether the stage `HALF` would have advanced.
+    """
 
     false_halt: str
     half_advances: bool
 
 
 def run_rollout(scenario: Scenario, seed: int) -> RolloutResult:
-    """Runs all stages of a rollout whose candidate is no worse than control."""
+    """Runs the stages of a rollout whose candidate is no worse than control, up to a halt."""
     evidence = Evidence(Thresholds())
     half_advances = False
     for index, stage in enumerate(STAGES):
@@ -97,55 +105,55 @@
 
 
 def measure_regressions(cores: int) -> None:
-    """Prints how soon regressions are found, by size of the cluster and stage."""
+    """Prints how soon regressions halt a rollout, by regression, cluster size and stage."""
     with ProcessPoolExecutor(cores) as pool:
         print("| a regression of | nodes | stage | halted | requests of the candidate until then | s |")
         print("| --- | --- | --- | --- | --- | --- |", flush=True)
         for nodes, seeds in SEEDS_BY_CLUSTER.items():
             for stage in (ONE_NODE, TENTH, HALF):
                 if stage is ONE_NODE and nodes > SMALLEST_CLUSTER:
-                    continue  # one node is the same in each cluster
+                    continue  # the size of the cluster does not affect a stage of one node
                 for name, scenario in REGRESSIONS.items():
                     stage_scenario = replace(
                         scenario, nodes=stage.nodes(nodes), candidate_share=stage.candidate_share
                     )
                     results = list(pool.map(partial(run_stage, stage_scenario), range(seeds)))
-                    print(f"| {name} | {nodes} | {stage.name} | {_halts(results)} |", flush=True)
+                    print(f"| {name} | {nodes} | {stage.name} | {_format_halts(results)} |", flush=True)
 
 
-def measure_false_halts(kinds: Iterable[str], rollouts: int, cores: int) -> None:
-    """Prints how often rollouts of a healthy candidate halt, by kind of traffic."""
+def measure_false_halts(traffic_kinds: Iterable[str], rollouts: int, cores: int) -> None:
+    """Prints how often rollouts of a healthy candidate halt, by kinds of traffic in `HEALTHY_SCENARIOS`."""
     with ProcessPoolExecutor(cores) as pool:
         print("\n| traffic | rollouts | false halts | half would advance |")
         print("| --- | --- | --- | --- |", flush=True)
-        for kind in kinds:
-            run = partial(run_rollout, HEALTHY[kind])
+        for traffic in traffic_kinds:
+            run = partial(run_rollout, HEALTHY_SCENARIOS[traffic])
             results = list(pool.map(run, range(rollouts), chunksize=ROLLOUTS_PER_TASK))
             false_halts = [result.false_halt for result in results if result.false_halt]
             advancing = sum(result.half_advances for result in results)
-            print(f"| {kind} | {rollouts} | {len(false_halts)} | {advancing} |", flush=True)
+            print(f"| {traffic} | {rollouts} | {len(false_halts)} | {advancing} |", flush=True)
             for reason in false_halts[:MAX_PRINTED_REASONS]:
                 print(f"    {reason}", flush=True)
 
 
-def _halts(results: list[StageResult]) -> str:
-    """The columns of a table for the stages that halted."""
+def _format_halts(results: list[StageResult]) -> str:
+    """Returns table cells: the share of halted stages, their candidate requests and their durations."""
     halted = [result for result in results if result.decision.outcome is Outcome.HALT]
     if not halted:
         return f"0/{len(results)} | - | -"
-    requests = _spread(result.candidate_requests for result in halted)
-    durations = _spread(result.duration_s for result in halted)
+    requests = _format_spread(result.candidate_requests for result in halted)
+    durations = _format_spread(result.duration_s for result in halted)
     return f"{len(halted)}/{len(results)} | {requests} | {durations}"
 
 
-def _spread(values: Iterable[float]) -> str:
-    """Median, and the 5th to the 95th percentile."""
-    form: Callable[[float], str] = "{:,.0f}".format
+def _format_spread(values: Iterable[float]) -> str:
+    """Returns the median and the range from the 5th to the 95th percentile, as text."""
+    format_number: Callable[[float], str] = "{:,.0f}".format
     ordered = sorted(values)
     last = len(ordered) - 1
     low = ordered[int(0.05 * last)]
     high = ordered[int(0.95 * last + 0.5)]
-    return f"{form(statistics.median(ordered))} ({form(low)} to {form(high)})"
+    return f"{format_number(statistics.median(ordered))} ({format_number(low)} to {format_number(high)})"
 
 
 def main() -> None:
@@ -153,13 +161,15 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rollouts", type=int, default=1000)
     parser.add_argument("--cores", type=int, default=2)
-    parser.add_argument("--kind", choices=list(HEALTHY), help="false halts under this traffic alone")
+    parser.add_argument(
+        "--kind", choices=list(HEALTHY_SCENARIOS), help="measure only false halts, and only with this traffic"
+    )
     options = parser.parse_args()
     if options.kind:
         measure_false_halts([options.kind], options.rollouts, options.cores)
         return
     measure_regressions(options.cores)
-    measure_false_halts(HEALTHY, options.rollouts, options.cores)
+    measure_false_halts(HEALTHY_SCENARIOS, options.rollouts, options.cores)
 
 
 if __name__ == "__main__":
--- a/tests/simulation/test_free_ports.py
+++ b/tests/simulation/test_free_ports.py
@@ -1,4 +1,4 @@
-"""Ports that are free, and stay so while a process that uses one is down."""
+"""Free ports can be bound; restartable ports lie outside the range that clients are assigned."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         bound.bind((LOOPBACK, ports[0]))
 
 
-def test_restartable_ports_differ_and_are_below_those_of_clients() -> None:
+def test_restartable_ports_differ_and_are_below_the_ephemeral_ports() -> None:
     ports = find_restartable_ports(20, Random(1))
     assert len(set(ports)) == 20
     first, last = RESTARTABLE_PORTS
@@ -36,5 +36,5 @@
     monkeypatch.setattr("onyxpost.simulation.free_ports.RESTARTABLE_PORTS", (port, port + 1))
     with socket.socket(type=socket.SOCK_DGRAM) as bound:
         bound.bind((LOOPBACK, port))
-        with pytest.raises(NoFreePortsError, match=f"no 1 free ports from {port}"):
+        with pytest.raises(NoFreePortsError, match=f"fewer than 1 free ports from {port}"):
             find_restartable_ports(1, Random(3))
