--- a/onyxpost/simulation/deterministic/__init__.py
+++ b/onyxpost/simulation/deterministic/__init__.py
@@ -1,4 +1,4 @@
-"""Faults drawn from a seed, run on the virtual clock; a failing script is shrunk to fewer faults."""
+"""Deterministic simulation: runs a seed's fault script on the virtual clock and shrinks failing scripts."""
 
 from onyxpost.simulation.deterministic.fault_script import Fault, FaultKind, draw_base_faults, draw_script
 from onyxpost.simulation.deterministic.seed_run import Outcome, run_seed
--- a/onyxpost/simulation/deterministic/client.py
+++ b/onyxpost/simulation/deterministic/client.py
@@ -1,4 +1,4 @@
-"""The clients: each sends one request to a node and judges the answer."""
+"""Simulated clients, each of which sends one request to an edge node and classifies the answer."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class ClientOutcome(StrEnum):
-    """What became of a client's request; the values stand in the digests of runs."""
+    """The outcome of a request as its client sees it; the values are part of the digests of runs."""
 
     SUCCEEDED = "passed"
     REJECTED = "denied"
@@ -39,7 +39,7 @@
 
 
 class ClientRequest(NamedTuple):
-    """What a client sends."""
+    """A request that a client sends to one edge node."""
 
     trace_id: str
     node: SimulatedNode
@@ -48,20 +48,20 @@
     customer: int
     units: int
     patience_ms: float
-    """After which the client disconnects."""
+    """How long the client waits for the answer before it disconnects."""
 
     @property
     def has_body(self) -> bool:
-        """Whether it is a POST: all requests that are not idempotent by themselves."""
+        """Whether the request is a POST, as all requests are whose frontend is not idempotent."""
         return self.frontend.idempotency is not Idempotency.IDEMPOTENT
 
 
 class Clients:
-    """Sends requests and reports to the invariant checker what becomes of them.
+    """Sends requests and reports their outcomes to the invariant checker.
 
     Attributes:
-        connected: Requests whose client was connected.
-        outcomes: Requests by their outcome.
+        connected: Number of requests whose client could connect.
+        outcomes: Number of those requests by outcome.
     """
 
     def __init__(
@@ -70,12 +70,12 @@
         self._host = host
         self._checker = checker
         self._observer = observer
-        self._spread = spread  # nodes that a customer's requests go to
+        self._spread = spread  # number of nodes among which a customer's requests are distributed
         self.connected = 0
         self.outcomes: Counter[ClientOutcome] = Counter()
 
     async def send(self, request: ClientRequest) -> ClientOutcome:
-        """Sends a request and waits for its answer, for as long as the client does."""
+        """Sends a request and waits for its answer until the client disconnects."""
         http = h11.Connection(h11.CLIENT)
         encoded = self._encode(http, request)
         try:
@@ -144,7 +144,7 @@
 
 
 async def _read_outcome(http: h11.Connection, reader: asyncio.StreamReader, trace_id: str) -> ClientOutcome:
-    """Reads one response. Raises OSError or h11.ProtocolError if it is incomplete or not the right one."""
+    """Reads one response. Raises OSError or h11.ProtocolError if it is incomplete or for another request."""
     body = b""
     status = 0
     while True:
--- a/onyxpost/simulation/deterministic/cluster.py
+++ b/onyxpost/simulation/deterministic/cluster.py
@@ -1,7 +1,7 @@
-"""A small installation on the virtual clock: edge nodes, app servers, discovery agents, clients, checker.
+"""A small cluster on the virtual clock: edge nodes, app servers, discovery agents, clients and a checker.
 
-Everything but the edge nodes is a stub that speaks the published protocol. Whatever happens is reported to
-the checker at the moment in which it happens.
+The edge nodes run their production code; all other parts are stubs that speak the published protocols. Each
+event is reported to the checker at the virtual time at which it happens.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 
     from onyxpost.node.edge_node import EdgeNode
 
-MIN_UPDATE_DELAY_SECONDS = 0.01  # until an agent learns of a change
+MIN_UPDATE_DELAY_SECONDS = 0.01  # from a change of an endpoint's state to its update at an agent
 MAX_UPDATE_DELAY_SECONDS = 0.2
 
 
 class Cluster:
-    """One simulated installation; must be created in a running loop of virtual time.
+    """One simulated cluster; must be created while a `VirtualTimeLoop` is running.
 
     Attributes:
-        extra_update_delay_seconds: Added to the time in which agents learn of a change.
-        log_lines: All lines of all nodes' logs.
+        extra_update_delay_seconds: Added to the delay of each endpoint update to each agent.
+        log_lines: The log events of all nodes, in order.
     """
 
     def __init__(
@@ -76,17 +76,17 @@
         self.servers = [self.new_server(index, 0) for index in range(server_count)]
 
     def now_ms(self) -> float:
-        """Returns the time in ms since the start of the run."""
+        """Returns the virtual time in ms since the start of the run."""
         return self.network.loop.time() * 1000.0
 
     def new_server(self, index: int, incarnation: int) -> AppServer:
-        """Returns an app server that is not started yet."""
+        """Returns an app server that does not listen yet."""
         host = self.network.host(f"s{index}.{incarnation}")
         zone = ZONES[index % len(ZONES)]
         return AppServer(host, self.observer, index, incarnation, server_address(index), zone)
 
     async def open(self) -> None:
-        """Starts everything; the servers are warm."""
+        """Starts the app servers, discovery agents and edge nodes; no server is in slow start."""
         for server in self.servers:
             await server.open()
         for node in self.nodes:
@@ -97,7 +97,7 @@
             node.start()
 
     def publish(self, server: AppServer) -> None:
-        """Has every agent learn of a server's state, each after a time of its own."""
+        """Sends a server's state to every agent, each with its own random delay."""
         row = server.endpoint_row()
         rng = self.network.rng
         for node in self.nodes:
@@ -107,7 +107,7 @@
                 self.network.loop.call_later(delay_seconds, agent.update_endpoint, row)
 
     def publish_at_once(self, server: AppServer) -> None:
-        """Has every agent learn of a server's state now."""
+        """Updates a server's state at every agent without a delay."""
         row = server.endpoint_row()
         for node in self.nodes:
             for agent in node.agents:
--- a/onyxpost/simulation/deterministic/cluster_faults.py
+++ b/onyxpost/simulation/deterministic/cluster_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the network and of the load."""
+"""Handlers of the faults of the network and of the clients' load."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 BURST_REQUESTS = 12
 EARLY_DISCONNECT_REQUESTS = 16
 REQUESTS_PER_NODE_ON_ANSWER = 3
-ANSWER_LATENCY_MS = 20.0  # of an app server
-MAX_ANSWER_DELAY_MS = 14.0  # of the way of a request and of its answer
+ANSWER_LATENCY_MS = 20.0  # latency of an app server without a fault
+MAX_ANSWER_DELAY_MS = 14.0  # network delay of a request and its answer together
 MIN_EARLY_PATIENCE_MS = 10.0
 MAX_EARLY_PATIENCE_MS = 60.0
 MIN_CONNECT_DELAY_SECONDS = 0.25
 MAX_EXTRA_CONNECT_DELAY_SECONDS = 0.33
-MIN_BURST_DELAY_SECONDS = 0.3  # after servers have begun their slow start
+MIN_BURST_DELAY_SECONDS = 0.3  # from the replacement of the servers, so that the burst meets their slow start
 MAX_EXTRA_BURST_DELAY_SECONDS = 0.5
 
 
 class NetworkFaults(FaultGroup):
-    """Begins each fault of the network."""
+    """Handlers of the faults of the network."""
 
     def cut_off_server(self, fault: Fault) -> None:
-        """A server neither reaches anybody nor is reached for a time."""
+        """Blocks all traffic from and to a server for the fault's duration."""
         self._cut_off(fault, self.server_of(fault).host)
 
     def cut_off_servers(self, fault: Fault) -> None:
-        """Two of the app servers are cut off for a time."""
+        """Blocks all traffic from and to the first two app servers for the fault's duration."""
         self._cut_off(fault, self.cluster.servers[0].host)
         self._cut_off(fault, self.cluster.servers[1].host)
 
@@ -44,40 +44,40 @@
         run_at_end(fault, lambda: cut_off.discard(host))
 
     def lose_datagrams(self, fault: Fault) -> None:
-        """A part of the datagrams between nodes is lost for a time."""
+        """Loses a fraction of the datagrams between nodes, the magnitude, for the fault's duration."""
         network = self.cluster.network
         network.datagram_loss = fault.magnitude
         run_at_end(fault, lambda: setattr(network, "datagram_loss", 0.0))
 
     def delay_updates(self, fault: Fault) -> None:
-        """Agents learn of changes later for a time."""
+        """Delays endpoint updates to agents by the magnitude in seconds for the fault's duration."""
         cluster = self.cluster
         cluster.extra_update_delay_seconds = fault.magnitude
         run_at_end(fault, lambda: setattr(cluster, "extra_update_delay_seconds", 0.0))
 
 
 class LoadFaults(FaultGroup):
-    """Begins each fault that clients cause."""
+    """Handlers of the faults that clients cause."""
 
     def __init__(self, context: FaultContext, servers: ServerFaults) -> None:
         super().__init__(context)
         self._servers = servers
 
     def burst(self, fault: Fault) -> None:
-        """Many clients send at once."""
+        """Starts many clients at the same time."""
         rng = self.rng_of("burst", fault)
         for _ in range(BURST_REQUESTS):
             self.context.start_client(rng, self.cluster.nodes[rng.randrange(NODE_COUNT)])
 
     def burst_during_slow_start(self, fault: Fault) -> None:
-        """Two servers are replaced, and many clients send at once a little later."""
+        """Replaces two servers, and starts many clients at once while the new ones are in slow start."""
         self._servers.replace(fault.target)
         self._servers.replace((fault.target + 1) % SERVER_COUNT)
         delay_seconds = MIN_BURST_DELAY_SECONDS + MAX_EXTRA_BURST_DELAY_SECONDS * fault.magnitude
         asyncio.get_running_loop().call_later(delay_seconds, self.burst, fault)
 
     def disconnect_on_answer(self, fault: Fault) -> None:
-        """Clients disconnect in the very ms in which their answers are due."""
+        """Starts clients that disconnect at about the time at which their answers arrive."""
         rng = self.rng_of("cross", fault)
         for node in self.cluster.nodes:
             for _ in range(REQUESTS_PER_NODE_ON_ANSWER):
@@ -85,9 +85,9 @@
                 self.context.start_client(rng, node, patience_ms)
 
     def disconnect_early(self, fault: Fault) -> None:
-        """Many clients disconnect early, while connections to all servers open late.
+        """Starts many clients that disconnect early, while new connections to all servers open late.
 
-        The cluster has `SLOW_CONNECT_SETTINGS` then.
+        A run whose script contains this fault uses `SLOW_CONNECT_SETTINGS`.
         """
         rng = self.rng_of("leave", fault)
         network = self.cluster.network
--- a/onyxpost/simulation/deterministic/deployment.py
+++ b/onyxpost/simulation/deterministic/deployment.py
@@ -1,4 +1,4 @@
-"""The size of the simulated installation, its addresses, and what its load is judged by."""
+"""Size and addresses of the simulated cluster, and the limits that its invariants are checked against."""
 
 from __future__ import annotations
 
@@ -9,39 +9,40 @@
 
 NODE_COUNT = 3
 SERVER_COUNT = 4
-AGENTS_PER_NODE = 2  # the second is the one that a node moves to on SIGHUP
+AGENTS_PER_NODE = 2  # a node switches to its other agent on SIGHUP
 ZONES = ("a", "b")
 MAX_REQUEST_UNITS = 3
 
-# Servers as small as the load: 5 calls a second each, of which 4 are allowed in a second after a start.
+# The capacity is as low as the load: a server completes 5 calls per second, and slow start allows 4 calls in
+# the first second.
 CALL_WORK_MS = 20.0
-SERVER_CAPACITY = 0.1  # ms of work in one ms
+SERVER_CAPACITY = 0.1  # ms of work that a server completes in one ms
 
-RELOAD_PROPAGATION_MS = 4000.0  # from SIGHUP until what the new agent holds counts as known
-TOLERANCE_MS = 60.0  # beside each limit of time: the protocol's 50 and the way of a message
+RELOAD_PROPAGATION_MS = 4000.0  # from SIGHUP until the new agent's endpoint states count as known to the node
+TOLERANCE_MS = 60.0  # added to each time limit: 50 ms that the protocol allows, and the delay of a message
 
 
 def node_address(index: int) -> Address:
-    """Returns where a node listens for clients."""
+    """Returns the address at which a node accepts clients."""
     return (f"10.0.0.{index}", 8081)
 
 
 def server_address(index: int) -> Address:
-    """Returns where an app server listens."""
+    """Returns the address of an app server; its replacements listen at the same one."""
     return (f"10.1.0.{index}", 9000)
 
 
 def agent_address(node_index: int, agent_index: int) -> Address:
-    """Returns where one of a node's discovery agents listens."""
+    """Returns the address of one of a node's discovery agents."""
     return (f"10.2.{agent_index}.{node_index}", 8500)
 
 
 def peer_address(index: int) -> Address:
-    """Returns where a node receives datagrams of its peers."""
+    """Returns the address at which a node receives datagrams from its peers."""
     return (f"10.3.0.{index}", 7946)
 
 
 def format_address(address: Address) -> str:
-    """Returns an address as files have it."""
+    """Returns an address as `host:port`, the format of configuration files."""
     host, port = address
     return f"{host}:{port}"
--- a/onyxpost/simulation/deterministic/discovery_agent.py
+++ b/onyxpost/simulation/deterministic/discovery_agent.py
@@ -1,4 +1,4 @@
-"""A discovery agent that can fail in each way that a node's poll can, on the virtual clock."""
+"""A discovery agent on the virtual clock, with faults for each way in which a node's poll can fail."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AgentFailure(Enum):
-    """What becomes of the polls of an agent that is up."""
+    """How polls fail at an agent whose discovery is up."""
 
     NONE = auto()
     REFUSES = auto()
@@ -27,23 +27,24 @@
 
 
 class DiscoveryObserver(RequestObserver, Protocol):
-    """Is notified also of what an agent holds, sent or not."""
+    """An observer that is also notified of the rows that an agent holds, whether or not it has sent them."""
 
     def on_endpoints_held(self, agent: FailingAgent, rows: list[dict[str, Any]]) -> None:
-        """The agent holds these rows, in the form of the discovery protocol."""
+        """Handles that the agent holds these rows, which have the format of the discovery protocol."""
 
 
 class FailingAgent(DiscoveryAgent):
     """An agent that fails on demand.
 
-    While it is silent, discovery is down: it learns nothing until it recovers. With an `AgentFailure` it
-    learns, but polls fail. Polls that were silenced get no answer; those that begin later do.
+    While the agent is silent, discovery is down: the agent stores updates only when it recovers. With an
+    `AgentFailure`, it stores updates at once, but polls fail. `silence_polls` leaves only the polls on the
+    open connections without an answer; polls on later connections are answered.
 
     Attributes:
-        failure: What becomes of polls now.
-        may_have_failed_polls: A poll may have failed since the last complete response, so that what the
-            agent holds does not count as known at once.
-        known_from_ms: What it holds counts as known no sooner, after a SIGHUP.
+        failure: How polls fail at present.
+        may_have_failed_polls: Whether a poll may have failed since the last complete response. The rows that
+            the agent holds then do not count as known to the node at once.
+        known_from_ms: After a SIGHUP, the earliest time at which the agent's rows count as known to the node.
     """
 
     def __init__(
@@ -59,11 +60,11 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Whether a poll could reach it."""
+        """Whether a poll can reach the agent."""
         return not self.is_silent and self.failure is not AgentFailure.REFUSES
 
     def update_endpoint(self, row: dict[str, Any]) -> None:
-        """Learns a row, unless it is late and a newer one is held; while silent, only when it recovers."""
+        """Stores a row unless a newer one is held; a silent agent stores the row when it recovers."""
         if self.is_silent:
             self._missed_rows.append(row)
             return
@@ -74,7 +75,7 @@
         self._discovery_observer.on_endpoints_held(self, [row])
 
     def recover(self) -> None:
-        """Discovery is up again, and the agent learns at once what it missed."""
+        """Ends the silence and stores the updates that arrived during the silence."""
         self.is_silent = False
         missed_rows = self._missed_rows
         self._missed_rows = []
@@ -83,18 +84,18 @@
         self._report_all_held()
 
     def silence_polls(self) -> None:
-        """The polls on the open connections get no answer."""
+        """Leaves polls on the open connections without an answer."""
         self._silenced |= self.writers
         self.may_have_failed_polls = True
 
     def reset_polls(self) -> None:
-        """Resets the open connections."""
+        """Resets the open connections, so that their polls fail."""
         for writer in list(self.writers):
             writer.transport.abort()
         self.may_have_failed_polls = True
 
     def begin_failure(self, failure: AgentFailure) -> None:
-        """Polls fail from now on."""
+        """Makes polls fail from now on, until `end_failure`."""
         self.failure = failure
         self.may_have_failed_polls = True
         if failure is AgentFailure.REFUSES:
@@ -128,7 +129,7 @@
         if writer.is_closing():
             return False
         if writer in self._silenced:
-            await reader.read()  # until the node closes it
+            await reader.read()  # returns when the node closes the connection
             return False
         if self.failure is AgentFailure.TRUNCATES:
             writer.write(encoded[: len(encoded) * 2 // 3])
--- a/onyxpost/simulation/deterministic/fault_context.py
+++ b/onyxpost/simulation/deterministic/fault_context.py
@@ -1,4 +1,4 @@
-"""What faults act on, and how they end after their time."""
+"""The interface between fault handlers and the run that faults are injected into."""
 
 from __future__ import annotations
 
@@ -22,21 +22,27 @@
     cluster: Cluster
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Runs a coroutine beside; the run ends after it."""
+        """Runs a coroutine concurrently; the run ends only after the coroutine has ended."""
 
     def start_client(self, rng: Random, node: SimulatedNode, patience_ms: float | None = None) -> None:
-        """Has a client send a request; it disconnects after its patience, which is drawn if not given."""
+        """Starts a client that sends a request.
+
+        Args:
+            rng: The source of the random parts of the request.
+            node: The node that the client connects to.
+            patience_ms: How long the client waits before it disconnects; None to draw the time from `rng`.
+        """
 
 
 class FaultGroup:
-    """Faults of one concern."""
+    """Base class of the handlers of related faults."""
 
     def __init__(self, context: FaultContext) -> None:
         self.context = context
         self.cluster = context.cluster
 
     def server_of(self, fault: Fault) -> AppServer:
-        """Returns the app server that is the fault's target now."""
+        """Returns the app server that currently has the index of the fault's target."""
         return self.cluster.servers[fault.target]
 
     def node_of(self, fault: Fault) -> SimulatedNode:
@@ -44,10 +50,10 @@
         return self.cluster.nodes[fault.target]
 
     def rng_of(self, purpose: str, fault: Fault) -> Random:
-        """Returns a random source that only this fault uses."""
+        """Returns a random source for this fault alone, so that no other fault changes its draws."""
         return Random(f"{self.context.seed}/{purpose}/{fault.at_seconds}")
 
 
 def run_at_end(fault: Fault, call: Callable[[], object]) -> None:
-    """Calls something when a fault that begins now has lasted for its time."""
+    """Calls `call` when the duration of a fault that begins now has passed."""
     asyncio.get_running_loop().call_later(fault.duration_seconds, call)
--- a/onyxpost/simulation/deterministic/fault_injector.py
+++ b/onyxpost/simulation/deterministic/fault_injector.py
@@ -1,4 +1,4 @@
-"""Begins the faults of a script: one handler for each kind."""
+"""Fault injector: begins the faults of a script, with one handler for each kind."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FaultInjector:
-    """Begins faults in a run; each ends by itself."""
+    """Begins faults in a run; their handlers also schedule their ends."""
 
     def __init__(self, context: FaultContext) -> None:
         servers = ServerFaults(context)
--- a/onyxpost/simulation/deterministic/fault_script.py
+++ b/onyxpost/simulation/deterministic/fault_script.py
@@ -1,4 +1,7 @@
-"""The faults that a seed draws. No I/O; what a seed draws must never change."""
+"""Fault scripts drawn from seeds. No I/O.
+
+The script of a seed must never change, since recorded seeds could not be replayed otherwise.
+"""
 
 from __future__ import annotations
 
@@ -8,15 +11,17 @@
 
 from onyxpost.simulation.deterministic.deployment import NODE_COUNT, SERVER_COUNT
 
-SCRIPT_SECONDS = 4.0  # that a script lasts; then all that is owed is waited for
-PERMANENT_DRAIN_SECONDS = 9.0  # that a run goes on after it: the drain counts as known by then
+SCRIPT_SECONDS = 4.0  # how long clients send requests; the run then waits for the outstanding answers
+# Clients send requests for this long after a permanent drain, so that some requests are sent when the drain
+# already counts as known to every node.
+PERMANENT_DRAIN_SECONDS = 9.0
 
 
 LONG_DISCOVERY_FAULT_FRACTION = 0.5
 
 
 class FaultKind(StrEnum):
-    """What happens; the values stand in result files."""
+    """The kinds of faults; the values are part of result files."""
 
     DRAIN = "drain"
     CRASH = "crash"
@@ -51,15 +56,15 @@
 
 
 class Fault(NamedTuple):
-    """One fault of a script; scripts are sorted by their fields in this order."""
+    """One fault of a script; the faults of a script are sorted by these fields in this order."""
 
     at_seconds: float
     kind: FaultKind
     target: int
-    """The index of the server or node concerned."""
+    """The index of the server or node that the fault affects."""
     duration_seconds: float
     magnitude: float
-    """From 0 to 1; what it means depends on the kind."""
+    """From 0 to 1; the meaning depends on the kind."""
 
     def to_record(self) -> dict[str, Any]:
         """Returns the fault with the keys that result files have."""
@@ -72,7 +77,7 @@
         }
 
 
-# The order of each tuple is part of what a seed draws.
+# A seed draws an index into these tuples, so that a changed order or length changes the scripts of seeds.
 SERVER_FAULTS = (
     FaultKind.DRAIN,
     FaultKind.CRASH,
@@ -114,7 +119,7 @@
 
 
 def draw_script(seed: int) -> list[Fault]:
-    """Returns the base faults of a seed and, for two thirds of the seeds, a coincidence beside them."""
+    """Returns the base faults of a seed and, for two thirds of the seeds, coinciding faults in addition."""
     return sorted([*draw_base_faults(seed), *draw_coincidence(seed)])
 
 
@@ -134,7 +139,10 @@
 
 
 def draw_coincidence(seed: int) -> list[Fault]:
-    """Returns faults that are meant to coincide, from a random source of their own; none for a third."""
+    """Returns faults that are meant to coincide; an empty list for a third of the seeds.
+
+    They are drawn from a separate random source, so that the base faults do not depend on them.
+    """
     rng = Random(f"{seed}/crossing")
     at_seconds = round(rng.uniform(0.3, 2.5), 4)
     duration_seconds = round(rng.uniform(0.1, 1.5), 4)
@@ -156,7 +164,7 @@
 
 
 def _draw_unnoticed_drain(rng: Random, drain: Fault, node: int) -> list[Fault]:
-    """The discovery of a node fails at about the time at which servers begin to drain for good."""
+    """Returns a discovery fault of a node and a permanent drain that begins at about the same time."""
     at_seconds = drain.at_seconds
     duration_seconds = drain.duration_seconds
     drain_at_seconds = round(at_seconds + rng.uniform(-0.1, min(duration_seconds, 0.8)), 4)
@@ -170,7 +178,7 @@
 
 
 def script_seconds(faults: list[Fault]) -> float:
-    """Returns for how long clients send requests."""
+    """Returns how long clients send requests in a run with these faults."""
     ends = [
         fault.at_seconds + PERMANENT_DRAIN_SECONDS
         for fault in faults
--- a/onyxpost/simulation/deterministic/node.py
+++ b/onyxpost/simulation/deterministic/node.py
@@ -1,4 +1,4 @@
-"""An edge node of the simulation: its incarnations follow each other at one address."""
+"""A simulated edge node, whose successive incarnations listen at the same address."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     from onyxpost.simulation.invariants import InvariantChecker
     from onyxpost.simulation.virtual_time import Network, VirtualHost
 
-FAULT_EVENTS = ("fault", "overdue")  # of a node's log: a failure of the run
-MAX_CAUSE_LENGTH = 300
+FAULT_EVENTS = ("fault", "overdue")  # log events of a node that are reported as violations
+MAX_CAUSE_LENGTH = 300  # characters of the cause in a violation's description; its end is kept
 SHUTDOWN_TIMEOUT_SECONDS = 3.0
 MAX_DESCRIPTORS = 256
 
@@ -37,7 +37,7 @@
 
 
 class SimulatedCluster(Protocol):
-    """What a node needs to know of the cluster that it belongs to."""
+    """The part of the cluster's interface that its nodes use."""
 
     seed: int
     settings: dict[str, Any]
@@ -50,7 +50,7 @@
 
 
 class NodeLog:
-    """A node's log: a fault in it is a violation."""
+    """Records the log events of a node, and reports fault events to the checker as violations."""
 
     def __init__(self, cluster: SimulatedCluster, node: str) -> None:
         self._cluster = cluster
@@ -63,7 +63,7 @@
         fields: dict[str, Any],
         level: int = logging.INFO,  # noqa: ARG002 - the signature of `StructuredLog`
     ) -> None:
-        """Records an event that took place at `at` (Unix ms)."""
+        """Records an event with its time `at` in Unix ms."""
         self._cluster.log_lines.append(LogLine(round(at - EPOCH, 3), self._node, event))
         if event in FAULT_EVENTS:
             cause = str(fields.get("cause", fields.get("request", "")))[-MAX_CAUSE_LENGTH:]
@@ -75,9 +75,9 @@
     """One edge node with its two discovery agents.
 
     Attributes:
-        incarnation: How many times it has been started.
-        program: The running edge node; None after a kill.
-        host: The network as the present incarnation has it.
+        incarnation: Number of the present incarnation; 0 before the first start.
+        program: The running edge node; None before the first start and after a kill.
+        host: The host in the virtual network on which the present incarnation runs.
     """
 
     def __init__(self, cluster: SimulatedCluster, index: int) -> None:
@@ -100,20 +100,20 @@
 
     @property
     def agent(self) -> FailingAgent:
-        """The agent that the node's file names."""
+        """The agent that the node's configuration file currently names."""
         return self.agents[self._agent_index]
 
     @property
     def is_running(self) -> bool:
-        """Whether it has been started and not killed since."""
+        """Whether the node has been started and not killed since."""
         return self.program is not None
 
     def is_running_incarnation(self, incarnation: int) -> bool:
-        """Whether that incarnation still runs."""
+        """Whether `incarnation` is the present incarnation and has not been killed."""
         return self.incarnation == incarnation and self.is_running
 
     def read_config(self) -> NodeConfig:
-        """Returns the node's file as it is now, decoded."""
+        """Returns the decoded configuration file of the node in its present state."""
         nodes = self._cluster.nodes
         settings = self._cluster.settings | {"ordinal": self.index, "n_instances": len(nodes)}
         return config.decode(
@@ -146,7 +146,10 @@
         self._task = asyncio.get_running_loop().create_task(self.program.run())
 
     def reload(self) -> None:
-        """Sends SIGHUP; the node's file names the other agent, whose endpoints count as known later."""
+        """Changes the configuration file to the other agent and sends SIGHUP.
+
+        The endpoint states that the new agent holds count as known after `RELOAD_PROPAGATION_MS`.
+        """
         self._agent_index = 1 - self._agent_index
         self.agent.known_from_ms = self.host.monotonic() + deployment.RELOAD_PROPAGATION_MS
         self._cluster.checker.on_discovery_replaced(self.name)
@@ -154,7 +157,10 @@
         self.host.send_sighup()
 
     async def restart(self) -> None:
-        """Sends SIGTERM and starts the next incarnation when this one has ended."""
+        """Sends SIGTERM and starts the next incarnation when this one has ended.
+
+        An incarnation that has not ended after `SHUTDOWN_TIMEOUT_SECONDS` is a violation, and is killed.
+        """
         task = self._task
         if task is None:
             return
@@ -172,7 +178,7 @@
         self.start()
 
     def kill(self) -> None:
-        """Sends SIGKILL: the node owes no answers any more."""
+        """Ends the node as SIGKILL does; its open requests need no answer any more."""
         self._cluster.checker.on_node_killed(self.host.monotonic(), self.name)
         if self._task is not None:
             self._task.cancel()
@@ -184,7 +190,7 @@
 
 
 def _silence(program: EdgeNode) -> None:
-    """Keeps the tasks of a killed node, which still run, from doing anything."""
+    """Keeps the tasks of a killed node that still run from having any effect."""
     for task in program.servers.tasks.values():
         task.cancel()
     program.discovery.close()
--- a/onyxpost/simulation/deterministic/node_faults.py
+++ b/onyxpost/simulation/deterministic/node_faults.py
@@ -1,4 +1,4 @@
-"""Faults of edge nodes and of their discovery agents."""
+"""Handlers of the faults of edge nodes and of their discovery agents."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     from onyxpost.simulation.deterministic.node import SimulatedNode
 
 MIN_AGENT_DELAY_SECONDS = 0.05
-MAX_EXTRA_AGENT_DELAY_SECONDS = 1.2  # some connections are open later than a node waits for one
+MAX_EXTRA_AGENT_DELAY_SECONDS = 1.2  # long enough that some connections exceed a node's connect timeout
 AGENT_FAILURES = {
     FaultKind.AGENT_REFUSES: AgentFailure.REFUSES,
     FaultKind.AGENT_BUSY: AgentFailure.BUSY,
@@ -22,49 +22,49 @@
 
 
 class NodeFaults(FaultGroup):
-    """Begins each fault of edge nodes."""
+    """Handlers of the faults of edge nodes."""
 
     def kill(self, fault: Fault) -> None:
-        """The node is killed and started again after a time."""
+        """Kills the node and starts it again after the fault's duration."""
         node = self.node_of(fault)
         if node.is_running:
             node.kill()
             run_at_end(fault, lambda: _start_again(node))
 
     def restart(self, fault: Fault) -> None:
-        """The node gets SIGTERM."""
+        """Sends the node SIGTERM and starts it again when it has ended."""
         node = self.node_of(fault)
         if node.is_running:
             self.context.spawn(node.restart())
 
     def reload(self, fault: Fault) -> None:
-        """The node gets SIGHUP."""
+        """Sends the node SIGHUP with a configuration file that names its other agent."""
         node = self.node_of(fault)
         if node.is_running:
             node.reload()
 
 
 class AgentFaults(FaultGroup):
-    """Begins each fault of discovery agents."""
+    """Handlers of the faults of discovery agents."""
 
     def silence(self, fault: Fault) -> None:
-        """Discovery is down for the node: its agents learn and answer nothing for a time."""
+        """Makes the node's agents store no updates and answer no polls for the fault's duration."""
         for agent in self.node_of(fault).agents:
             agent.is_silent = True
             run_at_end(fault, agent.recover)
 
     def silence_polls(self, fault: Fault) -> None:
-        """The open polls of the node get no answer."""
+        """Leaves the open polls of the node without an answer."""
         for agent in self.node_of(fault).agents:
             agent.silence_polls()
 
     def reset_polls(self, fault: Fault) -> None:
-        """The open polls of the node are reset."""
+        """Resets the connections of the node's open polls."""
         for agent in self.node_of(fault).agents:
             agent.reset_polls()
 
     def delay_connections(self, fault: Fault) -> None:
-        """The open polls are reset, and new connections to the agents are open late for a time."""
+        """Resets the open polls, and delays new connections to the agents for the fault's duration."""
         connect_delays = self.cluster.network.connect_delays
         host = f"agent{fault.target}"
         connect_delays[host] = MIN_AGENT_DELAY_SECONDS + MAX_EXTRA_AGENT_DELAY_SECONDS * fault.magnitude
@@ -72,7 +72,7 @@
         self.reset_polls(fault)
 
     def fail(self, fault: Fault) -> None:
-        """The agents refuse connections, answer 503 or truncate their responses for a time."""
+        """Makes the agents refuse connections, answer 503 or truncate responses for the fault's duration."""
         failure = AGENT_FAILURES[fault.kind]
         for agent in self.node_of(fault).agents:
             if agent.failure is not failure:
--- a/onyxpost/simulation/deterministic/observer.py
+++ b/onyxpost/simulation/deterministic/observer.py
@@ -1,4 +1,4 @@
-"""Reports to the checker what reaches the app servers, and what the discovery agents hold and send."""
+"""Reports to the checker which attempts app servers receive, and which rows agents hold and send."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
 
 class ObservedNode(Protocol):
-    """What the observer needs to know of a node."""
+    """The part of a node's interface that the observer uses."""
 
     name: str
 
     @property
     def is_running(self) -> bool:
-        """Whether it has been started and not killed since."""
+        """Whether the node has been started and not killed since."""
 
     @property
     def agent(self) -> FailingAgent:
-        """The agent that it polls."""
+        """The agent that the node polls."""
 
 
 class ClusterObserver:
-    """A `DiscoveryObserver` of all stubs of a cluster."""
+    """Observes all app servers and discovery agents of a cluster; implements `DiscoveryObserver`."""
 
     def __init__(self, clock: VirtualHost, checker: InvariantChecker) -> None:
         self._clock = clock
@@ -43,17 +43,17 @@
         self._plans: dict[str, str] = {}  # by trace id
 
     def add_node(self, node: ObservedNode) -> None:
-        """Observes the agents of a node, whose index is the count of those before."""
+        """Observes the agents of a node; nodes must be added in the order of their indexes."""
         self._nodes.append(node)
 
     def on_request_sent(self, trace_id: str, plan: str) -> None:
-        """A client sends a request of a plan."""
+        """Records the plan of a request that a client sends."""
         self._plans[trace_id] = plan
 
     def on_attempt_received(
         self, writer: asyncio.StreamWriter, trace_id: str, server: ServerIdentity
     ) -> AttemptKey:
-        """A complete request has reached an app server."""
+        """Reports that the last byte of an attempt has reached an app server."""
         sender: Any = writer.transport
         node = str(sender.peer.host).split(".")[0]
         now_ms = self._clock.monotonic()
@@ -67,21 +67,25 @@
         return AttemptKey(node, len(request.attempts) - 1 if request is not None else 0)
 
     def on_attempt_not_executed(self, attempt: AttemptKey, trace_id: str) -> None:
-        """An app server is about to answer that it did not execute an attempt."""
+        """Reports that an app server is about to answer that an attempt was not executed."""
         now_ms = self._clock.monotonic()
         self._checker.on_attempt_ended(
             now_ms, attempt.sender, trace_id, attempt.attempt_index, never_executed=True
         )
 
     def on_endpoints_sent(self, node_index: int, rows: list[dict[str, Any]]) -> None:
-        """A node receives these rows."""
+        """Reports that a node is sent these rows."""
         for row in rows:
             state = LIFECYCLE_STATES[row["lifecycle"]]
             now_ms = self._clock.monotonic()
             self._checker.on_endpoint_notified(now_ms, f"n{node_index}", row["instanceId"], state)
 
     def on_endpoints_held(self, agent: FailingAgent, rows: list[dict[str, Any]]) -> None:
-        """What the agent that a node polls holds counts as known at once; after a failed poll, later."""
+        """Reports the rows that the agent polled by a node holds.
+
+        The rows count as known at once, or `PROPAGATION_MS` later if a poll may have failed; after a SIGHUP,
+        not before the agent's `known_from_ms`.
+        """
         node = self._nodes[agent.node_index]
         if not node.is_running or agent is not node.agent or not agent.is_reachable:
             return
@@ -96,5 +100,5 @@
             self._checker.on_discovery_updated(now_ms, node.name, row["instanceId"], state, within_ms)
 
     def on_server_started(self, server: AppServer) -> None:
-        """A server begins its slow start."""
+        """Reports that a server has started and begins its slow start."""
         self._checker.on_server_started(self._clock.monotonic(), server.id, SERVER_CAPACITY, CALL_WORK_MS)
--- a/onyxpost/simulation/deterministic/seed_run.py
+++ b/onyxpost/simulation/deterministic/seed_run.py
@@ -1,4 +1,4 @@
-"""The run of one script on the virtual clock, from its first request to the digest of all that happened."""
+"""Runs one fault script on the virtual clock and returns the violations and a digest of all events."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
     from onyxpost.simulation.deterministic.node import SimulatedNode
     from onyxpost.simulation.invariants import Violation
 
-WARM_UP_SECONDS = 0.05  # until the first request
-SETTLE_SECONDS = 1.5  # after the last request: no answer is owed any more
+WARM_UP_SECONDS = 0.05  # from the start of the cluster to the first request
+SETTLE_SECONDS = 1.5  # from the end of the last client to the end of the run; no answer is outstanding then
 REQUESTS_PER_SECOND = 12.0
 FRONTENDS = ("look", "post", "pay")
 PLANS_AND_CUSTOMERS = (("open", 1), ("open", 2), ("tight", 3))
-IMPATIENT_FRACTION = 0.15  # of the clients, which disconnect before the client timeout
-PATIENCE_PAST_TIMEOUT_MS = 300.0  # of the others
-DIGEST_LENGTH = 16
+IMPATIENT_FRACTION = 0.15  # fraction of the clients that disconnect before the client timeout
+PATIENCE_PAST_TIMEOUT_MS = 300.0  # how long the other clients wait past the client timeout
+DIGEST_LENGTH = 16  # hexadecimal digits
 
 
 class Outcome(NamedTuple):
-    """What a run found."""
+    """The result of one run."""
 
     seed: int
     violations: list[Violation]
@@ -43,9 +43,9 @@
     requests: int
     succeeded: int
     steps: int
-    """Events that the invariants were checked after."""
+    """Number of events after which the invariants were checked."""
     digest: str
-    """Of all that happened, in its order."""
+    """Digest of all events of the run in order; equal for equal runs."""
 
     @property
     def failed(self) -> bool:
@@ -67,7 +67,7 @@
 
 
 class ScriptRun:
-    """One script's run on a cluster: the `FaultContext` of its faults."""
+    """Runs one script on a cluster; implements the `FaultContext` of its faults."""
 
     def __init__(self, seed: int, faults: list[Fault], cluster: Cluster) -> None:
         self.seed = seed
@@ -78,7 +78,7 @@
         self._request_count = 0
 
     async def run(self) -> Outcome:
-        """Runs the script and waits for all that is owed."""
+        """Runs the script and waits until all clients and fault handlers have ended."""
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _loop, _context: None)
         await self.cluster.open()
@@ -87,7 +87,7 @@
         for fault in self._faults:
             loop.call_at(fault.at_seconds, self._begin, injector, fault)
         await self._send_requests(script_seconds(self._faults))
-        while any(not task.done() for task in self._tasks):  # noqa: ASYNC110 - each may start others
+        while any(not task.done() for task in self._tasks):  # noqa: ASYNC110 - tasks may start further tasks
             await asyncio.sleep(0.1)
         await asyncio.sleep(SETTLE_SECONDS)
         return self._finish()
@@ -115,13 +115,13 @@
         )
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Runs a coroutine beside; the run ends after it."""
+        """Runs a coroutine concurrently; the run ends only after the coroutine has ended."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def start_client(self, rng: Random, node: SimulatedNode, patience_ms: float | None = None) -> None:
-        """Has a client send a request; it disconnects after its patience, which is drawn if not given."""
+        """Starts a client that sends a request; see `FaultContext.start_client`."""
         self._request_count += 1
         frontend = self.cluster.frontends[rng.choice(FRONTENDS)]
         plan, customer = rng.choice(PLANS_AND_CUSTOMERS)
@@ -152,7 +152,7 @@
 async def run_script(
     seed: int, faults: list[Fault], mutation: Callable[[EdgeNode], None] | None = None
 ) -> Outcome:
-    """Runs a script on a new cluster, in the running loop of virtual time."""
+    """Runs a script on a new cluster; must be called while a `VirtualTimeLoop` is running."""
     is_patient = any(fault.kind is FaultKind.EARLY_DISCONNECTS for fault in faults)
     settings = SLOW_CONNECT_SETTINGS if is_patient else SETTINGS
     cluster = Cluster(seed, NODE_COUNT, SERVER_COUNT, mutation, settings)
@@ -167,17 +167,17 @@
 
 
 def run_seed(seed: int, faults: list[Fault] | None = None, mutation: str = "") -> Outcome:
-    """Runs one seed on a new loop of virtual time.
+    """Runs one seed on a new event loop with a virtual clock.
 
     Args:
-        seed: Everything that is random is drawn from it.
-        faults: The script; by default the one that the seed draws.
-        mutation: The name of a known bug to inject; "" for none.
+        seed: The seed of all random sources of the run.
+        faults: The fault script; None for the script that the seed draws.
+        mutation: The name of the mutation to inject; "" for none.
     """
     script = draw_script(seed) if faults is None else faults
     found = find_mutation(mutation)
     inject = found.inject if found is not None else None
-    # A task of a killed node that the collector finds would be logged as a fault.
+    # A pending task of a killed node that the garbage collector destroys would be logged as a fault.
     was_collecting = gc.isenabled()
     gc.disable()
     try:
--- a/onyxpost/simulation/deterministic/seed_sweep.py
+++ b/onyxpost/simulation/deterministic/seed_sweep.py
@@ -1,4 +1,4 @@
-"""Many seeds in several processes; a failing script is shrunk to fewer faults."""
+"""Runs many seeds in several processes, and shrinks a failing script to fewer faults."""
 
 from __future__ import annotations
 
@@ -11,11 +11,15 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-BATCH_SIZE = 25  # seeds that a process is given at a time
+BATCH_SIZE = 25  # number of seeds in one task of a worker process
 
 
 def shrink(outcome: Outcome, mutation: str = "") -> Outcome:
-    """Returns the run with as few faults as still violate one of the same invariants."""
+    """Removes faults one at a time while a run without them still violates one of the same invariants.
+
+    Returns:
+        The outcome of the run with the remaining faults.
+    """
     violated = {violation.invariant for violation in outcome.violations}
     smallest = outcome
     index = 0
@@ -30,7 +34,7 @@
 
 
 def run_batch(seeds: list[int], mutation: str = "") -> list[Outcome]:
-    """Runs seeds one after the other in this process."""
+    """Runs seeds one after the other in this process, with the garbage collector off during each run."""
     gc.disable()
     outcomes = []
     for seed in seeds:
--- a/onyxpost/simulation/deterministic/server_faults.py
+++ b/onyxpost/simulation/deterministic/server_faults.py
@@ -1,4 +1,4 @@
-"""Faults of app servers."""
+"""Handlers of the faults of app servers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 DEFAULT_LATENCY_MS = 20.0
 MAX_EXTRA_LATENCY_MS = 900.0
-MAX_BREAK_BYTES = 320
+MAX_BREAK_BYTES = 320  # a connection breaks after at most this many bytes
 BEHAVIORS = {
     FaultKind.HANG: ServerBehavior.HANG,
     FaultKind.FAIL: ServerBehavior.FAIL,
@@ -27,22 +27,22 @@
 
 
 class ServerFaults(FaultGroup):
-    """Begins each fault of app servers."""
+    """Handlers of the faults of app servers."""
 
     def change_behavior(self, fault: Fault) -> None:
-        """The server hangs, fails, is busy or drops connections for a time."""
+        """Makes the server hang, fail, be busy or drop connections for the fault's duration."""
         server = self.server_of(fault)
         server.behavior = BEHAVIORS[fault.kind]
         run_at_end(fault, lambda: setattr(server, "behavior", ServerBehavior.SERVE))
 
     def slow_down(self, fault: Fault) -> None:
-        """The server answers later for a time."""
+        """Increases the server's latency for the fault's duration."""
         server = self.server_of(fault)
         server.latency_ms = DEFAULT_LATENCY_MS + MAX_EXTRA_LATENCY_MS * fault.magnitude
         run_at_end(fault, lambda: setattr(server, "latency_ms", DEFAULT_LATENCY_MS))
 
     def break_connections(self, fault: Fault) -> None:
-        """The next connections to the server break at some byte of a request or of a response."""
+        """Makes the next connections to the server break after some bytes of a request or of a response."""
         planned_breaks = self.cluster.network.planned_breaks[self.server_of(fault).host]
         for index in range(1 + int(4 * fault.duration_seconds)):
             side = int(fault.magnitude * 97 + index) % 2
@@ -50,15 +50,15 @@
             planned_breaks.append(PlannedBreak(side, after_bytes))
 
     def reset_connections(self, fault: Fault) -> None:
-        """The open connections of the server are reset."""
+        """Resets the open connections of the server."""
         self.cluster.network.reset_connections(self.server_of(fault).host)
 
     def malform_responses(self, fault: Fault) -> None:
-        """The next responses of the server are malformed."""
+        """Makes the next responses of the server malformed; the magnitude determines how many."""
         self.server_of(fault).malformations += [*Malformation][: 1 + int(4 * fault.magnitude)]
 
     def drain(self, fault: Fault) -> None:
-        """The server drains and is replaced after a time."""
+        """Drains the server and replaces it after the fault's duration."""
         server = self.server_of(fault)
         if server.state is EndpointState.READY:
             server.state = EndpointState.DRAINING
@@ -66,9 +66,9 @@
             run_at_end(fault, lambda: self._start_replacement(server))
 
     def drain_on_reset(self, fault: Fault) -> None:
-        """The connections of a server are reset in the tick in which every node is notified of its drain.
+        """Resets a server's connections at the same virtual time at which all agents learn of its drain.
 
-        A request with an idempotency key may have been executed there.
+        Requests with an idempotency key that were in flight were possibly executed by the draining server.
         """
         server = self.server_of(fault)
         if server.state is not EndpointState.READY:
@@ -79,7 +79,7 @@
         run_at_end(fault, lambda: self._start_replacement(server))
 
     def drain_for_good(self, _fault: Fault) -> None:
-        """In each zone the server that served most drains, and stays up to the end."""
+        """Drains the ready server of each zone that has served most requests, and never replaces it."""
         ready = [server for server in self.cluster.servers if server.state is EndpointState.READY]
         for zone in ZONES:
             of_zone = [server for server in ready if server.zone == zone]
@@ -89,20 +89,20 @@
                 self.cluster.publish(server)
 
     def crash(self, fault: Fault) -> None:
-        """The server is killed and replaced after a time."""
+        """Kills the server and replaces it after the fault's duration."""
         server = self.server_of(fault)
         self.cluster.network.kill_host(server.host)
         run_at_end(fault, lambda: self._start_replacement(server))
 
     def replace(self, index: int) -> None:
-        """Replaces a server by one in slow start."""
+        """Replaces a server by a new incarnation, which is in slow start."""
         self._start_replacement(self.cluster.servers[index])
 
     def _start_replacement(self, server: AppServer) -> None:
         self.context.spawn(self._replace(server))
 
     async def _replace(self, old: AppServer) -> None:
-        """Starts another process at the address, under an id of its own."""
+        """Kills a server and starts its next incarnation, with another id, at the same address."""
         cluster = self.cluster
         if cluster.servers[old.index] is not old:
             return
--- a/onyxpost/simulation/invariants/__init__.py
+++ b/onyxpost/simulation/invariants/__init__.py
@@ -1,4 +1,4 @@
-"""The invariants and the one checker of all simulations: emulator, virtual clock and processes."""
+"""The invariants and their checker, which all simulations share."""
 
 from onyxpost.simulation.invariants.checker import FINAL_ANSWERS, InvariantChecker
 from onyxpost.simulation.invariants.hard_limits import HardLimitBucket
--- a/onyxpost/simulation/invariants/checker.py
+++ b/onyxpost/simulation/invariants/checker.py
@@ -1,9 +1,10 @@
-"""Checks the invariants after every step of whoever hosts the nodes: emulator, virtual clock or processes.
+"""Checks the invariants after every event of a simulation: discrete-event, deterministic or multiprocess.
 
-No I/O and no clock. The host reports each event with its own time in ms; a violated invariant becomes a
-`Violation` with the request, node, server and time. The host reports both what a node could know and what
-was so: the invariants on retries and drains go by what the node was notified of, or counts as notified of;
-those on slow start by what reached the server.
+No I/O and no clock. The simulation that hosts the nodes, here the host, reports each event with its own time
+in ms. A violated invariant becomes a `Violation` with the request, node, server and time. The host reports
+both what happened and when a node was notified of a change. The invariants on retries and drains depend on
+the notifications that a node received or counts as having received; the invariants on slow start depend on
+the attempts that reached the server.
 """
 
 from __future__ import annotations
@@ -24,20 +25,20 @@
 
     from onyxpost.core.types import EndpointState, Frontend, Plan, SlowStartPolicy
 
-FINAL_ANSWERS = ("passed", "denied", "aborted")
+FINAL_ANSWERS = ("passed", "denied", "aborted")  # succeeded, rejected and aborted, as hosts report them
 DEFAULT_CALL_WORK_MS = 1.0
 
 
 class InvariantChecker:
-    """Combines one checker for each concern; each `on_*` method is one event of the host.
+    """Combines the checkers of all invariants; the host calls an `on_*` method for each event.
 
     Args:
-        drain_grace_ms: How long a node may go on sending to a server after the notification of its drain.
-        slow_start: The policy that the nodes have.
-        plans: The plans that the nodes have.
-        tolerance_ms: Added to each limit of time.
+        drain_grace_ms: How long a node may send attempts to a server after the notification of its drain.
+        slow_start: The slow-start policy of the nodes.
+        plans: The plans of the nodes.
+        tolerance_ms: Added to each time limit.
         hard_limit_tolerance: The fraction of a hard limit's burst by which it may be exceeded.
-        max_request_units: The units of the largest request: a hard limit may always be exceeded by one.
+        max_request_units: The units of the largest request; a hard limit may always be exceeded by as much.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
         self.slow_start = SlowStartChecker(slow_start)
 
     def record_violation(self, violation: Violation) -> None:
-        """Adds a violation that the host or one of the checkers has found."""
+        """Adds a violation, found by the host or by one of the checkers."""
         self.violations.append(violation)
 
     def _report(self, violation: Violation | None) -> None:
@@ -81,12 +82,12 @@
         units: int,
         deadline_ms: float,
     ) -> None:
-        """A node has received a request; its final answer is owed by the deadline."""
+        """Handles that a node has received a request, which must have its final answer by the deadline."""
         self.steps += 1
         self.history.add(RequestRecord(node, request_id, frontend, customer, units, at_ms, deadline_ms))
 
     def on_attempt_sent(self, attempt: AttemptRecord) -> None:
-        """The last byte of an attempt is at its server."""
+        """Handles that the last byte of an attempt has reached its server."""
         self.steps += 1
         self._report(self.drains.violation_of(attempt))
         request = self.history.get(attempt.node, attempt.request_id)
@@ -106,14 +107,14 @@
     def on_attempt_ended(
         self, at_ms: float, node: str, request_id: str, attempt_index: int, never_executed: bool
     ) -> None:
-        """An attempt has ended.
+        """Handles the end of an attempt.
 
         Args:
             at_ms: When it ended.
             node: The node that sent it.
             request_id: The request that it belongs to.
             attempt_index: Its index among the attempts of the request that reached a server.
-            never_executed: Whether its end proves that the server has not executed it.
+            never_executed: Whether its end proves that the server never executed it.
         """
         self.steps += 1
         request = self.history.get(node, request_id)
@@ -121,7 +122,7 @@
             request.attempts[attempt_index].not_executed_at_ms = at_ms
 
     def on_final_answer(self, at_ms: float, node: str, request_id: str, final_answer: str) -> None:
-        """A client has its final answer, one of `FINAL_ANSWERS`."""
+        """Handles that a client has received its final answer, one of `FINAL_ANSWERS`."""
         self.steps += 1
         request = self.history.get(node, request_id)
         if request is None or final_answer not in FINAL_ANSWERS:
@@ -139,7 +140,10 @@
         self._report(self.idempotency.violation_of_answer(request, at_ms))
 
     def on_client_disconnected(self, at_ms: float, node: str, request_id: str) -> None:
-        """A client has closed its connection or cancelled: no answer is owed, nothing more should be sent."""
+        """Handles that a client has closed its connection or cancelled its request.
+
+        The request needs no answer any more, and its node should send no further attempts.
+        """
         self.steps += 1
         request = self.history.excuse_answer(node, request_id)
         if request is not None:
@@ -147,48 +151,51 @@
             self.disconnected_clients.on_disconnected(request)
 
     def excuse_answer(self, node: str, request_id: str) -> None:
-        """No answer in time is owed any more, though the client may still wait."""
+        """Waives the answer to a request, although its client may still wait."""
         self.history.excuse_answer(node, request_id)
 
     def forget_request(self, node: str, request_id: str) -> None:
-        """Nothing more can happen to a request, so that a long run need not keep it."""
+        """Removes a request that can have no further events, which limits the memory of a long run."""
         self.history.forget(node, request_id)
 
     # Nodes and time
 
-    def on_node_killed(self, at_ms: float, node: str) -> None:  # noqa: ARG002 - all events have their time
-        """A node was killed: it owes no answers, and its next incarnation is notified again."""
+    def on_node_killed(self, at_ms: float, node: str) -> None:  # noqa: ARG002 - all events have a time
+        """Handles the kill of a node: its requests need no answer, and its next incarnation knows nothing."""
         self.history.excuse_answers_of(node)
         self.endpoint_knowledge.on_node_killed(node)
 
     def check_deadlines(self, now_ms: float) -> None:
-        """Reports each request that waits past its deadline, once; called after a step."""
+        """Reports each request without an answer past its deadline, once. The host calls it regularly."""
         for request in self.history.overdue(now_ms, self.tolerance_ms):
             description = "no answer by the client timeout"
             self.record_violation(request.violation(Invariant.ANSWERS, now_ms, description))
             self.history.excuse_answer(request.node, request.request_id)
 
     def finish(self, now_ms: float) -> None:
-        """Checks also what can only be judged over the complete run; called once, at its end."""
+        """Checks the invariants that hold for a complete run; the host calls it once, at the end."""
         self.check_deadlines(now_ms)
         self._report(self.disconnected_clients.violation_of_run())
 
     # Discovery
 
     def on_endpoint_notified(self, at_ms: float, node: str, server: str, state: EndpointState) -> None:
-        """A node has received the state of a server."""
+        """Handles that a node has received the state of a server."""
         self.steps += 1
         self.endpoint_knowledge.on_notified(at_ms, node, server, state)
 
     def on_discovery_updated(
         self, at_ms: float, node: str, server: str, state: EndpointState, within_ms: float = PROPAGATION_MS
     ) -> None:
-        """A node can poll the state of a server from now on; it counts as known `within_ms` later."""
+        """Handles that a node can poll the state of a server, which counts as known `within_ms` later."""
         self.steps += 1
         self.endpoint_knowledge.on_available(at_ms + within_ms, node, server, state)
 
     def on_discovery_replaced(self, node: str) -> None:
-        """A node is to use another discovery, whose endpoints are reported by `on_discovery_updated`."""
+        """Handles that a node changes to another discovery agent.
+
+        The host then reports the endpoints of the new agent by `on_discovery_updated`.
+        """
         self.endpoint_knowledge.on_discovery_replaced(node)
 
     # Servers
@@ -196,17 +203,17 @@
     def on_server_started(
         self, at_ms: float, server: str, capacity: float, call_work_ms: float = DEFAULT_CALL_WORK_MS
     ) -> None:
-        """A server has started; `capacity` is the work (ms) that it completes in one ms when it is warm."""
+        """Handles the start of a server; `capacity` is the ms of work that it completes per ms when warm."""
         self.slow_start.start(at_ms, server, capacity, call_work_ms)
 
     def on_server_removed(self, server: str) -> None:
-        """A server has gone for good."""
+        """Handles that a server has gone for good."""
         self.slow_start.remove(server)
 
     def on_work_received(
         self, at_ms: float, server: str, work_ms: float, node: str = "", request_id: str = ""
     ) -> bool:
-        """Work has reached a server. Returns whether the server bears it: it is warm or not overloaded."""
+        """Handles work that has reached a server. Returns False if it overloads a server in slow start."""
         self.steps += 1
         result = self.slow_start.add_work(at_ms, server, work_ms)
         if result.violation is not None:
@@ -215,7 +222,7 @@
         return not result.is_overloaded
 
     def on_call_received(self, at_ms: float, server: str, node: str, request_id: str) -> None:
-        """A call has reached a server of a host whose calls have like work."""
+        """Handles a call that has reached a server, if all calls of the host cause about the same work."""
         self.steps += 1
         call = Call(at_ms, self.endpoint_knowledge.knows_start(at_ms, node, server))
         description = self.slow_start.violation_of_call(server, call)
@@ -224,5 +231,5 @@
             self.record_violation(Violation(invariant, at_ms, node, request_id, server, description))
 
     def slow_start_load(self, server: str) -> float:
-        """Returns the recent work of a server in slow start as a fraction of what is allowed; else 0."""
+        """Returns the recent work of a server in slow start as a fraction of its limit; 0 if it is warm."""
         return self.slow_start.load(server)
--- a/onyxpost/simulation/invariants/disconnected_clients.py
+++ b/onyxpost/simulation/invariants/disconnected_clients.py
@@ -1,4 +1,4 @@
-"""Attempts that begin after their client has closed its connection or cancelled. Times are in ms."""
+"""Checks how many attempts begin after their client has closed or cancelled. Times are in ms."""
 
 from __future__ import annotations
 
@@ -9,20 +9,21 @@
 if TYPE_CHECKING:
     from onyxpost.simulation.invariants.records import AttemptRecord, RequestRecord
 
-LATE_ATTEMPT_MS = 100.0  # an attempt that begins so long after the client disconnected is counted
-MAX_LATE_ATTEMPTS = 2  # that a run tolerates
-LATE_FIRST_ATTEMPT_MS = 300.0  # a first attempt that begins so long after it is counted by itself
-MAX_LATE_FIRST_FRACTION = 0.25  # tolerated, of the requests that waited when their client disconnected
-MIN_LATE_FIRST_ATTEMPTS = 5  # fewer are tolerated whatever their fraction
+LATE_ATTEMPT_MS = 100.0  # an attempt that begins later after the client disconnected is a late attempt
+MAX_LATE_ATTEMPTS = 2  # late attempts tolerated in one run
+LATE_FIRST_ATTEMPT_MS = 300.0  # a first attempt that begins later is a late first attempt
+# Tolerated late first attempts, as a fraction of the requests not yet sent when their client disconnected.
+MAX_LATE_FIRST_FRACTION = 0.25
+MIN_LATE_FIRST_ATTEMPTS = 5  # fewer late first attempts are tolerated whatever their fraction
 
 
 class DisconnectedClients:
-    """Counts the late attempts of a run; each limit is extended by the tolerance."""
+    """Counts the late attempts of a run; the tolerance is added to each time limit."""
 
     def __init__(self, tolerance_ms: float) -> None:
         self.tolerance_ms = tolerance_ms
         self._late_attempts = 0
-        self._waiting_requests = 0  # not yet sent to any server when their client disconnected
+        self._waiting_requests = 0  # requests not yet sent to any server when their client disconnected
         self._late_first_attempts: list[Violation] = []
 
     def on_disconnected(self, request: RequestRecord) -> None:
@@ -31,7 +32,10 @@
             self._waiting_requests += 1
 
     def violation_of(self, request: RequestRecord, attempt: AttemptRecord) -> Violation | None:
-        """Counts an attempt that is not yet added to its request. Returns a violation if it is too many."""
+        """Counts an attempt if it is late. Returns a violation if the run now has too many late attempts.
+
+        Must be called before the attempt is added to its request.
+        """
         if request.disconnected_at_ms is None:
             return None
         delay_ms = attempt.first_byte_at_ms - request.disconnected_at_ms
@@ -57,7 +61,7 @@
         self._late_first_attempts.append(violation)
 
     def violation_of_run(self) -> Violation | None:
-        """Returns the last late first attempt if the run has too many of them; called at its end."""
+        """Returns a violation by the last late first attempt if the complete run has too many of them."""
         late = len(self._late_first_attempts)
         if late < MIN_LATE_FIRST_ATTEMPTS or late <= MAX_LATE_FIRST_FRACTION * self._waiting_requests:
             return None
--- a/onyxpost/simulation/invariants/drains.py
+++ b/onyxpost/simulation/invariants/drains.py
@@ -1,4 +1,4 @@
-"""Whether an attempt goes to a server that its node knows to be draining. Times are in ms."""
+"""Checks that nodes send no attempts to servers that they know to be draining. Times are in ms."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class DrainChecker:
-    """Checks attempts against what their nodes know, or count as knowing, of the servers' states."""
+    """Checks attempts against the server states that their nodes know, or count as knowing."""
 
     def __init__(self, knowledge: EndpointKnowledge, grace_ms: float, tolerance_ms: float) -> None:
         self._knowledge = knowledge
@@ -20,7 +20,7 @@
         self._tolerance_ms = tolerance_ms
 
     def violation_of(self, attempt: AttemptRecord) -> Violation | None:
-        """Returns a violation if the attempt began past the grace after the notification of the drain."""
+        """Returns a violation if the attempt began after the drain grace period of its server."""
         notification = self._knowledge.drain_notification(attempt.node, attempt.server)
         if notification is None:
             return None
--- a/onyxpost/simulation/invariants/endpoint_knowledge.py
+++ b/onyxpost/simulation/invariants/endpoint_knowledge.py
@@ -1,7 +1,7 @@
-"""From when on a node counts as notified of a server's state: what it received, and what it could have.
+"""When a node counts as notified of a server's state. Times are in ms.
 
-The operators' rule: whatever became of the node's calls to discovery, a change counts as known
-`PROPAGATION_MS` after discovery had it and could be reached. Times are in ms.
+A node is notified when it receives a state. By the operators' rule, a change also counts as known
+`PROPAGATION_MS` after discovery had it and could be reached, whether or not the node's polls succeeded.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 from onyxpost.core.types import EndpointState
 
-PROPAGATION_MS = 6000.0  # after which a change counts as known, received or not
+PROPAGATION_MS = 6000.0  # time after which a change counts as known, whether or not it was received
 
 EndpointKey = tuple[str, str]
 """The name of a node and the id of a server."""
 
 
 class EndpointNotification(NamedTuple):
-    """When a node was notified that it must not send to a server any more."""
+    """The time from which a node knows, or counts as knowing, that a server is draining or gone."""
 
     at_ms: float
     was_received: bool
@@ -26,12 +26,12 @@
 
 
 class EndpointKnowledge:
-    """What each node knows, or counts as knowing, of the servers' states."""
+    """The times from which each node knows, or counts as knowing, the states of servers."""
 
     def __init__(self) -> None:
         self._drain_received_at_ms: dict[EndpointKey, float] = {}
         self._drain_known_from_ms: dict[EndpointKey, float] = {}
-        self._start_known_from_ms: dict[EndpointKey, float] = {}  # by either way
+        self._start_known_from_ms: dict[EndpointKey, float] = {}  # received or counted as known
 
     def on_notified(self, at_ms: float, node: str, server: str, state: EndpointState) -> None:
         """Records that a node has received the state of a server."""
@@ -43,7 +43,7 @@
             self._drain_received_at_ms.setdefault(key, at_ms)
 
     def on_available(self, known_from_ms: float, node: str, server: str, state: EndpointState) -> None:
-        """Records that a node could poll the state of a server, which counts as known from a time on."""
+        """Records that a node can poll the state of a server; it counts as known from `known_from_ms`."""
         key = (node, server)
         if state is EndpointState.READY:
             self._drain_known_from_ms.pop(key, None)
@@ -52,17 +52,17 @@
             self._drain_known_from_ms.setdefault(key, known_from_ms)
 
     def on_discovery_replaced(self, node: str) -> None:
-        """Discards what counts as known only because the discovery that the node leaves had it."""
+        """Discards the drains that count as known only because the replaced discovery agent had them."""
         _remove_node(self._drain_known_from_ms, node)
 
     def on_node_killed(self, node: str) -> None:
-        """Discards all that the node knew: its next incarnation is notified again."""
+        """Discards all states that the node knew, since its next incarnation is notified again."""
         _remove_node(self._drain_received_at_ms, node)
         _remove_node(self._drain_known_from_ms, node)
         _remove_node(self._start_known_from_ms, node)
 
     def drain_notification(self, node: str, server: str) -> EndpointNotification | None:
-        """Returns the earliest notification that the node must not send to the server any more."""
+        """Returns the earliest notification of the server's drain; None if the node has none."""
         key = (node, server)
         received_at_ms = self._drain_received_at_ms.get(key)
         known_from_ms = self._drain_known_from_ms.get(key)
@@ -73,7 +73,7 @@
         return None
 
     def knows_start(self, at_ms: float, node: str, server: str) -> bool:
-        """Whether the node knows, or counts as knowing, that this incarnation of the server has started."""
+        """Whether the node knows, or counts as knowing, at `at_ms` that the server has started."""
         return self._start_known_from_ms.get((node, server), inf) <= at_ms
 
 
--- a/onyxpost/simulation/invariants/hard_limits.py
+++ b/onyxpost/simulation/invariants/hard_limits.py
@@ -1,4 +1,4 @@
-"""Customers' hard limits over all nodes together. Times are in ms, rates in units per second."""
+"""Checks customers' hard limits over all nodes together. Times are in ms, rates in units per second."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class HardLimitBucket:
-    """A token bucket that may fall below zero: the units that all nodes may still send of one customer."""
+    """A token bucket with the units that all nodes may still send for one customer; may fall below zero."""
 
     def __init__(self, now_ms: float, rate: float, burst: float, tolerance: float) -> None:
         self.updated_at_ms = now_ms
@@ -26,7 +26,7 @@
         self.lowest = burst
 
     def consume(self, now_ms: float, units: float) -> bool:
-        """Takes the units out. Returns whether the limit still holds, within its tolerance."""
+        """Removes units from the bucket. Returns whether the limit is kept within its tolerance."""
         refill = self.rate * (now_ms - self.updated_at_ms) / MS_PER_SECOND
         self.level = min(self.burst, self.level + refill) - units
         self.updated_at_ms = now_ms
@@ -35,7 +35,7 @@
 
 
 class HardLimitChecker:
-    """Counts the units of first attempts, a bucket for each customer whose plan has a hard limit."""
+    """Counts the units of first attempts, with a bucket for each customer whose plan has a hard limit."""
 
     def __init__(self, plans: Iterable[Plan], tolerance_fraction: float, max_request_units: int) -> None:
         self._plans = {plan.name: plan for plan in plans}
--- a/onyxpost/simulation/invariants/idempotency.py
+++ b/onyxpost/simulation/invariants/idempotency.py
@@ -1,4 +1,4 @@
-"""Whether a retry or a rejection is permitted for a request that was possibly executed. Times are in ms."""
+"""Checks retries and rejections of requests that were possibly executed. Times are in ms."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         self.tolerance_ms = tolerance_ms
 
     def violations_of_attempt(self, request: RequestRecord, attempt: AttemptRecord) -> Iterator[Violation]:
-        """Yields what an attempt violates; called before it is added to the request."""
+        """Yields the violations by an attempt; must be called before it is added to the request."""
         earlier = request.first_possible_execution()
         if earlier is None:
             return
--- a/onyxpost/simulation/invariants/records.py
+++ b/onyxpost/simulation/invariants/records.py
@@ -1,6 +1,6 @@
-"""What the checker remembers of requests and attempts, and how it reports a violation.
+"""The checker's records of requests and attempts, and the violations that it reports.
 
-All times are in ms on the clock of whoever hosts the nodes.
+All times are in ms on the clock of the simulation that hosts the nodes.
 """
 
 from __future__ import annotations
@@ -14,30 +14,33 @@
 
 
 class Invariant(StrEnum):
-    """The invariants; their values stand in result files."""
+    """The invariants; their values are part of result files."""
 
     ANSWERS = "answers"
-    """Each request has exactly one final answer in time, and no attempt after it."""
+    """Each request has exactly one final answer in time, and no attempt after its final answer."""
     IDEMPOTENCY = "effects"
     """A request that was possibly executed is retried and rejected only as its idempotency permits."""
     DRAIN_NOTIFIED = "drains"
-    """No attempt to a server past the drain grace, counted from the notification of its node."""
+    """No attempt is sent to a draining server after the drain grace period, counted from the notification."""
     DRAIN_PROPAGATED = "told"
-    """The same, counted from when the node counts as notified, whether it was or not."""
+    """No attempt is sent to a draining server after the drain grace period, counted from when the node counts
+    as notified, whether or not it was."""
     SLOW_START_WORK = "cold"
     """A server in slow start is not overloaded by the work that reaches it."""
     SLOW_START_CALLS = "cold sum"
-    """The same by a count of calls of like work, beyond what chance explains."""
+    """A server in slow start receives no more calls than its limit allows, beyond random variation.
+
+    Only for hosts whose calls all cause about the same work."""
     HARD_LIMITS = "ceilings"
-    """All nodes together send no more of a customer's units than its hard limit."""
+    """All nodes together send no more units of a customer than its hard limit."""
     DISCONNECTED_CLIENTS = "gone"
-    """Few attempts begin late after their client has disconnected."""
+    """Few attempts begin long after their client has disconnected."""
     DISCONNECTED_FIRST_ATTEMPTS = "gone firsts"
-    """Few of the requests that wait when their client disconnects are first sent long after it."""
+    """Few of the requests not yet sent when their client disconnects are first sent long afterwards."""
 
 
 class Violation(NamedTuple):
-    """A violated invariant, with the request, node and server concerned; "" where there is none."""
+    """A violated invariant with its request, node and server; "" where there is none."""
 
     invariant: Invariant
     at_ms: float
@@ -66,28 +69,28 @@
     request_id: str
     server: str
     sent_at_ms: float
-    """When its last byte was at the server."""
+    """When its last byte reached the server."""
     first_byte_at_ms: float
     """When its first byte left the node."""
     zone: str = ""
     cell: int = 0
     plan: str = ""
     not_executed_at_ms: float | None = None
-    """When it ended with a proof that the server had not executed it."""
+    """When it ended with a proof that the server never executed it; None if it has not."""
 
     @property
     def is_possibly_executed(self) -> bool:
-        """Whether nothing proves that the server has not executed it."""
+        """Whether the attempt was possibly executed, since no end of it proved the contrary."""
         return self.not_executed_at_ms is None
 
     def violation(self, invariant: Invariant, description: str) -> Violation:
-        """Returns a violation by this attempt, when it was sent."""
+        """Returns a violation by this attempt, at the time at which it was sent."""
         return Violation(invariant, self.sent_at_ms, self.node, self.request_id, self.server, description)
 
 
 @dataclass(slots=True)
 class RequestRecord:
-    """One request of a client and what became of it."""
+    """One request of a client, with its attempts and its final answer."""
 
     node: str
     request_id: str
@@ -99,11 +102,12 @@
     attempts: list[AttemptRecord] = field(default_factory=list)
     final_answer: str = ""
     is_answer_excused: bool = False
-    """The client disconnected, its node was killed or held up, or it was reported: no answer is owed."""
+    """Whether no answer is required: the client disconnected, the node was killed or held up, or the missing
+    answer was already reported."""
     disconnected_at_ms: float | None = None
 
     def first_possible_execution(self) -> AttemptRecord | None:
-        """Returns the first attempt that the server possibly executed, if there is one."""
+        """Returns the first attempt that was possibly executed; None if there is none."""
         return next((attempt for attempt in self.attempts if attempt.is_possibly_executed), None)
 
     def violation(self, invariant: Invariant, at_ms: float, description: str, server: str = "") -> Violation:
--- a/onyxpost/simulation/invariants/slow_start.py
+++ b/onyxpost/simulation/invariants/slow_start.py
@@ -1,4 +1,4 @@
-"""What reaches a server during its slow start, from all nodes together. Times and work are in ms."""
+"""Checks the load that all nodes together send to a server in slow start. Times and work are in ms."""
 
 from __future__ import annotations
 
@@ -9,11 +9,13 @@
 if TYPE_CHECKING:
     from onyxpost.core.types import SlowStartPolicy
 
-INFORMED_CALLS_FRACTION = 2.0 / 3.0  # only where more calls come from informed nodes are the nodes to blame
+# Too many calls violate the invariant only if a larger fraction of them comes from nodes that know the start:
+# other nodes cannot limit their calls.
+INFORMED_CALLS_FRACTION = 2.0 / 3.0
 
 
 class Work(NamedTuple):
-    """Work that reached a server."""
+    """An amount of work that reached a server."""
 
     at_ms: float
     work_ms: float
@@ -24,22 +26,22 @@
 
     at_ms: float
     is_informed: bool
-    """Whether it is from a node that knows that the server has started."""
+    """Whether the call is from a node that knows that the server has started."""
 
 
 class WorkResult(NamedTuple):
-    """Whether a server survived the work that reached it."""
+    """Whether work that reached a server overloads it."""
 
     is_overloaded: bool
     violation: str | None = None
-    """A description, at the first overload of this incarnation."""
+    """A description of the violation, at the first overload of this incarnation only."""
 
 
 def max_calls(allowed: float) -> float:
-    """Returns the calls tolerated in a window that should have `allowed`.
+    """Returns the number of calls tolerated in a window whose expected number is `allowed`.
 
-    With independent nodes the count is nearly Poisson: its mean plus two standard deviations, and two calls
-    for rounding.
+    With independent nodes the number is nearly Poisson distributed. The limit is the mean plus two standard
+    deviations, plus two calls for rounding.
     """
     return allowed + 2.0 * sqrt(allowed) + 2.0
 
@@ -49,8 +51,8 @@
 
     Args:
         started_at_ms: When it started.
-        capacity: The work (ms) that it completes in one ms when it is warm.
-        call_work_ms: The work of a usual call.
+        capacity: The ms of work that it completes per ms when it is warm.
+        call_work_ms: The work of a typical call.
     """
 
     def __init__(self, started_at_ms: float, capacity: float, call_work_ms: float) -> None:
@@ -69,20 +71,20 @@
         return self.capacity * warmup_fraction * policy.overload_window_ms * policy.overload_multiple
 
     def add_work(self, policy: SlowStartPolicy, at_ms: float, work_ms: float) -> None:
-        """Adds work to the window that ends now."""
+        """Adds work to the window that ends at `at_ms`."""
         self._work.append(Work(at_ms, work_ms))
         self.recent_work_ms += work_ms
         while self._work and self._work[0].at_ms <= at_ms - policy.overload_window_ms:
             self.recent_work_ms -= self._work.popleft().work_ms
 
     def load(self, policy: SlowStartPolicy) -> float:
-        """Returns the work of the last window as a fraction of what the policy permits."""
+        """Returns the work of the last window as a fraction of the work that the policy permits."""
         if not self._work:
             return 0.0
         return self.recent_work_ms / self.max_work_ms(policy, self._work[-1].at_ms)
 
     def violation_of_call(self, policy: SlowStartPolicy, call: Call) -> str | None:
-        """Counts a call. Returns a description of the first one that is too many."""
+        """Counts a call. Returns a description of the violation if it is the first call past the limit."""
         calls = self._calls
         calls.append(call)
         while calls[0].at_ms <= call.at_ms - policy.overload_window_ms:
@@ -100,7 +102,7 @@
 
 
 class SlowStartChecker:
-    """All servers that are in their slow start."""
+    """Checks all servers that are in slow start."""
 
     def __init__(self, policy: SlowStartPolicy) -> None:
         self.policy = policy
@@ -111,16 +113,16 @@
         self.servers[server] = WarmingServer(at_ms, capacity, call_work_ms)
 
     def remove(self, server: str) -> None:
-        """Forgets a server."""
+        """Stops checking a server."""
         self.servers.pop(server, None)
 
     def load(self, server: str) -> float:
-        """Returns the recent work of a server as a fraction of what is allowed; 0 if it is warm."""
+        """Returns the recent work of a server as a fraction of its limit; 0 if it is warm."""
         warming = self.servers.get(server)
         return 0.0 if warming is None else warming.load(self.policy)
 
     def add_work(self, at_ms: float, server: str, work_ms: float) -> WorkResult:
-        """Counts work that has reached a server."""
+        """Counts work that has reached a server, and returns whether it is overloaded."""
         warming = self._get(at_ms, server)
         if warming is None:
             return WorkResult(is_overloaded=False)
@@ -135,12 +137,12 @@
         return WorkResult(is_overloaded=True, violation=description)
 
     def violation_of_call(self, server: str, call: Call) -> str | None:
-        """Counts a call. Returns a description of the first one that is too many."""
+        """Counts a call. Returns a description of the violation if it is the first call past the limit."""
         warming = self._get(call.at_ms, server)
         return None if warming is None else warming.violation_of_call(self.policy, call)
 
     def _get(self, at_ms: float, server: str) -> WarmingServer | None:
-        """Returns the server if it is in its slow start, and forgets it once that has ended."""
+        """Returns the server if it is in slow start, else None; removes a server that has become warm."""
         warming = self.servers.get(server)
         if warming is not None and at_ms - warming.started_at_ms >= self.policy.warmup_ms:
             del self.servers[server]
--- a/onyxpost/simulation/model_checking/__init__.py
+++ b/onyxpost/simulation/model_checking/__init__.py
@@ -1,1 +1,4 @@
-"""Bounded model checking: every order of the actions of a small model, up to a depth (docs/simulation.md)."""
+"""Bounded model checking: explores all sequences of a small model's actions up to a depth.
+
+See docs/simulation.md.
+"""
--- a/onyxpost/simulation/model_checking/actions.py
+++ b/onyxpost/simulation/model_checking/actions.py
@@ -1,4 +1,4 @@
-"""The actions of the leadership model. A message that no action delivers is lost."""
+"""The actions of the leadership model. Message loss needs no action: a lost message is never delivered."""
 
 from __future__ import annotations
 
@@ -7,76 +7,76 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time passes, and every node's timers run."""
+    """Advances the time by `duration_ms` and runs every node's timers."""
 
     duration_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class DeliverMessage:
-    """One message in flight is delivered."""
+    """Delivers one message in flight."""
 
-    index: int  # among the messages in flight
+    index: int  # in the sorted list of messages in flight, as for the other deliveries
 
 
 @dataclass(frozen=True, slots=True)
 class DeliverDuplicate:
-    """One message in flight is delivered, and a duplicate stays in flight."""
+    """Delivers one message in flight and leaves a duplicate in flight."""
 
     index: int
 
 
 @dataclass(frozen=True, slots=True)
 class DeliverCall:
-    """A call of the fenced resource is delivered."""
+    """Delivers a call to the fenced resource."""
 
     index: int
 
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """A candidate and the acceptors exchange messages until none between them is in flight."""
+    """Delivers messages between a candidate and the acceptors until none of them is in flight."""
 
     candidate: str
-    unreachable_acceptor: str = ""
+    unreachable_acceptor: str = ""  # exchanges no messages with the candidate; "" if all acceptors do
 
 
 @dataclass(frozen=True, slots=True)
 class ExchangeAmongAcceptors:
-    """The acceptors exchange messages until none between them is in flight."""
+    """Delivers messages between the acceptors until none of them is in flight."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeliverRequests:
-    """The messages of a candidate are delivered; the replies stay in flight."""
+    """Delivers all messages from a candidate; the replies stay in flight."""
 
     candidate: str
 
 
 @dataclass(frozen=True, slots=True)
 class DeliverReplies:
-    """The messages to a candidate are delivered."""
+    """Delivers all messages to a candidate."""
 
     candidate: str
 
 
 @dataclass(frozen=True, slots=True)
 class RestartAcceptor:
-    """An acceptor restarts without its state."""
+    """Restarts an acceptor without its state."""
 
     acceptor: str
 
 
 @dataclass(frozen=True, slots=True)
 class WriteRecord:
-    """A candidate writes a record, if it leads."""
+    """Makes a candidate write a record, if it is the leader."""
 
     candidate: str
 
 
 @dataclass(frozen=True, slots=True)
 class CallResource:
-    """A candidate sends a call to the fenced resource, if it leads."""
+    """Makes a candidate send a call to the fenced resource, if it is the leader."""
 
     candidate: str
 
--- a/onyxpost/simulation/model_checking/explorer.py
+++ b/onyxpost/simulation/model_checking/explorer.py
@@ -1,8 +1,8 @@
-"""Explores all states that a small model can reach, breadth first, up to a depth; visits each state once.
+"""Explores all states that a small model can reach within a depth, breadth first, and visits each state once.
 
-The terms are those of TLA+: a model has a state, actions that change it, and invariants that each state must
-satisfy. A state is copied and compared by its pickle, which is made without memo, so that equal states give
-equal bytes.
+The terms are those of TLA+: a model has a state, actions that change the state, and invariants that each
+state must satisfy. States are copied and compared by their pickles. The pickler uses no memo, so that equal
+states have equal pickles.
 """
 
 from __future__ import annotations
@@ -19,37 +19,37 @@
 ActionT = TypeVar("ActionT")
 
 DEFAULT_MAX_STATES = 1_000_000
-KEY_BYTES = 12  # of the digest by which a visited state is known
+KEY_BYTES = 12  # size of the digest that identifies a visited state
 
 
 class Model(Protocol[ActionT]):
-    """A state with the actions that are possible in it."""
+    """The state of a model and the actions that are possible in it."""
 
     def actions(self) -> Sequence[ActionT]:
-        """The actions that are possible in this state, in a fixed order."""
+        """Returns the actions that are possible in this state, in a fixed order."""
         ...
 
     def apply(self, action: ActionT) -> None:
-        """Changes the state."""
+        """Changes the state by one action."""
 
     def shared_values(self) -> Sequence[object]:
-        """Values that never change, at most one of each type: all copies of the state share them."""
+        """Returns values that no action changes and that all copies share; at most one of each type."""
         ...
 
     def violation(self) -> str | None:
-        """The invariant that this state violates; None if it violates none."""
+        """Returns a description of the invariant that this state violates; None if it violates none."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExplorationResult(Generic[ActionT]):
-    """What an exploration found.
+    """The result of an exploration.
 
     Attributes:
         states: Number of different states that were reached.
         transitions: Number of actions that were applied.
-        depth: Number of actions up to which every state was reached.
-        violation: The first invariant that was violated; None if none was.
-        path: The shortest sequence of actions from the initial state to that violation.
+        depth: Number of actions within which every reachable state was reached.
+        violation: A description of the first violation; None if there was none.
+        path: The shortest sequence of actions from the initial state to the violation.
     """
 
     states: int
@@ -60,18 +60,18 @@
 
 
 class _Node(NamedTuple, Generic[ActionT]):
-    """A state that is still to be expanded."""
+    """A state whose actions are still to be applied."""
 
     state: bytes
     actions: Sequence[ActionT]
     path: tuple[ActionT, ...]
 
 
-_shared_values: dict[int, object] = {}  # by id; they are kept, so that no id is used again
+_shared_values: dict[int, object] = {}  # by id; values are never removed, so that no id is reused
 
 
 def encode_state(model: Model[ActionT]) -> bytes:
-    """Returns the state as bytes, from which `decode_state` makes a copy."""
+    """Returns the state of a model as bytes that `decode_state` accepts in this process."""
     buffer = io.BytesIO()
     pickler = pickle.Pickler(buffer, pickle.HIGHEST_PROTOCOL)
     pickler.fast = True
@@ -81,23 +81,23 @@
 
 
 def decode_state(state: bytes) -> Model[ActionT]:
-    """Returns a copy of the model that was encoded in this process."""
+    """Returns a new model with an encoded state, which shares `shared_values` with the original."""
     model: Model[ActionT] = pickle.loads(state)
     return model
 
 
 def state_key(state: bytes) -> bytes:
-    """Returns the digest by which a visited state is known."""
+    """Returns the digest that identifies an encoded state."""
     return blake2b(state, digest_size=KEY_BYTES).digest()
 
 
 def explore(
     create_model: Callable[[], Model[ActionT]], depth: int, max_states: int = DEFAULT_MAX_STATES
 ) -> ExplorationResult[ActionT]:
-    """Explores from the state that `create_model` returns, up to `depth` actions.
+    """Explores all states within `depth` actions of the state that `create_model` returns.
 
-    Stops at the first violation, with the shortest path to it, or once `max_states` were reached; the
-    `depth` of the result then says up to where all states were reached.
+    Stops at the first violation, to which it returns the shortest path, or after `max_states` states. The
+    `depth` of the result is then the number of actions within which all states were reached.
     """
     initial = create_model()
     initial_state = encode_state(initial)
--- a/onyxpost/simulation/model_checking/failover_timing.py
+++ b/onyxpost/simulation/model_checking/failover_timing.py
@@ -1,4 +1,4 @@
-"""Measures failover times of a lease on the virtual clock.
+"""Measures, on the virtual clock, the time from a fault of a leader to the election of the next leader.
 
 Usage: `python -m onyxpost.simulation.model_checking.failover_timing NODES SEEDS`.
 """
@@ -17,18 +17,18 @@
 from onyxpost.simulation.model_checking.virtual_cluster import VirtualCluster
 
 ROLE = "d0"
-MIN_LEASE_SECONDS = 3.0  # from the first lease to the fault
-MAX_EXTRA_LEASE_SECONDS = 2.0  # drawn in addition
-WRITE_SECONDS = 0.1  # for the record to be committed before the fault
-PAUSE_SECONDS = 1.0  # that a paused leader stays paused after its successor was elected
+MIN_LEASE_SECONDS = 3.0  # from the first lease to the write of the record
+MAX_EXTRA_LEASE_SECONDS = 2.0  # maximum random time in addition
+WRITE_SECONDS = 0.1  # from the write to the fault, in which the record is committed
+PAUSE_SECONDS = 1.0  # from the election of a paused leader's successor to the end of the pause
 SAMPLES_AFTER_FAILOVER = 500
 SAMPLE_INTERVAL_SECONDS = 0.002
-ELECTION_SECONDS = 8.0  # until a cluster is idle
-IDLE_SECONDS = 20.0
+ELECTION_SECONDS = 8.0  # time in which a new cluster elects its leaders and becomes idle
+IDLE_SECONDS = 20.0  # duration of the measurement in an idle cluster
 
 
 class LeaderFault(StrEnum):
-    """What happens to the leader; the values stand in results."""
+    """Faults of a leader; the values are part of the results."""
 
     TERMINATED = "sigterm"
     KILLED = "kill"
@@ -40,12 +40,12 @@
 
 
 class FailoverMeasurement(NamedTuple):
-    """What one fault of a leader caused.
+    """The failover after one fault of a leader.
 
     Attributes:
-        duration_ms: From the fault to the next leader.
-        overlaps: Number of samples at which more than one node led.
-        is_consistent: Whether the committed record was read by the next leader, and all fencing tokens grew.
+        duration_ms: Time from the fault to the election of the next leader.
+        overlaps: Number of samples with more than one leader.
+        is_consistent: Whether the next leader read the committed record and all fencing tokens increased.
     """
 
     duration_ms: float
@@ -54,7 +54,7 @@
 
 
 async def measure_failover(seed: int, size: int, fault: LeaderFault | str) -> FailoverMeasurement:
-    """Runs a cluster of `size` nodes whose leader has a fault."""
+    """Injects a fault into the leader of a cluster of `size` nodes and measures the failover."""
     cluster = VirtualCluster(seed, size)
     await cluster.start()
     await cluster.wait_for_leader(ROLE)
@@ -79,7 +79,7 @@
 
 
 async def measure_idle_messages(size: int, roles: int = 1, duration_seconds: float = IDLE_SECONDS) -> float:
-    """Returns the messages a second of leader election, of all nodes together, while leaders stay."""
+    """Returns the leader election messages per second of all nodes together while no leader changes."""
     cluster = VirtualCluster(1, size, roles)
     await cluster.start()
     await asyncio.sleep(ELECTION_SECONDS)
@@ -107,7 +107,7 @@
 
 
 def main(size: int, seeds: int) -> None:
-    """Prints a JSON line for each fault, and one for the messages of an idle cluster."""
+    """Prints a JSON line for each fault, and one with the message rate of an idle cluster."""
     for fault in FAULTS:
         runs = [virtual_time.run(measure_failover(seed, size, fault)) for seed in range(seeds)]
         figures = {
--- a/onyxpost/simulation/model_checking/history.py
+++ b/onyxpost/simulation/model_checking/history.py
@@ -1,7 +1,7 @@
-"""What happened in a run of the leadership model, and the invariants on it.
+"""The history of a run of the leadership model, and the invariants on the history.
 
-Invariants: fencing tokens grow; a new leader reads the latest committed record; the fenced resource accepts
-no token lower than one that it accepted before.
+Fencing tokens increase with each lease. A new leader reads the latest committed record. The fenced resource
+accepts no fencing token that is lower than one that it accepted before.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class CommittedRecord(NamedTuple):
-    """The record that must not be lost."""
+    """A committed record, which later leaders must read; ordered by sequence number."""
 
     sequence: int
     body: bytes
@@ -27,11 +27,11 @@
 
     Attributes:
         latest_token: The fencing token of the latest lease.
-        committed: The latest committed record.
-        written: Bodies of all records that were written, by fencing token and sequence number.
-        accepted_tokens: Fencing tokens that the resource accepted, without repetitions in a row.
+        committed: The latest committed record, or `NO_RECORD`.
+        written: Bodies of all written records, by fencing token and sequence number.
+        accepted_tokens: Fencing tokens that the resource accepted, without consecutive repetitions.
         rejected_calls: Number of calls that the resource rejected.
-        violation: The latest violation; None if there is none.
+        violation: A description of the latest violation; None if there is none.
     """
 
     def __init__(self) -> None:
@@ -43,20 +43,20 @@
         self.violation: str | None = None
 
     def record_write(self, fencing_token: int, sequence: int, body: bytes) -> None:
-        """A leader proposed a record."""
+        """Records that a leader has proposed a record."""
         self.written[fencing_token, sequence] = body
 
     def record_commit(self, effect: RecordCommitted) -> None:
-        """A leader learned that its record is committed."""
+        """Records that a leader has learned that its record is committed."""
         body = self.written[effect.fencing_token, effect.sequence]
         self.committed = max(self.committed, CommittedRecord(effect.sequence, body))
 
     def record_state_lost(self) -> None:
-        """A majority of the acceptors lost its state, and with it the record, which is allowed."""
+        """Records that no majority of the acceptors has its state, so that the record may be lost."""
         self.committed = NO_RECORD
 
     def record_lease(self, effect: LeaseAcquired) -> None:
-        """A candidate acquired the lease."""
+        """Records that a candidate has acquired the lease; checks its token and the record that it read."""
         if effect.fencing_token <= self.latest_token:
             self.violation = f"token {effect.fencing_token} granted after {self.latest_token}"
         self.latest_token = effect.fencing_token
@@ -67,7 +67,7 @@
             self.violation = f"committed record {sequence} lost: {effect.record.sequence} was read"
 
     def record_call(self, fencing_token: int, *, checks_tokens: bool) -> None:
-        """A call reached the resource, which rejects a lower token if it `checks_tokens`."""
+        """Records a call to the resource, which rejects a token that is too low if it `checks_tokens`."""
         highest_token = self.accepted_tokens[-1] if self.accepted_tokens else fencing_token
         if fencing_token < highest_token:
             if checks_tokens:
--- a/onyxpost/simulation/model_checking/initial_states.py
+++ b/onyxpost/simulation/model_checking/initial_states.py
@@ -1,4 +1,4 @@
-"""States of the leadership model from which explorations and random runs start."""
+"""Initial states of the leadership model for explorations and random runs."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 
 
 def elect_leader(model: ModelT, *, writes: int = 1) -> ModelT:
-    """Returns `model` once a candidate leads and its records are committed; nothing is in flight.
+    """Runs `model` until a candidate leads and has written `writes` records, and returns it.
 
-    Raises StopIteration if nobody leads after `MAX_ELECTION_TICKS` ticks.
+    All messages are exchanged, and none is in flight at the end. Raises StopIteration if there is no leader
+    after `MAX_ELECTION_TICKS` ticks.
     """
     for _ in range(MAX_ELECTION_TICKS):
         model.tick(model.timing.renew_interval_ms / 2.0)
--- a/onyxpost/simulation/model_checking/leadership_model.py
+++ b/onyxpost/simulation/model_checking/leadership_model.py
@@ -1,7 +1,8 @@
 """A model of leader election for one role: acceptors, candidates, a fenced resource, messages in flight.
 
-Messages arrive in any order, late, twice or never; clocks run at both ends of the allowed drift; acceptors
-restart without state. `explorer` explores it, and tests draw random runs of it.
+Messages arrive in any order, late, twice or never. Clocks run at the highest and the lowest rate that the
+drift permits. Acceptors restart without state. `explorer` explores the model, and tests run random sequences
+of its actions.
 """
 
 from __future__ import annotations
@@ -43,22 +44,22 @@
     from collections.abc import Callable, Sequence
 
 ROLE = "d"
-EPOCH_MS = 1_000_000.0  # by all clocks at the start
+EPOCH_MS = 1_000_000.0  # time of all clocks at the start
 TIMING = LeaseTiming(lease_ms=800.0, drift=0.1, skew_ms=40.0)
-MAX_DELIVERIES = 200  # in one exchange
+MAX_DELIVERIES = 200  # messages delivered in one exchange
 
 
 class LeadershipModel:
-    """The state of the model. Subclasses replace the classes of its nodes by mutants.
+    """The state of the model. Subclasses replace the classes of its nodes by ones with mutations.
 
     Attributes:
         now_ms: Time since the start, by a clock without drift.
-        clock_rates: Rate of each node's clock, 1 without drift.
-        in_flight: Messages in flight, sorted; equal ones are in it once.
-        acceptors: By name.
-        participants: The candidates by name; one of them may lead.
-        restarts_left: How many acceptors may still restart without state.
-        history: What happened so far, and the first violation.
+        clock_rates: Rate of each node's clock, by name; 1 without drift.
+        in_flight: Messages in flight, sorted and without duplicates.
+        acceptors: The acceptors by name.
+        participants: The candidates by name, the leader among them.
+        restarts_left: Number of restarts of acceptors that are still possible.
+        history: The events so far and the violation, if there is one.
     """
 
     acceptor_type: type[Acceptor] = Acceptor
@@ -94,17 +95,17 @@
         return self.participant_type(self.clock_ms(name), identity, self.role_settings, self.acceptor_set)
 
     def clock_ms(self, name: str) -> float:
-        """The time that a node's clock shows."""
+        """Returns the time of a node's clock."""
         return EPOCH_MS + self.now_ms * self.clock_rates[name]
 
     def fencing_token(self, name: str) -> int | None:
-        """The fencing token of a candidate; None unless it leads by its own clock."""
+        """Returns the fencing token of a candidate; None unless it leads by its own clock."""
         return self.participants[name].fencing_token(self.clock_ms(name))
 
-    # The explorer's view
+    # The interface `Model` of the explorer
 
     def actions(self) -> list[Action]:
-        """The actions that are possible in this state."""
+        """Returns the actions that are possible in this state, in a fixed order."""
         possible: list[Action] = [Tick(duration_ms) for duration_ms in self.tick_durations_ms]
         possible += single_deliveries(self.in_flight)
         for name in self.participants:
@@ -132,11 +133,11 @@
                 self._apply_delivery(action)
 
     def shared_values(self) -> tuple[object, ...]:
-        """The values that no action changes."""
+        """Returns the values that no action changes, which all copies of the state share."""
         return self.timing, self.acceptor_set, self.role_settings
 
     def violation(self) -> str | None:
-        """The violation in the history so far, or of the lease's mutual exclusion in this state."""
+        """Returns the violation in the history, or one by two candidates that hold the lease now; or None."""
         if self.history.violation is None:
             leaders = [name for name in self.participants if self.fencing_token(name) is not None]
             if len(leaders) > 1:
@@ -146,7 +147,10 @@
     # Actions
 
     def tick(self, duration_ms: float) -> None:
-        """Time passes; the acceptors' messages to each other arrive before the candidates' timers run."""
+        """Advances the time and runs all timers.
+
+        The messages between acceptors are delivered before the candidates' timers run.
+        """
         self.now_ms += duration_ms
         for name, acceptor in self.acceptors.items():
             self.run_effects(name, acceptor.tick(self.clock_ms(name)))
@@ -155,7 +159,7 @@
             self.run_effects(name, participant.tick(self.clock_ms(name)))
 
     def restart_acceptor(self, name: str) -> None:
-        """The acceptor forgets all; if a majority has no state now, the record may be lost."""
+        """Restarts an acceptor without state; the record may be lost unless a majority still has state."""
         self.restarts_left -= 1
         self.acceptors[name] = self.create_acceptor(name)
         voting = sum(acceptor.is_voting for acceptor in self.acceptors.values())
@@ -163,7 +167,7 @@
             self.history.record_state_lost()
 
     def write_record(self, name: str) -> None:
-        """The candidate writes a new record, if it leads."""
+        """Makes a candidate write a new record, if it is the leader."""
         participant = self.participants[name]
         body = b"%s %d" % (name.encode(), len(self.history.written))
         try:
@@ -176,7 +180,7 @@
         self.run_effects(name, effects)
 
     def call_resource(self, name: str) -> None:
-        """The candidate sends its fencing token to the resource, if it leads."""
+        """Makes a candidate send its fencing token to the resource, if it is the leader."""
         fencing_token = self.fencing_token(name)
         if fencing_token is not None:
             self.send(MessageInFlight(name, RESOURCE, str(fencing_token).encode()))
@@ -196,11 +200,11 @@
                     self.history.record_commit(effect)
 
     def send(self, message: MessageInFlight) -> None:
-        """Puts a message in flight; above the limit one is lost. Duplicates are an action of their own."""
+        """Puts a message in flight, unless an equal one is; above the limit, one message is lost."""
         add_message(self.in_flight, message, lost_index=len(self.history.written))
 
     def deliver(self, message: MessageInFlight) -> None:
-        """Hands a message to its recipient; the caller has removed it from those in flight."""
+        """Passes a message to its recipient; the caller removes it from the messages in flight."""
         if message.recipient == RESOURCE:
             self.history.record_call(int(message.body), checks_tokens=self.checks_fencing_tokens)
             return
@@ -236,7 +240,7 @@
             self.deliver(message)
 
     def _exchange(self, is_delivered: Callable[[MessageInFlight], bool]) -> None:
-        """Delivers such messages, and those that follow from them, until none is in flight."""
+        """Delivers the selected messages, and selected ones sent in response, until none is in flight."""
         for _ in range(MAX_DELIVERIES):
             message = next(
                 (each for each in self.in_flight if each.recipient != RESOURCE and is_delivered(each)), None
--- a/onyxpost/simulation/model_checking/messages.py
+++ b/onyxpost/simulation/model_checking/messages.py
@@ -13,25 +13,25 @@
     from onyxpost.simulation.model_checking.actions import Action
 
 MAX_MESSAGES_IN_FLIGHT = 60
-RESOURCE = "taker"  # the fenced resource's name as recipient; recorded runs have it
+RESOURCE = "taker"  # the fenced resource's name as a recipient, which recorded runs contain
 
 
 class MessageInFlight(NamedTuple):
-    """A message that was sent; to the resource, the fencing token in decimal digits."""
+    """A message that was sent. The body of a call to the resource is its fencing token in decimal digits."""
 
     sender: str
     recipient: str
     body: bytes
 
     def involves(self, name: str) -> bool:
-        """Whether `name` is its sender or its recipient."""
+        """Whether `name` is the sender or the recipient of the message."""
         return name in (self.sender, self.recipient)
 
 
 def add_message(in_flight: list[MessageInFlight], message: MessageInFlight, lost_index: int) -> None:
     """Adds a message in sorted order, unless an equal one is in flight.
 
-    Above the limit, the message at `lost_index`, modulo the limit, is lost.
+    If `MAX_MESSAGES_IN_FLIGHT` is exceeded, the message at `lost_index`, modulo the limit, is removed.
     """
     if message in in_flight:
         return
@@ -41,7 +41,7 @@
 
 
 def single_deliveries(in_flight: list[MessageInFlight]) -> Iterator[Action]:
-    """Yields the actions that deliver one message."""
+    """Yields the actions that deliver a single message, in the order of the messages."""
     for index, message in enumerate(in_flight):
         if message.recipient == RESOURCE:
             yield DeliverCall(index)
--- a/onyxpost/simulation/model_checking/virtual_cluster.py
+++ b/onyxpost/simulation/model_checking/virtual_cluster.py
@@ -1,4 +1,4 @@
-"""A cluster of nodes with leader election on the virtual clock and network, with faults on demand."""
+"""A cluster of nodes with leader election on the virtual clock and network, with injectable faults."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 FENCED_RESOURCE_ADDRESS = ("10.9.0.1", 80)
 PORT = 7100
-CALL_INTERVAL_MS = 250.0  # between a leader's calls of the fenced resource
+CALL_INTERVAL_MS = 250.0  # interval of a leader's calls to the fenced resource
 SAMPLE_INTERVAL_SECONDS = 0.001
 DEFAULT_WAIT_MS = 60_000.0
 
@@ -41,18 +41,18 @@
     """Nodes `n00`, `n01`, ... with roles `d0`, `d1`, ...; the first nodes are the acceptors.
 
     Args:
-        seed: Of the network's delays.
+        seed: Seed of the network's delays.
         size: Number of nodes.
         roles: Number of roles.
         acceptors: Number of acceptors.
-        timing: Of the leases; None for the defaults.
-        resource: Address of the fenced resource that leaders call regularly; None if they call none.
+        timing: Timing of the leases; None for the defaults.
+        resource: Address of the fenced resource that leaders call at a fixed interval; None for no calls.
 
     Attributes:
-        nodes: The running nodes by name, paused ones among them.
-        logs: The log events of all nodes.
+        nodes: The running nodes by name, including paused ones.
+        logs: The log events of all nodes, in order.
         blocked_links: Pairs of sender and recipient whose messages are lost.
-        overlaps: Number of samples and roles at which more than one node led.
+        overlaps: Number of roles with more than one leader, summed over all samples.
     """
 
     def __init__(
@@ -85,11 +85,11 @@
         self._started_nodes = 0
 
     def now_ms(self) -> float:
-        """Virtual time since the start."""
+        """Returns the virtual time in ms since the start of the run."""
         return self.network.loop.time() * MS_PER_SECOND
 
     async def start(self, *names: str) -> None:
-        """Starts these nodes, or all, each without any state."""
+        """Starts the named nodes, or all if none is named, without state."""
         for name in names or tuple(self.membership.members):
             self._started_nodes += 1
             node = VirtualNode(
@@ -99,18 +99,18 @@
             await node.start()
 
     async def kill(self, name: str) -> None:
-        """Ends a node as SIGKILL does; it may be started again."""
+        """Ends a node as SIGKILL does; `start` can start it again."""
         self.nodes.pop(name).close()
         self.network.kill_host(name)
         await asyncio.sleep(0.0)
 
     async def terminate(self, name: str) -> None:
-        """Ends a node as SIGTERM does."""
+        """Ends a node as SIGTERM does: it resigns from its roles and leaves the cluster."""
         await self.nodes.pop(name).terminate()
         await asyncio.sleep(0.0)
 
     def isolate(self, name: str) -> None:
-        """Blocks all links of a node, until `blocked_links` is cleared."""
+        """Blocks all links of a node in both directions, until `blocked_links` is cleared."""
         for other in self.membership.members:
             self.blocked_links |= {(name, other), (other, name)}
 
@@ -120,7 +120,7 @@
             await self.kill(name)
 
     def leaders_of(self, role: str) -> list[str]:
-        """The nodes that lead `role`, each by its own clock; paused ones are left out."""
+        """Returns the nodes that lead `role`, each by its own clock; paused nodes are not included."""
         return [
             name
             for name, node in self.nodes.items()
@@ -128,21 +128,21 @@
         ]
 
     def sample_state(self) -> None:
-        """Counts the roles that more than one node leads at this moment."""
+        """Adds the number of roles that currently have more than one leader to `overlaps`."""
         self.overlaps += sum(len(self.leaders_of(role)) > 1 for role in self.config.roles)
 
     async def wait_for_leader(
         self, role: str, other_than: str = "", timeout_ms: float = DEFAULT_WAIT_MS
     ) -> str:
-        """Returns the leader once there is one, and samples the state at each ms.
+        """Waits for a leader of `role` and returns its name; samples the state every ms meanwhile.
 
         Args:
             role: The role.
-            other_than: A node that does not count.
-            timeout_ms: Virtual time to wait.
+            other_than: A node that does not count as the leader; "" for none.
+            timeout_ms: Maximum virtual time to wait.
 
         Raises:
-            TimeoutError: No other node led in time.
+            TimeoutError: There was no such leader within the timeout.
         """
         deadline_ms = self.now_ms() + timeout_ms
         while self.now_ms() < deadline_ms:
@@ -154,11 +154,11 @@
         raise TimeoutError(f"{role} has no leader")
 
     def logged_fields(self, event: str) -> list[dict[str, Any]]:
-        """The fields of all log events of this kind, in order."""
+        """Returns the fields of all log events with this name, in order."""
         return [log.event.fields for log in self.logs if log.event.event == event]
 
     def tokens_increase(self) -> bool:
-        """Whether the fencing tokens of each role grew with each lease."""
+        """Returns whether the fencing tokens of each role increased with each lease."""
         tokens_of_role: dict[str, list[int]] = defaultdict(list)
         for fields in self.logged_fields(LEASE_ACQUIRED):
             tokens_of_role[fields["role"]].append(fields["fencing_token"])
--- a/onyxpost/simulation/model_checking/virtual_node.py
+++ b/onyxpost/simulation/model_checking/virtual_node.py
@@ -1,4 +1,4 @@
-"""A node that takes part in leader election, on the virtual clock and network."""
+"""A node of leader election on the virtual clock and network."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
     from onyxpost.runtime.log_event import LogEvent
     from onyxpost.simulation.virtual_time import Network
 
-TOPIC = "duties"  # of the messages of leader election between nodes
+TOPIC = "duties"  # topic of the leader election messages between nodes
 
 
 class ReceivedMessage(NamedTuple):
-    """A message that waits while its recipient is paused."""
+    """A message received while its recipient was paused."""
 
     sender: str
     body: bytes
 
 
 class VirtualNode:
-    """The connections and the leadership service of one node, without its part as a gateway.
+    """The peer connections and the leadership service of one node, without its gateway.
 
     Args:
-        network: The virtual network that it is a host of.
-        name: Its name in the membership.
-        start_index: Number of nodes started before; makes its incarnation unique.
-        membership: All nodes, with their addresses.
+        network: The virtual network of the node.
+        name: The name of the node in the membership.
+        start_index: Number of this start among all starts of nodes; makes the incarnation unique.
+        membership: All nodes and their addresses.
         config: The roles and acceptors.
-        log: Is called with each log event.
+        log: Called with each log event.
     """
 
     def __init__(
@@ -59,30 +59,30 @@
         self._received_in_pause: list[ReceivedMessage] = []
 
     async def start(self) -> None:
-        """Listens, connects and takes part in elections."""
+        """Starts to listen, to connect to peers and to take part in elections."""
         await self.connections.listen(self.address)
         self.connections.start()
         self.leadership.start()
 
     def close(self) -> None:
-        """Stops without a message to anyone."""
+        """Stops without sending a message to any peer."""
         self.leadership.close()
         self.connections.close()
 
     async def terminate(self) -> None:
-        """Resigns from all roles and leaves the cluster, as on SIGTERM."""
+        """Resigns from all roles, leaves the cluster and stops, as on SIGTERM."""
         self.leadership.resign_all()
         await self.connections.leave()
         self.close()
 
     def pause(self) -> None:
-        """Stops as on SIGSTOP: nothing runs, and what is received waits."""
+        """Pauses as on SIGSTOP: leader election stops, and received messages are queued."""
         self.is_paused = True
         self._received_in_pause = []
         self.leadership.close()
 
     def resume(self) -> None:
-        """Goes on as on SIGCONT, with what was received meanwhile."""
+        """Continues as on SIGCONT and handles the messages received during the pause."""
         self.is_paused = False
         self.leadership.start()
         for message in self._received_in_pause:
--- a/onyxpost/simulation/virtual_time/__init__.py
+++ b/onyxpost/simulation/virtual_time/__init__.py
@@ -1,7 +1,7 @@
-"""An asyncio event loop whose time skips to what is due next, and a network in memory that can fail.
+"""An asyncio event loop with a virtual clock, and an in-memory virtual network with injectable faults.
 
-The edge node's own code runs on it unchanged: only `onyxpost.runtime.transport.Transport` has another
-implementation.
+The virtual clock advances to the next scheduled event at once. The code of the edge node runs on both
+unchanged; only `onyxpost.runtime.transport.Transport` has another implementation.
 """
 
 from onyxpost.simulation.errors import SimulationStalledError
--- a/onyxpost/simulation/virtual_time/connection.py
+++ b/onyxpost/simulation/virtual_time/connection.py
@@ -1,27 +1,29 @@
-"""Connections in memory: two ends and the bytes in flight between them. Times are in seconds."""
+"""In-memory connections: two ends and the bytes in flight between them. Times are in seconds."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import Protocol
 
-MIN_SPACING_SECONDS = 1e-7  # between two events of one direction: the loop does not order what is due at once
+# Minimum time between two arrivals in one direction. The event loop does not order callbacks that are due at
+# the same time.
+MIN_SPACING_SECONDS = 1e-7
 
 
 class Link(Protocol):
-    """What a connection needs to know of the network that it is on."""
+    """The part of the network's interface that a connection uses."""
 
     loop: asyncio.AbstractEventLoop
 
     def is_blocked(self, source: str, target: str) -> bool:
-        """Whether nothing that one host sends reaches the other."""
+        """Whether all that `source` sends to `target` is lost."""
 
     def delay_seconds(self, source: str, target: str) -> float:
-        """Returns how long the next bytes or datagram take from one host to another."""
+        """Returns the one-way delay of the next bytes or datagram from `source` to `target`."""
 
 
 class ConnectionEnd(asyncio.Transport):
-    """One end of a connection, as a stream's transport."""
+    """One end of a connection, which is the asyncio transport of its stream."""
 
     def __init__(self, connection: Connection, host: str) -> None:
         super().__init__()
@@ -29,31 +31,31 @@
         self.host = host
         self.loop = connection.link.loop
         self.protocol: asyncio.Protocol = asyncio.Protocol()
-        self.max_size = 0  # a socket's transport has it: the bytes read at once
+        self.max_size = 0  # attribute of asyncio's socket transports: the maximum bytes of one read
         self.bytes_sent = 0
         self.is_shut = False
         self.is_lost = False
         self.has_sent_end = False
         self.has_received_end = False
         self._is_paused = False
-        self._unread: list[bytes] = []  # received while reading was paused; b"" is the end
-        self._undeliverable_bytes = 0  # sent while the other end could not be reached
+        self._unread: list[bytes] = []  # received while reading was paused; b"" is the end of the stream
+        self._undeliverable_bytes = 0  # bytes sent while the other end could not be reached
 
     @property
     def peer(self) -> ConnectionEnd:
-        """The other end."""
+        """The other end of the connection."""
         first, second = self.connection.ends
         return second if self is first else first
 
     @property
     def has_unread(self) -> bool:
-        """Whether bytes or the end were received that the program has not read."""
+        """Whether bytes, or the end of the stream, were received that the program has not read."""
         return bool(self._unread)
 
-    # Calls of the program
+    # Called by the program: the interface of asyncio.Transport
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Sends bytes."""
+        """Sends bytes to the other end; after a close or `write_eof` they are discarded."""
         if not self.is_shut and not self.has_sent_end and data:
             self.bytes_sent += len(data)
             self.connection.carry(self, bytes(data))
@@ -65,11 +67,11 @@
             self.connection.carry(self, b"")
 
     def can_write_eof(self) -> bool:
-        """Whether one direction can be closed alone."""
+        """Returns True: one direction can be closed alone."""
         return True
 
     def close(self) -> None:
-        """Closes this end after what it has sent."""
+        """Closes this end; bytes sent before are still delivered."""
         if not self.is_shut:
             self.write_eof()
             self.is_shut = True
@@ -87,23 +89,23 @@
         return self.is_shut
 
     def get_extra_info(self, name: str, default: object = None) -> object:  # noqa: ARG002 - asyncio's
-        """Returns the default: there is no socket."""
+        """Returns the default, since there is no socket."""
         return default
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
         """Does nothing: writing never pauses."""
 
     def get_write_buffer_size(self) -> int:
-        """Returns all bytes that the other end has not read: no kernel buffers a part of them here."""
+        """Returns the number of sent bytes that the other end has not read; there are no kernel buffers."""
         in_flight = self.connection.bytes_in_flight[self.peer]
         return in_flight + sum(len(chunk) for chunk in self.peer._unread) + self._undeliverable_bytes
 
     def pause_reading(self) -> None:
-        """Keeps what arrives until reading is resumed."""
+        """Buffers the bytes that arrive until reading is resumed."""
         self._is_paused = True
 
     def resume_reading(self) -> None:
-        """Passes on what has arrived meanwhile."""
+        """Passes the buffered bytes to the protocol, and ends the pause."""
         self._is_paused = False
         unread = self._unread
         self._unread = []
@@ -111,18 +113,18 @@
             self.receive(chunk)
 
     def is_reading(self) -> bool:
-        """Whether what arrives is passed on at once."""
+        """Whether bytes that arrive are passed to the protocol at once."""
         return not self._is_paused and not self.is_shut
 
-    # Events of the network
+    # Called by the network
 
     def connect(self, protocol: asyncio.Protocol) -> None:
-        """Passes all further events to a protocol, and first that the connection is open."""
+        """Notifies a protocol that the connection is open, and passes it all later events."""
         self.protocol = protocol
         protocol.connection_made(self)
 
     def receive(self, data: bytes) -> None:
-        """Handles bytes that arrive, or the end of the stream: b""."""
+        """Handles bytes that arrive; b"" is the end of the stream."""
         if self.is_lost or self.is_shut:
             return
         self.has_received_end = self.has_received_end or not data
@@ -140,13 +142,13 @@
             self.lose(ConnectionResetError("reset"))
 
     def lose(self, error: Exception | None) -> None:
-        """Reports to the program, once, that the connection has ended."""
+        """Notifies the protocol that the connection has ended, unless it was notified before."""
         if not self.is_lost:
             self.is_lost = True
             self.protocol.connection_lost(error)
 
     def kill(self) -> None:
-        """The process of this end is killed: its program gets no report, the other end a reset."""
+        """Kills the process of this end: its program is not notified, and the other end is reset."""
         self.is_shut = True
         self.is_lost = True
         self.connection.reset_peer_of(self)
@@ -156,28 +158,28 @@
         self._undeliverable_bytes += count
 
     def clear_undeliverable(self) -> None:
-        """The other end can be reached again."""
+        """Handles that the other end can be reached again."""
         self._undeliverable_bytes = 0
 
 
 class Connection:
-    """Carries bytes from each end to the other, in order and delayed; may break after a number of bytes."""
+    """Delivers bytes from each end to the other in order and with a delay; may break after some bytes."""
 
     def __init__(self, link: Link, source: str, target: str) -> None:
         self.link = link
         self.loop = link.loop
         self.is_broken = False
         self.ends = (ConnectionEnd(self, source), ConnectionEnd(self, target))
-        self.bytes_in_flight: dict[ConnectionEnd, int] = dict.fromkeys(self.ends, 0)  # to this end
-        self._breaks_after_bytes: dict[ConnectionEnd, int] = {}  # sent by this end
+        self.bytes_in_flight: dict[ConnectionEnd, int] = dict.fromkeys(self.ends, 0)  # by receiving end
+        self._breaks_after_bytes: dict[ConnectionEnd, int] = {}  # by sending end
         self._last_arrival_seconds: dict[ConnectionEnd, float] = dict.fromkeys(self.ends, 0.0)
 
     def break_after(self, end: ConnectionEnd, byte_count: int) -> None:
-        """Has the connection break once so many bytes sent by this end have been delivered."""
+        """Makes the connection break after `byte_count` bytes sent by `end` have been delivered."""
         self._breaks_after_bytes[end] = byte_count
 
     def carry(self, end: ConnectionEnd, data: bytes) -> None:
-        """Takes bytes that an end has sent; b"" is the end of the stream."""
+        """Delivers bytes sent by `end` unless the link is blocked or broken; b"" is the end of the stream."""
         if self.is_broken or self.link.is_blocked(end.host, end.peer.host):
             end.add_undeliverable(len(data))
             return
@@ -192,11 +194,11 @@
         self.break_at(self._next_arrival_seconds(end))
 
     def reset_peer_of(self, end: ConnectionEnd) -> None:
-        """Resets the other end, behind all that this one has sent."""
+        """Resets the other end after all bytes that `end` has sent have arrived there."""
         self.loop.call_at(self._next_arrival_seconds(end), end.peer.reset)
 
     def break_at(self, time_seconds: float) -> None:
-        """Breaks the connection now; its ends learn of it at the given time."""
+        """Breaks the connection now; both ends are reset at `time_seconds`."""
         self.is_broken = True
         for end in self.ends:
             self.loop.call_at(time_seconds, end.reset)
--- a/onyxpost/simulation/virtual_time/host.py
+++ b/onyxpost/simulation/virtual_time/host.py
@@ -1,4 +1,4 @@
-"""The network in memory as one host has it: its listeners, connections, datagrams, clock and signals."""
+"""A host of the virtual network: its listeners, connections, datagrams, clock and signals."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
     from onyxpost.simulation.virtual_time.listener import VirtualListener
 
 EPOCH = 1_000_000_000_000.0  # Unix ms at the start of a run
-DESCRIPTOR_LIMIT = 1 << 20
+DESCRIPTOR_LIMIT = 1 << 20  # file descriptors; more than any program here needs
 
 
 class SharedNetwork(Protocol):
-    """The network that all hosts share; see `Network` for each call."""
+    """The part of the network's interface that hosts use; `Network` implements it."""
 
     loop: asyncio.AbstractEventLoop
     hosts: dict[Address, str]
     datagram_protocols: dict[Address, asyncio.DatagramProtocol]
 
     def listen(self, host: str, address: Address, serve: ConnectionHandler, limit: int) -> VirtualListener:
-        """Listens for a host."""
+        """Starts a listener of a host."""
 
     async def dial(self, host: str, address: Address, limit: int) -> DialedConnection:
-        """Opens a connection for a host."""
+        """Opens a connection from a host."""
 
     def send_datagram(self, host: str, source: Address, data: bytes, target: Address) -> None:
-        """Sends a datagram for a host."""
+        """Sends a datagram from a host; it may be lost."""
 
 
 class VirtualDatagramTransport(asyncio.DatagramTransport):
-    """Datagrams of one host at one address."""
+    """Transport of the datagrams that one host sends and receives at one address."""
 
     def __init__(self, network: SharedNetwork, host: str, address: Address) -> None:
         super().__init__()
@@ -51,18 +51,18 @@
     def sendto(
         self, data: bytes | bytearray | memoryview, addr: tuple[Any, ...] | str | Buffer | None = None
     ) -> None:
-        """Sends a datagram to a host and port."""
+        """Sends a datagram to `addr`, a host and port."""
         assert isinstance(addr, tuple)
         host, port = addr
         self._network.send_datagram(self._host, self._address, bytes(data), (host, port))
 
     def close(self) -> None:
-        """Receives no more."""
+        """Stops receiving datagrams at the address."""
         self._network.datagram_protocols.pop(self._address, None)
 
 
 class VirtualHost:
-    """One host: an `onyxpost.runtime.transport.Transport` that needs neither sockets nor real time."""
+    """A host, which is an `onyxpost.runtime.transport.Transport` without sockets and real time."""
 
     def __init__(self, network: SharedNetwork, name: str) -> None:
         self.network = network
@@ -71,11 +71,11 @@
         self._on_reload: Callable[[], None] = _ignore_signal
 
     def clock(self) -> float:
-        """Returns the Unix time in ms."""
+        """Returns the virtual Unix time in ms."""
         return EPOCH + self.monotonic()
 
     def monotonic(self) -> float:
-        """Returns the time in ms since the start of the run."""
+        """Returns the virtual time in ms since the start of the run."""
         return self.network.loop.time() * MS_PER_SECOND
 
     async def listen(
@@ -83,7 +83,7 @@
         serve: ConnectionHandler,
         address: Address,
         limit: int,
-        accepts: int,  # noqa: ARG002 - the protocol's: there is no backlog here
+        accepts: int,  # noqa: ARG002 - parameter of `Transport`; a virtual listener has no backlog
     ) -> VirtualListener:
         """Listens at `address`; `limit` is the stream's buffer limit in bytes. Raises OSError."""
         return self.network.listen(self.name, address, serve, limit)
@@ -93,14 +93,14 @@
         return await self.network.dial(self.name, address, limit)
 
     def unread(self, transport: asyncio.BaseTransport) -> Unread:
-        """Returns what an accepted connection has received that the event loop has not read yet."""
+        """Returns what an accepted connection has received but not read: bytes, its end or nothing."""
         assert isinstance(transport, ConnectionEnd)
         if transport.is_shut or transport.has_received_end:
             return Unread.END
         return Unread.BYTES if transport.has_unread else Unread.NOTHING
 
     async def open_datagram_endpoint(self, protocol: asyncio.DatagramProtocol, address: Address) -> None:
-        """Receives datagrams at `address`."""
+        """Passes datagrams that arrive at `address` to `protocol`."""
         self.network.hosts[address] = self.name
         self.network.datagram_protocols[address] = protocol
         protocol.connection_made(VirtualDatagramTransport(self.network, self.name, address))
@@ -115,20 +115,20 @@
         self._on_reload = _ignore_signal
 
     def send_sigterm(self) -> None:
-        """Sends SIGTERM to the program of this host."""
+        """Calls the SIGTERM handler of the host's program."""
         self._on_stop()
 
     def send_sighup(self) -> None:
-        """Sends SIGHUP to the program of this host."""
+        """Calls the SIGHUP handler of the host's program."""
         self._on_reload()
 
     def freeze_startup_objects(self) -> None:
-        """Does nothing: many hosts share one process."""
+        """Does nothing, since many hosts share one process."""
 
     def descriptor_limit(self) -> int:
-        """Returns more than any program here needs."""
+        """Returns the maximum number of file descriptors, which no program here reaches."""
         return DESCRIPTOR_LIMIT
 
 
 def _ignore_signal() -> None:
-    """A program that has not installed its handlers yet."""
+    """Ignores a signal: the handler of a program that has installed none."""
--- a/onyxpost/simulation/virtual_time/listener.py
+++ b/onyxpost/simulation/virtual_time/listener.py
@@ -1,4 +1,4 @@
-"""A listener in memory."""
+"""A listener of the virtual network."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class ListenerTable(Protocol):
-    """Whoever keeps the listeners."""
+    """The part of the network's interface that a listener uses."""
 
     loop: asyncio.AbstractEventLoop
 
     def stop_listening(self, listener: VirtualListener) -> None:
-        """Ends a listener, unless another one has its address by now."""
+        """Removes a listener, unless another one listens at its address by now."""
 
 
 class VirtualListener:
-    """A listener in memory, which is closed as an `asyncio.Server` is.
+    """A listener of the virtual network, with the interface of `asyncio.Server` that programs use.
 
     Attributes:
         limit: The buffer limit in bytes of the streams that it accepts.
@@ -35,7 +35,7 @@
 
     @property
     def sockets(self) -> tuple[Any, ...]:
-        """No sockets."""
+        """An empty tuple, since there are no sockets."""
         return ()
 
     def close(self) -> None:
--- a/onyxpost/simulation/virtual_time/loop.py
+++ b/onyxpost/simulation/virtual_time/loop.py
@@ -1,4 +1,4 @@
-"""An asyncio event loop whose time skips to what is due next. Times are in seconds."""
+"""An asyncio event loop whose virtual clock advances to the next timer at once. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 Result = TypeVar("Result")
 
-MAX_TURNS_AT_ONE_TIME = 200_000  # more turns of the loop without any progress of time are a livelock
-CLOCK_RESOLUTION_SECONDS = 1e-9  # what is due later than this is not due yet
-CANCEL_TIMEOUT_SECONDS = 10.0  # of virtual time, for the tasks that are left at the end
+MAX_TURNS_AT_ONE_TIME = 200_000  # more iterations of the loop without any progress of time are a livelock
+CLOCK_RESOLUTION_SECONDS = 1e-9  # the loop runs timers that are due within this time
+CANCEL_TIMEOUT_SECONDS = 10.0  # virtual time for the remaining tasks to end once they are cancelled
 
 
 class SkipIdleSelector(selectors.BaseSelector):
-    """Waits for nothing: it moves the time on by as long as the loop would have waited.
+    """A selector that advances the virtual clock by the time for which the loop would have waited.
 
     Raises:
-        SimulationStalledError: Nothing is due any more, or time does not progress.
+        SimulationStalledError: No event is due any more, or the virtual time does not advance.
     """
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         self._keys: dict[FileDescriptorLike, selectors.SelectorKey] = {}
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Moves the time on by `timeout`; no file is ever ready."""
+        """Advances the virtual clock by `timeout`; no file is ever ready."""
         if timeout is None:
             raise SimulationStalledError("nothing is due any more")
         self._turns_at_this_time = 0 if timeout > 0.0 else self._turns_at_this_time + 1
@@ -45,13 +45,13 @@
     def register(
         self, fileobj: FileDescriptorLike, events: int, data: object = None
     ) -> selectors.SelectorKey:
-        """Registers the loop's own pipe to itself, the only file that there is; it is never ready."""
+        """Registers a file, which is never ready. The loop registers only the socket that wakes it up."""
         key = selectors.SelectorKey(fileobj, _file_descriptor(fileobj), events, data)
         self._keys[fileobj] = key
         return key
 
     def unregister(self, fileobj: FileDescriptorLike) -> selectors.SelectorKey:
-        """Removes a file."""
+        """Removes a file and returns its key."""
         return self._keys.pop(fileobj)
 
     def get_map(self) -> dict[FileDescriptorLike, selectors.SelectorKey]:
@@ -64,7 +64,7 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """An event loop on virtual time, which begins at 0."""
+    """An event loop with a virtual clock, which starts at 0."""
 
     def __init__(self) -> None:
         self._skip_idle = SkipIdleSelector()
@@ -77,10 +77,10 @@
 
 
 def run(main: Awaitable[Result]) -> Result:
-    """Runs a coroutine on a new loop of virtual time, as `asyncio.run` does, and returns its result.
+    """Runs a coroutine on a new `VirtualTimeLoop`, as `asyncio.run` does, and returns its result.
 
     Raises:
-        SimulationStalledError: Nothing is due any more, or time does not progress.
+        SimulationStalledError: No event is due any more, or the virtual time does not advance.
     """
     loop = VirtualTimeLoop()
     try:
@@ -97,7 +97,7 @@
 
 
 def _cancel_tasks(loop: VirtualTimeLoop) -> None:
-    # Tasks that are cancelled here were not meant to end: what they raise is no fault.
+    # Tasks that are cancelled here were not expected to end, so that their errors are not reported.
     loop.set_exception_handler(lambda _loop, _context: None)
     tasks = asyncio.all_tasks(loop)
     for task in tasks:
--- a/onyxpost/simulation/virtual_time/network.py
+++ b/onyxpost/simulation/virtual_time/network.py
@@ -1,4 +1,4 @@
-"""A network in memory that can fail: who listens, every open connection, and who reaches whom."""
+"""The virtual network: listeners, open connections, datagrams, and the faults injected into them."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
     from onyxpost.runtime.transport import ConnectionHandler
     from onyxpost.simulation.virtual_time.connection import ConnectionEnd
 
-MIN_DELAY_SECONDS = 0.0002  # one way
-MAX_DELAY_SECONDS = 0.002
-NEVER_SECONDS = 3600.0  # later than any timeout of a program
+MIN_DELAY_SECONDS = 0.0002  # one-way delay
+MAX_DELAY_SECONDS = 0.002  # one-way delay
+NEVER_SECONDS = 3600.0  # longer than any timeout of a program
 
 
 class PlannedBreak(NamedTuple):
-    """Where the next connection to a host breaks."""
+    """A fault that breaks the next connection to a host after some bytes."""
 
     side: int
-    """Whose bytes are counted: 0 the end that dialed, 1 the end that accepted."""
+    """The end whose sent bytes are counted: 0 for the end that dialed, 1 for the end that accepted."""
     after_bytes: int
 
 
 class Network:
-    """All that listens, every open connection, and who reaches whom; must be created in a running loop.
+    """The network that all virtual hosts share; must be created while an event loop is running.
 
-    Its tables are public, as faults change them while it runs.
+    Its tables are public, since fault handlers change them during a run.
     """
 
     def __init__(self, rng: Random) -> None:
@@ -43,32 +43,32 @@
         self.listeners: dict[Address, VirtualListener] = {}
         self.hosts: dict[Address, str] = {}
         self.datagram_protocols: dict[Address, asyncio.DatagramProtocol] = {}
-        self.connections: dict[str, list[Connection]] = defaultdict(list)  # by host, either end
-        self.cut_off: set[str] = set()  # hosts that reach nobody and are not reached
-        self.blocked_links: set[tuple[str, str]] = set()  # from a host to another, in this direction alone
+        self.connections: dict[str, list[Connection]] = defaultdict(list)  # by the host of either end
+        self.cut_off: set[str] = set()  # hosts whose traffic is lost in both directions
+        self.blocked_links: set[tuple[str, str]] = set()  # (source, target), blocked in this direction only
         self.datagram_loss = 0.0  # the fraction of datagrams that are lost
-        self.connect_delays: dict[str, float] = {}  # extra seconds until a connection to a host is open
-        self.planned_breaks: dict[str, list[PlannedBreak]] = defaultdict(list)  # of the next ones to a host
+        self.connect_delays: dict[str, float] = {}  # extra seconds until a connection opens, by target host
+        self.planned_breaks: dict[str, list[PlannedBreak]] = defaultdict(list)  # by target host, in order
 
     def is_blocked(self, source: str, target: str) -> bool:
-        """Whether nothing that one host sends reaches the other."""
+        """Whether all that `source` sends to `target` is lost."""
         if source in self.cut_off or target in self.cut_off:
             return True
         return (source, target) in self.blocked_links
 
     def delay_seconds(self, source: str, target: str) -> float:  # noqa: ARG002 - tests replace it by link
-        """Returns how long the next bytes or datagram take from one host to another."""
+        """Returns the one-way delay of the next bytes or datagram from `source` to `target`."""
         return self.rng.uniform(MIN_DELAY_SECONDS, MAX_DELAY_SECONDS)
 
     def host(self, name: str) -> VirtualHost:
-        """Returns the network as a host with this name has it."""
+        """Returns a new host with this name."""
         return VirtualHost(self, name)
 
     def listen(self, host: str, address: Address, serve: ConnectionHandler, limit: int) -> VirtualListener:
-        """Listens for a host; `limit` is the stream's buffer limit in bytes.
+        """Starts a listener of a host; `limit` is the buffer limit in bytes of the accepted streams.
 
         Raises:
-            OSError: Somebody listens there already.
+            OSError: The address is already in use.
         """
         if address in self.listeners:
             raise OSError(f"{address} is taken")
@@ -78,15 +78,15 @@
         return listener
 
     def stop_listening(self, listener: VirtualListener) -> None:
-        """Ends a listener, unless another one has its address by now."""
+        """Removes a listener, unless another one listens at its address by now."""
         if self.listeners.get(listener.address) is listener:
             del self.listeners[listener.address]
 
     async def dial(self, host: str, address: Address, limit: int) -> DialedConnection:
-        """Opens a connection for a host; `limit` is the stream's buffer limit in bytes.
+        """Opens a connection from a host; `limit` is the stream's buffer limit in bytes.
 
         Raises:
-            ConnectionRefusedError: Nobody listens there.
+            ConnectionRefusedError: There is no listener at the address.
         """
         await asyncio.sleep(2.0 * self.delay_seconds(host, str(address)))
         target = self.hosts.get(address, "")
@@ -126,7 +126,7 @@
         end.connect(asyncio.StreamReaderProtocol(reader, serve, loop=self.loop))
 
     def kill_host(self, host: str) -> None:
-        """Kills the process of a host: its connections are reset, and it listens no more."""
+        """Kills the process of a host: resets its connections and removes its listeners."""
         for address in [address for address, owner in self.hosts.items() if owner == host]:
             self.listeners.pop(address, None)
             self.datagram_protocols.pop(address, None)
@@ -143,7 +143,7 @@
                 connection.break_at(self.loop.time())
 
     def send_datagram(self, host: str, source: Address, data: bytes, target: Address) -> None:
-        """Sends a datagram for a host; it may be lost."""
+        """Sends a datagram from a host; it may be lost."""
         target_host = self.hosts.get(target, "")
         if self.is_blocked(host, target_host) or self.rng.random() < self.datagram_loss:
             return
@@ -151,6 +151,6 @@
         self.loop.call_later(delay_seconds, self.deliver_datagram, source, data, target)
 
     def deliver_datagram(self, source: Address, data: bytes, target: Address) -> None:
-        """Passes a datagram to whoever receives at the address by now."""
+        """Passes a datagram to the protocol that receives at `target` now, if there is one."""
         if target in self.datagram_protocols:
             self.datagram_protocols[target].datagram_received(data, source)
