--- a/onyxpost/simulation/model_checking/virtual_cluster.py
+++ b/onyxpost/simulation/model_checking/virtual_cluster.py
@@ -151,7 +151,7 @@
             if leaders and leaders[0] != other_than:
                 return leaders[0]
             await asyncio.sleep(SAMPLE_INTERVAL_SECONDS)
-        raise TimeoutError(f"{role} has no leader")
+        raise TimeoutError(f"role {role} has no leader within the timeout")
 
     def logged_fields(self, event: str) -> list[dict[str, Any]]:
         """Returns the fields of all log events with this name, in order."""
--- a/onyxpost/simulation/virtual_time/loop.py
+++ b/onyxpost/simulation/virtual_time/loop.py
@@ -35,10 +35,10 @@
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         """Advances the virtual clock by `timeout`; no file is ever ready."""
         if timeout is None:
-            raise SimulationStalledError("nothing is due any more")
+            raise SimulationStalledError("no event is due any more, but the program has not ended")
         self._turns_at_this_time = 0 if timeout > 0.0 else self._turns_at_this_time + 1
         if self._turns_at_this_time > MAX_TURNS_AT_ONE_TIME:
-            raise SimulationStalledError(f"time stands still at {self.now_seconds:.6f} s")
+            raise SimulationStalledError(f"the virtual time does not advance past {self.now_seconds:.6f} s")
         self.now_seconds += max(0.0, timeout)
         return []
 
--- a/onyxpost/simulation/virtual_time/network.py
+++ b/onyxpost/simulation/virtual_time/network.py
@@ -71,7 +71,7 @@
             OSError: The address is already in use.
         """
         if address in self.listeners:
-            raise OSError(f"{address} is taken")
+            raise OSError(f"address already in use: {address}")
         self.hosts[address] = host
         listener = VirtualListener(self, address, serve, limit)
         self.listeners[address] = listener
@@ -96,7 +96,7 @@
             await asyncio.sleep(NEVER_SECONDS)
         listener = self.listeners.get(address)
         if listener is None:
-            raise ConnectionRefusedError(f"nobody at {address}")
+            raise ConnectionRefusedError(f"connection refused: no listener at {address}")
         connection = self._new_connection(host, target)
         near, far = connection.ends
         reader = CountingReader(limit=limit, loop=self.loop)
--- a/tests/simulation/virtual_time/test_loop.py
+++ b/tests/simulation/virtual_time/test_loop.py
@@ -35,5 +35,5 @@
         call_again()
         await loop.create_future()
 
-    with pytest.raises(virtual_time.SimulationStalledError, match="time stands still"):
+    with pytest.raises(virtual_time.SimulationStalledError, match="the virtual time does not advance past"):
         virtual_time.run(main())
