--- a/onyxpost/simulation/deterministic/client.py
+++ b/onyxpost/simulation/deterministic/client.py
@@ -47,7 +47,7 @@
     plan: str
     customer: int
     units: int
-    patience_ms: float
+    disconnect_after_ms: float
     """How long the client waits for the answer before it disconnects."""
 
     @property
@@ -87,7 +87,7 @@
         self._report_received(request)
         writer.write(encoded)
         try:
-            async with asyncio.timeout(request.patience_ms / MS_PER_SECOND):
+            async with asyncio.timeout(request.disconnect_after_ms / MS_PER_SECOND):
                 outcome = await _read_outcome(http, reader, request.trace_id)
         except TimeoutError:
             writer.transport.abort()
--- a/onyxpost/simulation/deterministic/cluster_faults.py
+++ b/onyxpost/simulation/deterministic/cluster_faults.py
@@ -18,8 +18,8 @@
 REQUESTS_PER_NODE_ON_ANSWER = 3
 ANSWER_LATENCY_MS = 20.0  # latency of an app server without a fault
 MAX_ANSWER_DELAY_MS = 14.0  # network delay of a request and its answer together
-MIN_EARLY_PATIENCE_MS = 10.0
-MAX_EARLY_PATIENCE_MS = 60.0
+MIN_EARLY_DISCONNECT_MS = 10.0
+MAX_EARLY_DISCONNECT_MS = 60.0
 MIN_CONNECT_DELAY_SECONDS = 0.25
 MAX_EXTRA_CONNECT_DELAY_SECONDS = 0.33
 MIN_BURST_DELAY_SECONDS = 0.3  # from the replacement of the servers, so that the burst meets their slow start
@@ -33,7 +33,7 @@
         """Blocks all traffic from and to a server for the fault's duration."""
         self._cut_off(fault, self.server_of(fault).host)
 
-    def cut_off_servers(self, fault: Fault) -> None:
+    def cut_off_two_servers(self, fault: Fault) -> None:
         """Blocks all traffic from and to the first two app servers for the fault's duration."""
         self._cut_off(fault, self.cluster.servers[0].host)
         self._cut_off(fault, self.cluster.servers[1].host)
@@ -81,8 +81,8 @@
         rng = self.rng_of("cross", fault)
         for node in self.cluster.nodes:
             for _ in range(REQUESTS_PER_NODE_ON_ANSWER):
-                patience_ms = ANSWER_LATENCY_MS + rng.uniform(0.0, MAX_ANSWER_DELAY_MS)
-                self.context.start_client(rng, node, patience_ms)
+                disconnect_after_ms = ANSWER_LATENCY_MS + rng.uniform(0.0, MAX_ANSWER_DELAY_MS)
+                self.context.start_client(rng, node, disconnect_after_ms)
 
     def disconnect_early(self, fault: Fault) -> None:
         """Starts many clients that disconnect early, while new connections to all servers open late.
@@ -95,12 +95,12 @@
         for server in self.cluster.servers:
             network.reset_connections(server.host)
             network.connect_delays[server.host] = MIN_CONNECT_DELAY_SECONDS + extra_seconds
-            self._end_connect_delay_later(fault, server.host)
+            self._schedule_connect_delay_end(fault, server.host)
         for _ in range(EARLY_DISCONNECT_REQUESTS):
             node = self.cluster.nodes[rng.randrange(NODE_COUNT)]
-            patience_ms = rng.uniform(MIN_EARLY_PATIENCE_MS, MAX_EARLY_PATIENCE_MS)
-            self.context.start_client(rng, node, patience_ms)
+            disconnect_after_ms = rng.uniform(MIN_EARLY_DISCONNECT_MS, MAX_EARLY_DISCONNECT_MS)
+            self.context.start_client(rng, node, disconnect_after_ms)
 
-    def _end_connect_delay_later(self, fault: Fault, host: str) -> None:
+    def _schedule_connect_delay_end(self, fault: Fault, host: str) -> None:
         connect_delays = self.cluster.network.connect_delays
         run_at_end(fault, lambda: connect_delays.pop(host, 0.0))
--- a/onyxpost/simulation/deterministic/discovery_agent.py
+++ b/onyxpost/simulation/deterministic/discovery_agent.py
@@ -55,8 +55,8 @@
         self.may_have_failed_polls = False
         self.known_from_ms = 0.0
         self._discovery_observer = observer
-        self._silenced: set[asyncio.StreamWriter] = set()
-        self._missed_rows: list[dict[str, Any]] = []
+        self._unanswered_writers: set[asyncio.StreamWriter] = set()
+        self._deferred_rows: list[dict[str, Any]] = []
 
     @property
     def is_reachable(self) -> bool:
@@ -66,7 +66,7 @@
     def update_endpoint(self, row: dict[str, Any]) -> None:
         """Stores a row unless a newer one is held; a silent agent stores the row when it recovers."""
         if self.is_silent:
-            self._missed_rows.append(row)
+            self._deferred_rows.append(row)
             return
         held = self.endpoints.get(row["instanceId"])
         if held is not None and _lifecycle_rank(held) > _lifecycle_rank(row):
@@ -77,15 +77,15 @@
     def recover(self) -> None:
         """Ends the silence and stores the updates that arrived during the silence."""
         self.is_silent = False
-        missed_rows = self._missed_rows
-        self._missed_rows = []
-        for row in missed_rows:
+        deferred_rows = self._deferred_rows
+        self._deferred_rows = []
+        for row in deferred_rows:
             self.update_endpoint(row)
         self._report_all_held()
 
     def silence_polls(self) -> None:
         """Leaves polls on the open connections without an answer."""
-        self._silenced |= self.writers
+        self._unanswered_writers |= self.writers
         self.may_have_failed_polls = True
 
     def reset_polls(self) -> None:
@@ -119,7 +119,7 @@
             while await self._serve_poll(reader, writer):
                 pass
         self.writers.discard(writer)
-        self._silenced.discard(writer)
+        self._unanswered_writers.discard(writer)
         writer.close()
 
     async def _serve_poll(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
@@ -128,7 +128,7 @@
         rows, encoded = await self._wait_for_response(head)
         if writer.is_closing():
             return False
-        if writer in self._silenced:
+        if writer in self._unanswered_writers:
             await reader.read()  # returns when the node closes the connection
             return False
         if self.failure is AgentFailure.TRUNCATES:
--- a/onyxpost/simulation/deterministic/fault_context.py
+++ b/onyxpost/simulation/deterministic/fault_context.py
@@ -24,13 +24,15 @@
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Runs a coroutine concurrently; the run ends only after the coroutine has ended."""
 
-    def start_client(self, rng: Random, node: SimulatedNode, patience_ms: float | None = None) -> None:
+    def start_client(
+        self, rng: Random, node: SimulatedNode, disconnect_after_ms: float | None = None
+    ) -> None:
         """Starts a client that sends a request.
 
         Args:
             rng: The source of the random parts of the request.
             node: The node that the client connects to.
-            patience_ms: How long the client waits before it disconnects; None to draw the time from `rng`.
+            disconnect_after_ms: How long the client waits before it disconnects; None to draw it from `rng`.
         """
 
 
--- a/onyxpost/simulation/deterministic/fault_script.py
+++ b/onyxpost/simulation/deterministic/fault_script.py
@@ -179,15 +179,15 @@
 
 def script_seconds(faults: list[Fault]) -> float:
     """Returns how long clients send requests in a run with these faults."""
-    ends = [
+    end_seconds = [
         fault.at_seconds + PERMANENT_DRAIN_SECONDS
         for fault in faults
         if fault.kind is FaultKind.PERMANENT_DRAIN
     ]
-    if ends:
-        ends += [
+    if end_seconds:
+        end_seconds += [
             fault.at_seconds + fault.duration_seconds + PERMANENT_DRAIN_SECONDS
             for fault in faults
             if fault.kind is FaultKind.AGENT_REFUSES
         ]
-    return max([SCRIPT_SECONDS, *ends])
+    return max([SCRIPT_SECONDS, *end_seconds])
--- a/onyxpost/simulation/deterministic/node.py
+++ b/onyxpost/simulation/deterministic/node.py
@@ -183,13 +183,13 @@
         if self._task is not None:
             self._task.cancel()
         if self.program is not None:
-            _silence(self.program)
+            _disable(self.program)
         self._cluster.network.kill_host(self.host.name)
         self.program = None
         self._task = None
 
 
-def _silence(program: EdgeNode) -> None:
+def _disable(program: EdgeNode) -> None:
     """Keeps the tasks of a killed node that still run from having any effect."""
     for task in program.servers.tasks.values():
         task.cancel()
--- a/onyxpost/simulation/deterministic/node_faults.py
+++ b/onyxpost/simulation/deterministic/node_faults.py
@@ -29,7 +29,7 @@
         node = self.node_of(fault)
         if node.is_running:
             node.kill()
-            run_at_end(fault, lambda: _start_again(node))
+            run_at_end(fault, lambda: _start_unless_running(node))
 
     def restart(self, fault: Fault) -> None:
         """Sends the node SIGTERM and starts it again when it has ended."""
@@ -77,12 +77,12 @@
         for agent in self.node_of(fault).agents:
             if agent.failure is not failure:
                 agent.begin_failure(failure)
-                self._end_later(fault, agent, failure)
+                self._schedule_failure_end(fault, agent, failure)
 
-    def _end_later(self, fault: Fault, agent: FailingAgent, failure: AgentFailure) -> None:
+    def _schedule_failure_end(self, fault: Fault, agent: FailingAgent, failure: AgentFailure) -> None:
         run_at_end(fault, lambda: self.context.spawn(agent.end_failure(failure)))
 
 
-def _start_again(node: SimulatedNode) -> None:
+def _start_unless_running(node: SimulatedNode) -> None:
     if not node.is_running:
         node.start()
--- a/onyxpost/simulation/deterministic/seed_run.py
+++ b/onyxpost/simulation/deterministic/seed_run.py
@@ -29,8 +29,8 @@
 REQUESTS_PER_SECOND = 12.0
 FRONTENDS = ("look", "post", "pay")
 PLANS_AND_CUSTOMERS = (("open", 1), ("open", 2), ("tight", 3))
-IMPATIENT_FRACTION = 0.15  # fraction of the clients that disconnect before the client timeout
-PATIENCE_PAST_TIMEOUT_MS = 300.0  # how long the other clients wait past the client timeout
+EARLY_DISCONNECT_FRACTION = 0.15  # fraction of the clients that disconnect before the client timeout
+DISCONNECT_PAST_TIMEOUT_MS = 300.0  # how long the other clients wait past the client timeout
 DIGEST_LENGTH = 16  # hexadecimal digits
 
 
@@ -120,14 +120,16 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def start_client(self, rng: Random, node: SimulatedNode, patience_ms: float | None = None) -> None:
+    def start_client(
+        self, rng: Random, node: SimulatedNode, disconnect_after_ms: float | None = None
+    ) -> None:
         """Starts a client that sends a request; see `FaultContext.start_client`."""
         self._request_count += 1
         frontend = self.cluster.frontends[rng.choice(FRONTENDS)]
         plan, customer = rng.choice(PLANS_AND_CUSTOMERS)
-        drawn_patience_ms = frontend.client_timeout_ms + PATIENCE_PAST_TIMEOUT_MS
-        if rng.random() < IMPATIENT_FRACTION:
-            drawn_patience_ms = frontend.client_timeout_ms * rng.uniform(0.4, 1.0)
+        drawn_disconnect_after_ms = frontend.client_timeout_ms + DISCONNECT_PAST_TIMEOUT_MS
+        if rng.random() < EARLY_DISCONNECT_FRACTION:
+            drawn_disconnect_after_ms = frontend.client_timeout_ms * rng.uniform(0.4, 1.0)
         request = ClientRequest(
             f"t{self._request_count}",
             node,
@@ -135,7 +137,7 @@
             plan,
             customer,
             rng.randint(1, MAX_REQUEST_UNITS),
-            patience_ms or drawn_patience_ms,
+            disconnect_after_ms or drawn_disconnect_after_ms,
         )
         self.spawn(self._send(request))
 
@@ -153,8 +155,8 @@
     seed: int, faults: list[Fault], mutation: Callable[[EdgeNode], None] | None = None
 ) -> Outcome:
     """Runs a script on a new cluster; must be called while a `VirtualTimeLoop` is running."""
-    is_patient = any(fault.kind is FaultKind.EARLY_DISCONNECTS for fault in faults)
-    settings = SLOW_CONNECT_SETTINGS if is_patient else SETTINGS
+    has_early_disconnects = any(fault.kind is FaultKind.EARLY_DISCONNECTS for fault in faults)
+    settings = SLOW_CONNECT_SETTINGS if has_early_disconnects else SETTINGS
     cluster = Cluster(seed, NODE_COUNT, SERVER_COUNT, mutation, settings)
     return await ScriptRun(seed, faults, cluster).run()
 
@@ -175,8 +177,8 @@
         mutation: The name of the mutation to inject; "" for none.
     """
     script = draw_script(seed) if faults is None else faults
-    found = find_mutation(mutation)
-    inject = found.inject if found is not None else None
+    found_mutation = find_mutation(mutation)
+    inject = found_mutation.inject if found_mutation is not None else None
     # A pending task of a killed node that the garbage collector destroys would be logged as a fault.
     was_collecting = gc.isenabled()
     gc.disable()
--- a/onyxpost/simulation/deterministic/seed_sweep.py
+++ b/onyxpost/simulation/deterministic/seed_sweep.py
@@ -21,16 +21,16 @@
         The outcome of the run with the remaining faults.
     """
     violated = {violation.invariant for violation in outcome.violations}
-    smallest = outcome
+    smallest_outcome = outcome
     index = 0
-    while index < len(smallest.faults):
-        fewer = smallest.faults[:index] + smallest.faults[index + 1 :]
-        attempt = run_seed(outcome.seed, fewer, mutation)
-        if violated & {violation.invariant for violation in attempt.violations}:
-            smallest = attempt
+    while index < len(smallest_outcome.faults):
+        fewer_faults = smallest_outcome.faults[:index] + smallest_outcome.faults[index + 1 :]
+        candidate = run_seed(outcome.seed, fewer_faults, mutation)
+        if violated & {violation.invariant for violation in candidate.violations}:
+            smallest_outcome = candidate
         else:
             index += 1
-    return smallest
+    return smallest_outcome
 
 
 def run_batch(seeds: list[int], mutation: str = "") -> list[Outcome]:
--- a/onyxpost/simulation/deterministic/server_faults.py
+++ b/onyxpost/simulation/deterministic/server_faults.py
@@ -78,13 +78,13 @@
         self.cluster.network.reset_connections(server.host)
         run_at_end(fault, lambda: self._start_replacement(server))
 
-    def drain_for_good(self, _fault: Fault) -> None:
+    def drain_permanently(self, _fault: Fault) -> None:
         """Drains the ready server of each zone that has served most requests, and never replaces it."""
         ready = [server for server in self.cluster.servers if server.state is EndpointState.READY]
         for zone in ZONES:
-            of_zone = [server for server in ready if server.zone == zone]
-            if of_zone:
-                server = max(of_zone, key=lambda candidate: candidate.served_count)
+            ready_in_zone = [server for server in ready if server.zone == zone]
+            if ready_in_zone:
+                server = max(ready_in_zone, key=lambda candidate: candidate.served_count)
                 server.state = EndpointState.DRAINING
                 self.cluster.publish(server)
 
--- a/onyxpost/simulation/invariants/idempotency.py
+++ b/onyxpost/simulation/invariants/idempotency.py
@@ -38,7 +38,7 @@
         self, request: RequestRecord, earlier: AttemptRecord, attempt: AttemptRecord
     ) -> Iterator[str]:
         frontend = request.frontend
-        if not _same_scope(frontend.deduplication_scope, earlier, attempt):
+        if not _is_same_scope(frontend.deduplication_scope, earlier, attempt):
             yield f"retried outside of the deduplication scope of {earlier.server}"
         late_ms = attempt.sent_at_ms - earlier.first_byte_at_ms - frontend.deduplication_window_ms
         window_end_ms = earlier.first_byte_at_ms + frontend.deduplication_window_ms
@@ -54,7 +54,7 @@
         return request.violation(Invariant.IDEMPOTENCY, at_ms, description, earlier.server)
 
 
-def _same_scope(scope: DeduplicationScope, earlier: AttemptRecord, attempt: AttemptRecord) -> bool:
+def _is_same_scope(scope: DeduplicationScope, earlier: AttemptRecord, attempt: AttemptRecord) -> bool:
     match scope:
         case DeduplicationScope.ALL:
             return True
--- a/onyxpost/simulation/invariants/slow_start.py
+++ b/onyxpost/simulation/invariants/slow_start.py
@@ -63,7 +63,7 @@
         self.was_overload_reported = False
         self._work: deque[Work] = deque()
         self._calls: deque[Call] = deque()
-        self._were_calls_reported = False
+        self._was_call_violation_reported = False
 
     def max_work_ms(self, policy: SlowStartPolicy, at_ms: float) -> float:
         """Returns the work that the policy permits in the window that ends at `at_ms`."""
@@ -91,11 +91,11 @@
             calls.popleft()
         allowed = self.max_work_ms(policy, call.at_ms) / self.call_work_ms
         informed = sum(one.is_informed for one in calls)
-        if self._were_calls_reported or len(calls) <= max_calls(allowed):
+        if self._was_call_violation_reported or len(calls) <= max_calls(allowed):
             return None
         if informed <= INFORMED_CALLS_FRACTION * len(calls):
             return None
-        self._were_calls_reported = True
+        self._was_call_violation_reported = True
         return (
             f"{len(calls)} calls where {allowed:.1f} are allowed; {informed} from nodes that know its start"
         )
@@ -118,33 +118,33 @@
 
     def load(self, server: str) -> float:
         """Returns the recent work of a server as a fraction of its limit; 0 if it is warm."""
-        warming = self.servers.get(server)
-        return 0.0 if warming is None else warming.load(self.policy)
+        warming_server = self.servers.get(server)
+        return 0.0 if warming_server is None else warming_server.load(self.policy)
 
     def add_work(self, at_ms: float, server: str, work_ms: float) -> WorkResult:
         """Counts work that has reached a server, and returns whether it is overloaded."""
-        warming = self._get(at_ms, server)
-        if warming is None:
+        warming_server = self._get(at_ms, server)
+        if warming_server is None:
             return WorkResult(is_overloaded=False)
-        warming.add_work(self.policy, at_ms, work_ms)
-        max_work_ms = warming.max_work_ms(self.policy, at_ms)
-        if warming.recent_work_ms <= max_work_ms:
+        warming_server.add_work(self.policy, at_ms, work_ms)
+        max_work_ms = warming_server.max_work_ms(self.policy, at_ms)
+        if warming_server.recent_work_ms <= max_work_ms:
             return WorkResult(is_overloaded=False)
-        if warming.was_overload_reported:
+        if warming_server.was_overload_reported:
             return WorkResult(is_overloaded=True)
-        warming.was_overload_reported = True
-        description = f"{warming.recent_work_ms:.0f} ms of work where {max_work_ms:.0f} are allowed"
+        warming_server.was_overload_reported = True
+        description = f"{warming_server.recent_work_ms:.0f} ms of work where {max_work_ms:.0f} are allowed"
         return WorkResult(is_overloaded=True, violation=description)
 
     def violation_of_call(self, server: str, call: Call) -> str | None:
         """Counts a call. Returns a description of the violation if it is the first call past the limit."""
-        warming = self._get(call.at_ms, server)
-        return None if warming is None else warming.violation_of_call(self.policy, call)
+        warming_server = self._get(call.at_ms, server)
+        return None if warming_server is None else warming_server.violation_of_call(self.policy, call)
 
     def _get(self, at_ms: float, server: str) -> WarmingServer | None:
         """Returns the server if it is in slow start, else None; removes a server that has become warm."""
-        warming = self.servers.get(server)
-        if warming is not None and at_ms - warming.started_at_ms >= self.policy.warmup_ms:
+        warming_server = self.servers.get(server)
+        if warming_server is not None and at_ms - warming_server.started_at_ms >= self.policy.warmup_ms:
             del self.servers[server]
             return None
-        return warming
+        return warming_server
--- a/onyxpost/simulation/model_checking/explorer.py
+++ b/onyxpost/simulation/model_checking/explorer.py
@@ -59,7 +59,7 @@
     path: tuple[ActionT, ...] = ()
 
 
-class _Node(NamedTuple, Generic[ActionT]):
+class _UnexpandedState(NamedTuple, Generic[ActionT]):
     """A state whose actions are still to be applied."""
 
     state: bytes
@@ -103,15 +103,15 @@
     initial_state = encode_state(initial)
     visited = {state_key(initial_state)}
     transitions = 0
-    frontier: list[_Node[ActionT]] = [_Node(initial_state, initial.actions(), ())]
+    frontier: list[_UnexpandedState[ActionT]] = [_UnexpandedState(initial_state, initial.actions(), ())]
     for level in range(depth):
-        next_frontier: list[_Node[ActionT]] = []
-        for node in frontier:
-            for action in node.actions:
-                model: Model[ActionT] = decode_state(node.state)
+        next_frontier: list[_UnexpandedState[ActionT]] = []
+        for unexpanded in frontier:
+            for action in unexpanded.actions:
+                model: Model[ActionT] = decode_state(unexpanded.state)
                 model.apply(action)
                 transitions += 1
-                path = (*node.path, action)
+                path = (*unexpanded.path, action)
                 violation = model.violation()
                 if violation is not None:
                     return ExplorationResult(len(visited), transitions, level, violation, path)
@@ -120,7 +120,7 @@
                 if key in visited:
                     continue
                 visited.add(key)
-                next_frontier.append(_Node(state, model.actions(), path))
+                next_frontier.append(_UnexpandedState(state, model.actions(), path))
                 if len(visited) >= max_states:
                     return ExplorationResult(len(visited), transitions, level)
         frontier = next_frontier
--- a/onyxpost/simulation/model_checking/failover_timing.py
+++ b/onyxpost/simulation/model_checking/failover_timing.py
@@ -83,11 +83,11 @@
     cluster = VirtualCluster(1, size, roles)
     await cluster.start()
     await asyncio.sleep(ELECTION_SECONDS)
-    before = _count_sent_messages(cluster)
+    sent_before = _count_sent_messages(cluster)
     await asyncio.sleep(duration_seconds)
-    after = _count_sent_messages(cluster)
+    sent_after = _count_sent_messages(cluster)
     await cluster.close()
-    return (after - before) / duration_seconds
+    return (sent_after - sent_before) / duration_seconds
 
 
 async def _inject(cluster: VirtualCluster, leader: str, fault: LeaderFault) -> None:
@@ -110,7 +110,7 @@
     """Prints a JSON line for each fault, and one with the message rate of an idle cluster."""
     for fault in FAULTS:
         runs = [virtual_time.run(measure_failover(seed, size, fault)) for seed in range(seeds)]
-        figures = {
+        measurements = {
             "fault": fault,
             "nodes": size,
             "seeds": seeds,
@@ -119,7 +119,7 @@
             "overlaps": sum(run.overlaps for run in runs),
             "records or fences wrong": sum(not run.is_consistent for run in runs),
         }
-        print(json.dumps(figures))
+        print(json.dumps(measurements))
     idle_rate = virtual_time.run(measure_idle_messages(size))
     print(json.dumps({"nodes": size, "idle words a second": round(idle_rate, 1)}))
 
--- a/onyxpost/simulation/model_checking/history.py
+++ b/onyxpost/simulation/model_checking/history.py
@@ -62,8 +62,8 @@
         self.latest_token = effect.fencing_token
         sequence = self.committed.sequence
         is_older = effect.record.sequence < sequence
-        is_other = effect.record.sequence == sequence and effect.record.body != self.committed.body
-        if is_older or is_other:
+        has_other_body = effect.record.sequence == sequence and effect.record.body != self.committed.body
+        if is_older or has_other_body:
             self.violation = f"committed record {sequence} lost: {effect.record.sequence} was read"
 
     def record_call(self, fencing_token: int, *, checks_tokens: bool) -> None:
--- a/onyxpost/simulation/model_checking/leadership_model.py
+++ b/onyxpost/simulation/model_checking/leadership_model.py
@@ -162,8 +162,8 @@
         """Restarts an acceptor without state; the record may be lost unless a majority still has state."""
         self.restarts_left -= 1
         self.acceptors[name] = self.create_acceptor(name)
-        voting = sum(acceptor.is_voting for acceptor in self.acceptors.values())
-        if voting < self.acceptor_set.majority:
+        voting_acceptors = sum(acceptor.is_voting for acceptor in self.acceptors.values())
+        if voting_acceptors < self.acceptor_set.majority:
             self.history.record_state_lost()
 
     def write_record(self, name: str) -> None:
--- a/onyxpost/simulation/model_checking/virtual_cluster.py
+++ b/onyxpost/simulation/model_checking/virtual_cluster.py
@@ -82,7 +82,7 @@
         self.logs: list[NodeLogEvent] = []
         self.blocked_links = self.network.blocked_links
         self.overlaps = 0
-        self._started_nodes = 0
+        self._start_count = 0
 
     def now_ms(self) -> float:
         """Returns the virtual time in ms since the start of the run."""
@@ -91,9 +91,9 @@
     async def start(self, *names: str) -> None:
         """Starts the named nodes, or all if none is named, without state."""
         for name in names or tuple(self.membership.members):
-            self._started_nodes += 1
+            self._start_count += 1
             node = VirtualNode(
-                self.network, name, self._started_nodes, self.membership, self.config, self._log_of(name)
+                self.network, name, self._start_count, self.membership, self.config, self._log_of(name)
             )
             self.nodes[name] = node
             await node.start()
--- a/onyxpost/simulation/model_checking/virtual_node.py
+++ b/onyxpost/simulation/model_checking/virtual_node.py
@@ -56,7 +56,7 @@
         self.connections.topics.add(TOPIC)
         self.leadership = LeadershipService(self.host, name, config, self.connections, log)
         self.is_paused = False
-        self._received_in_pause: list[ReceivedMessage] = []
+        self._received_while_paused: list[ReceivedMessage] = []
 
     async def start(self) -> None:
         """Starts to listen, to connect to peers and to take part in elections."""
@@ -78,18 +78,18 @@
     def pause(self) -> None:
         """Pauses as on SIGSTOP: leader election stops, and received messages are queued."""
         self.is_paused = True
-        self._received_in_pause = []
+        self._received_while_paused = []
         self.leadership.close()
 
     def resume(self) -> None:
         """Continues as on SIGCONT and handles the messages received during the pause."""
         self.is_paused = False
         self.leadership.start()
-        for message in self._received_in_pause:
+        for message in self._received_while_paused:
             self.leadership.handle_message(message.sender, message.body)
 
     def _on_message(self, sender: str, topic: str, body: bytes) -> None:  # noqa: ARG002 - one topic only
         if self.is_paused:
-            self._received_in_pause.append(ReceivedMessage(sender, body))
+            self._received_while_paused.append(ReceivedMessage(sender, body))
         else:
             self.leadership.handle_message(sender, body)
--- a/onyxpost/simulation/virtual_time/connection.py
+++ b/onyxpost/simulation/virtual_time/connection.py
@@ -35,8 +35,8 @@
         self.bytes_sent = 0
         self.is_shut = False
         self.is_lost = False
-        self.has_sent_end = False
-        self.has_received_end = False
+        self.has_sent_eof = False
+        self.has_received_eof = False
         self._is_paused = False
         self._unread: list[bytes] = []  # received while reading was paused; b"" is the end of the stream
         self._undeliverable_bytes = 0  # bytes sent while the other end could not be reached
@@ -56,14 +56,14 @@
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         """Sends bytes to the other end; after a close or `write_eof` they are discarded."""
-        if not self.is_shut and not self.has_sent_end and data:
+        if not self.is_shut and not self.has_sent_eof and data:
             self.bytes_sent += len(data)
             self.connection.carry(self, bytes(data))
 
     def write_eof(self) -> None:
         """Sends the end of the stream; the other direction stays open."""
-        if not self.has_sent_end and not self.is_shut:
-            self.has_sent_end = True
+        if not self.has_sent_eof and not self.is_shut:
+            self.has_sent_eof = True
             self.connection.carry(self, b"")
 
     def can_write_eof(self) -> bool:
@@ -127,7 +127,7 @@
         """Handles bytes that arrive; b"" is the end of the stream."""
         if self.is_lost or self.is_shut:
             return
-        self.has_received_end = self.has_received_end or not data
+        self.has_received_eof = self.has_received_eof or not data
         if self._is_paused:
             self._unread.append(data)
         elif data:
@@ -153,11 +153,11 @@
         self.is_lost = True
         self.connection.reset_peer_of(self)
 
-    def add_undeliverable(self, count: int) -> None:
+    def add_undeliverable_bytes(self, count: int) -> None:
         """Counts bytes that were sent while the other end could not be reached."""
         self._undeliverable_bytes += count
 
-    def clear_undeliverable(self) -> None:
+    def clear_undeliverable_bytes(self) -> None:
         """Handles that the other end can be reached again."""
         self._undeliverable_bytes = 0
 
@@ -181,14 +181,14 @@
     def carry(self, end: ConnectionEnd, data: bytes) -> None:
         """Delivers bytes sent by `end` unless the link is blocked or broken; b"" is the end of the stream."""
         if self.is_broken or self.link.is_blocked(end.host, end.peer.host):
-            end.add_undeliverable(len(data))
+            end.add_undeliverable_bytes(len(data))
             return
-        end.clear_undeliverable()
-        last_byte = self._breaks_after_bytes.get(end)
-        if last_byte is None or end.bytes_sent < last_byte:
+        end.clear_undeliverable_bytes()
+        break_after_bytes = self._breaks_after_bytes.get(end)
+        if break_after_bytes is None or end.bytes_sent < break_after_bytes:
             self._deliver(end, data)
             return
-        delivered = data[: max(0, len(data) - (end.bytes_sent - last_byte))]
+        delivered = data[: max(0, len(data) - (end.bytes_sent - break_after_bytes))]
         if delivered:
             self._deliver(end, delivered)
         self.break_at(self._next_arrival_seconds(end))
@@ -205,8 +205,8 @@
 
     def _next_arrival_seconds(self, end: ConnectionEnd) -> float:
         delay_seconds = self.link.delay_seconds(end.host, end.peer.host)
-        earliest = self._last_arrival_seconds[end] + MIN_SPACING_SECONDS
-        self._last_arrival_seconds[end] = max(earliest, self.loop.time() + delay_seconds)
+        earliest_seconds = self._last_arrival_seconds[end] + MIN_SPACING_SECONDS
+        self._last_arrival_seconds[end] = max(earliest_seconds, self.loop.time() + delay_seconds)
         return self._last_arrival_seconds[end]
 
     def _deliver(self, end: ConnectionEnd, data: bytes) -> None:
--- a/onyxpost/simulation/virtual_time/host.py
+++ b/onyxpost/simulation/virtual_time/host.py
@@ -95,7 +95,7 @@
     def unread(self, transport: asyncio.BaseTransport) -> Unread:
         """Returns what an accepted connection has received but not read: bytes, its end or nothing."""
         assert isinstance(transport, ConnectionEnd)
-        if transport.is_shut or transport.has_received_end:
+        if transport.is_shut or transport.has_received_eof:
             return Unread.END
         return Unread.BYTES if transport.has_unread else Unread.NOTHING
 
--- a/onyxpost/simulation/virtual_time/loop.py
+++ b/onyxpost/simulation/virtual_time/loop.py
@@ -20,7 +20,7 @@
 CANCEL_TIMEOUT_SECONDS = 10.0  # virtual time for the remaining tasks to end once they are cancelled
 
 
-class SkipIdleSelector(selectors.BaseSelector):
+class VirtualClockSelector(selectors.BaseSelector):
     """A selector that advances the virtual clock by the time for which the loop would have waited.
 
     Raises:
@@ -67,13 +67,13 @@
     """An event loop with a virtual clock, which starts at 0."""
 
     def __init__(self) -> None:
-        self._skip_idle = SkipIdleSelector()
-        super().__init__(self._skip_idle)
+        self._clock_selector = VirtualClockSelector()
+        super().__init__(self._clock_selector)
         self._clock_resolution = CLOCK_RESOLUTION_SECONDS
 
     def time(self) -> float:
         """Returns the virtual time in seconds."""
-        return self._skip_idle.now_seconds
+        return self._clock_selector.now_seconds
 
 
 def run(main: Awaitable[Result]) -> Result:
--- a/onyxpost/simulation/virtual_time/network.py
+++ b/onyxpost/simulation/virtual_time/network.py
@@ -20,7 +20,7 @@
 
 MIN_DELAY_SECONDS = 0.0002  # one-way delay
 MAX_DELAY_SECONDS = 0.002  # one-way delay
-NEVER_SECONDS = 3600.0  # longer than any timeout of a program
+BLOCKED_CONNECT_SECONDS = 3600.0  # longer than any timeout of a program
 
 
 class PlannedBreak(NamedTuple):
@@ -93,7 +93,7 @@
         if target in self.connect_delays:
             await asyncio.sleep(self.connect_delays[target])
         if self.is_blocked(host, target):
-            await asyncio.sleep(NEVER_SECONDS)
+            await asyncio.sleep(BLOCKED_CONNECT_SECONDS)
         listener = self.listeners.get(address)
         if listener is None:
             raise ConnectionRefusedError(f"connection refused: no listener at {address}")
@@ -112,12 +112,12 @@
 
     def _new_connection(self, host: str, target: str) -> Connection:
         connection = Connection(self, host, target)
-        for one in {host, target}:
-            self.connections[one].append(connection)
+        for end_host in {host, target}:
+            self.connections[end_host].append(connection)
         planned_breaks = self.planned_breaks[target]
         if planned_breaks:
-            planned = planned_breaks.pop(0)
-            connection.break_after(connection.ends[planned.side], planned.after_bytes)
+            planned_break = planned_breaks.pop(0)
+            connection.break_after(connection.ends[planned_break.side], planned_break.after_bytes)
         return connection
 
     def _accept(self, listener: VirtualListener, end: ConnectionEnd) -> None:
