--- a/tests/simulation/deterministic/test_discovery_agent.py
+++ b/tests/simulation/deterministic/test_discovery_agent.py
@@ -1,4 +1,7 @@
-"""What an agent holds counts as known at once, or later, or not yet."""
+"""When the endpoint states that a discovery agent holds count as known to its node.
+
+Guards against drains that the checker counts as known too early or too late, after a poll or an agent failed.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 
 
 def run_scenario(scenario: Callable[[Cluster, SimulatedNode], Awaitable[None]]) -> None:
-    """Runs a scenario on a cluster of one node and two servers that has settled."""
+    """Runs a scenario on a cluster of one node and two servers that has run for 0.2 s."""
 
     async def main() -> None:
         cluster = Cluster(1, 1, 2)
@@ -30,13 +33,13 @@
 
 
 def drain(cluster: Cluster, agent: FailingAgent, server_index: int = 0) -> None:
-    """The agent learns that a server drains."""
+    """Drains a server and updates its state at the agent."""
     cluster.servers[server_index].state = EndpointState.DRAINING
     agent.update_endpoint(cluster.servers[server_index].endpoint_row())
 
 
 def drain_known_in_ms(cluster: Cluster, server: str = "s0-0") -> tuple[float, bool] | None:
-    """In how many ms from now the node knows of the drain, and whether it was notified of it."""
+    """Returns the ms until the drain counts as known, and whether the node received it; None if neither."""
     notification = cluster.checker.endpoint_knowledge.drain_notification("n0", server)
     if notification is None:
         return None
@@ -57,7 +60,7 @@
         agent.silence_polls()
         drain(cluster, agent)
         assert drain_known_in_ms(cluster) == (6000, False)
-        await asyncio.sleep(5.0)  # the node polls again
+        await asyncio.sleep(5.0)  # by then the node has polled again
         known = drain_known_in_ms(cluster)
         assert known is not None
         assert known[0] < 0
@@ -72,7 +75,7 @@
     run_scenario(scenario)
 
 
-def test_agent_that_refuses_is_reachable_from_its_return_on() -> None:
+def test_agent_that_refused_is_reachable_once_its_failure_has_ended() -> None:
     async def scenario(cluster: Cluster, node: SimulatedNode) -> None:
         node.agent.begin_failure(AgentFailure.REFUSES)
         drain(cluster, node.agent)
@@ -84,7 +87,7 @@
     run_scenario(scenario)
 
 
-def test_silent_agent_learns_nothing_and_everything_at_its_return() -> None:
+def test_silent_agent_stores_updates_only_when_it_recovers() -> None:
     async def scenario(cluster: Cluster, node: SimulatedNode) -> None:
         node.agent.is_silent = True
         drain(cluster, node.agent)
@@ -95,7 +98,7 @@
     run_scenario(scenario)
 
 
-def test_new_agent_counts_after_a_reload_and_a_reset_poll_brings_nothing() -> None:
+def test_only_the_new_agent_counts_after_a_reload_and_not_at_once_after_a_reset_poll() -> None:
     async def scenario(cluster: Cluster, node: SimulatedNode) -> None:
         old, new = node.agents
         new.is_silent = True
@@ -110,7 +113,7 @@
     run_scenario(scenario)
 
 
-def test_poll_without_changes_is_answered_within_the_time_that_it_gives() -> None:
+def test_poll_without_changes_is_answered_within_its_timeout() -> None:
     async def scenario(cluster: Cluster, _node: SimulatedNode) -> None:
         await asyncio.sleep(20.0)
         assert [line for line in cluster.log_lines if "discovery" in line.event] == []
@@ -118,7 +121,7 @@
     run_scenario(scenario)
 
 
-def test_late_update_takes_nothing_back() -> None:
+def test_outdated_update_does_not_undo_a_newer_one() -> None:
     async def scenario(cluster: Cluster, node: SimulatedNode) -> None:
         earlier_row = cluster.servers[0].endpoint_row()
         drain(cluster, node.agent)
--- a/tests/simulation/deterministic/test_mutations.py
+++ b/tests/simulation/deterministic/test_mutations.py
@@ -1,4 +1,7 @@
-"""Known bugs that are injected must be found, and shrunk to the faults that they take."""
+"""Injected mutations must be detected, and their fault scripts shrunk to the necessary faults.
+
+Guards against invariants that no longer detect a violation, and against shrinking that changes the outcome.
+"""
 
 from __future__ import annotations
 
@@ -10,14 +13,15 @@
 from onyxpost.simulation.mutations import MUTATIONS, find_mutation, is_mutation
 
 SEEDS = range(60)
-# What a seed needs for an invariant to be violated; without an entry any seed may do.
+# Faults without which no seed violates the invariant. Other invariants may be violated by any seed.
 NECESSARY_FAULTS = {
     Invariant.DISCONNECTED_CLIENTS: FaultKind.EARLY_DISCONNECTS,
     Invariant.DISCONNECTED_FIRST_ATTEMPTS: FaultKind.EARLY_DISCONNECTS,
     Invariant.DRAIN_PROPAGATED: FaultKind.POLLS_SILENT,
     Invariant.SLOW_START_CALLS: FaultKind.SLOW_START_BURST,
 }
-# `lose-answers` needs two events in one round, and no seed of the first 60 has them.
+# `lose-answers` is left out. It is detected only if two events occur in one round, and none of the first 60
+# seeds has such a round.
 DETECTED_MUTATIONS = (
     ("retry-possibly-executed", Invariant.IDEMPOTENCY),
     ("ignore-drains", Invariant.DRAIN_NOTIFIED),
--- a/tests/simulation/deterministic/test_seeds.py
+++ b/tests/simulation/deterministic/test_seeds.py
@@ -1,4 +1,7 @@
-"""Whole edge nodes on the virtual clock under faults drawn from a seed."""
+"""Whole edge nodes on the virtual clock violate no invariant under the fault scripts of seeds.
+
+Guards also against known failures, whose seeds are listed here, and against runs that cannot be replayed.
+"""
 
 from __future__ import annotations
 
@@ -6,12 +9,16 @@
 
 from onyxpost.simulation import deterministic
 
-# 68, 682: a connection opened within 0.5 ms of the request's deadline: it was sent, rejected, and then
-# reached its server. 407, 496: a connection opened after the deduplication window.
+# Seeds whose complete scripts violated an invariant before the cause was corrected.
+# 68 and 682: a connection opened within 0.5 ms of the request's deadline, so that the request was sent and
+# rejected, and reached its server only afterwards.
+# 407 and 496: a connection opened after the end of the deduplication window.
 FORMER_FAILURES = (68, 407, 496, 682)
-# The same with the base faults alone. SIGTERM: a client that had just connected was closed before its
-# request was read. 220: a request that waited too long for the hard limit was sent with 1 ms left, and
-# rejected before the server had it.
+# Seeds whose base faults alone violated an invariant.
+# 260, 610, 1931, 2734 and 5081: after SIGTERM, the connection of a client that had just connected was closed
+# before its request was read.
+# 220: a request that waited too long for the hard limit was sent 1 ms before its deadline, and was rejected
+# before it reached the server.
 FORMER_FAILURES_OF_BASE_FAULTS = (260, 610, 1931, 2734, 5081, 220)
 
 
@@ -23,16 +30,16 @@
 
 
 @pytest.mark.parametrize("seed", FORMER_FAILURES)
-def test_seed_that_failed_once_does_not_fail_again(seed: int) -> None:
+def test_former_failure_violates_no_invariant(seed: int) -> None:
     assert deterministic.run_seed(seed).violations == []
 
 
 @pytest.mark.parametrize("seed", FORMER_FAILURES_OF_BASE_FAULTS)
-def test_base_faults_that_failed_once_do_not_fail_again(seed: int) -> None:
+def test_former_failure_of_base_faults_violates_no_invariant(seed: int) -> None:
     assert deterministic.run_seed(seed, deterministic.draw_base_faults(seed)).violations == []
 
 
-def test_seed_replays_exactly() -> None:
+def test_runs_of_a_seed_are_equal() -> None:
     assert deterministic.run_seed(23) == deterministic.run_seed(23)
     assert deterministic.run_seed(23).digest != deterministic.run_seed(24).digest
 
--- a/tests/simulation/invariants/checker_host.py
+++ b/tests/simulation/invariants/checker_host.py
@@ -1,4 +1,4 @@
-"""A host that reports events of node n1, request r and server s1 to the checker. Times are in ms."""
+"""A host that reports events to the checker. Defaults: node n1, request r, server s1. Times are in ms."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
     def assert_only(
         self, invariant: Invariant, at_ms: float, request_id: str = "r", server: str = "s1"
     ) -> None:
-        """One violation, by node n1; it is removed, so that the next one can be looked for."""
+        """Asserts that there is exactly one violation, by node n1, and removes it for the next assertion."""
         (violation,) = self.checker.violations
         found = (violation.invariant, violation.at_ms, violation.node, violation.request_id, violation.server)
         assert found == (invariant, at_ms, "n1", request_id, server)
--- a/tests/simulation/invariants/test_answers.py
+++ b/tests/simulation/invariants/test_answers.py
@@ -1,4 +1,4 @@
-"""Each request has exactly one final answer, in time, and no attempt after it."""
+"""The checker reports missing, late and second answers, and attempts after the final answer."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     host.assert_only(Invariant.ANSWERS, 101.0)
 
 
-def test_killed_node_owes_no_answer(host: CheckerHost) -> None:
+def test_request_of_a_killed_node_needs_no_answer(host: CheckerHost) -> None:
     host.receive()
     host.checker.on_node_killed(50.0, "n1")
     host.checker.check_deadlines(9000.0)
--- a/tests/simulation/invariants/test_disconnected_clients.py
+++ b/tests/simulation/invariants/test_disconnected_clients.py
@@ -1,4 +1,7 @@
-"""Attempts for a client that closed or cancelled. The tolerance of the checker is added to each limit."""
+"""The checker reports too many late attempts for clients that closed their connections or cancelled.
+
+The tolerance of the checker is added to each time limit.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 
 
 def host_with_disconnected_clients(count: int, *, sent_before: bool = False) -> CheckerHost:
-    """Requests r0, r1 and so on, whose clients disconnected at 100 ms."""
+    """Returns a host with requests r0, r1 and so on, whose clients disconnected at 100 ms."""
     host = CheckerHost(TOLERANCE_MS)
     for index in range(count):
         host.receive(f"r{index}")
@@ -22,10 +25,10 @@
 
 
 @pytest.mark.parametrize("sent_before", [False, True], ids=["first attempts", "retries"])
-def test_third_attempt_begun_over_100_ms_after_the_client_disconnected(*, sent_before: bool) -> None:
+def test_third_attempt_over_100_ms_after_the_disconnect_is_violation(*, sent_before: bool) -> None:
     host = host_with_disconnected_clients(9, sent_before=sent_before)
     for index in range(6):
-        host.send(250.0, "s2", f"r{index}")  # 150 ms: just inside
+        host.send(250.0, "s2", f"r{index}")  # 150 ms after the disconnect, exactly at the limit
     host.send(250.1, "s2", "r6")
     host.send(250.1, "s2", "r7")
     host.checker.finish(9000.0)
@@ -54,11 +57,11 @@
 
 
 def host_with_first_attempts(waiting: int, late: int, at_ms: float) -> CheckerHost:
-    """Of the requests that waited when their clients disconnected, some are first sent at `at_ms`."""
+    """Returns a host whose clients disconnected from `waiting` unsent requests; sends `late` at `at_ms`."""
     host = host_with_disconnected_clients(waiting)
     for index in range(late):
         host.send(at_ms, request_id=f"r{index}")
-    host.checker.violations.clear()  # of the invariant on single attempts
+    host.checker.violations.clear()  # violations by single late attempts, which are not tested here
     host.checker.finish(9000.0)
     return host
 
@@ -75,7 +78,7 @@
     host_with_first_attempts(waiting, late, at_ms).assert_no_violation()
 
 
-def test_over_a_quarter_of_waiting_requests_first_sent_far_too_late() -> None:
+def test_over_a_quarter_of_waiting_requests_sent_over_300_ms_late_is_violation() -> None:
     host = host_with_first_attempts(19, 5, 451.0)
     assert host.checker.violations[0].description.startswith("5 of 19 that waited; t")
     host.assert_only(Invariant.DISCONNECTED_FIRST_ATTEMPTS, 451.0, "r4")
--- a/tests/simulation/invariants/test_endpoint_knowledge.py
+++ b/tests/simulation/invariants/test_endpoint_knowledge.py
@@ -1,4 +1,7 @@
-"""No attempt to a draining server past the grace, from when its node was, or counts as, notified."""
+"""The checker reports attempts to a draining server after the drain grace period.
+
+The period begins when the node receives the notification of the drain, or counts as notified.
+"""
 
 from __future__ import annotations
 
@@ -23,8 +26,8 @@
 def test_drain_counts_as_known_six_seconds_after_discovery_had_it(host: CheckerHost) -> None:
     host.receive()
     host.checker.on_discovery_updated(1000.0, "n1", "s1", EndpointState.DRAINING)
-    host.send(7250.0)  # the grace of 250 ms from then on
-    host.send(9000.0, request_id="other", node="n2")  # another node, with another discovery
+    host.send(7250.0)  # 6 s and the drain grace period of 250 ms after the update at 1000 ms
+    host.send(9000.0, request_id="other", node="n2")  # the discovery of another node was not updated
     host.checker.violations.clear()
     host.send(7250.1)
     host.assert_only(Invariant.DRAIN_PROPAGATED, 7250.1)
@@ -50,7 +53,7 @@
     host.assert_only(Invariant.DRAIN_PROPAGATED, 6251.0)
 
 
-def test_replaced_discovery_and_new_incarnation_start_over(host: CheckerHost) -> None:
+def test_replaced_discovery_and_new_incarnation_discard_earlier_knowledge(host: CheckerHost) -> None:
     host.receive()
     host.checker.on_discovery_updated(0.0, "n1", "s1", EndpointState.GONE)
     host.checker.on_discovery_replaced("n1")
--- a/tests/simulation/invariants/test_hard_limits.py
+++ b/tests/simulation/invariants/test_hard_limits.py
@@ -1,4 +1,4 @@
-"""All nodes together send no more of a customer's units than its hard limit."""
+"""The checker reports that all nodes together sent more units of a customer than its hard limit."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     from tests.simulation.invariants.checker_host import CheckerHost
 
 
-def test_hard_limit_exceeded_by_two_nodes_that_each_kept_it(host: CheckerHost) -> None:
+def test_hard_limit_exceeded_only_by_both_nodes_together_is_violation(host: CheckerHost) -> None:
     for index in range(7):
         node = f"n{index % 2}"
         host.receive(f"r{index}", node=node)
--- a/tests/simulation/invariants/test_idempotency.py
+++ b/tests/simulation/invariants/test_idempotency.py
@@ -1,4 +1,4 @@
-"""A request that was possibly executed is retried and rejected only as its idempotency permits."""
+"""The checker reports retries and rejections of possibly executed requests that their idempotency forbids."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     from tests.simulation.invariants.checker_host import CheckerHost
 
 
-def test_non_idempotent_request_retried_or_rejected_after_possible_execution(host: CheckerHost) -> None:
+def test_retry_or_rejection_of_possibly_executed_non_idempotent_request(host: CheckerHost) -> None:
     host.receive(idempotency=Idempotency.NON_IDEMPOTENT)
     host.send(10.0)
     host.send(20.0, "s2")
@@ -28,7 +28,7 @@
     host.assert_no_violation()
 
 
-def test_request_with_key_retried_outside_of_scope_or_window_or_rejected(host: CheckerHost) -> None:
+def test_retry_outside_of_deduplication_scope_or_window_and_rejection_with_key(host: CheckerHost) -> None:
     host.receive(idempotency=Idempotency.IDEMPOTENCY_KEY, scope=DeduplicationScope.ZONE)
     host.send(10.0)
     host.send(20.0, "s2", zone="elsewhere")
--- a/tests/simulation/virtual_time/test_loop.py
+++ b/tests/simulation/virtual_time/test_loop.py
@@ -1,4 +1,7 @@
-"""Time skips to what is due next; a program that waits for ever is reported."""
+"""The virtual clock advances to the next timer at once, and a program that makes no progress is reported.
+
+Guards against runs that hang, when a program waits for no event or never lets the time advance.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 from onyxpost.simulation import virtual_time
 
 
-def test_an_hour_passes_at_once() -> None:
+def test_sleep_advances_the_virtual_clock() -> None:
     async def main() -> float:
         await asyncio.sleep(3600.0)
         return asyncio.get_running_loop().time()
@@ -17,7 +20,7 @@
     assert virtual_time.run(main()) == pytest.approx(3600.0, abs=5e-8)
 
 
-def test_program_that_waits_for_ever_is_reported() -> None:
+def test_program_that_waits_for_no_event_is_reported() -> None:
     async def main() -> None:
         await asyncio.get_running_loop().create_future()
 
@@ -25,7 +28,7 @@
         virtual_time.run(main())
 
 
-def test_program_that_never_lets_time_pass_is_reported() -> None:
+def test_program_that_never_lets_the_time_advance_is_reported() -> None:
     async def main() -> None:
         loop = asyncio.get_running_loop()
 
--- a/tests/simulation/virtual_time/test_network.py
+++ b/tests/simulation/virtual_time/test_network.py
@@ -1,4 +1,4 @@
-"""Connections in memory keep their order, break where planned, and fail as those of an operating system."""
+"""Virtual connections keep the order of bytes, break where planned, and fail like those of real sockets."""
 
 from __future__ import annotations
 
@@ -18,7 +18,11 @@
 
 
 def run_beside_server(scenario: Callable[[virtual_time.Network, list[bytes]], Awaitable[Any]]) -> None:
-    """Runs a scenario beside a host "far" that answers in upper case; the scenario gets what it received."""
+    """Runs a scenario with a host "far" that answers bytes in upper case.
+
+    The scenario gets the network and the list of chunks that the host received. The chunk b"reset" stands
+    for a connection that was reset.
+    """
 
     async def main() -> None:
         network = virtual_time.Network(Random("net"))
@@ -39,7 +43,7 @@
     virtual_time.run(main())
 
 
-def test_bytes_arrive_in_order_and_the_end_is_seen() -> None:
+def test_bytes_and_the_end_of_the_stream_arrive_in_order() -> None:
     async def scenario(network: virtual_time.Network, received: list[bytes]) -> None:
         reader, writer, is_all_read, _ = await network.host("near").dial(FAR, BUFFER_LIMIT)
         assert is_all_read()
@@ -66,7 +70,7 @@
     run_beside_server(scenario)
 
 
-def test_host_that_is_cut_off_sends_nothing_and_is_not_reached() -> None:
+def test_host_that_is_cut_off_neither_sends_nor_receives() -> None:
     async def scenario(network: virtual_time.Network, received: list[bytes]) -> None:
         reader, writer, *_ = await network.host("near").dial(FAR, BUFFER_LIMIT)
         network.cut_off.add("far")
@@ -80,7 +84,7 @@
     run_beside_server(scenario)
 
 
-def test_link_that_is_blocked_one_way_carries_the_other_direction() -> None:
+def test_link_that_is_blocked_one_way_still_delivers_the_other_way() -> None:
     async def scenario(network: virtual_time.Network, received: list[bytes]) -> None:
         reader, writer, *_ = await network.host("near").dial(FAR, BUFFER_LIMIT)
         network.blocked_links.add(("far", "near"))
