--- a/onyxpost/simulation/deterministic/cluster_faults.py
+++ b/onyxpost/simulation/deterministic/cluster_faults.py
@@ -17,12 +17,12 @@
 EARLY_DISCONNECT_REQUESTS = 16
 REQUESTS_PER_NODE_ON_ANSWER = 3
 ANSWER_LATENCY_MS = 20.0  # latency of an app server without a fault
-MAX_ANSWER_DELAY_MS = 14.0  # network delay of a request and its answer together
+MAX_ANSWER_DELAY_MS = 14.0  # maximum network delay of a request and its answer together
 MIN_EARLY_DISCONNECT_MS = 10.0
 MAX_EARLY_DISCONNECT_MS = 60.0
 MIN_CONNECT_DELAY_SECONDS = 0.25
 MAX_EXTRA_CONNECT_DELAY_SECONDS = 0.33
-MIN_BURST_DELAY_SECONDS = 0.3  # from the replacement of the servers, so that the burst meets their slow start
+MIN_BURST_DELAY_SECONDS = 0.3  # from the replacement of servers to the burst, so that slow start has begun
 MAX_EXTRA_BURST_DELAY_SECONDS = 0.5
 
 
--- a/onyxpost/simulation/deterministic/discovery_agent.py
+++ b/onyxpost/simulation/deterministic/discovery_agent.py
@@ -30,7 +30,7 @@
     """An observer that is also notified of the rows that an agent holds, whether or not it has sent them."""
 
     def on_endpoints_held(self, agent: FailingAgent, rows: list[dict[str, Any]]) -> None:
-        """Handles that the agent holds these rows, which have the format of the discovery protocol."""
+        """Handles the rows that the agent holds, in the format of the discovery protocol."""
 
 
 class FailingAgent(DiscoveryAgent):
--- a/onyxpost/simulation/invariants/checker.py
+++ b/onyxpost/simulation/invariants/checker.py
@@ -82,12 +82,12 @@
         units: int,
         deadline_ms: float,
     ) -> None:
-        """Handles that a node has received a request, which must have its final answer by the deadline."""
+        """Records that a node has received a request, which must have its final answer by the deadline."""
         self.steps += 1
         self.history.add(RequestRecord(node, request_id, frontend, customer, units, at_ms, deadline_ms))
 
     def on_attempt_sent(self, attempt: AttemptRecord) -> None:
-        """Handles that the last byte of an attempt has reached its server."""
+        """Records that the last byte of an attempt has reached its server."""
         self.steps += 1
         self._report(self.drains.violation_of(attempt))
         request = self.history.get(attempt.node, attempt.request_id)
@@ -122,7 +122,7 @@
             request.attempts[attempt_index].not_executed_at_ms = at_ms
 
     def on_final_answer(self, at_ms: float, node: str, request_id: str, final_answer: str) -> None:
-        """Handles that a client has received its final answer, one of `FINAL_ANSWERS`."""
+        """Records that a client has received its final answer, one of `FINAL_ANSWERS`."""
         self.steps += 1
         request = self.history.get(node, request_id)
         if request is None or final_answer not in FINAL_ANSWERS:
@@ -140,7 +140,7 @@
         self._report(self.idempotency.violation_of_answer(request, at_ms))
 
     def on_client_disconnected(self, at_ms: float, node: str, request_id: str) -> None:
-        """Handles that a client has closed its connection or cancelled its request.
+        """Records that a client has closed its connection or cancelled its request.
 
         The request needs no answer any more, and its node should send no further attempts.
         """
@@ -180,19 +180,19 @@
     # Discovery
 
     def on_endpoint_notified(self, at_ms: float, node: str, server: str, state: EndpointState) -> None:
-        """Handles that a node has received the state of a server."""
+        """Records that a node has received the state of a server."""
         self.steps += 1
         self.endpoint_knowledge.on_notified(at_ms, node, server, state)
 
     def on_discovery_updated(
         self, at_ms: float, node: str, server: str, state: EndpointState, within_ms: float = PROPAGATION_MS
     ) -> None:
-        """Handles that a node can poll the state of a server, which counts as known `within_ms` later."""
+        """Records that a node can poll the state of a server, which counts as known `within_ms` later."""
         self.steps += 1
         self.endpoint_knowledge.on_available(at_ms + within_ms, node, server, state)
 
     def on_discovery_replaced(self, node: str) -> None:
-        """Handles that a node changes to another discovery agent.
+        """Records that a node changes to another discovery agent.
 
         The host then reports the endpoints of the new agent by `on_discovery_updated`.
         """
@@ -207,7 +207,7 @@
         self.slow_start.start(at_ms, server, capacity, call_work_ms)
 
     def on_server_removed(self, server: str) -> None:
-        """Handles that a server has gone for good."""
+        """Records that a server has gone for good."""
         self.slow_start.remove(server)
 
     def on_work_received(
--- a/onyxpost/simulation/invariants/disconnected_clients.py
+++ b/onyxpost/simulation/invariants/disconnected_clients.py
@@ -9,9 +9,9 @@
 if TYPE_CHECKING:
     from onyxpost.simulation.invariants.records import AttemptRecord, RequestRecord
 
-LATE_ATTEMPT_MS = 100.0  # an attempt that begins later after the client disconnected is a late attempt
+LATE_ATTEMPT_MS = 100.0  # an attempt that begins longer than this after its client disconnected is late
 MAX_LATE_ATTEMPTS = 2  # late attempts tolerated in one run
-LATE_FIRST_ATTEMPT_MS = 300.0  # a first attempt that begins later is a late first attempt
+LATE_FIRST_ATTEMPT_MS = 300.0  # the same for the first attempt of a request, counted separately
 # Tolerated late first attempts, as a fraction of the requests not yet sent when their client disconnected.
 MAX_LATE_FIRST_FRACTION = 0.25
 MIN_LATE_FIRST_ATTEMPTS = 5  # fewer late first attempts are tolerated whatever their fraction
@@ -27,7 +27,7 @@
         self._late_first_attempts: list[Violation] = []
 
     def on_disconnected(self, request: RequestRecord) -> None:
-        """Counts a request whose client has disconnected."""
+        """Counts a request if it was not yet sent to any server when its client disconnected."""
         if not request.attempts:
             self._waiting_requests += 1
 
--- a/onyxpost/simulation/invariants/endpoint_knowledge.py
+++ b/onyxpost/simulation/invariants/endpoint_knowledge.py
@@ -73,7 +73,7 @@
         return None
 
     def knows_start(self, at_ms: float, node: str, server: str) -> bool:
-        """Whether the node knows, or counts as knowing, at `at_ms` that the server has started."""
+        """Whether the node knows, or counts as knowing, that this incarnation of the server has started."""
         return self._start_known_from_ms.get((node, server), inf) <= at_ms
 
 
--- a/onyxpost/simulation/invariants/records.py
+++ b/onyxpost/simulation/invariants/records.py
@@ -80,7 +80,7 @@
 
     @property
     def is_possibly_executed(self) -> bool:
-        """Whether the attempt was possibly executed, since no end of it proved the contrary."""
+        """Whether nothing has proved that the server never executed the attempt."""
         return self.not_executed_at_ms is None
 
     def violation(self, invariant: Invariant, description: str) -> Violation:
--- a/onyxpost/simulation/model_checking/actions.py
+++ b/onyxpost/simulation/model_checking/actions.py
@@ -16,7 +16,7 @@
 class DeliverMessage:
     """Delivers one message in flight."""
 
-    index: int  # in the sorted list of messages in flight, as for the other deliveries
+    index: int  # index in the sorted list of messages in flight, as in the next two actions
 
 
 @dataclass(frozen=True, slots=True)
--- a/onyxpost/simulation/model_checking/leadership_model.py
+++ b/onyxpost/simulation/model_checking/leadership_model.py
@@ -137,7 +137,7 @@
         return self.timing, self.acceptor_set, self.role_settings
 
     def violation(self) -> str | None:
-        """Returns the violation in the history, or one by two candidates that hold the lease now; or None."""
+        """Returns the violation in the history or, if candidates hold the lease together, one by them."""
         if self.history.violation is None:
             leaders = [name for name in self.participants if self.fencing_token(name) is not None]
             if len(leaders) > 1:
--- a/onyxpost/simulation/model_checking/virtual_cluster.py
+++ b/onyxpost/simulation/model_checking/virtual_cluster.py
@@ -142,7 +142,7 @@
             timeout_ms: Maximum virtual time to wait.
 
         Raises:
-            TimeoutError: There was no such leader within the timeout.
+            TimeoutError: No node other than `other_than` led within the timeout.
         """
         deadline_ms = self.now_ms() + timeout_ms
         while self.now_ms() < deadline_ms:
--- a/onyxpost/simulation/model_checking/virtual_node.py
+++ b/onyxpost/simulation/model_checking/virtual_node.py
@@ -88,7 +88,7 @@
         for message in self._received_while_paused:
             self.leadership.handle_message(message.sender, message.body)
 
-    def _on_message(self, sender: str, topic: str, body: bytes) -> None:  # noqa: ARG002 - one topic only
+    def _on_message(self, sender: str, topic: str, body: bytes) -> None:  # noqa: ARG002 - only one topic
         if self.is_paused:
             self._received_while_paused.append(ReceivedMessage(sender, body))
         else:
--- a/onyxpost/simulation/virtual_time/connection.py
+++ b/onyxpost/simulation/virtual_time/connection.py
@@ -88,7 +88,7 @@
         """Whether this end is closed or is being closed."""
         return self.is_shut
 
-    def get_extra_info(self, name: str, default: object = None) -> object:  # noqa: ARG002 - asyncio's
+    def get_extra_info(self, name: str, default: object = None) -> object:  # noqa: ARG002 - asyncio API
         """Returns the default, since there is no socket."""
         return default
 
@@ -158,7 +158,7 @@
         self._undeliverable_bytes += count
 
     def clear_undeliverable_bytes(self) -> None:
-        """Handles that the other end can be reached again."""
+        """Resets the count of undeliverable bytes, when the other end can be reached again."""
         self._undeliverable_bytes = 0
 
 
--- a/onyxpost/simulation/virtual_time/loop.py
+++ b/onyxpost/simulation/virtual_time/loop.py
@@ -15,7 +15,7 @@
 
 Result = TypeVar("Result")
 
-MAX_TURNS_AT_ONE_TIME = 200_000  # more iterations of the loop without any progress of time are a livelock
+MAX_TURNS_AT_ONE_TIME = 200_000  # more iterations of the loop at the same virtual time are a livelock
 CLOCK_RESOLUTION_SECONDS = 1e-9  # the loop runs timers that are due within this time
 CANCEL_TIMEOUT_SECONDS = 10.0  # virtual time for the remaining tasks to end once they are cancelled
 
--- a/onyxpost/simulation/virtual_time/network.py
+++ b/onyxpost/simulation/virtual_time/network.py
@@ -20,7 +20,7 @@
 
 MIN_DELAY_SECONDS = 0.0002  # one-way delay
 MAX_DELAY_SECONDS = 0.002  # one-way delay
-BLOCKED_CONNECT_SECONDS = 3600.0  # longer than any timeout of a program
+BLOCKED_CONNECT_SECONDS = 3600.0  # wait of a blocked connection attempt; longer than any timeout of a program
 
 
 class PlannedBreak(NamedTuple):
@@ -56,7 +56,7 @@
             return True
         return (source, target) in self.blocked_links
 
-    def delay_seconds(self, source: str, target: str) -> float:  # noqa: ARG002 - tests replace it by link
+    def delay_seconds(self, source: str, target: str) -> float:  # noqa: ARG002 - tests override it
         """Returns the one-way delay of the next bytes or datagram from `source` to `target`."""
         return self.rng.uniform(MIN_DELAY_SECONDS, MAX_DELAY_SECONDS)
 
