--- a/onyxpost/simulation/deterministic/fault_injector.py
+++ b/onyxpost/simulation/deterministic/fault_injector.py
@@ -48,7 +48,7 @@
             FaultKind.AGENT_BUSY: agents.fail,
             FaultKind.AGENT_TRUNCATES: agents.fail,
             FaultKind.CUT_OFF: network.cut_off_server,
-            FaultKind.NODE_CUT_OFF: network.cut_off_two_servers,
+            FaultKind.TWO_SERVERS_CUT_OFF: network.cut_off_two_servers,
             FaultKind.DATAGRAM_LOSS: network.lose_datagrams,
             FaultKind.LATE_UPDATES: network.delay_updates,
             FaultKind.BURST: load.burst,
--- a/onyxpost/simulation/deterministic/fault_script.py
+++ b/onyxpost/simulation/deterministic/fault_script.py
@@ -38,7 +38,7 @@
     SIGTERM = "term"
     SIGHUP = "hup"
     AGENT_SILENT = "agent-silent"
-    NODE_CUT_OFF = "edge-cut"
+    TWO_SERVERS_CUT_OFF = "edge-cut"
     DATAGRAM_LOSS = "loss"
     LATE_UPDATES = "lists-late"
     BURST = "burst"
@@ -96,7 +96,7 @@
     FaultKind.SIGTERM,
     FaultKind.SIGHUP,
     FaultKind.AGENT_SILENT,
-    FaultKind.NODE_CUT_OFF,
+    FaultKind.TWO_SERVERS_CUT_OFF,
 )
 CLUSTER_FAULTS = (
     FaultKind.DATAGRAM_LOSS,
@@ -120,7 +120,7 @@
 
 def draw_script(seed: int) -> list[Fault]:
     """Returns the base faults of a seed and, for two thirds of the seeds, coinciding faults in addition."""
-    return sorted([*draw_base_faults(seed), *draw_coincidence(seed)])
+    return sorted([*draw_base_faults(seed), *draw_coinciding_faults(seed)])
 
 
 def draw_base_faults(seed: int) -> list[Fault]:
@@ -138,7 +138,7 @@
     return Fault(round(at_seconds, 4), kind, target, round(duration_seconds, 4), round(rng.random(), 6))
 
 
-def draw_coincidence(seed: int) -> list[Fault]:
+def draw_coinciding_faults(seed: int) -> list[Fault]:
     """Returns faults that are meant to coincide; an empty list for a third of the seeds.
 
     They are drawn from a separate random source, so that the base faults do not depend on them.
