--- a/onyxpost/simulation/deterministic/fault_injector.py
+++ b/onyxpost/simulation/deterministic/fault_injector.py
@@ -1,4 +1,4 @@
-"""Begins the faults of a script: one handler for each kind."""
+"""Fault injector: begins the faults of a script, with one handler for each kind."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FaultInjector:
-    """Begins faults in a run; each ends by itself."""
+    """Begins faults in a run; their handlers also schedule their ends."""
 
     def __init__(self, context: FaultContext) -> None:
         servers = ServerFaults(context)
@@ -36,7 +36,7 @@
             FaultKind.RESET: servers.reset_connections,
             FaultKind.MALFORMED_RESPONSES: servers.malform_responses,
             FaultKind.DRAIN_ON_RESET: servers.drain_on_reset,
-            FaultKind.PERMANENT_DRAIN: servers.drain_for_good,
+            FaultKind.PERMANENT_DRAIN: servers.drain_permanently,
             FaultKind.KILL: nodes.kill,
             FaultKind.SIGTERM: nodes.restart,
             FaultKind.SIGHUP: nodes.reload,
@@ -48,7 +48,7 @@
             FaultKind.AGENT_BUSY: agents.fail,
             FaultKind.AGENT_TRUNCATES: agents.fail,
             FaultKind.CUT_OFF: network.cut_off_server,
-            FaultKind.NODE_CUT_OFF: network.cut_off_servers,
+            FaultKind.TWO_SERVERS_CUT_OFF: network.cut_off_two_servers,
             FaultKind.DATAGRAM_LOSS: network.lose_datagrams,
             FaultKind.LATE_UPDATES: network.delay_updates,
             FaultKind.BURST: load.burst,
