--- a/onyxpost/config/deployment.py
+++ b/onyxpost/config/deployment.py
@@ -154,7 +154,7 @@
         priority_weight=settings.priority_weight,
         late_weight=settings.late_weight,
         latency_objective_stretch=settings.objective_stretch or 0.0,
-        streamed=settings.streamed,
+        is_streamed=settings.streamed,
     )
 
 
@@ -171,9 +171,9 @@
     limits = settings.limits
     return GatewayLimits(
         max_attempts=limits.max_attempts,
-        parallel_attempts=limits.allows_parallel_attempts,
-        cancellation=limits.cancels_attempts,
-        peer_messages=limits.gossips_with_peers,
+        may_overlap_attempts=limits.allows_parallel_attempts,
+        may_cancel_attempts=limits.cancels_attempts,
+        may_send_peer_messages=limits.gossips_with_peers,
         max_retry_after_ms=_max_retry_after_us(limits) / US_PER_MS,
         peer_messages_per_second=settings.node_group.peer_messages_per_s,
         drain_grace_ms=settings.upstreams.drain_grace_us / US_PER_MS,
--- a/onyxpost/core/customer_quota.py
+++ b/onyxpost/core/customer_quota.py
@@ -6,7 +6,7 @@
 
 from onyxpost.core.token_bucket import TokenBucket
 from onyxpost.core.types import Plan
-from onyxpost.core.usage_reports import NO_NODE, Placement, UsageReport
+from onyxpost.core.usage_reports import NO_NODE, PeerUsageReport, Placement
 
 UNKNOWN_PLAN = Plan("", 0.0, 0.0, 0, 0.0, 0.0, 0.0)  # plan of a customer until a request or report names it
 
@@ -99,7 +99,9 @@
         self.units_used += units
         self.hard_limit.consume(hard_limit_units)
 
-    def report(self, new_units: int, transferred_units: int) -> UsageReport:
+    def report(self, new_units: int, transferred_units: int) -> PeerUsageReport:
         """Returns a report of this node's usage, to be sent to a peer."""
         placement = self.placement or Placement(0, 0, 0)
-        return UsageReport(self.key, self.units_used, self.in_flight, new_units, transferred_units, placement)
+        return PeerUsageReport(
+            self.key, self.units_used, self.in_flight, new_units, transferred_units, placement
+        )
--- a/onyxpost/core/events.py
+++ b/onyxpost/core/events.py
@@ -12,9 +12,9 @@
 
 
 class EndpointsUpdated(NamedTuple):
-    """Discovery has reported endpoints: all that exist if `complete`, else only those that have changed."""
+    """Discovery has reported endpoints: all that exist if `is_complete`, else only the changed ones."""
 
-    complete: bool
+    is_complete: bool
     endpoints: list[EndpointStatus]
 
 
@@ -73,7 +73,7 @@
         attempt_index: 0 for the request's first attempt.
         result: how the attempt ended.
         latency_ms: time from the start of the attempt to its end.
-        settled: whether the request has its final answer.
+        is_request_finished: whether the request has its final answer.
         actual_units: units that the server reports as used; 0 where it reports none.
     """
 
@@ -81,7 +81,7 @@
     attempt_index: int
     result: AttemptResult
     latency_ms: float
-    settled: bool
+    is_request_finished: bool
     actual_units: int
 
 
--- a/onyxpost/core/gossip_codec.py
+++ b/onyxpost/core/gossip_codec.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from onyxpost.core.usage_reports import Placement, QuotaCorrection, UsageReport
+from onyxpost.core.usage_reports import PeerUsageReport, Placement, QuotaCorrection
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -18,7 +18,7 @@
     """A decoded message from a peer; `incarnation` identifies the sender's run."""
 
     incarnation: str
-    reports: list[UsageReport]
+    reports: list[PeerUsageReport]
     corrections: list[QuotaCorrection]
 
 
@@ -40,7 +40,7 @@
             placement = Placement(*placement_fields)
             if not -plan_count <= placement.plan_index < plan_count:
                 return None
-            report = UsageReport(customer, units_used, in_flight, new_units, transferred_units, placement)
+            report = PeerUsageReport(customer, units_used, in_flight, new_units, transferred_units, placement)
             message.reports.append(report)
         elif len(fields) == CORRECTION_FIELDS:
             message.corrections.append(QuotaCorrection(*fields))
@@ -49,9 +49,9 @@
     return message
 
 
-def encode_entry(entry: UsageReport | QuotaCorrection) -> str:
+def encode_entry(entry: PeerUsageReport | QuotaCorrection) -> str:
     """Returns the text of a report or correction."""
-    fields = (*entry[:-1], *entry.placement) if isinstance(entry, UsageReport) else entry
+    fields = (*entry[:-1], *entry.placement) if isinstance(entry, PeerUsageReport) else entry
     return ":".join(f"{field:x}" for field in fields)
 
 
@@ -70,7 +70,7 @@
         self._send = send
         self._bodies: dict[int, str] = {}
 
-    def add(self, peer: int, entry: UsageReport | QuotaCorrection) -> None:
+    def add(self, peer: int, entry: PeerUsageReport | QuotaCorrection) -> None:
         """Adds an entry to the peer's message; sends the message first if the entry does not fit."""
         text = encode_entry(entry)
         if len(self._bodies.get(peer, "")) + 1 + len(text) > self._max_bytes:
--- a/onyxpost/core/options.py
+++ b/onyxpost/core/options.py
@@ -58,7 +58,7 @@
     @property
     def max_peer_messages_per_second(self) -> float:
         """Messages a second that a node can receive from its peers; 0 if nodes send no messages."""
-        return self.limits.peer_messages * self.limits.peer_messages_per_second
+        return self.limits.may_send_peer_messages * self.limits.peer_messages_per_second
 
     @property
     def shortest_latency_objective_ms(self) -> float:
--- a/onyxpost/core/server_registry.py
+++ b/onyxpost/core/server_registry.py
@@ -42,7 +42,7 @@
             on_start: called for each server that has started since its last status, before the new status
                 is set.
         """
-        if update.complete:
+        if update.is_complete:
             for server in self.known.values():  # servers that the update omits are gone
                 server.endpoint = replace(server.endpoint, state=EndpointState.GONE)
         for status in update.endpoints:
--- a/onyxpost/core/sink.py
+++ b/onyxpost/core/sink.py
@@ -13,14 +13,14 @@
 class DecisionSink(Protocol):
     """Implemented by hosts: carries out decisions in the order in which they are made."""
 
-    def start_attempt(self, request_id: str, server: str, timeout_ms: float, begin_before: float) -> None:
+    def start_attempt(self, request_id: str, server: str, timeout_ms: float, latest_start_at: float) -> None:
         """Forwards a request to a server, with a timeout.
 
         Args:
             request_id: the request.
             server: the server's id.
             timeout_ms: how long the attempt may take.
-            begin_before: the time from which on the attempt must not start, in ms; `inf` for no limit.
+            latest_start_at: the time from which on the attempt must not start, in ms; `inf` for no limit.
         """
 
     def reject(self, request_id: str, retry_after_ms: float) -> None:
--- a/onyxpost/core/types.py
+++ b/onyxpost/core/types.py
@@ -80,7 +80,7 @@
         priority_weight: value of an answer within the latency objective.
         late_weight: value of a later answer; 0 if late answers are worthless.
         latency_objective_stretch: value from the settings, which decisions do not use.
-        streamed: whether responses are streamed.
+        is_streamed: whether responses are streamed.
     """
 
     name: str
@@ -92,7 +92,7 @@
     priority_weight: float
     late_weight: float
     latency_objective_stretch: float
-    streamed: bool
+    is_streamed: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -140,23 +140,23 @@
 
     Attributes:
         max_attempts: the largest number of attempts for one request.
-        parallel_attempts: whether attempts for one request may overlap.
-        cancellation: whether attempts can be cancelled.
-        peer_messages: whether nodes can send each other messages.
+        may_overlap_attempts: whether attempts for one request may overlap.
+        may_cancel_attempts: whether attempts can be cancelled.
+        may_send_peer_messages: whether nodes can send each other messages.
         max_retry_after_ms: upper bound of `Retry-After`.
         peer_messages_per_second: messages that a node can receive from its peers.
-        local_share: 0 if there are no planners. Above 0, planners grant leases, and the buckets of all nodes
+        safe_share: 0 if there are no planners. Above 0, planners grant leases, and the buckets of all nodes
             together are refilled with this share of each limit.
         drain_grace_ms: time after the start of a server's drain in which attempts may still start.
     """
 
     max_attempts: int
-    parallel_attempts: bool
-    cancellation: bool
-    peer_messages: bool
+    may_overlap_attempts: bool
+    may_cancel_attempts: bool
+    may_send_peer_messages: bool
     max_retry_after_ms: float
     peer_messages_per_second: float
-    local_share: float = 0.0
+    safe_share: float = 0.0
     drain_grace_ms: float = 0.0
 
 
--- a/onyxpost/core/usage_reports.py
+++ b/onyxpost/core/usage_reports.py
@@ -28,7 +28,7 @@
         return (self.first_node + key % self.set_size) % node_count
 
 
-class UsageReport(NamedTuple):
+class PeerUsageReport(NamedTuple):
     """One node's usage of one customer's quota.
 
     Attributes:
@@ -62,4 +62,4 @@
     in_flight: int
 
 
-AddressedEntry = tuple[int, UsageReport | QuotaCorrection]  # the peer's node index and the entry for it
+AddressedEntry = tuple[int, PeerUsageReport | QuotaCorrection]  # the peer's node index and the entry for it
--- a/onyxpost/edge/effect_sink.py
+++ b/onyxpost/edge/effect_sink.py
@@ -66,13 +66,13 @@
     # Answers
 
     def answer(self, request: PendingRequest, answer: SendAnswer) -> None:
-        """Sends the final answer to a request, unless the request is settled."""
-        if not request.is_settled:
+        """Sends the final answer to a request, unless the request is finished."""
+        if not request.is_finished:
             self.effects.append(answer)
             self.settle(request)
 
     def settle(self, request: PendingRequest) -> None:
-        """Marks a request as settled, and withdraws those of its attempts that are not sent yet."""
+        """Marks a request as finished, and withdraws those of its attempts that are not sent yet."""
         self._requests.settle(request)
         self.effects += [WithdrawAttempt(attempt) for attempt in self._requests.ids_in_flight(request)]
         self._requests.release_if_finished(request)
@@ -89,23 +89,23 @@
 
     # Decisions about requests
 
-    def start_attempt(self, request_id: str, server: str, timeout_ms: float, begin_before: float) -> None:
+    def start_attempt(self, request_id: str, server: str, timeout_ms: float, latest_start_at: float) -> None:
         """Sends an attempt to a server.
 
         An attempt that cannot be sent any more ends with the result `UNUSED` in the next round.
         """
         request, attempt_index = self._requests.add_attempt(request_id)
         remaining_ms = min(timeout_ms, request.deadline - self._now)
-        if request.is_settled or remaining_ms <= 0.0 or server not in self._endpoints.by_server:
+        if request.is_finished or remaining_ms <= 0.0 or server not in self._endpoints.by_server:
             unused = AttemptFinished(
-                request_id, attempt_index, AttemptResult.UNUSED, 0.0, request.is_settled, 0
+                request_id, attempt_index, AttemptResult.UNUSED, 0.0, request.is_finished, 0
             )
             self.deferred_events.append(unused)
             return
         attempt_id = self._requests.set_in_flight(request, attempt_index)
         endpoint = self._endpoints.by_server[server]
         self.effects.append(
-            SendAttempt(attempt_id, endpoint, request.client_request, remaining_ms, begin_before)
+            SendAttempt(attempt_id, endpoint, request.client_request, remaining_ms, latest_start_at)
         )
 
     def reject(self, request_id: str, retry_after_ms: float) -> None:
--- a/onyxpost/edge/messages/effects.py
+++ b/onyxpost/edge/messages/effects.py
@@ -31,15 +31,15 @@
         endpoint: the server and its address.
         request: the client's request.
         timeout_ms: maximum duration of the attempt, up to the end of the response.
-        begin_before: the time by which sending has to begin. App servers may not recognise a later retry as a
-            duplicate of an earlier attempt, and would execute both.
+        latest_start_at: the time by which sending has to begin. App servers may not recognise a later retry
+            as a duplicate of an earlier attempt, and would execute both.
     """
 
     attempt_id: int
     endpoint: Endpoint
     request: ClientRequest
     timeout_ms: float
-    begin_before: float = inf
+    latest_start_at: float = inf
 
 
 class CloseAttempt(NamedTuple):
--- a/onyxpost/edge/pending_requests.py
+++ b/onyxpost/edge/pending_requests.py
@@ -17,7 +17,7 @@
         request_id: this node's id of the request.
         client_request: the request as it was received.
         deadline: Unix time in ms by which the answer has to be sent.
-        is_settled: whether the final answer was sent or the client has disconnected.
+        is_finished: whether the final answer was sent or the client has disconnected.
         attempt_ids: the ids of all attempts, by attempt index.
         in_flight: number of attempts that have not ended.
     """
@@ -25,7 +25,7 @@
     request_id: str
     client_request: ClientRequest
     deadline: float
-    is_settled: bool = False
+    is_finished: bool = False
     attempt_ids: list[int] = field(default_factory=list)
     in_flight: int = 0
 
@@ -89,7 +89,7 @@
     def settle(self, request: PendingRequest) -> None:
         """Marks a request as answered or as abandoned by its client."""
         self.by_connection.pop(request.client_request.connection_id, None)
-        request.is_settled = True
+        request.is_finished = True
 
     def ids_in_flight(self, request: PendingRequest) -> list[int]:
         """Returns the ids of the attempts in flight of a request, in the order of their start."""
@@ -98,12 +98,12 @@
         return [attempt_id for attempt_id in request.attempt_ids if attempt_id in self.attempts_in_flight]
 
     def release_if_finished(self, request: PendingRequest) -> None:
-        """Releases the trace id of a request, if it is settled and has no attempts in flight.
+        """Releases the trace id of a request, if it is finished and has no attempts in flight.
 
         The request stays in `by_id` until `remove_finished`, as the decision maker may refer to it in the
         current round.
         """
-        if request.is_settled and not request.in_flight:
+        if request.is_finished and not request.in_flight:
             self._finished.append(request)
             self.by_trace_id.pop(request.client_request.trace_id, None)
 
--- a/onyxpost/edge/state_machine.py
+++ b/onyxpost/edge/state_machine.py
@@ -186,5 +186,5 @@
             self.sink.answer(request, SendAnswer(connection_id, FinalAnswer.FORWARDED, event.response))
         self.requests.release_if_finished(request)
         return AttemptFinished(
-            request.request_id, attempt_index, event.result, event.latency_ms, request.is_settled, 0
+            request.request_id, attempt_index, event.result, event.latency_ms, request.is_finished, 0
         )
--- a/onyxpost/node/config.py
+++ b/onyxpost/node/config.py
@@ -99,7 +99,7 @@
     planners = None
     if file.planners is not None:
         planners = _build_planner_config(file.planners)
-        limits = replace(deployment.limits, local_share=planners.safe_share)
+        limits = replace(deployment.limits, safe_share=planners.safe_share)
         deployment = replace(deployment, limits=limits)
     cluster = _build_cluster(file)
     return NodeConfig(
--- a/onyxpost/node/edge_node.py
+++ b/onyxpost/node/edge_node.py
@@ -212,7 +212,7 @@
         if not self.clients.connections.is_waiting(effect.request.connection_id):
             self.events.post(ClientDisconnected(effect.request.connection_id))
             return False
-        is_in_time = remaining_ms > self.config.deployment.tick_ms and self.clock() < effect.begin_before
+        is_in_time = remaining_ms > self.config.deployment.tick_ms and self.clock() < effect.latest_start_at
         return is_in_time and self.state_machine.endpoints.accepts_attempts(effect.endpoint)
 
     def descriptor_limit(self) -> int:
--- a/onyxpost/policy/admission.py
+++ b/onyxpost/policy/admission.py
@@ -10,7 +10,7 @@
 from onyxpost.core.sink import DecisionSink
 from onyxpost.policy.hard_limit_wait import HardLimitWait
 from onyxpost.policy.quotas import QuotaPolicy
-from onyxpost.policy.rejection import Rejections
+from onyxpost.policy.request_rejection import RequestRejecter
 from onyxpost.policy.request_routing import RequestRouter
 
 
@@ -24,7 +24,7 @@
         quotas: QuotaPolicy,
         hard_limit_wait: HardLimitWait,
         router: RequestRouter,
-        rejections: Rejections,
+        rejecter: RequestRejecter,
     ) -> None:
         self._state = state
         self._frontends = {frontend.name: frontend for frontend in state.options.frontends}
@@ -32,7 +32,7 @@
         self._quotas = quotas
         self._hard_limit_wait = hard_limit_wait
         self._router = router
-        self._rejections = rejections
+        self._rejecter = rejecter
 
     def on_request_arrived(self, now: float, event: RequestArrived, sink: DecisionSink) -> None:
         """Routes, queues or rejects a request that has just arrived."""
@@ -45,7 +45,7 @@
             self._state.requests[request.id] = request
             self._hard_limit_wait.add(request)
         elif not has_capacity or self._random.next() > self._quotas.quota_admission_probability(customer):
-            self._rejections.reject_over_limit(request, sink)
+            self._rejecter.reject_over_limit(request, sink)
         else:
             self._router.route(now, request, sink)
 
@@ -67,4 +67,4 @@
             if is_admitted:
                 self._router.route(now, request, sink)
             else:
-                self._rejections.reject_over_limit(request, sink)
+                self._rejecter.reject_over_limit(request, sink)
--- a/onyxpost/policy/attempt_results.py
+++ b/onyxpost/policy/attempt_result_handling.py
@@ -5,7 +5,7 @@
 from onyxpost.core.requests import Attempt
 from onyxpost.core.sink import DecisionSink
 from onyxpost.core.types import AttemptResult
-from onyxpost.policy.abandonment import FailureResponder
+from onyxpost.policy.failure_response import FailureResponder
 from onyxpost.policy.load_shedding import LatencyLoadShedder
 from onyxpost.policy.possible_execution import finish_attempt
 from onyxpost.policy.request_completion import RequestCompletion
@@ -46,7 +46,7 @@
         if event.result is AttemptResult.OK and not request.is_finished:
             self._shedder.record_completion(request, now)
             self._usage.record_actual_units(request, event.actual_units)
-        if event.settled and not request.is_finished:
+        if event.is_request_finished and not request.is_finished:
             self._completion.finish(request, sink)
         elif request.is_finished:
             self._completion.remove_if_no_attempt_in_flight(request)
--- a/onyxpost/policy/endpoint_updates.py
+++ b/onyxpost/policy/endpoint_updates.py
@@ -17,12 +17,12 @@
     from onyxpost.policy.slow_start import SlowStart
 
 
-class EndpointTrust:
+class StaleEndpointPolicy:
     """Bounds how long a server gets attempts after its last success while endpoints are stale.
 
     Attributes:
-        trusted_ms: time for which a server is trusted after its last successful attempt was sent; `inf` while
-            endpoints are not stale.
+        max_success_age_ms: time for which a server is trusted after its last successful attempt was sent;
+            `inf` while endpoints are not stale.
     """
 
     # Assumed delay until a node notices a change of polled endpoints: 5 s of the 6 s within which it must.
@@ -33,15 +33,15 @@
         # period is left for connecting.
         notice_delay_ms = polls_endpoints * self.MAX_NOTICE_DELAY_MS
         self._stale_trust_ms = drain_grace_ms / 2.0 + notice_delay_ms
-        self.trusted_ms = inf
+        self.max_success_age_ms = inf
 
     def on_endpoints_updated(self, _now: float, _event: EndpointsUpdated, _sink: DecisionSink) -> None:
         """Trusts all ready servers again."""
-        self.trusted_ms = inf
+        self.max_success_age_ms = inf
 
     def on_endpoints_stale(self, _now: float, _event: EndpointsStale, _sink: DecisionSink) -> None:
         """Trusts only servers that have answered successfully within the stale trust time."""
-        self.trusted_ms = self._stale_trust_ms
+        self.max_success_age_ms = self._stale_trust_ms
 
 
 class EndpointUpdates:
--- a/onyxpost/policy/abandonment.py
+++ b/onyxpost/policy/failure_response.py
@@ -4,8 +4,8 @@
 from onyxpost.core.sink import DecisionSink
 from onyxpost.policy.load_shedding import LatencyLoadShedder
 from onyxpost.policy.possible_execution import ExecutionSafety
-from onyxpost.policy.rejection import Rejections
 from onyxpost.policy.request_completion import RequestCompletion
+from onyxpost.policy.request_rejection import RequestRejecter
 
 
 class FailureResponder:
@@ -16,12 +16,12 @@
         shedder: LatencyLoadShedder,
         completion: RequestCompletion,
         execution: ExecutionSafety,
-        rejections: Rejections,
+        rejecter: RequestRejecter,
     ) -> None:
         self._shedder = shedder
         self._completion = completion
         self._execution = execution
-        self._rejections = rejections
+        self._rejecter = rejecter
 
     def respond(self, request: Request, sink: DecisionSink) -> None:
         """Rejects a request if its client may send it again without a second execution, else aborts it.
@@ -31,6 +31,6 @@
         self._shedder.record_unanswered(request, request.arrived_at)
         self._completion.finish(request, sink)
         if self._execution.safe_to_reject(request):
-            self._rejections.reject_for_capacity(request, sink)
+            self._rejecter.reject_for_capacity(request, sink)
         else:
             sink.abort(request.id)
--- a/onyxpost/policy/gateway.py
+++ b/onyxpost/policy/gateway.py
@@ -10,7 +10,7 @@
 from onyxpost.core.seeded_random import SeededRandom
 from onyxpost.core.server_registry import ServerRegistry
 from onyxpost.core.sink import DecisionSink
-from onyxpost.policy.gossip_exchange import GossipExchange
+from onyxpost.policy.gossip_schedule import GossipScheduler
 from onyxpost.policy.load_shedding import LatencyLoadShedder
 from onyxpost.policy.node_timer import NodeTimer
 from onyxpost.policy.possible_execution import ExecutionSafety
@@ -30,7 +30,7 @@
         quota_control: the components that enforce and report customers' quotas.
         selection: the components that select a server for each attempt.
         handling: the components that handle requests from arrival to end.
-        exchange: sends and receives gossip.
+        gossip_scheduler: sends and receives gossip.
         dispatcher: calls the handlers of each event type.
     """
 
@@ -44,8 +44,8 @@
         self.handling = RequestHandling(
             self.state, self.random, self.shedder, self.execution, self.quota_control, self.selection
         )
-        first_round_at = now + GossipExchange.GOSSIP_INTERVAL_MS * self.random.next()
-        self.exchange = GossipExchange(first_round_at, self.quota_control, self.handling.admission)
+        first_round_at = now + GossipScheduler.GOSSIP_INTERVAL_MS * self.random.next()
+        self.gossip_scheduler = GossipScheduler(first_round_at, self.quota_control, self.handling.admission)
         self._timer = NodeTimer()
         self._is_started = False
         self.dispatcher = EventDispatcher()
@@ -73,7 +73,7 @@
         register(event_types.LeaseGranted, leases.on_lease_granted)
         register(event_types.LeaseRevoked, leases.on_lease_revoked)
         register(event_types.RoutingRulesChanged, handling.constraints.on_routing_rules_changed)
-        register(event_types.PeerMessageReceived, self.exchange.on_peer_message)
+        register(event_types.PeerMessageReceived, self.gossip_scheduler.on_peer_message)
         register(
             event_types.TimerFired,
             self._timer.on_timer,
@@ -81,7 +81,7 @@
             handling.admission.on_timer,
             self.selection.concurrency.on_timer,
             self.shedder.on_timer,
-            self.exchange.on_timer,
+            self.gossip_scheduler.on_timer,
         )
 
     def handle(self, now: float, events: Iterable[event_types.Event], sink: DecisionSink) -> None:
--- a/onyxpost/policy/quota_gossip.py
+++ b/onyxpost/policy/gossip_messages.py
@@ -20,7 +20,7 @@
 ONE_MESSAGE = ReceivedCounts(messages=1.0)
 
 
-class QuotaGossip:
+class GossipMessenger:
     """Exchanges customers' usage with the other nodes.
 
     Attributes:
@@ -34,7 +34,8 @@
     MAX_MESSAGE_BYTES = 256  # size limit of one peer message
     RECEIVED_INTERVAL_MS = 250.0  # length of a counting interval; received messages are counted per second
     RECEIVED_INTERVALS = 4  # number of intervals in a second
-    KEPT_FRACTION = 0.5  # fraction of the hard limit's burst at this node that is never transferred to peers
+    # Fraction of the hard limit's burst at this node that is never transferred to peers.
+    HARD_LIMIT_RESERVE_FRACTION = 0.5
 
     def __init__(self, options: GatewayOptions, quotas: QuotaPolicy) -> None:
         self._options = options
@@ -99,7 +100,7 @@
         customer.units_reported = customer.units_used
         customer.refill(now)
         missing_tokens = plan.burst - customer.quota.tokens
-        is_under_pressure = missing_tokens >= self._quotas.PRESSURE_FRACTION * plan.burst > 0.0
+        is_under_pressure = missing_tokens >= self._quotas.LOW_TOKENS_FRACTION * plan.burst > 0.0
         if is_under_pressure or 2 * peer_usage.total_in_flight(customer, now) > plan.concurrency_limit > 0:
             for peer in customer.peers:
                 in_flight = peer_usage.total_in_flight(customer, now, peer)
@@ -130,7 +131,7 @@
             return 0
         customer.refill(now)
         spare_tokens = max(
-            0, int(customer.hard_limit.tokens - self.KEPT_FRACTION * customer.hard_limit.burst)
+            0, int(customer.hard_limit.tokens - self.HARD_LIMIT_RESERVE_FRACTION * customer.hard_limit.burst)
         )
         customer.hard_limit.consume(spare_tokens)
         return spare_tokens
--- a/onyxpost/policy/gossip_exchange.py
+++ b/onyxpost/policy/gossip_schedule.py
@@ -7,14 +7,14 @@
 from onyxpost.policy.quota_control import QuotaControl
 
 
-class GossipExchange:
+class GossipScheduler:
     """Applies peer messages as they arrive and sends a round of messages at fixed intervals."""
 
     GOSSIP_INTERVAL_MS = 50.0  # time between two rounds
 
     def __init__(self, first_round_at: float, quota_control: QuotaControl, admission: Admission) -> None:
         self._next_round_at = first_round_at
-        self._quotas = quota_control.quotas
+        self._quotas = quota_control.quota_policy
         self._gossip = quota_control.gossip
         self._queue = quota_control.queue
         self._admission = admission
--- a/onyxpost/policy/outlier_detection.py
+++ b/onyxpost/policy/outlier_detection.py
@@ -11,8 +11,8 @@
 
     MAX_FAILED_SHARE = 0.35  # largest share of failed attempts at which a server is not ejected
     MIN_FAILURES = 2.0  # ignore single failures, which are often lost packets
-    OPEN_MS = 1000.0  # open time after the first trip of a circuit breaker; doubled at each further trip
-    MAX_OPEN_MS = 8000.0  # upper bound of the open time
+    INITIAL_EJECTION_MS = 1000.0  # open time after a breaker's first trip; doubled at each further trip
+    MAX_EJECTION_MS = 8000.0  # upper bound of the open time
 
     def __init__(self, servers: ServerRegistry) -> None:
         self._servers = servers
@@ -44,8 +44,8 @@
         if not (breaker.successes_to_close or result is AttemptResult.NO_CONNECTION or is_outlier):
             return
         if now >= breaker.open_until and 2 * self._count_other_ejected(server) < len(self._servers.ready):
-            open_ms = self.OPEN_MS * 2.0**breaker.successes_to_close
-            breaker.open_until = now + min(self.MAX_OPEN_MS, open_ms)
+            open_ms = self.INITIAL_EJECTION_MS * 2.0**breaker.successes_to_close
+            breaker.open_until = now + min(self.MAX_EJECTION_MS, open_ms)
             breaker.successes_to_close += 1
             sink.log(f"server {server.id} ejected: {result.label} failed={failed:.0f} good={answered:.0f}")
 
--- a/onyxpost/policy/peer_usage.py
+++ b/onyxpost/policy/peer_usage.py
@@ -8,7 +8,7 @@
 
 if TYPE_CHECKING:
     from onyxpost.core.customer_quota import CustomerQuota
-    from onyxpost.core.usage_reports import QuotaCorrection, UsageReport
+    from onyxpost.core.usage_reports import PeerUsageReport, QuotaCorrection
 
 
 class PeerUsageAccounting:
@@ -29,7 +29,7 @@
         return 0 < customer.plan.concurrency_limit <= self.total_in_flight(customer, now)
 
     def apply_report(
-        self, customer: CustomerQuota, now: float, peer: int, incarnation: str, report: UsageReport
+        self, customer: CustomerQuota, now: float, peer: int, incarnation: str, report: PeerUsageReport
     ) -> None:
         """Takes the units that a peer has used since its last report from the customer's bucket.
 
--- a/onyxpost/policy/possible_execution.py
+++ b/onyxpost/policy/possible_execution.py
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self.first_possible_execution: ExecutionRule = first_possible_execution
 
-    def replace_rule(self, rule: ExecutionRule) -> None:
+    def replace_execution_rule(self, rule: ExecutionRule) -> None:
         """Replaces `first_possible_execution`; used by mutation testing only."""
         self.first_possible_execution = rule
 
--- a/onyxpost/policy/quotas.py
+++ b/onyxpost/policy/quotas.py
@@ -28,7 +28,7 @@
     MAX_GOSSIP_PEERS = 4  # largest number of peers that get reports in turn; a larger set has a coordinator
     # Fraction of the burst: the coordinator sends corrections once this much is used, and nodes admit at
     # random once less than this is left.
-    PRESSURE_FRACTION = 0.5
+    LOW_TOKENS_FRACTION = 0.5
 
     def __init__(self, options: GatewayOptions, customers: CustomerTable) -> None:
         self._options = options
@@ -44,10 +44,10 @@
             return
         plan = self._options.plans[placement.plan_index]
         share = 1.0 / max(1, placement.set_size)
-        if local_share := self._options.limits.local_share:
+        if safe_share := self._options.limits.safe_share:
             # The buckets start empty, as an earlier incarnation may have spent this share. Planners grant
             # leases of the rest.
-            customer.set_plan(plan, share * local_share, share * local_share, self.MAX_DEBT_MS)
+            customer.set_plan(plan, share * safe_share, share * safe_share, self.MAX_DEBT_MS)
             return
         node_count = self._options.node_count
         customer.peers = placement.peers_of(self._options.node_index, node_count)
@@ -101,7 +101,7 @@
         """
         # All nodes count the same tokens. If each admitted every request while tokens are left, all together
         # would exceed the quota by the requests that arrive before the coordinator's next correction.
-        pressure_tokens = self.PRESSURE_FRACTION * customer.plan.burst if customer.has_coordinator else 0.0
+        pressure_tokens = self.LOW_TOKENS_FRACTION * customer.plan.burst if customer.has_coordinator else 0.0
         return customer.quota.tokens / pressure_tokens if pressure_tokens else 1.0
 
     def deferral_ms(self, now: float, request: Request, queued_units: int) -> float | None:
--- a/onyxpost/policy/request_completion.py
+++ b/onyxpost/policy/request_completion.py
@@ -16,7 +16,7 @@
 
     def __init__(self, state: NodeState) -> None:
         self._requests = state.requests
-        self._may_cancel = state.options.limits.cancellation
+        self._may_cancel = state.options.limits.may_cancel_attempts
 
     def on_request_cancelled(self, _now: float, event: RequestCancelled, sink: DecisionSink) -> None:
         """Finishes a request whose client has disconnected."""
--- a/onyxpost/policy/request_handling.py
+++ b/onyxpost/policy/request_handling.py
@@ -2,17 +2,17 @@
 
 from onyxpost.core.node_state import NodeState
 from onyxpost.core.seeded_random import SeededRandom
-from onyxpost.policy.abandonment import FailureResponder
 from onyxpost.policy.admission import Admission
-from onyxpost.policy.attempt_results import AttemptResultHandler
+from onyxpost.policy.attempt_result_handling import AttemptResultHandler
 from onyxpost.policy.attempts import AttemptStarter
+from onyxpost.policy.failure_response import FailureResponder
 from onyxpost.policy.hard_limit_wait import HardLimitWait
 from onyxpost.policy.load_shedding import LatencyLoadShedder
 from onyxpost.policy.possible_execution import ExecutionSafety
 from onyxpost.policy.quota_control import QuotaControl
 from onyxpost.policy.request_completion import RequestCompletion
 from onyxpost.policy.request_routing import RequestRouter
-from onyxpost.policy.retries import RetryBudget, RetryPolicy
+from onyxpost.policy.retries import AttemptPolicy, RetryBudget
 from onyxpost.policy.retry_dispatch import RetryDispatcher
 from onyxpost.policy.routing_constraints import RoutingConstraints
 from onyxpost.policy.server_selection import ServerSelection
@@ -41,21 +41,21 @@
         limits = state.options.limits
         balancer = selection.balancer
         latency = selection.latency
-        quotas = quota_control.quotas
-        rejections = quota_control.rejections
+        quotas = quota_control.quota_policy
+        rejecter = quota_control.rejecter
         usage = quota_control.usage
-        retry_policy = RetryPolicy(state.options.tick_ms, execution)
-        attempts = AttemptStarter(retry_policy, balancer)
+        attempt_policy = AttemptPolicy(state.options.tick_ms, execution)
+        attempts = AttemptStarter(attempt_policy, balancer)
         self.retry_budget = RetryBudget()
         self.constraints = RoutingConstraints(state)
-        router = RequestRouter(state, self.constraints, shedder, balancer, attempts, usage, rejections)
-        hard_limit_wait = HardLimitWait(quotas, quota_control.queue, latency, may_wait=not limits.local_share)
-        self.admission = Admission(state, random, quotas, hard_limit_wait, router, rejections)
+        router = RequestRouter(state, self.constraints, shedder, balancer, attempts, usage, rejecter)
+        hard_limit_wait = HardLimitWait(quotas, quota_control.queue, latency, may_wait=not limits.safe_share)
+        self.admission = Admission(state, random, quotas, hard_limit_wait, router, rejecter)
         self.completion = RequestCompletion(state)
         retries = RetryDispatcher(
-            retry_policy, self.retry_budget, balancer, latency, attempts, limits.max_attempts
+            attempt_policy, self.retry_budget, balancer, latency, attempts, limits.max_attempts
         )
-        failure_responder = FailureResponder(shedder, self.completion, execution, rejections)
+        failure_responder = FailureResponder(shedder, self.completion, execution, rejecter)
         self.results = AttemptResultHandler(
             state, selection.assessment, shedder, usage, self.completion, retries, failure_responder
         )
--- a/onyxpost/policy/rejection.py
+++ b/onyxpost/policy/request_rejection.py
@@ -10,7 +10,7 @@
     from onyxpost.policy.leases import LeaseHolder
 
 
-class Rejections:
+class RequestRejecter:
     """Rejects requests (429) with a `Retry-After` no longer than the deployment permits."""
 
     RETRY_AFTER_FRACTION = 0.03  # Retry-After for lack of capacity, as a fraction of the latency objective
--- a/onyxpost/policy/request_routing.py
+++ b/onyxpost/policy/request_routing.py
@@ -6,7 +6,7 @@
 from onyxpost.policy.attempts import AttemptStarter
 from onyxpost.policy.load_balancing import LoadBalancer
 from onyxpost.policy.load_shedding import LatencyLoadShedder
-from onyxpost.policy.rejection import Rejections
+from onyxpost.policy.request_rejection import RequestRejecter
 from onyxpost.policy.routing_constraints import RoutingConstraints
 from onyxpost.policy.usage import UsageRecorder
 
@@ -22,7 +22,7 @@
         balancer: LoadBalancer,
         attempts: AttemptStarter,
         usage: UsageRecorder,
-        rejections: Rejections,
+        rejecter: RequestRejecter,
     ) -> None:
         self._requests = state.requests
         self._constraints = constraints
@@ -30,7 +30,7 @@
         self._balancer = balancer
         self._attempts = attempts
         self._usage = usage
-        self._rejections = rejections
+        self._rejecter = rejecter
 
     def route(self, now: float, request: Request, sink: DecisionSink) -> None:
         """Starts a request's first attempt, or rejects the request for lack of capacity."""
@@ -41,7 +41,7 @@
         if server is None:
             if not is_shed:
                 self._shedder.record_unanswered(request, now)
-            self._rejections.reject_for_capacity(request, sink)
+            self._rejecter.reject_for_capacity(request, sink)
             return
         self._requests[request.id] = request
         self._usage.spend(now, request, sink)
--- a/onyxpost/policy/retries.py
+++ b/onyxpost/policy/retries.py
@@ -35,7 +35,7 @@
         self.retries -= 1.0
 
 
-class RetryPolicy:
+class AttemptPolicy:
     """Decides by idempotency and deadlines when an attempt or retry may start and how long it may take."""
 
     DEDUPLICATION_MARGIN = 0.95  # fraction of the deduplication window in which a retry may start
@@ -65,7 +65,7 @@
         )
         return min(timeout_ms, max(self._tick_ms, in_time_ms))
 
-    def begin_before(self, request: Request) -> float:
+    def latest_start_at(self, request: Request) -> float:
         """Returns the time from which on no attempt may start; `inf` if always, 0 if never permitted."""
         frontend = request.frontend
         first_execution = self._execution.first_possible_execution(request)
@@ -80,4 +80,4 @@
         is_in_time = now < request.latency_deadline - self.MIN_REMAINING_LATENCIES * mean_latency_ms
         is_useful = is_in_time or request.frontend.late_weight > 0.0
         has_time = now < request.deadline - self.DEADLINE_MARGIN_TICKS * self._tick_ms
-        return is_useful and has_time and now < self.begin_before(request)
+        return is_useful and has_time and now < self.latest_start_at(request)
--- a/onyxpost/policy/retry_dispatch.py
+++ b/onyxpost/policy/retry_dispatch.py
@@ -1,11 +1,11 @@
-"""Starts retries that the retry policy, the retry budget and the attempt limits permit."""
+"""Starts retries that the attempt policy, the retry budget and the attempt limits permit."""
 
 from onyxpost.core.requests import Request
 from onyxpost.core.sink import DecisionSink
 from onyxpost.policy.attempts import AttemptStarter
 from onyxpost.policy.latency_estimates import LatencyEstimator
 from onyxpost.policy.load_balancing import LoadBalancer
-from onyxpost.policy.retries import RetryBudget, RetryPolicy
+from onyxpost.policy.retries import AttemptPolicy, RetryBudget
 
 
 class RetryDispatcher:
@@ -13,7 +13,7 @@
 
     def __init__(
         self,
-        policy: RetryPolicy,
+        policy: AttemptPolicy,
         budget: RetryBudget,
         balancer: LoadBalancer,
         latency: LatencyEstimator,
--- a/onyxpost/policy/server_eligibility.py
+++ b/onyxpost/policy/server_eligibility.py
@@ -2,7 +2,7 @@
 
 from onyxpost.core.requests import Request, UpstreamServer
 from onyxpost.core.types import Idempotency
-from onyxpost.policy.endpoint_updates import EndpointTrust
+from onyxpost.policy.endpoint_updates import StaleEndpointPolicy
 from onyxpost.policy.outlier_detection import OutlierDetector
 from onyxpost.policy.possible_execution import ExecutionSafety
 
@@ -10,7 +10,9 @@
 class ServerEligibility:
     """Filters servers by trust, deduplication scope, earlier attempts and circuit breakers."""
 
-    def __init__(self, trust: EndpointTrust, execution: ExecutionSafety, outliers: OutlierDetector) -> None:
+    def __init__(
+        self, trust: StaleEndpointPolicy, execution: ExecutionSafety, outliers: OutlierDetector
+    ) -> None:
         self._trust = trust
         self._execution = execution
         self._outliers = outliers
@@ -26,8 +28,8 @@
         Servers that were tried before are included only if there are no others and the request was certainly
         never executed.
         """
-        trusted_ms = self._trust.trusted_ms
-        servers = [each for each in servers if now - each.last_success_sent_at < trusted_ms]
+        max_success_age_ms = self._trust.max_success_age_ms
+        servers = [each for each in servers if now - each.last_success_sent_at < max_success_age_ms]
         first_execution = self._execution.first_possible_execution(request)
         if first_execution is not None and request.frontend.idempotency is Idempotency.IDEMPOTENCY_KEY:
             scope = request.frontend.deduplication_scope
--- a/onyxpost/policy/server_selection.py
+++ b/onyxpost/policy/server_selection.py
@@ -3,7 +3,7 @@
 from onyxpost.core.node_state import NodeState
 from onyxpost.core.seeded_random import SeededRandom
 from onyxpost.policy.concurrency import ConcurrencyLimit
-from onyxpost.policy.endpoint_updates import EndpointTrust, EndpointUpdates
+from onyxpost.policy.endpoint_updates import EndpointUpdates, StaleEndpointPolicy
 from onyxpost.policy.latency_estimates import LatencyEstimator
 from onyxpost.policy.load_balancing import LoadBalancer
 from onyxpost.policy.load_shedding import LatencyLoadShedder
@@ -44,7 +44,9 @@
         self.latency = LatencyEstimator(options.shortest_latency_objective_ms)
         self.slow_start = SlowStart(now, options, servers)
         self.concurrency = ConcurrencyLimit(now, options, servers, shedder)
-        self.trust = EndpointTrust(options.limits.drain_grace_ms, polls_endpoints=options.polls_endpoints)
+        self.trust = StaleEndpointPolicy(
+            options.limits.drain_grace_ms, polls_endpoints=options.polls_endpoints
+        )
         self.endpoints = EndpointUpdates(state, random, self.latency, self.slow_start, self.order)
         self.assessment = ServerAssessment(
             now, servers, self.latency, self.slow_start, outliers, self.concurrency
--- a/onyxpost/policy/slow_start.py
+++ b/onyxpost/policy/slow_start.py
@@ -22,7 +22,7 @@
     """Decides when a server that warms up gets its next request from this node.
 
     Attributes:
-        requests: counts the recent attempts that this node was about to send.
+        attempts_sent: counts the recent attempts that this node was about to send.
     """
 
     GOLDEN_RATIO = 0.6180339887  # its successive multiples modulo 1 are spread evenly from 0 to 1
@@ -36,7 +36,7 @@
         self._servers = servers
         self._window_ms = LatencyEstimator.WINDOW_MS
         slots = LatencyEstimator.WINDOW_SLOTS
-        self.requests = SlidingWindowCounter(self._window_ms / slots, slots, RequestCounts)
+        self.attempts_sent = SlidingWindowCounter(self._window_ms / slots, slots, RequestCounts)
 
     def warmup_fraction(self, now: float, server: UpstreamServer) -> float:
         """Returns the fraction of its capacity that a server of this age is certain to have."""
@@ -54,7 +54,7 @@
 
     def record_request(self, now: float) -> None:
         """Counts an attempt that is about to be sent, to any server."""
-        self.requests.add(now, ONE_REQUEST)
+        self.attempts_sent.add(now, ONE_REQUEST)
 
     def on_attempt_started(self, server: UpstreamServer) -> None:
         """Makes the server due again after a whole interval."""
@@ -62,7 +62,7 @@
 
     def advance(self, now: float, elapsed_ms: float) -> None:
         """Reduces each server's remaining intervals by `elapsed_ms`, divided by the current interval."""
-        request_count = self.requests.totals(now).requests
+        request_count = self.attempts_sent.totals(now).requests
         window_ms = min(self._window_ms, max(self.MIN_WINDOW_MS, now - self._started_at))
         server_fractions = [(server, self.warmup_fraction(now, server)) for server in self._servers.ready]
         interval_ms = window_ms * sum(fraction for _, fraction in server_fractions) / max(1.0, request_count)
--- a/onyxpost/policy/usage.py
+++ b/onyxpost/policy/usage.py
@@ -2,14 +2,14 @@
 
 from onyxpost.core.requests import Request
 from onyxpost.core.sink import DecisionSink
+from onyxpost.policy.gossip_messages import GossipMessenger
 from onyxpost.policy.leases import LeaseHolder
-from onyxpost.policy.quota_gossip import QuotaGossip
 
 
 class UsageRecorder:
     """Counts units against the customer's quota and marks its usage as to be reported."""
 
-    def __init__(self, leases: LeaseHolder, gossip: QuotaGossip) -> None:
+    def __init__(self, leases: LeaseHolder, gossip: GossipMessenger) -> None:
         self._leases = leases
         self._gossip = gossip
 
--- a/onyxpost/simulation/discrete_event/decision_sink.py
+++ b/onyxpost/simulation/discrete_event/decision_sink.py
@@ -57,7 +57,7 @@
 
     # Requests
 
-    def start_attempt(self, request_id: str, server: str, timeout: float, begin_before: float) -> None:  # noqa: ARG002 - simulated attempts begin at once
+    def start_attempt(self, request_id: str, server: str, timeout: float, latest_start_at: float) -> None:  # noqa: ARG002 - simulated attempts begin at once
         """Starts an attempt, or ends it at once if its server is not known or no time is left."""
         pending = self._node.pending[request_id]
         server_model = self._node.endpoints.known_servers.get(server)
--- a/onyxpost/simulation/discrete_event/policy_overrides.py
+++ b/onyxpost/simulation/discrete_event/policy_overrides.py
@@ -6,8 +6,9 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from onyxpost.policy.concurrency import ConcurrencyLimit
-from onyxpost.policy.endpoint_updates import EndpointTrust
-from onyxpost.policy.gossip_exchange import GossipExchange
+from onyxpost.policy.endpoint_updates import StaleEndpointPolicy
+from onyxpost.policy.gossip_messages import GossipMessenger
+from onyxpost.policy.gossip_schedule import GossipScheduler
 from onyxpost.policy.hard_limit_wait import HardLimitWait
 from onyxpost.policy.latency_estimates import LatencyEstimator
 from onyxpost.policy.load_balancing import LoadBalancer
@@ -16,10 +17,9 @@
 from onyxpost.policy.outlier_detection import OutlierDetector
 from onyxpost.policy.peer_usage import PeerUsageAccounting
 from onyxpost.policy.preference_order import PreferenceOrder
-from onyxpost.policy.quota_gossip import QuotaGossip
 from onyxpost.policy.quotas import QuotaPolicy
-from onyxpost.policy.rejection import Rejections
-from onyxpost.policy.retries import RetryBudget, RetryPolicy
+from onyxpost.policy.request_rejection import RequestRejecter
+from onyxpost.policy.retries import AttemptPolicy, RetryBudget
 from onyxpost.policy.server_assessment import ServerAssessment
 from onyxpost.policy.slow_start import SlowStart
 from onyxpost.simulation.errors import InvalidOptionError
@@ -31,8 +31,8 @@
 
 OVERRIDABLE_CLASSES: tuple[type, ...] = (
     ConcurrencyLimit,
-    EndpointTrust,
-    GossipExchange,
+    StaleEndpointPolicy,
+    GossipScheduler,
     HardLimitWait,
     LatencyEstimator,
     LatencyLoadShedder,
@@ -41,11 +41,11 @@
     OutlierDetector,
     PeerUsageAccounting,
     PreferenceOrder,
-    QuotaGossip,
+    GossipMessenger,
     QuotaPolicy,
-    Rejections,
+    RequestRejecter,
     RetryBudget,
-    RetryPolicy,
+    AttemptPolicy,
     ServerAssessment,
     SlowStart,
 )
@@ -54,32 +54,47 @@
     "Customer.AGE": "PeerUsageAccounting.MAX_AGE_MS",
     "Customer.DEBT": "QuotaPolicy.MAX_DEBT_MS",
     "Customer.FORGET": "QuotaPolicy.FORGET_AFTER_MS",
-    "Customer.PRESSED": "QuotaPolicy.PRESSURE_FRACTION",
+    "Customer.PRESSED": "QuotaPolicy.LOW_TOKENS_FRACTION",
     "Customer.TURN": "QuotaPolicy.MAX_GOSSIP_PEERS",
+    "EndpointTrust.MAX_NOTICE_DELAY_MS": "StaleEndpointPolicy.MAX_NOTICE_DELAY_MS",
     "Gateway.BEAT": "NodeTimer.TICK_MS",
-    "Gateway.COME_BACK": "Rejections.RETRY_AFTER_FRACTION",
-    "Gateway.GOSSIP": "GossipExchange.GOSSIP_INTERVAL_MS",
-    "Gateway.GOSSIP_INTERVAL_MS": "GossipExchange.GOSSIP_INTERVAL_MS",
-    "Gateway.MAX_NOTICE_DELAY_MS": "EndpointTrust.MAX_NOTICE_DELAY_MS",
+    "Gateway.COME_BACK": "RequestRejecter.RETRY_AFTER_FRACTION",
+    "Gateway.GOSSIP": "GossipScheduler.GOSSIP_INTERVAL_MS",
+    "Gateway.GOSSIP_INTERVAL_MS": "GossipScheduler.GOSSIP_INTERVAL_MS",
+    "Gateway.MAX_NOTICE_DELAY_MS": "StaleEndpointPolicy.MAX_NOTICE_DELAY_MS",
     "Gateway.RESEND_MOST": "RetryBudget.MAX_RETRIES",
     "Gateway.RESEND_SHARE": "RetryBudget.RETRIES_PER_REQUEST",
-    "Gateway.RETRY_AFTER_FRACTION": "Rejections.RETRY_AFTER_FRACTION",
+    "Gateway.RETRY_AFTER_FRACTION": "RequestRejecter.RETRY_AFTER_FRACTION",
     "Gateway.TICK_MS": "NodeTimer.TICK_MS",
-    "Gateway.UNTOLD": "EndpointTrust.MAX_NOTICE_DELAY_MS",
+    "Gateway.UNTOLD": "StaleEndpointPolicy.MAX_NOTICE_DELAY_MS",
+    "GossipExchange.GOSSIP_INTERVAL_MS": "GossipScheduler.GOSSIP_INTERVAL_MS",
     "LoadBalancer.ASSESS_INTERVAL_MS": "ServerAssessment.ASSESS_INTERVAL_MS",
     "LoadBalancer.INITIAL_LATENCY_FRACTION": "LatencyEstimator.INITIAL_LATENCY_FRACTION",
     "LoadBalancer.MIN_WINDOW_MS": "SlowStart.MIN_WINDOW_MS",
     "LoadBalancer.PRIOR_ANSWERS": "LatencyEstimator.PRIOR_ANSWERS",
     "LoadBalancer.WINDOW_MS": "LatencyEstimator.WINDOW_MS",
-    "Peers.INTAKE": "QuotaGossip.MAX_RECEIVED_SHARE",
-    "Peers.MESSAGE_BYTES": "QuotaGossip.MAX_MESSAGE_BYTES",
+    "OutlierDetector.MAX_OPEN_MS": "OutlierDetector.MAX_EJECTION_MS",
+    "OutlierDetector.OPEN_MS": "OutlierDetector.INITIAL_EJECTION_MS",
+    "Peers.INTAKE": "GossipMessenger.MAX_RECEIVED_SHARE",
+    "Peers.MESSAGE_BYTES": "GossipMessenger.MAX_MESSAGE_BYTES",
+    "QuotaGossip.KEPT_FRACTION": "GossipMessenger.HARD_LIMIT_RESERVE_FRACTION",
+    "QuotaGossip.MAX_MESSAGE_BYTES": "GossipMessenger.MAX_MESSAGE_BYTES",
+    "QuotaGossip.MAX_RECEIVED_SHARE": "GossipMessenger.MAX_RECEIVED_SHARE",
+    "QuotaGossip.RECEIVED_INTERVALS": "GossipMessenger.RECEIVED_INTERVALS",
+    "QuotaGossip.RECEIVED_INTERVAL_MS": "GossipMessenger.RECEIVED_INTERVAL_MS",
     "QuotaPolicy.PEER_USAGE_MAX_AGE_MS": "PeerUsageAccounting.MAX_AGE_MS",
+    "QuotaPolicy.PRESSURE_FRACTION": "QuotaPolicy.LOW_TOKENS_FRACTION",
+    "Rejections.RETRY_AFTER_FRACTION": "RequestRejecter.RETRY_AFTER_FRACTION",
+    "RetryPolicy.ANSWER_MARGIN_MS": "AttemptPolicy.ANSWER_MARGIN_MS",
+    "RetryPolicy.DEADLINE_MARGIN_TICKS": "AttemptPolicy.DEADLINE_MARGIN_TICKS",
+    "RetryPolicy.DEDUPLICATION_MARGIN": "AttemptPolicy.DEDUPLICATION_MARGIN",
+    "RetryPolicy.MIN_REMAINING_LATENCIES": "AttemptPolicy.MIN_REMAINING_LATENCIES",
     "Servers.ASSESS": "ServerAssessment.ASSESS_INTERVAL_MS",
     "Servers.FAILED_SHARE": "OutlierDetector.MAX_FAILED_SHARE",
     "Servers.GOLDEN": "SlowStart.GOLDEN_RATIO",
     "Servers.MARGIN": "LoadBalancer.LATENCY_TOLERANCE",
-    "Servers.OPEN": "OutlierDetector.OPEN_MS",
-    "Servers.OPEN_MOST": "OutlierDetector.MAX_OPEN_MS",
+    "Servers.OPEN": "OutlierDetector.INITIAL_EJECTION_MS",
+    "Servers.OPEN_MOST": "OutlierDetector.MAX_EJECTION_MS",
     "Servers.YOUNG": "SlowStart.MIN_WINDOW_MS",
     "Srv.SPAN": "LatencyEstimator.WINDOW_MS",
     "Theta.ALPHA": "LatencyLoadShedder.LEARNING_RATE",
--- a/onyxpost/simulation/mutations.py
+++ b/onyxpost/simulation/mutations.py
@@ -67,7 +67,7 @@
 
 def _retry_possibly_executed(node: EdgeNode) -> None:
     """Retries go on whatever a server possibly executed."""
-    _gateway_of(node).execution.replace_rule(lambda _request: None)
+    _gateway_of(node).execution.replace_execution_rule(lambda _request: None)
 
 
 def _ignore_drains(node: EdgeNode) -> None:
@@ -121,7 +121,7 @@
 
 def _ignore_limits(node: EdgeNode) -> None:
     """Quotas and hard limits always have capacity."""
-    _gateway_of(node).quota_control.quotas.replace_capacity_rule(lambda _now, _request: True)
+    _gateway_of(node).quota_control.quota_policy.replace_capacity_rule(lambda _now, _request: True)
 
 
 def _treat_lost_as_not_sent(node: EdgeNode) -> None:
--- a/onyxpost/simulation/slow_start/node_model.py
+++ b/onyxpost/simulation/slow_start/node_model.py
@@ -107,7 +107,7 @@
 
     # The gateway's decisions
 
-    def start_attempt(self, request_id: str, server: str, timeout_ms: float, begin_before: float) -> None:  # noqa: ARG002 - an attempt begins at once
+    def start_attempt(self, request_id: str, server: str, timeout_ms: float, latest_start_at: float) -> None:  # noqa: ARG002 - an attempt begins at once
         """Sends an attempt to a server; its result is known at once and reported when it is due."""
         now_ms = self.environment.events.now_ms
         attempt_index = len(self.gateway.state.requests[request_id].attempts) - 1
--- a/onyxpost/simulator_host/decode.py
+++ b/onyxpost/simulator_host/decode.py
@@ -101,7 +101,7 @@
         attempt_index=fields.get("round_no", 0),
         result=ATTEMPT_RESULTS[fields["rc"]],
         latency_ms=to_millis(fields.get("wait_time_us", 0)),
-        settled=fields.get("settled", False),
+        is_request_finished=fields.get("settled", False),
         actual_units=fields.get("actual", 0),
     )
 
--- a/onyxpost/simulator_host/encode.py
+++ b/onyxpost/simulator_host/encode.py
@@ -19,7 +19,7 @@
     def _write(self, name: str, **fields: str | int) -> None:
         self._output.append({name: {"node_id": self._node, **fields}})
 
-    def start_attempt(self, request_id: str, server: str, timeout_ms: float, begin_before: float) -> None:  # noqa: ARG002 - the simulator starts attempts at once
+    def start_attempt(self, request_id: str, server: str, timeout_ms: float, latest_start_at: float) -> None:  # noqa: ARG002 - the simulator starts attempts at once
         """Forwards a request to an app server."""
         self._write("SubmitTo", ref=request_id, server=server, give_up_after_us=to_micros(timeout_ms))
 
--- a/tests/compatibility/discrete_event_digests.py
+++ b/tests/compatibility/discrete_event_digests.py
@@ -83,14 +83,14 @@
         request: str,
         server: str,
         timeout_ms: float,
-        begin_before: float,
+        latest_start_at: float,
     ) -> None:
         """Observes an attempt that a node starts."""
         now_ms = _now_ms(sink._environment.network)
         self._digest.add(
-            now_ms, "attempt", sink._node.node_index, request, server, timeout_ms, float(begin_before)
+            now_ms, "attempt", sink._node.node_index, request, server, timeout_ms, float(latest_start_at)
         )
-        original(sink, request, server, timeout_ms, begin_before)
+        original(sink, request, server, timeout_ms, latest_start_at)
 
     def receive_attempt(self, original: Any, server: ServerModel, attempt: Any) -> None:
         """Observes an attempt that reaches a server."""
--- a/tests/compatibility/meanings.py
+++ b/tests/compatibility/meanings.py
@@ -110,12 +110,12 @@
         },
         "allowed": {
             "attempts": allowed.max_attempts,
-            "parallel attempts": allowed.parallel_attempts,
-            "cancel": allowed.cancellation,
-            "peers": allowed.peer_messages,
+            "parallel attempts": allowed.may_overlap_attempts,
+            "cancel": allowed.may_cancel_attempts,
+            "peers": allowed.may_send_peer_messages,
             "longest retry-after ms": allowed.max_retry_after_ms,
             "peer messages a second": allowed.peer_messages_per_second,
-            "own share": allowed.local_share,
+            "own share": allowed.safe_share,
             "drain grace ms": allowed.drain_grace_ms,
         },
         "discovery must be asked": read.polls_endpoints,
@@ -138,7 +138,7 @@
         "value": read.priority_weight,
         "late value": read.late_weight,
         "target stretch": read.latency_objective_stretch,
-        "streamed": read.streamed,
+        "streamed": read.is_streamed,
     }
 
 
--- a/tests/edge/test_attempt_start.py
+++ b/tests/edge/test_attempt_start.py
@@ -98,7 +98,7 @@
         now = [program.clock()]
         monkeypatch.setattr(program, "clock", lambda: now[0])
         send = SendAttempt(
-            7, Endpoint("s0", server.address), CLIENT_REQUEST, 900.0, begin_before=now[0] + 100.0
+            7, Endpoint("s0", server.address), CLIENT_REQUEST, 900.0, latest_start_at=now[0] + 100.0
         )
         with mock.patch.object(program.clients.connections, "is_waiting", autospec=True, return_value=True):
             assert program.may_start_attempt(send, 900.0)
@@ -179,11 +179,11 @@
 
 
 def test_a_retry_carries_the_end_of_its_deduplication_window() -> None:
-    for effect, until in ((Idempotency.IDEMPOTENCY_KEY, 0.95 * 3000.0), (Idempotency.IDEMPOTENT, inf)):
-        host = Host(effect=effect)
+    for idempotency, until in ((Idempotency.IDEMPOTENCY_KEY, 0.95 * 3000.0), (Idempotency.IDEMPOTENT, inf)):
+        host = Host(idempotency=idempotency)
         first = next(d for d in host.arrive() if d[0] == "attempt")
-        assert host.begin_before == inf
+        assert host.latest_start_at == inf
         started_at = host.now
         host.now += 10.0
         assert "attempt" in [d[0] for d in host.end(first[1], AttemptResult.LOST)]
-        assert host.begin_before == started_at + until
+        assert host.latest_start_at == started_at + until
--- a/tests/edge/test_state_machine.py
+++ b/tests/edge/test_state_machine.py
@@ -125,7 +125,7 @@
     assert "LogEvent" not in effects
     assert "SendAttempt" not in effects
     node.step()
-    settled = [end.settled for end in node.decisions.attempt_ends()]
+    settled = [end.is_request_finished for end in node.decisions.attempt_ends()]
     assert settled == ([False, True] if has_attempt_ended_first else [True])
     assert node.machine.requests.by_id == {}
     assert not node.machine.has_deferred_events
@@ -139,7 +139,7 @@
     assert effect_names(effects) == ["passed", "WithdrawAttempt", "WithdrawAttempt"]
     assert node.step(AttemptEnded(first + 1, AttemptResult.OK, 9.0, RESPONSE)) == []
     node.step(AttemptEnded(first + 2, AttemptResult.LOST, 9.0))
-    ends = [(end.result, end.settled) for end in node.decisions.attempt_ends()]
+    ends = [(end.result, end.is_request_finished) for end in node.decisions.attempt_ends()]
     assert ends == [(AttemptResult.OK, True), (AttemptResult.OK, True), (AttemptResult.LOST, True)]
     requests = node.machine.requests
     assert (requests.by_id, requests.by_trace_id, requests.attempts_in_flight) == ({}, {}, {})
--- a/tests/planner/forwarder_model.py
+++ b/tests/planner/forwarder_model.py
@@ -128,7 +128,7 @@
 
     # DecisionSink
 
-    def start_attempt(self, request_id: str, server: str, timeout_ms: float, begin_before: float) -> None:
+    def start_attempt(self, request_id: str, server: str, timeout_ms: float, latest_start_at: float) -> None:
         self.final_answer = "sent"
 
     def reject(self, request_id: str, retry_after_ms: float) -> None:
--- a/tests/planner/test_config.py
+++ b/tests/planner/test_config.py
@@ -41,11 +41,11 @@
     node = node_config.decode(node_fields(planners=MEMBERSHIP))
     assert node.planners is not None
     assert node.planners.members == {"p0": ("127.0.0.1", 7100)}
-    assert node.deployment.limits.local_share == 0.2
+    assert node.deployment.limits.safe_share == 0.2
 
 
 def test_node_without_planners_has_no_safe_share() -> None:
-    assert node_config.decode(node_fields()).deployment.limits.local_share == 0.0
+    assert node_config.decode(node_fields()).deployment.limits.safe_share == 0.0
 
 
 def test_error_in_a_nodes_planners_names_the_key() -> None:
--- a/tests/policy/gateway_host.py
+++ b/tests/policy/gateway_host.py
@@ -29,25 +29,25 @@
 
     Attributes:
         servers: number of app servers, all ready and warm.
-        effect: idempotency of the frontend's requests.
-        group: deduplication scope of the frontend's requests.
-        late: late weight of the frontend.
+        idempotency: idempotency of the frontend's requests.
+        deduplication_scope: deduplication scope of the frontend's requests.
+        late_weight: late weight of the frontend.
         polls_endpoints: whether the gateway must poll discovery.
         plan: the customers' plan; None for `DEFAULT_PLAN`, which hardly limits anything.
         node_index: index of this node.
         node_count: number of nodes.
-        warm_ms: time after its start at which a server has its full capacity.
+        warmup_ms: time after its start at which a server has its full capacity.
     """
 
     servers: int = 4
-    effect: Idempotency = Idempotency.IDEMPOTENT
-    group: DeduplicationScope = DeduplicationScope.ALL
-    late: float = 0.0
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    late_weight: float = 0.0
     polls_endpoints: bool = False
     plan: Plan | None = None
     node_index: int = 0
     node_count: int = 3
-    warm_ms: float = 10000.0
+    warmup_ms: float = 10000.0
 
 
 OPTION_NAMES = {field.name for field in fields(HostOptions)}
@@ -57,13 +57,22 @@
 def gateway_options(options: HostOptions, limits: dict[str, Any]) -> GatewayOptions:
     """Returns the options of a gateway with one frontend and one plan."""
     frontend = Frontend(
-        "f", 1000.0, 5000.0, options.effect, options.group, 3000.0, 1.0, options.late, 0.0, False
+        "f",
+        1000.0,
+        5000.0,
+        options.idempotency,
+        options.deduplication_scope,
+        3000.0,
+        1.0,
+        options.late_weight,
+        0.0,
+        False,
     )
     default_limits = {
         "max_attempts": 4,
-        "parallel_attempts": True,
-        "cancellation": True,
-        "peer_messages": True,
+        "may_overlap_attempts": True,
+        "may_cancel_attempts": True,
+        "may_send_peer_messages": True,
         "max_retry_after_ms": 500.0,
         "peer_messages_per_second": 50.0,
     }
@@ -74,7 +83,7 @@
         tick_ms=1.0,
         frontends=[frontend],
         plans=[options.plan or DEFAULT_PLAN],
-        slow_start=SlowStartPolicy(0.2, options.warm_ms, 3.0, 2000.0),
+        slow_start=SlowStartPolicy(0.2, options.warmup_ms, 3.0, 2000.0),
         limits=GatewayLimits(**(default_limits | limits)),
         polls_endpoints=options.polls_endpoints,
     )
@@ -89,102 +98,104 @@
 
     def __init__(self, **values: Any) -> None:
         self.now = 1_000_000.0
-        self.done: list[Decision] = []
-        self.begin_before = 0.0
+        self.decisions: list[Decision] = []
+        self.latest_start_at = 0.0
         self._request_count = 0
         options = HostOptions(**{name: value for name, value in values.items() if name in OPTION_NAMES})
         limits = {name: value for name, value in values.items() if name not in OPTION_NAMES}
         self.gateway = Gateway(self.now, gateway_options(options, limits))
-        self.update_endpoints(*(self.row(index) for index in range(options.servers)))
+        self.update_endpoints(*(self.endpoint(index) for index in range(options.servers)))
 
-    def row(
-        self, index: int, state: EndpointState = EndpointState.READY, started: float = 0.0
+    def endpoint(
+        self, index: int, state: EndpointState = EndpointState.READY, started_at: float = 0.0
     ) -> EndpointStatus:
         """Returns the status of one server, as discovery reports it."""
-        return EndpointStatus(f"s{index}", f"h{index % 3}", index % 2, state, 1.0, started)
+        return EndpointStatus(f"s{index}", f"h{index % 3}", index % 2, state, 1.0, started_at)
 
-    def update_endpoints(self, *rows: EndpointStatus, complete: bool = True) -> None:
+    def update_endpoints(self, *endpoints: EndpointStatus, complete: bool = True) -> None:
         """Passes an update from discovery."""
-        self.feed(EndpointsUpdated(complete, list(rows)))
+        self.handle(EndpointsUpdated(complete, list(endpoints)))
 
-    def feed(self, event: Event) -> list[Decision]:
+    def handle(self, event: Event) -> list[Decision]:
         """Passes one event to the gateway; returns its decisions."""
-        decision_count = len(self.done)
+        decision_count = len(self.decisions)
         self.gateway.handle(self.now, [event], self)
-        return self.done[decision_count:]
+        return self.decisions[decision_count:]
 
     def arrive(
-        self, units: int = 1, key: str = "c", client_timeout_ms: float = 5000.0, spread: int = 3
+        self, units: int = 1, customer: str = "c", client_timeout_ms: float = 5000.0, set_size: int = 3
     ) -> list[Decision]:
         """Passes the arrival of a request; returns the decisions."""
         self._request_count += 1
         request_id = f"r{self._request_count}"
         deadline = self.now + client_timeout_ms
-        return self.feed(RequestArrived(request_id, deadline, "f", key, "p", units, spread, 0))
+        return self.handle(RequestArrived(request_id, deadline, "f", customer, "p", units, set_size, 0))
 
     def end(
         self,
         request_id: str,
         result: AttemptResult,
         latency_ms: float = 50.0,
-        number: int = 0,
+        attempt_index: int = 0,
         settled: bool | None = None,
         actual_units: int = 0,
     ) -> list[Decision]:
         """Passes the end of an attempt; returns the decisions."""
         is_settled = result is AttemptResult.OK if settled is None else settled
-        return self.feed(AttemptFinished(request_id, number, result, latency_ms, is_settled, actual_units))
+        return self.handle(
+            AttemptFinished(request_id, attempt_index, result, latency_ms, is_settled, actual_units)
+        )
 
     def run(self, ms: float) -> list[Decision]:
         """Advances the clock and fires the timer every 25 ms; returns the decisions."""
-        decision_count = len(self.done)
+        decision_count = len(self.decisions)
         end = self.now + ms
         while self.now < end:
             self.now += 25.0
-            self.feed(TimerFired(0))
-        return self.done[decision_count:]
+            self.handle(TimerFired(0))
+        return self.decisions[decision_count:]
 
-    def start_attempt(self, request_id: str, server: str, timeout: float, begin_before: float) -> None:
+    def start_attempt(self, request_id: str, server: str, timeout: float, latest_start_at: float) -> None:
         """Records the start of an attempt."""
-        self.done.append(("attempt", request_id, server, timeout))
-        self.begin_before = begin_before
+        self.decisions.append(("attempt", request_id, server, timeout))
+        self.latest_start_at = latest_start_at
 
     def reject(self, *args: Any) -> None:
         """Records a rejection."""
-        self.done.append(("deny", *args))
+        self.decisions.append(("reject", *args))
 
     def abort(self, *args: Any) -> None:
         """Records an abort."""
-        self.done.append(("abort", *args))
+        self.decisions.append(("abort", *args))
 
     def cancel_attempt(self, *args: Any) -> None:
         """Records the cancellation of an attempt."""
-        self.done.append(("cancel", *args))
+        self.decisions.append(("cancel", *args))
 
     def send_peer_message(self, *args: Any) -> None:
         """Records a message to a peer."""
-        self.done.append(("message", *args))
+        self.decisions.append(("message", *args))
 
     def log(self, *args: Any) -> None:
         """Records a log line."""
-        self.done.append(("log", *args))
+        self.decisions.append(("log", *args))
 
     def watch_endpoints(self) -> None:
         """Records a poll of discovery."""
-        self.done.append(("watch",))
+        self.decisions.append(("watch",))
 
     def report_units_spent(self, *args: Any) -> None:
         """Records a report of units to the planners."""
-        self.done.append(("report", *args))
+        self.decisions.append(("report", *args))
 
     def return_lease(self, *args: Any) -> None:
         """Records the return of a lease."""
-        self.done.append(("return", *args))
+        self.decisions.append(("return", *args))
 
     def start_timer(self, *args: Any) -> None:
         """Does nothing: `run` fires the timer."""
 
 
-def kinds(done: list[Decision]) -> list[str]:
+def kinds(decisions: list[Decision]) -> list[str]:
     """Returns the kinds of the decisions without log lines."""
-    return [decision[0] for decision in done if decision[0] != "log"]
+    return [decision[0] for decision in decisions if decision[0] != "log"]
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -62,7 +62,7 @@
 
 
 def test_attempts_past_their_latency_objective_take_up_no_capacity() -> None:
-    host = Host(servers=4, late=0.2)
+    host = Host(servers=4, late_weight=0.2)
     while kinds(host.arrive()) == ["attempt"]:
         pass
     host.run(1200.0)
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -15,13 +15,13 @@
     ((_, request_id, server, _),) = host.arrive()
     host.now += 60.0
     host.end(request_id, AttemptResult.OK, 60.0)
-    host.feed(EndpointsStale())
+    host.handle(EndpointsStale())
     # Less than half of the drain grace period has passed since the successful attempt was sent.
     ((_, second_request_id, second_server, _),) = host.arrive()
     assert second_server == server
-    assert kinds(host.end(second_request_id, AttemptResult.ERROR)) == ["deny"]  # no other server is trusted
+    assert kinds(host.end(second_request_id, AttemptResult.ERROR)) == ["reject"]  # no other server is trusted
     host.now += 65.0
-    assert kinds(host.arrive()) == ["deny"]
+    assert kinds(host.arrive()) == ["reject"]
     host.update_endpoints(complete=False)
     assert kinds(host.arrive()) == ["attempt"]
 
@@ -35,8 +35,8 @@
     ((_, request_id, _, _),) = host.arrive()
     host.now += 60.0
     host.end(request_id, AttemptResult.OK, 60.0)
-    host.feed(EndpointsStale())
-    for elapsed_ms, expected in ((5124.0, "attempt"), (5125.0, "deny")):
+    host.handle(EndpointsStale())
+    for elapsed_ms, expected in ((5124.0, "attempt"), (5125.0, "reject")):
         host.now = 1_000_000.0 + elapsed_ms
         assert kinds(host.arrive()) == [expected]
 
@@ -47,17 +47,17 @@
         ((_, request_id, _, _),) = host.arrive()
         host.now += latency_ms
         host.end(request_id, result, latency_ms)
-    host.feed(EndpointsStale())
-    assert kinds(host.arrive()) == ["deny"]
+    host.handle(EndpointsStale())
+    assert kinds(host.arrive()) == ["reject"]
 
 
 def test_a_draining_server_gets_no_new_request() -> None:
     host = Host(servers=2)
     ((_, _, server, _),) = host.arrive()
-    host.update_endpoints(host.row(int(server[1:]), EndpointState.DRAINING), complete=False)
+    host.update_endpoints(host.endpoint(int(server[1:]), EndpointState.DRAINING), complete=False)
     assert host.arrive()[0][2] != server
     host.update_endpoints(complete=True)
-    assert kinds(host.arrive()) == ["deny"]
+    assert kinds(host.arrive()) == ["reject"]
 
 
 def test_a_slow_server_is_recognized_by_the_age_of_its_attempts() -> None:
@@ -65,7 +65,7 @@
     ((_, _, slow, _),) = host.arrive()
     for _ in range(10):
         host.run(50.0)
-        sent = host.arrive(key="other")
+        sent = host.arrive(customer="other")
         if sent[0][2] != slow:
             host.end(sent[0][1], AttemptResult.OK, 50.0)
     assert host.arrive()[0][2] != slow
@@ -73,9 +73,9 @@
 
 def test_removed_servers_are_forgotten() -> None:
     host = Host(servers=4)
-    host.update_endpoints(host.row(0, EndpointState.GONE), complete=False)
+    host.update_endpoints(host.endpoint(0, EndpointState.GONE), complete=False)
     assert len(host.gateway.state.servers.known) == 3
-    host.update_endpoints(host.row(1))
+    host.update_endpoints(host.endpoint(1))
     assert list(host.gateway.state.servers.known) == ["s1"]
 
 
@@ -99,5 +99,5 @@
 
 def test_a_request_rejected_for_lack_of_capacity_may_return_within_its_objective() -> None:
     host = Host(servers=1, max_retry_after_ms=2000.0)
-    denied = [d for _ in range(40) for d in host.arrive() if d[0] == "deny"]
+    denied = [d for _ in range(40) for d in host.arrive() if d[0] == "reject"]
     assert denied[-1][2] < 100.0  # a tenth of the latency objective
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -16,7 +16,7 @@
 
 
 def test_the_rejection_probability_rises_while_answers_are_late_and_returns_to_zero() -> None:
-    host = Host(late=0.2)
+    host = Host(late_weight=0.2)
     answer_requests(host, 20, 2500.0)
     assert host.gateway.shedder.rejection_probability > 0.2
     answer_requests(host, 60, 1.0)
--- a/tests/policy/test_peer_usage.py
+++ b/tests/policy/test_peer_usage.py
@@ -4,7 +4,7 @@
 
 from onyxpost.core.customer_quota import CustomerQuota
 from onyxpost.core.types import Plan
-from onyxpost.core.usage_reports import Placement, QuotaCorrection, UsageReport
+from onyxpost.core.usage_reports import PeerUsageReport, Placement, QuotaCorrection
 from onyxpost.policy.peer_usage import PeerUsageAccounting
 
 NOW = 1000.0
@@ -23,7 +23,7 @@
     accounting = PeerUsageAccounting()
     customer = customer_with_limit(5)
     customer.in_flight = 2
-    accounting.apply_report(customer, NOW, 1, "a", UsageReport(1, 0, 3, 0, 0, PLACEMENT))
+    accounting.apply_report(customer, NOW, 1, "a", PeerUsageReport(1, 0, 3, 0, 0, PLACEMENT))
     assert accounting.total_in_flight(customer, NOW) == 5
     assert accounting.total_in_flight(customer, NOW, excluded_peer=1) == 2
     assert accounting.at_concurrency_limit(customer, NOW)
@@ -40,7 +40,7 @@
     accounting = PeerUsageAccounting()
     customer = customer_with_limit(0)
     for incarnation, units_used in (("a", 10), ("a", 14), ("b", 3)):
-        report = UsageReport(1, units_used, 0, 1, 0, PLACEMENT)
+        report = PeerUsageReport(1, units_used, 0, 1, 0, PLACEMENT)
         accounting.apply_report(customer, NOW, 1, incarnation, report)
     assert customer.quota.tokens == 50.0 - 1 - 4 - 3  # of the first report only the new units count
 
--- a/tests/policy/test_preference_order.py
+++ b/tests/policy/test_preference_order.py
@@ -40,5 +40,5 @@
     host = Host(servers=9)
     customer = CustomerQuota(crc32(b"c"), 0.0)
     before = preferred(host, customer)
-    host.update_endpoints(*(host.row(index) for index in range(9) if f"s{index}" != before[0]))
+    host.update_endpoints(*(host.endpoint(index) for index in range(9) if f"s{index}" != before[0]))
     assert preferred(host, customer) == before[1:]
--- a/tests/policy/test_quotas.py
+++ b/tests/policy/test_quotas.py
@@ -17,16 +17,16 @@
 
 def test_unused_customers_are_forgotten_also_without_peers() -> None:
     for peers in (True, False):
-        host = Host(servers=20, peer_messages=peers)
+        host = Host(servers=20, may_send_peer_messages=peers)
         for index in range(10):
-            sent = host.arrive(key=f"once{index}")
+            sent = host.arrive(customer=f"once{index}")
             host.end(sent[0][1], AttemptResult.OK)
         host.run(70000.0)
         assert host.gateway.state.customers.by_key == {}
 
 
 def test_a_customer_is_kept_until_its_bucket_is_full_again() -> None:
-    host = Host(plan=Plan("p", 1.0, 90.0, 0, 1.0, 0.0, 0.0), peer_messages=False)
+    host = Host(plan=Plan("p", 1.0, 90.0, 0, 1.0, 0.0, 0.0), may_send_peer_messages=False)
     host.run(90000.0)
     host.end(host.arrive(50)[0][1], AttemptResult.OK)
     host.run(40000.0)
@@ -41,9 +41,9 @@
     assert kinds(host.arrive(8)) == ["attempt"]
     host.end("r1", AttemptResult.OK)
     host.run(70000.0)
-    assert kinds(host.arrive(12)) == ["deny"]
+    assert kinds(host.arrive(12)) == ["reject"]
 
 
 def test_a_new_node_in_a_large_set_serves_a_customer_at_once() -> None:
     host = Host(plan=Plan("p", 1.0, 16.0, 0, 1.0, 0.0, 0.0), node_count=40, node_index=1)
-    assert kinds(host.arrive(8, spread=30)) == ["attempt"]
+    assert kinds(host.arrive(8, set_size=30)) == ["attempt"]
--- a/tests/policy/test_request_completion.py
+++ b/tests/policy/test_request_completion.py
@@ -12,7 +12,7 @@
 def test_attempts_in_flight_are_cancelled_when_the_client_has_gone() -> None:
     host = Host()
     ((_, request_id, _, _),) = host.arrive()
-    assert host.feed(RequestCancelled(request_id)) == [("cancel", request_id, 0)]
+    assert host.handle(RequestCancelled(request_id)) == [("cancel", request_id, 0)]
     assert request_id in host.gateway.state.requests  # the request is kept until its attempt has ended
     host.end(request_id, AttemptResult.CANCELLED, settled=True)
     assert host.gateway.state.requests == {}
@@ -21,20 +21,20 @@
 def test_a_streamed_response_is_not_cancelled() -> None:
     host = Host()
     ((_, request_id, _, _),) = host.arrive()
-    host.feed(ResponseStarted(request_id))
-    assert kinds(host.feed(RequestCancelled(request_id))) == []
+    host.handle(ResponseStarted(request_id))
+    assert kinds(host.handle(RequestCancelled(request_id))) == []
 
 
 def test_nothing_is_cancelled_where_the_deployment_does_not_permit_it() -> None:
-    host = Host(cancellation=False)
+    host = Host(may_cancel_attempts=False)
     ((_, request_id, _, _),) = host.arrive()
-    assert kinds(host.feed(RequestCancelled(request_id))) == []
+    assert kinds(host.handle(RequestCancelled(request_id))) == []
 
 
 def test_a_streamed_response_that_is_lost_is_neither_retried_nor_answered_again() -> None:
     host = Host()
     ((_, request_id, _, _),) = host.arrive()
-    host.feed(ResponseStarted(request_id))
+    host.handle(ResponseStarted(request_id))
     assert kinds(host.end(request_id, AttemptResult.LOST)) == []
 
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -7,13 +7,15 @@
 
 
 def test_a_server_that_warms_up_gets_its_share_although_others_are_known_to_be_quick() -> None:
-    host = Host(servers=4, warm_ms=20000.0)
+    host = Host(servers=4, warmup_ms=20000.0)
     sent: list[str] = []
     for index in range(400):
         if index == 100:
-            host.update_endpoints(*(host.row(n) for n in range(3)), host.row(3, started=host.now))
+            host.update_endpoints(
+                *(host.endpoint(n) for n in range(3)), host.endpoint(3, started_at=host.now)
+            )
             sent.clear()
-        ((_, request_id, server, _),) = host.arrive(key=f"c{index}")
+        ((_, request_id, server, _),) = host.arrive(customer=f"c{index}")
         sent.append(server)
         host.run(25.0)
         host.end(request_id, AttemptResult.OK)
@@ -21,15 +23,17 @@
 
 
 def test_nodes_do_not_all_send_to_a_new_server_when_half_of_the_warm_ones_are_removed() -> None:
-    hosts = [Host(servers=8, node_index=index, node_count=30, warm_ms=60000.0) for index in range(30)]
+    hosts = [Host(servers=8, node_index=index, node_count=30, warmup_ms=60000.0) for index in range(30)]
     ticks = []
     for tick in range(400):
         for host in hosts:
             if tick in (300, 360):  # a new server starts, then four of the eight warm ones are removed
-                warm_endpoints = [host.row(i) for i in range(8 if tick == 300 else 4)]
-                host.update_endpoints(*warm_endpoints, host.row(8, started=host.now - 25.0 * (tick - 300)))
+                warm_endpoints = [host.endpoint(i) for i in range(8 if tick == 300 else 4)]
+                host.update_endpoints(
+                    *warm_endpoints, host.endpoint(8, started_at=host.now - 25.0 * (tick - 300))
+                )
             is_due = tick % 4 == host.gateway.state.options.node_index % 4
-            for decision, request_id, *target in host.arrive(key=f"c{tick}") if is_due else []:
+            for decision, request_id, *target in host.arrive(customer=f"c{tick}") if is_due else []:
                 if decision == "attempt":
                     ticks += [tick] * (target[0] == "s8")
                     host.end(request_id, AttemptResult.OK)
@@ -40,11 +44,11 @@
 
 
 def test_without_warm_servers_those_that_warm_up_take_turns() -> None:
-    host = Host(servers=4, warm_ms=20000.0)
+    host = Host(servers=4, warmup_ms=20000.0)
     sent: list[str] = []
     for tick in range(300):
         if tick == 100:
-            host.update_endpoints(*(host.row(n, started=host.now) for n in range(4)))
+            host.update_endpoints(*(host.endpoint(n, started_at=host.now) for n in range(4)))
         for decision, request_id, *target in host.arrive():
             if decision == "attempt":
                 sent += [target[0]] * (tick >= 100)
--- a/tests/policy/test_slow_start_across_nodes.py
+++ b/tests/policy/test_slow_start_across_nodes.py
@@ -15,7 +15,7 @@
     Ten servers start at once. Each of them should get about three attempts from all nodes together in any two
     seconds, spread evenly.
     """
-    hosts = [Host(servers=10, node_index=index, node_count=30, warm_ms=1e9) for index in range(30)]
+    hosts = [Host(servers=10, node_index=index, node_count=30, warmup_ms=1e9) for index in range(30)]
     rng = Random(5)
     attempt_ticks: dict[str, list[int]] = {f"s{index}": [] for index in range(10, 20)}
     for host in hosts:
@@ -24,10 +24,12 @@
     for tick in range(360):
         for host in hosts:
             if tick == 60:
-                host.update_endpoints(*(host.row(i, started=host.now if i >= 10 else 0.0) for i in range(20)))
+                host.update_endpoints(
+                    *(host.endpoint(i, started_at=host.now if i >= 10 else 0.0) for i in range(20))
+                )
             host.run(TICK_MS)
         for host in hosts[tick % 10 :: 10]:
-            for decision, request_id, *target in host.arrive(key=f"c{tick}"):
+            for decision, request_id, *target in host.arrive(customer=f"c{tick}"):
                 if decision == "attempt":
                     attempt_ticks.get(target[0], []).append(tick)
                     host.end(request_id, AttemptResult.OK)
@@ -45,9 +47,9 @@
     for index in range(100):
         host = Host(servers=0, node_index=index, node_count=100)
         host.gateway.random.seed = index * 7919
-        host.update_endpoints(*(host.row(i, started=host.now if i >= 5 else 0.0) for i in range(10)))
+        host.update_endpoints(*(host.endpoint(i, started_at=host.now if i >= 5 else 0.0) for i in range(10)))
         host.run(900.0)
-        ((_, _, server, _),) = host.arrive(key=f"c{index}")
+        ((_, _, server, _),) = host.arrive(customer=f"c{index}")
         sent_to_starting_servers += int(server[1:]) >= 5
     # The share of five starting servers at a fifth of their capacity, beside five warm ones, is 17 of 100.
     assert sent_to_starting_servers in range(5, 30)
--- a/tests/rollout/test_routing_rules_decisions.py
+++ b/tests/rollout/test_routing_rules_decisions.py
@@ -22,7 +22,7 @@
 
 def host_under(*rules: dict[str, Any], **options: Any) -> Host:
     host = Host(**options)
-    host.feed(RoutingRulesChanged(compiled_rules(*rules)))
+    host.handle(RoutingRulesChanged(compiled_rules(*rules)))
     return host
 
 
@@ -30,7 +30,7 @@
     """The servers that requests of different customers are sent to."""
     servers = set()
     for index in range(requests):
-        for decision, request, *fields in host.arrive(key=f"c{index}"):
+        for decision, request, *fields in host.arrive(customer=f"c{index}"):
             if decision == "attempt":
                 servers.add(fields[0])
                 host.end(request, AttemptResult.OK)
@@ -46,12 +46,12 @@
     host = host_under(PREFER_H1_THEN_H2, servers=6)
     assert used_servers(host) == {"s1", "s4"}
     host.update_endpoints(
-        host.row(1, EndpointState.DRAINING), host.row(4, EndpointState.DRAINING), complete=False
+        host.endpoint(1, EndpointState.DRAINING), host.endpoint(4, EndpointState.DRAINING), complete=False
     )
     assert used_servers(host) == {"s2", "s5"}
-    host.update_endpoints(*(host.row(index) for index in (0, 3)))
+    host.update_endpoints(*(host.endpoint(index) for index in (0, 3)))
     assert used_servers(host) == {"s0", "s3"}
-    host.update_endpoints(*(host.row(index) for index in range(6)))
+    host.update_endpoints(*(host.endpoint(index) for index in range(6)))
     assert used_servers(host) == {"s1", "s4"}
 
 
@@ -59,17 +59,19 @@
     host = host_under(to_zones("h1"), servers=3)
     ((_, request, server, _),) = host.arrive()
     assert server == "s1"
-    assert "s1" in [decision[2] for decision in attempts(host.done)]
+    assert "s1" in [decision[2] for decision in attempts(host.decisions)]
     host.end(request, AttemptResult.NO_CONNECTION)
     assert "s1" not in used_servers(host, 5)
 
 
 def test_a_server_in_slow_start_gets_no_more_than_its_share() -> None:
-    host = host_under(to_zones("h0"), servers=4, warm_ms=20_000.0)
-    host.update_endpoints(host.row(0, started=host.now), *(host.row(index) for index in (1, 2, 3)))
+    host = host_under(to_zones("h0"), servers=4, warmup_ms=20_000.0)
+    host.update_endpoints(
+        host.endpoint(0, started_at=host.now), *(host.endpoint(index) for index in (1, 2, 3))
+    )
     servers = []
     for index in range(200):
-        ((_, request, server, _),) = host.arrive(key=f"c{index}")
+        ((_, request, server, _),) = host.arrive(customer=f"c{index}")
         servers.append(server)
         host.run(25.0)
         host.end(request, AttemptResult.OK)
@@ -78,14 +80,16 @@
 
 
 def test_a_server_in_slow_start_that_is_left_alone_gets_no_more_than_its_share() -> None:
-    host = host_under(to_zones("h0"), servers=4, warm_ms=20_000.0)
-    host.update_endpoints(host.row(0, started=host.now), *(host.row(index) for index in (1, 2, 3)))
+    host = host_under(to_zones("h0"), servers=4, warmup_ms=20_000.0)
+    host.update_endpoints(
+        host.endpoint(0, started_at=host.now), *(host.endpoint(index) for index in (1, 2, 3))
+    )
     for index in range(200):
-        ((_, request, _, _),) = host.arrive(key=f"c{index}")
+        ((_, request, _, _),) = host.arrive(customer=f"c{index}")
         host.run(25.0)
         host.end(request, AttemptResult.OK)
-    host.update_endpoints(host.row(0, started=host.now))
-    decisions = [decision for index in range(60) for decision in host.arrive(key=f"d{index}")]
+    host.update_endpoints(host.endpoint(0, started_at=host.now))
+    decisions = [decision for index in range(60) for decision in host.arrive(customer=f"d{index}")]
     assert len(attempts(decisions)) <= 2
 
 
@@ -93,13 +97,13 @@
     host = host_under(
         PREFER_H1_THEN_H2,
         servers=6,
-        effect=Idempotency.IDEMPOTENCY_KEY,
-        group=DeduplicationScope.ZONE,
-        late=0.2,
+        idempotency=Idempotency.IDEMPOTENCY_KEY,
+        deduplication_scope=DeduplicationScope.ZONE,
+        late_weight=0.2,
     )
-    host.update_endpoints(*(host.row(index) for index in (0, 2, 3, 5)))  # zone h1 is removed
+    host.update_endpoints(*(host.endpoint(index) for index in (0, 2, 3, 5)))  # zone h1 is removed
     ((_, request, server, _),) = host.arrive()
-    host.update_endpoints(*(host.row(index) for index in range(6)))  # and returns
+    host.update_endpoints(*(host.endpoint(index) for index in range(6)))  # and returns
     assert server in {"s2", "s5"}
     ((_, _, retried_at, _),) = attempts(host.end(request, AttemptResult.LOST))
     assert {server, retried_at} == {"s2", "s5"}
@@ -108,7 +112,7 @@
 def check_rules_of_the_first_attempt_apply_to_retries() -> None:
     host = host_under(to_zones("h1"), servers=6)
     ((_, request, server, _),) = host.arrive()
-    host.feed(RoutingRulesChanged(compiled_rules(to_zones("h2"), version=2)))
+    host.handle(RoutingRulesChanged(compiled_rules(to_zones("h2"), version=2)))
     assert host.arrive()[0][2] in {"s2", "s5"}
     ((_, _, retried_at, _),) = attempts(host.end(request, AttemptResult.LOST))
     assert {server, retried_at} == {"s1", "s4"}
@@ -152,8 +156,8 @@
 
 def test_a_request_that_waited_for_its_hard_limit_is_served_under_the_rules_at_its_admission() -> None:
     host = host_under(to_zones("h1"), servers=6, plan=Plan("p", 1000.0, 9000.0, 0, 1.0, 10.0, 100.0))
-    assert kinds(host.arrive(spread=1)) == []
-    host.feed(RoutingRulesChanged(compiled_rules(to_zones("h2"), version=2)))
+    assert kinds(host.arrive(set_size=1)) == []
+    host.handle(RoutingRulesChanged(compiled_rules(to_zones("h2"), version=2)))
     (server,) = {decision[2] for decision in attempts(host.run(400.0))}
     assert server in {"s2", "s5"}
 
@@ -162,7 +166,7 @@
     host = host_under({"attempts": 2}, servers=6)
     ((_, request, *_),) = host.arrive()
     assert kinds(host.end(request, AttemptResult.LOST)) == ["attempt"]
-    assert kinds(host.end(request, AttemptResult.LOST, number=1)) == ["deny"]
+    assert kinds(host.end(request, AttemptResult.LOST, attempt_index=1)) == ["reject"]
 
 
 @pytest.mark.parametrize(("rules", "expected"), [([], 16), ([{"window": 0.5}], 8), ([to_zones("h1")], 6)])
@@ -170,7 +174,7 @@
     rules: list[dict[str, Any]], expected: int
 ) -> None:
     host = host_under(*rules, servers=6)
-    admitted = [kinds(host.arrive(key=f"c{index}"))[0] for index in range(40)].count("attempt")
+    admitted = [kinds(host.arrive(customer=f"c{index}"))[0] for index in range(40)].count("attempt")
     assert admitted == expected
     # A rejected request must not count as sent: a server in slow start would get its turn too often.
-    assert host.gateway.selection.slow_start.requests.totals(host.now).requests == admitted
+    assert host.gateway.selection.slow_start.attempts_sent.totals(host.now).requests == admitted
