--- a/onyxpost/simulation/discrete_event/decision_sink.py
+++ b/onyxpost/simulation/discrete_event/decision_sink.py
@@ -57,7 +57,7 @@
 
     # Requests
 
-    def start_attempt(self, request_id: str, server: str, timeout_ms: float, begin_before: float) -> None:  # noqa: ARG002 - simulated attempts are sent without a delay
+    def start_attempt(self, request_id: str, server: str, timeout_ms: float, latest_start_at: float) -> None:  # noqa: ARG002 - simulated attempts are sent without a delay
         """Starts an attempt.
 
         The attempt ends unused if its server is unknown, or its request is finished or past its deadline.
