--- a/onyxpost/cli.py
+++ b/onyxpost/cli.py
@@ -11,7 +11,7 @@
 from onyxpost import __version__
 
 SIMULATE = "simulate"
-OLD_SIMULATE = "lab"
+DEPRECATED_SIMULATE = "lab"
 SIMULATE_SUMMARY = "Run simulations, fault injection, load and reports (needs additional libraries)."
 MAX_HELP_CHARS = 80
 
@@ -33,7 +33,7 @@
         self, ctx: click.Context, args: list[str]
     ) -> tuple[str | None, click.Command | None, list[str]]:
         """Finds the command; warns about deprecated spellings of simulation commands and replaces them."""
-        if args[0] in (SIMULATE, OLD_SIMULATE):
+        if args[0] in (SIMULATE, DEPRECATED_SIMULATE):
             from onyxpost.simulation.deprecation import parse_simulation_command
 
             command = parse_simulation_command(args)
@@ -135,7 +135,7 @@
     """
     from onyxpost.node import config
 
-    node = config.read({"EDGE_CONFIG": file} if file else os.environ)
+    node = config.read_config({"EDGE_CONFIG": file} if file else os.environ)
     rules = "" if node.routing_rules is None else f", rules of version {node.routing_rules.version}"
     server_count = len(node.known_endpoints.endpoints)
     return f"{node.name}: {server_count} servers, {len(node.deployment.frontends)} frontends{rules}"
--- a/onyxpost/cluster/membership.py
+++ b/onyxpost/cluster/membership.py
@@ -8,7 +8,7 @@
 from onyxpost.config.address import Address, parse_address
 from onyxpost.config.cluster import ClusterSettings
 from onyxpost.config.decoding import decode_as
-from onyxpost.errors import InvalidInputError, at_key
+from onyxpost.errors import InvalidInputError, with_key_path
 
 MAX_NAME_CHARS = 64
 
@@ -106,4 +106,4 @@
 
 
 def _membership_error(message: str, path: str) -> InvalidMembershipError:
-    return InvalidMembershipError(at_key(message, f"fleet.{path}"))
+    return InvalidMembershipError(with_key_path(message, f"fleet.{path}"))
--- a/onyxpost/cluster/peer_log.py
+++ b/onyxpost/cluster/peer_log.py
@@ -49,7 +49,7 @@
         """Logs why a connection was rejected or ended, at a limited rate per type of error."""
         kind = type(err).__name__
         if occurrences := self._rate_limiter.allow(now_ms, kind):
-            fields = {"kind": kind, **err.fields(), "times": occurrences}
+            fields = {"kind": kind, **err.log_fields(), "times": occurrences}
             self._log(LogEvent("cluster connection rejected", fields, logging.WARNING))
 
     def log_membership_change(self, membership: Membership) -> None:
@@ -59,7 +59,7 @@
 
     def log_rejected_membership(self, err: ClusterError) -> None:
         """Logs why a membership was not applied."""
-        fields = {"kind": type(err).__name__, **err.fields()}
+        fields = {"kind": type(err).__name__, **err.log_fields()}
         self._log(LogEvent("cluster membership rejected", fields, logging.WARNING))
 
     def log_statistics(self, fields: dict[str, int]) -> None:
--- a/onyxpost/config/address.py
+++ b/onyxpost/config/address.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from onyxpost.errors import InvalidAddressError, at_key
+from onyxpost.errors import InvalidAddressError, with_key_path
 
 Address = tuple[str, int]
 """Host name or IP address, and port."""
@@ -41,4 +41,4 @@
     try:
         return parse_address(text)
     except InvalidAddressError as error:
-        raise InvalidAddressError(at_key(error.message, path), source) from error
+        raise InvalidAddressError(with_key_path(error.message, path), source) from error
--- a/onyxpost/config/deployment.py
+++ b/onyxpost/config/deployment.py
@@ -24,7 +24,7 @@
     SlowStartPolicy,
 )
 from onyxpost.core.units import US_PER_MS
-from onyxpost.errors import ConflictingValuesError, at_key
+from onyxpost.errors import ConflictingValuesError, with_key_path
 from onyxpost.policy.gateway import Gateway
 
 if TYPE_CHECKING:
@@ -110,7 +110,7 @@
     """
     if settings.node_index >= settings.node_count:
         message = f"expected a node index below {settings.node_count}, got {settings.node_index}"
-        raise ConflictingValuesError(at_key(message, "ordinal"))
+        raise ConflictingValuesError(with_key_path(message, "ordinal"))
     return Deployment(
         node_index=settings.node_index,
         node_count=settings.node_count,
--- a/onyxpost/core/events.py
+++ b/onyxpost/core/events.py
@@ -40,7 +40,7 @@
         plan: name of the customer's plan.
         units: units that the request takes from the customer's quota.
         set_size: number of nodes that serve this customer.
-        first_node: index of the first of those nodes.
+        first_node_index: index of the first of those nodes.
     """
 
     request_id: str
@@ -50,7 +50,7 @@
     plan: str
     units: int
     set_size: int
-    first_node: int
+    first_node_index: int
 
 
 class RequestCancelled(NamedTuple):
--- a/onyxpost/core/options.py
+++ b/onyxpost/core/options.py
@@ -48,7 +48,7 @@
             StopIteration: no plan has the name in the event.
         """
         plan_index = next(index for index, plan in enumerate(self.plans) if plan.name == event.plan)
-        return Placement(plan_index, int(event.first_node), int(event.set_size))
+        return Placement(plan_index, int(event.first_node_index), int(event.set_size))
 
     @property
     def incarnation(self) -> str:
--- a/onyxpost/core/usage_reports.py
+++ b/onyxpost/core/usage_reports.py
@@ -8,16 +8,16 @@
 
 
 class Placement(NamedTuple):
-    """A customer's plan, by its index, and the nodes that serve it: `set_size` nodes from `first_node` on."""
+    """A customer's plan, by its index, and its nodes: `set_size` nodes from `first_node_index` on."""
 
     plan_index: int
-    first_node: int
+    first_node_index: int
     set_size: int
 
     def members(self, node_count: int) -> list[int]:
         """Returns the nodes of the set; a set size above `node_count`, a peer's error, is reduced to it."""
         size = min(self.set_size, node_count)
-        return [(self.first_node + index) % node_count for index in range(size)]
+        return [(self.first_node_index + index) % node_count for index in range(size)]
 
     def peers_of(self, node_index: int, node_count: int) -> list[int]:
         """Returns the nodes of the set other than `node_index`."""
@@ -25,7 +25,7 @@
 
     def member_for_key(self, key: int, node_count: int) -> int:
         """Returns the node of the set that a hash key selects, such as a customer's coordinator."""
-        return (self.first_node + key % self.set_size) % node_count
+        return (self.first_node_index + key % self.set_size) % node_count
 
 
 class UsageReport(NamedTuple):
--- a/onyxpost/edge/client_connection.py
+++ b/onyxpost/edge/client_connection.py
@@ -7,14 +7,14 @@
 
 import h11
 
-from onyxpost.runtime.transport import Unread
+from onyxpost.runtime.transport import UnreadInput
 
 if TYPE_CHECKING:
     import asyncio
     from collections.abc import Collection, Iterable
 
     from onyxpost.edge.messages import ClientRequest
-    from onyxpost.runtime.transport import CountingReader, Transport
+    from onyxpost.runtime.transport import ByteCountingReader, Transport
 
 # Time for a new connection to send its first request, and for any request to arrive completely.
 REQUEST_TIMEOUT_MS = 2_500.0
@@ -51,7 +51,7 @@
     def __init__(
         self,
         connection_id: int,
-        reader: CountingReader,
+        reader: ByteCountingReader,
         writer: asyncio.StreamWriter,
         now: float,
         *,
@@ -95,7 +95,7 @@
     def has_no_unread_input(self, transport: Transport) -> bool:
         """Returns whether neither bytes nor an end of stream are unread, in the kernel or in the reader."""
         all_read = self.reader.bytes_received == self.bytes_read
-        return all_read and transport.unread(self.writer.transport) is Unread.NOTHING
+        return all_read and transport.unread_input(self.writer.transport) is UnreadInput.NOTHING
 
     def on_request_started(self, now: float) -> None:
         """Records the first bytes of a request; a first request keeps the deadline of the connection."""
--- a/onyxpost/edge/client_connections.py
+++ b/onyxpost/edge/client_connections.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from onyxpost.edge.messages import ClientDisconnected, EdgeEvent
-from onyxpost.runtime.transport import Unread
+from onyxpost.runtime.transport import UnreadInput
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -50,7 +50,7 @@
         connection = self.find_unanswered(connection_id)
         if connection is None or connection.is_closing():
             return False
-        return self._transport.unread(connection.writer.transport) is not Unread.END
+        return self._transport.unread_input(connection.writer.transport) is not UnreadInput.END
 
     def begin_closing(self, connection: ClientConnection) -> None:
         """Sends the end of stream; input is then discarded until the client closes or a deadline passes.
--- a/onyxpost/edge/client_listener.py
+++ b/onyxpost/edge/client_listener.py
@@ -15,7 +15,7 @@
     from onyxpost.config.address import Address
     from onyxpost.edge.client_connections import ClientConnections
     from onyxpost.edge.client_http import ClientHttp
-    from onyxpost.runtime.transport import CountingReader, Listener, Transport
+    from onyxpost.runtime.transport import ByteCountingReader, Listener, Transport
 
 READ_BUFFER_BYTES = 16384  # limit of one read from a client, and of the input buffered for each client
 # Turns of the event loop within which an accepted connection reaches its first read. The transport, its
@@ -94,7 +94,7 @@
         if self.server is not None:
             self.server.close()
 
-    async def _serve(self, reader: CountingReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve(self, reader: ByteCountingReader, writer: asyncio.StreamWriter) -> None:
         has_capacity = self.has_capacity()
         if not has_capacity and self._over_capacity_count >= MAX_OVER_CAPACITY_CONNECTIONS:
             writer.transport.abort()
--- a/onyxpost/edge/descriptor_budget.py
+++ b/onyxpost/edge/descriptor_budget.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from onyxpost.edge.clients import Clients
+    from onyxpost.edge.client_components import Clients
     from onyxpost.edge.upstream_pool import UpstreamPool
 
 MAX_RESERVED_DESCRIPTORS = 48
@@ -25,7 +25,7 @@
         self,
         descriptor_limit: Callable[[], int],
         clients: Clients,
-        servers: UpstreamPool,
+        upstream_pool: UpstreamPool,
         count_cluster_connections: Callable[[], int],
     ) -> None:
         """Creates the budget of a node.
@@ -33,12 +33,12 @@
         Args:
             descriptor_limit: returns the maximum number of open descriptors.
             clients: the client connections to count and close.
-            servers: the upstream connections to count and close.
+            upstream_pool: the upstream connections to count and close.
             count_cluster_connections: returns the number of connections to members of the cluster.
         """
         self.descriptor_limit = descriptor_limit
         self.clients = clients
-        self.servers = servers
+        self.upstream_pool = upstream_pool
         self.count_cluster_connections = count_cluster_connections
 
     def reserved_count(self) -> int:
@@ -51,7 +51,7 @@
         client_count = len(connections.open) + len(connections.closing)
         return (
             client_count
-            + self.servers.connection_count
+            + self.upstream_pool.connection_count
             + self.reserved_count()
             + self.count_cluster_connections()
         )
@@ -68,27 +68,27 @@
         limit = self.descriptor_limit()
         client_count = len(self.clients.connections.open)
         if client_count >= limit // 4 and self.clients.eviction.evict_connection():
-            return self.has_server_capacity()  # the evicted connection keeps its descriptor while closing
-        return client_count < (limit - self.reserved_count()) * 3 // 5 and self.has_server_capacity()
+            return self.has_upstream_capacity()  # the evicted connection keeps its descriptor while closing
+        return client_count < (limit - self.reserved_count()) * 3 // 5 and self.has_upstream_capacity()
 
-    def has_server_capacity(self) -> bool:
+    def has_upstream_capacity(self) -> bool:
         """Returns whether one more descriptor may be opened.
 
         At the limit, this aborts a closing client connection or else closes an idle upstream connection.
         """
         if self.in_use_count() < self.descriptor_limit():
             return True
-        return self.clients.eviction.abort_oldest_closing() or self.servers.evict_oldest_idle()
+        return self.clients.eviction.abort_oldest_closing() or self.upstream_pool.evict_oldest_idle()
 
 
-class ExhaustionLogLimit:
+class ExhaustionLogLimiter:
     """Limits how often exhausted descriptors are logged."""
 
     def __init__(self) -> None:
-        """Creates a limit that permits the next log line."""
+        """Creates a limiter that permits the next log line."""
         self._logged_at_ms = -EXHAUSTION_LOG_INTERVAL_MS
 
-    def is_logged_already(self, now_ms: float, error: BaseException | None) -> bool:
+    def should_suppress(self, now_ms: float, error: BaseException | None) -> bool:
         """Returns whether `error` reports exhausted descriptors and such an error was logged recently.
 
         asyncio reports each connection that it could not accept, and retries once a second. If this returns
--- a/onyxpost/edge/address_choice.py
+++ b/onyxpost/edge/discovery_address.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from onyxpost.edge.staleness import PollFailure
+from onyxpost.edge.poll_schedule import PollFailure
 
 if TYPE_CHECKING:
     from onyxpost.config.address import Address
--- a/onyxpost/edge/discovery_client.py
+++ b/onyxpost/edge/discovery_client.py
@@ -10,10 +10,10 @@
 from typing import TYPE_CHECKING, Any
 
 from onyxpost.core.units import MS_PER_SECOND
-from onyxpost.edge.address_choice import AddressChoice
+from onyxpost.edge.discovery_address import AddressChoice
 from onyxpost.edge.discovery_watch import DiscoveryWatch
 from onyxpost.edge.messages import EdgeEvent, EndpointUpdate, EndpointUpdateFailed
-from onyxpost.edge.staleness import PollFailure, StalenessTracker
+from onyxpost.edge.poll_schedule import PollFailure, PollSchedule
 from onyxpost.errors import InvalidInputError
 from onyxpost.runtime.log_event import LogEvent
 
@@ -39,14 +39,15 @@
         alternative_address: a second address that discovery may have, until one of the two has answered.
         generation: the generation of the endpoints in the node's file.
         seed: the seed of the jitter between polls.
-        shared: whether the discovery service itself is polled, rather than an agent that lists are pushed to.
+        is_shared_service: whether the discovery service itself is polled, rather than an agent that lists
+            are pushed to.
     """
 
     address: Address
     alternative_address: Address | None = None
     generation: int = 0
     seed: int = 0
-    shared: bool = False
+    is_shared_service: bool = False
 
 
 class DiscoveryClient:
@@ -55,7 +56,7 @@
     Attributes:
         generation: the generation of the endpoints that this node has.
         is_down: whether a poll of `address` has failed and none has been answered since.
-        is_stale: whether the endpoint list may be stale; see `onyxpost.edge.staleness`.
+        is_stale: whether the endpoint list may be stale; see `onyxpost.edge.poll_schedule`.
         watches: each running watch by its task, oldest first. After a change of address, the watch on the
             old address continues until the new address has answered.
     """
@@ -85,7 +86,7 @@
         self._post = post
         self._log = log
         self._rng = Random(options.seed)
-        self._is_shared = options.shared
+        self._is_shared = options.is_shared_service
         self._is_outage_logged = False
         self._next_outage_log_at = 0.0  # earliest time of the next outage log line, ms
         self._stale_timer: asyncio.TimerHandle | None = None
@@ -135,8 +136,8 @@
         Args:
             is_after_move: whether a reload has just set the address.
         """
-        tracker = StalenessTracker(self._rng, shared=self._is_shared)
-        watch = DiscoveryWatch(self._transport, self, self._addresses, tracker, is_after_move=is_after_move)
+        schedule = PollSchedule(self._rng, is_shared_service=self._is_shared)
+        watch = DiscoveryWatch(self._transport, self, self._addresses, schedule, is_after_move=is_after_move)
         self.watches[asyncio.get_running_loop().create_task(watch.run())] = watch
 
     def close(self) -> None:
@@ -155,7 +156,7 @@
         if failed.address == self.address:
             self._report_outage(failed.cause)
         else:
-            failed.watch.tracker.ignore_missed_changes()  # only the current address decides on staleness
+            failed.watch.schedule.ignore_missed_changes()  # only the current address decides on staleness
         self._schedule_staleness()
 
     def on_watch_answered(self, answered: WatchAnswered) -> None:
@@ -167,20 +168,20 @@
         if answered.is_after_move:
             fields = {"generation": update.generation, "held": self.generation}
             self._log(LogEvent("discovery moved", fields))
-        if update.generation < self.generation and (answered.is_after_move or not update.complete):
+        if update.generation < self.generation and (answered.is_after_move or not update.is_complete):
             # The answer is older than this node's list, so it is replaced by an update without changes, and
             # discovery is expected to catch up. A complete list that was not requested is accepted, as it
             # shows that discovery has restarted.
-            update = EndpointUpdate(self.generation, complete=False, endpoints=[], addresses={})
+            update = EndpointUpdate(self.generation, is_complete=False, endpoints=[], addresses={})
         self.generation = update.generation
         was_stale = self.is_stale
         self.is_stale = self.is_stale and self._stale_in_ms() == 0.0  # a newer watch may still be stale
         self._schedule_staleness()
         self._first_poll_finished.set()
-        if update.endpoints or update.complete or was_stale != self.is_stale:
+        if update.endpoints or update.is_complete or was_stale != self.is_stale:
             self._post(update)
             if self.is_stale:
-                self._post(EndpointUpdateFailed(stale=True))  # the update alone would clear the staleness
+                self._post(EndpointUpdateFailed(is_stale=True))  # the update alone would clear the staleness
 
     def _cancel_older_watches(self, answered: DiscoveryWatch) -> None:
         for task, watch in list(self.watches.items()):
@@ -214,7 +215,7 @@
     def _stale_in_ms(self) -> float | None:
         """Returns the time until any watch considers the list stale; None if no watch will."""
         now = self._transport.clock()
-        times = [watch.tracker.stale_in_ms(now) for watch in self.watches.values()]
+        times = [watch.schedule.stale_in_ms(now) for watch in self.watches.values()]
         return min((time_ms for time_ms in times if time_ms is not None), default=None)
 
     def _schedule_staleness(self) -> None:
@@ -230,4 +231,4 @@
     def _on_stale(self) -> None:
         self.is_stale = True
         self._log(LogEvent("endpoints may be stale", {"generation": self.generation}, logging.WARNING))
-        self._post(EndpointUpdateFailed(stale=True))
+        self._post(EndpointUpdateFailed(is_stale=True))
--- a/onyxpost/edge/discovery_poll.py
+++ b/onyxpost/edge/discovery_poll.py
@@ -11,10 +11,10 @@
 from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.edge.errors import DiscoveryOverloadedError
 from onyxpost.edge.messages import EndpointUpdate, decode_endpoint_update
-from onyxpost.edge.staleness import PollFailure
+from onyxpost.edge.poll_schedule import PollFailure
 from onyxpost.errors import InvalidInputError
 from onyxpost.runtime.http1 import READ_CHUNK_BYTES, encode_message, read_response, start_next_cycle
-from onyxpost.runtime.transport import LOCAL_RESOURCE_ERRNOS, CountingReader, Transport
+from onyxpost.runtime.transport import LOCAL_RESOURCE_ERRNOS, ByteCountingReader, Transport
 
 if TYPE_CHECKING:
     from onyxpost.config.address import Address
@@ -28,7 +28,7 @@
 class DiscoveryConnection(NamedTuple):
     """A connection to discovery that can carry one poll at a time."""
 
-    reader: CountingReader
+    reader: ByteCountingReader
     writer: asyncio.StreamWriter
     http: h11.Connection
 
--- a/onyxpost/edge/discovery_watch.py
+++ b/onyxpost/edge/discovery_watch.py
@@ -14,11 +14,11 @@
     limit_open_polls,
     poll_endpoints,
 )
-from onyxpost.edge.staleness import RETRY_PAUSE_MS, PollFailure, StalenessTracker
+from onyxpost.edge.poll_schedule import RETRY_PAUSE_MS, PollFailure, PollSchedule
 
 if TYPE_CHECKING:
     from onyxpost.config.address import Address
-    from onyxpost.edge.address_choice import AddressChoice
+    from onyxpost.edge.discovery_address import AddressChoice
     from onyxpost.edge.messages import EndpointUpdate
     from onyxpost.runtime.transport import Transport
 
@@ -61,14 +61,14 @@
         """Handles an answer to a poll."""
 
     def on_watch_failed(self, failed: WatchFailed) -> None:
-        """Handles a failure, after the tracker of the watch has recorded it."""
+        """Handles a failure, after the schedule of the watch has recorded it."""
 
 
 class DiscoveryWatch:
     """Polls discovery and reports answers and failures to its listener.
 
     Attributes:
-        tracker: decides when to poll, and when the list may be stale.
+        schedule: decides when to poll, and when the list may be stale.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         transport: Transport,
         listener: WatchListener,
         addresses: AddressChoice,
-        tracker: StalenessTracker,
+        schedule: PollSchedule,
         *,
         is_after_move: bool = False,
     ) -> None:
@@ -86,11 +86,11 @@
             transport: the node's transport.
             listener: receives the answers and failures.
             addresses: selects the address to poll.
-            tracker: decides when to poll, and when the list may be stale.
+            schedule: decides when to poll, and when the list may be stale.
             is_after_move: whether a reload has set the address, so that polls request all endpoints until
                 one is answered.
         """
-        self.tracker = tracker
+        self.schedule = schedule
         self._transport = transport
         self._listener = listener
         self._addresses = addresses
@@ -103,7 +103,7 @@
         try:
             while True:
                 poll = self._start_poll()
-                timeout_ms = self.tracker.on_poll_started(
+                timeout_ms = self.schedule.on_poll_started(
                     poll.started_at, poll.long_poll_ms, is_after_move=self._is_after_move
                 )
                 await self._wait_for_answer(poll, timeout_ms)
@@ -114,8 +114,8 @@
 
     def _start_poll(self) -> OpenPoll:
         started_at = self._transport.clock()
-        long_poll_ms = self.tracker.long_poll_ms()
-        limit_open_polls(self._open_polls, self.tracker.max_open_polls, started_at)
+        long_poll_ms = self.schedule.long_poll_ms()
+        limit_open_polls(self._open_polls, self.schedule.max_open_polls, started_at)
         query = (
             ""
             if self._is_after_move
@@ -158,7 +158,7 @@
     async def _handle_answer(self, newest: OpenPoll, answered: OpenPoll, update: EndpointUpdate) -> None:
         close_polls(self._open_polls)
         self._addresses.on_poll_answered(answered.address)
-        self.tracker.on_poll_answered()
+        self.schedule.on_poll_answered()
         elapsed_ms = self._transport.clock() - newest.started_at
         is_long_poll_ignored = (
             newest.long_poll_ms > RETRY_PAUSE_MS > elapsed_ms
@@ -168,12 +168,12 @@
         self._is_after_move = False
         if is_long_poll_ignored:
             # Without a pause, an agent that answers long polls at once would be polled in a busy loop.
-            await asyncio.sleep(self.tracker.retry_pause_ms() / MS_PER_SECOND)
+            await asyncio.sleep(self.schedule.retry_pause_ms() / MS_PER_SECOND)
 
     async def _handle_timeout(self) -> None:
         timeout = TimeoutError("discovery did not answer in time")
         pause_ms = self._handle_failure(self._open_polls[-1], PollFailure.TIMEOUT, timeout)
-        if self.tracker.max_open_polls == 1:
+        if self.schedule.max_open_polls == 1:
             close_polls(self._open_polls)
             await asyncio.sleep(pause_ms / MS_PER_SECOND)
 
@@ -183,9 +183,9 @@
         if reported_failure is None:
             return 0.0
         now = self._transport.clock()
-        if reported_failure is PollFailure.TIMEOUT and not self.tracker.is_reconnecting:
+        if reported_failure is PollFailure.TIMEOUT and not self.schedule.is_reconnecting:
             # Possibly only the reused connection has failed; the next poll, on a new connection, shows it.
-            return self.tracker.on_poll_failed(now, reported_failure)
-        pause_ms = self.tracker.on_poll_failed(now, reported_failure, poll.started_at)
+            return self.schedule.on_poll_failed(now, reported_failure)
+        pause_ms = self.schedule.on_poll_failed(now, reported_failure, poll.started_at)
         self._listener.on_watch_failed(WatchFailed(self, self._addresses.address, reported_failure, cause))
         return pause_ms
--- a/onyxpost/edge/effect_sink.py
+++ b/onyxpost/edge/effect_sink.py
@@ -77,7 +77,7 @@
         self.effects += [WithdrawAttempt(attempt) for attempt in self._requests.ids_in_flight(request)]
         self._requests.release_if_finished(request)
 
-    def abandon(self, request: PendingRequest) -> None:
+    def abort_undecided(self, request: PendingRequest) -> None:
         """Aborts a request that the decision maker has not ended.
 
         Its attempts in flight are closed, and the decision maker gets `RequestCancelled` in the next round.
--- a/onyxpost/edge/endpoint_table.py
+++ b/onyxpost/edge/endpoint_table.py
@@ -29,7 +29,7 @@
             The endpoints to retire: those that are no longer ready, are gone, or have another address.
         """
         removed = {status.server for status in update.endpoints if status.state is not EndpointState.READY}
-        if update.complete:
+        if update.is_complete:
             removed |= set(self.by_server) - set(update.addresses)
         updated = {server: Endpoint(server, address) for server, address in update.addresses.items()}
         retired = [
--- a/onyxpost/edge/event_processor.py
+++ b/onyxpost/edge/event_processor.py
@@ -26,7 +26,7 @@
         report_fault: logs an unexpected exception.
         effect_handlers: the function that executes each type of effect. If one raises an exception, this is
             reported, and the remaining effects are still executed.
-        inbox: the events of the next round.
+        queued_events: the events of the next round.
     """
 
     def __init__(
@@ -39,18 +39,18 @@
         self.clock = clock
         self.report_fault = report_fault
         self.effect_handlers: dict[type, Callable[[Any], None]] = {StartTimer: self.start_timer}
-        self.inbox: list[EdgeEvent] = []
+        self.queued_events: list[EdgeEvent] = []
         self._is_round_scheduled = False
 
     def post(self, event: EdgeEvent) -> None:
         """Queues an event for the next round."""
-        self.inbox.append(event)
+        self.queued_events.append(event)
         self._schedule_round()
 
     def run_round(self) -> None:
         """Processes all queued events and executes the resulting effects."""
-        events = self.inbox
-        self.inbox = []
+        events = self.queued_events
+        self.queued_events = []
         self._is_round_scheduled = False
         for effect in self.state_machine.step(self.clock(), events):
             try:
--- a/onyxpost/edge/messages/events.py
+++ b/onyxpost/edge/messages/events.py
@@ -38,7 +38,7 @@
         plan: the name of the customer's plan.
         units: the number of units that the request costs of the customer's quota.
         set_size: the number of nodes that serve this customer.
-        first_node: the index of the first of these nodes.
+        first_node_index: the index of the first of these nodes.
         timeout_ms: the client timeout, counted from `received_at`.
     """
 
@@ -54,7 +54,7 @@
     plan: str
     units: int
     set_size: int
-    first_node: int
+    first_node_index: int
     timeout_ms: float
 
 
@@ -85,13 +85,13 @@
 
     Attributes:
         generation: the generation of the endpoints.
-        complete: whether all endpoints are listed, rather than only those that changed.
+        is_complete: whether all endpoints are listed, rather than only those that changed.
         endpoints: the state of each endpoint.
         addresses: the addresses by server id; endpoints without an address have no entry.
     """
 
     generation: int
-    complete: bool
+    is_complete: bool
     endpoints: list[EndpointStatus]
     addresses: dict[str, Address]
 
@@ -99,7 +99,7 @@
 class EndpointUpdateFailed(NamedTuple):
     """A poll of discovery failed; `stale` is whether changes of endpoints may have been missed."""
 
-    stale: bool = False
+    is_stale: bool = False
 
 
 EdgeEvent = (
--- a/onyxpost/edge/messages/request_headers.py
+++ b/onyxpost/edge/messages/request_headers.py
@@ -64,7 +64,7 @@
     customer_key: bytes
     units: int
     set_size: int
-    first_node: int
+    first_node_index: int
     timeout_ms: float
 
 
@@ -99,7 +99,7 @@
         plan=fields.plan,
         units=fields.units,
         set_size=fields.set_size,
-        first_node=fields.first_node,
+        first_node_index=fields.first_node_index,
         timeout_ms=min(fields.timeout_ms, frontend.client_timeout_ms),
     )
 
@@ -161,7 +161,7 @@
         quota = dict(_split_pair(part) for part in values[b"quota-info"].split(b","))
         units = _decode_integer(quota[b"units"])
         set_size = _decode_integer(quota[b"spread"])
-        first_node = _decode_integer(quota[b"first"])
+        first_node_index = _decode_integer(quota[b"first"])
         timeout_ms = frontend.client_timeout_ms
         if b"x-expires-in" in values:
             timeout_ms = _decode_duration_ms(values[b"x-expires-in"])
@@ -169,7 +169,7 @@
         raise RequestRejectedError(400, f"missing {str(error)[:40]}") from error
     except (ValueError, UnicodeDecodeError) as error:
         raise RequestRejectedError(400, f"malformed header: {str(error)[:60]}") from error
-    return _RequestFields(trace_id, plan, customer_key, units, set_size, first_node, timeout_ms)
+    return _RequestFields(trace_id, plan, customer_key, units, set_size, first_node_index, timeout_ms)
 
 
 def _check_fields(fields: _RequestFields, deployment: Deployment) -> None:
@@ -178,7 +178,7 @@
     max_units = deployment.max_request_units or fields.units
     are_units_in_range = 0 < fields.units <= max_units
     is_set_size_in_range = 0 < fields.set_size <= deployment.node_count
-    if not (are_units_in_range and is_set_size_in_range and fields.first_node < deployment.node_count):
+    if not (are_units_in_range and is_set_size_in_range and fields.first_node_index < deployment.node_count):
         raise RequestRejectedError(400, "quota-info out of range")
     if not any(plan.name == fields.plan for plan in deployment.plans):
         raise RequestRejectedError(400, "unknown plan")
--- a/onyxpost/edge/staleness.py
+++ b/onyxpost/edge/poll_schedule.py
@@ -53,24 +53,24 @@
     LOCAL_RESOURCES = "local resources"  # this node could not open a connection; discovery may be up
 
 
-class StalenessTracker:
+class PollSchedule:
     """Schedules the polls of one watch, and determines when the endpoint list of the node may be stale.
 
     Attributes:
         is_reconnecting: whether the next or current poll is the first one on its connection.
     """
 
-    def __init__(self, rng: Random, *, shared: bool = False) -> None:
-        """Creates the tracker of a watch that has not sent a poll.
+    def __init__(self, rng: Random, *, is_shared_service: bool = False) -> None:
+        """Creates the schedule of a watch that has not sent a poll.
 
         Args:
             rng: source of the jitter of pauses.
-            shared: whether the discovery service itself is polled, rather than an agent that lists are pushed
-                to.
+            is_shared_service: whether the discovery service itself is polled, rather than an agent that
+                lists are pushed to.
         """
         self.is_reconnecting = True
         self._rng = rng
-        self._is_shared = shared
+        self._is_shared = is_shared_service
         self._backoff_ms = AGENT_BACKOFF_MIN_MS
         self._polled_at = 0.0
         self._is_first_poll = True
--- a/onyxpost/edge/state_machine.py
+++ b/onyxpost/edge/state_machine.py
@@ -111,7 +111,7 @@
             if isinstance(current, RequestArrived | AttemptFinished):
                 request = self.requests.by_id.get(current.request_id)
                 if request is not None and not request.in_flight:
-                    self.sink.abandon(request)  # no later event would lead to an answer
+                    self.sink.abort_undecided(request)  # no later event would lead to an answer
             return current is None  # an exception before the first event would recur in each call
         return True
 
@@ -122,7 +122,7 @@
         for request in overdue:
             trace_id = request.client_request.trace_id
             self.sink.emit(LogEvent("overdue", {"request": trace_id}, logging.ERROR))
-            self.sink.abandon(request)
+            self.sink.abort_undecided(request)
 
     # Events
 
@@ -138,7 +138,7 @@
             case EndpointUpdate():
                 return self.handle_endpoint_update(event)
             case EndpointUpdateFailed():
-                return EndpointsStale() if event.stale else EndpointPollFailed()
+                return EndpointsStale() if event.is_stale else EndpointPollFailed()
             case _:  # relevant only to the decision maker
                 return event
 
@@ -158,7 +158,7 @@
             client_request.plan,
             client_request.units,
             client_request.set_size,
-            client_request.first_node,
+            client_request.first_node_index,
         )
 
     def handle_client_disconnected(self, event: ClientDisconnected) -> DecisionEvent | None:
@@ -173,7 +173,7 @@
         """Applies an update, and retires the endpoints that are no longer ready or have another address."""
         for endpoint in self.endpoints.apply(update):
             self.sink.emit(RetireEndpoint(endpoint))
-        return EndpointsUpdated(update.complete, update.endpoints)
+        return EndpointsUpdated(update.is_complete, update.endpoints)
 
     def handle_attempt_ended(self, event: AttemptEnded) -> DecisionEvent | None:
         """Answers a request with its first successful response; a repeated end of an attempt is ignored."""
--- a/onyxpost/edge/upstream_pool.py
+++ b/onyxpost/edge/upstream_pool.py
@@ -46,16 +46,16 @@
         connect_timeout_ms: limit for establishing a connection; 0 means no limit.
         keep_alive_ms: time for which app servers keep an idle connection open.
         has_capacity: returns whether one more descriptor may be opened.
-        accepts_requests: returns whether an endpoint accepts new attempts.
-        may_start: returns whether an attempt may still be sent, given its remaining time in ms.
+        accepts_attempts: returns whether an endpoint accepts new attempts.
+        may_start_attempt: returns whether an attempt may still be sent, given its remaining time in ms.
         report_fault: logs an unexpected exception.
     """
 
     connect_timeout_ms: float
     keep_alive_ms: float
     has_capacity: Callable[[], bool]
-    accepts_requests: Callable[[Endpoint], bool]
-    may_start: Callable[[SendAttempt, float], bool]
+    accepts_attempts: Callable[[Endpoint], bool]
+    may_start_attempt: Callable[[SendAttempt, float], bool]
     report_fault: Callable[[str, BaseException], None]
 
 
@@ -65,7 +65,7 @@
     Attributes:
         post: receives the end of each attempt.
         has_capacity: see `UpstreamPoolOptions`.
-        may_start: see `UpstreamPoolOptions`.
+        may_start_attempt: see `UpstreamPoolOptions`.
         clock: the transport's clock, in ms.
         connection_count: number of open connections, including idle ones.
         idle_connections: the idle connections by endpoint, longest idle first.
@@ -79,7 +79,7 @@
         self.clock = transport.clock
         self.post = post
         self.has_capacity = options.has_capacity
-        self.may_start = options.may_start
+        self.may_start_attempt = options.may_start_attempt
         self.connection_count = 0
         self.idle_connections: dict[Endpoint, list[UpstreamConnection]] = {}
         self.tasks: dict[int, asyncio.Task[None]] = {}
@@ -87,7 +87,7 @@
         self._idle_timeout_ms = IDLE_TIMEOUT_FRACTION * options.keep_alive_ms
         self._withdrawn_attempt_ids: set[int] = set()
 
-    def send(self, attempt: SendAttempt) -> None:
+    def start_attempt(self, attempt: SendAttempt) -> None:
         """Starts an attempt, whose end is posted as `AttemptEnded`."""
         loop = asyncio.get_running_loop()
         self.tasks[attempt.attempt_id] = loop.create_task(self._run(attempt, self.clock()))
@@ -196,7 +196,7 @@
                     attempt.endpoint
                 )
                 remaining_ms = attempt.timeout_ms - (self.clock() - started_at)
-                if attempt.attempt_id in self._withdrawn_attempt_ids or not self.may_start(
+                if attempt.attempt_id in self._withdrawn_attempt_ids or not self.may_start_attempt(
                     attempt, remaining_ms
                 ):
                     result = AttemptResult.UNUSED
@@ -252,7 +252,7 @@
             completed: whether the response was read to its end.
         """
         endpoint = connection.endpoint
-        if completed and connection.prepare_reuse() and self._options.accepts_requests(endpoint):
+        if completed and connection.prepare_reuse() and self._options.accepts_attempts(endpoint):
             connection.on_released(self.clock())
             self.idle_connections.setdefault(endpoint, []).append(connection)
         else:
--- a/onyxpost/errors.py
+++ b/onyxpost/errors.py
@@ -9,10 +9,10 @@
 
 from typing import ClassVar, Self
 
-MAX_CAUSE_CHARS = 200  # upper bound of an error's text in a log line
+MAX_LOGGED_ERROR_CHARS = 200  # upper bound of an error's text in a log line
 
 
-def at_key(message: str, path: str) -> str:
+def with_key_path(message: str, path: str) -> str:
     """Returns the message followed by the path of the invalid key, in the format of msgspec's errors."""
     return f"{message} - at `$.{path}`"
 
@@ -21,7 +21,7 @@
     """An error with a remedy for the operator.
 
     Attributes:
-        message: what went wrong; an error in a file ends with the path of the key (`at_key`).
+        message: what went wrong; an error in a file ends with the path of the key (`with_key_path`).
         location: the file, peer or option that the error concerns; empty if none.
         remedy: what the operator can do; the same for all errors of a type.
     """
@@ -44,9 +44,9 @@
         """Returns the error as one line of the command line's output, which ends with the remedy."""
         return f"{self} ({self.remedy})" if self.remedy else str(self)
 
-    def fields(self) -> dict[str, str]:
+    def log_fields(self) -> dict[str, str]:
         """Returns the keys and values that a log line about this error contains."""
-        return {"cause": str(self)[:MAX_CAUSE_CHARS], "remedy": self.remedy}
+        return {"cause": str(self)[:MAX_LOGGED_ERROR_CHARS], "remedy": self.remedy}
 
 
 class InvalidInputError(OperatorError):
--- a/onyxpost/forwarder/planner_client.py
+++ b/onyxpost/forwarder/planner_client.py
@@ -42,14 +42,14 @@
 
     def __init__(
         self,
-        net: Transport,
+        transport: Transport,
         forwarder: str,
         members: dict[str, Address],
         membership_version: int,
         post_event: Callable[[LeaseGranted | LeaseRevoked], None],
         log: Callable[[LogEvent], None],
     ) -> None:
-        self.net = net
+        self.transport = transport
         self.members = dict(members)
         self.post_event = post_event
         self.log = log
@@ -78,7 +78,7 @@
     def report_units_spent(self, effect: ReportUnitsSpent) -> None:
         """Handles that the policy spent units of a lease, or lacked units; may send a lease request."""
         self.cache.report_units_spent(
-            self.net.clock(), effect.customer, effect.plan, effect.units, effect.lease_id
+            self.transport.clock(), effect.customer, effect.plan, effect.units, effect.lease_id
         )
         self._deliver()
 
@@ -103,17 +103,17 @@
             self.post_event(event)
 
     def _abort_connection(self, planner: str, error: OperatorError) -> None:
-        fields = {"planner": planner, **error.fields()}
+        fields = {"planner": planner, **error.log_fields()}
         self.log(LogEvent("planner connection aborted", fields, logging.WARNING))
         writer = self.writers.pop(planner, None)
         if writer is not None:
             writer.transport.abort()
 
     async def _run_ticks(self) -> None:
-        logged_at_ms = self.net.clock()
+        logged_at_ms = self.transport.clock()
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            now_ms = self.net.clock()
+            now_ms = self.transport.clock()
             self.cache.tick(now_ms)
             self._deliver()
             for planner in self.cache.unresponsive_planners(now_ms) & self.writers.keys():
@@ -146,16 +146,18 @@
     def _log_disconnect(self, planner: str, error: Exception) -> None:
         if not isinstance(error, MalformedFrameError):
             error = PlannerUnavailableError(f"{type(error).__name__}: {error}")
-        self.log(LogEvent("planner disconnected", {"planner": planner, **error.fields()}, logging.WARNING))
+        self.log(
+            LogEvent("planner disconnected", {"planner": planner, **error.log_fields()}, logging.WARNING)
+        )
 
     async def _run_connection(self, planner: str) -> None:
         """Connects and handles messages until an error ends the connection."""
         if self._is_stopping:
             return
         async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
-            reader, writer, *_ = await self.net.dial(self.members[planner], READ_CHUNK_BYTES)
+            reader, writer, *_ = await self.transport.dial(self.members[planner], READ_CHUNK_BYTES)
         try:
-            writer.write(protocol.encode_frame(self.cache.hello(self.net.clock())))
+            writer.write(protocol.encode_frame(self.cache.hello(self.transport.clock())))
             async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 welcome = await protocol.read_planner_message(reader)
             if not isinstance(welcome, protocol.Welcome) or welcome.protocol != protocol.PROTOCOL_VERSION:
@@ -163,12 +165,12 @@
                     f"first message is not a welcome of protocol version {protocol.PROTOCOL_VERSION}"
                 )
             self.writers[planner] = writer
-            self.cache.handle_connected(self.net.clock(), planner, welcome)
+            self.cache.handle_connected(self.transport.clock(), planner, welcome)
             fields = {"planner": planner, "epoch": welcome.epoch, "version": welcome.membership_version}
             self.log(LogEvent("planner connected", fields))
             while True:
                 message = await protocol.read_planner_message(reader)
-                self.cache.handle_message(self.net.clock(), planner, message)
+                self.cache.handle_message(self.transport.clock(), planner, message)
                 self._deliver()
         finally:
             writer.transport.abort()
--- a/onyxpost/leadership/config.py
+++ b/onyxpost/leadership/config.py
@@ -9,7 +9,7 @@
 
 from onyxpost.config.address import Address, parse_address
 from onyxpost.config.decoding import Settings, decode_as
-from onyxpost.errors import InvalidInputError, at_key
+from onyxpost.errors import InvalidInputError, with_key_path
 from onyxpost.leadership.ballots import Name
 from onyxpost.leadership.errors import LeadershipConfigError
 from onyxpost.leadership.lease_timing import LeaseTiming
@@ -54,7 +54,7 @@
     report_interval_ms: float
 
 
-def read_section(data: Any, nodes: tuple[str, ...]) -> LeadershipConfig:  # noqa: ANN401  decoded JSON
+def decode_leadership_config(data: Any, nodes: tuple[str, ...]) -> LeadershipConfig:  # noqa: ANN401  decoded JSON
     """Validates the section, given as decoded JSON; `nodes` are the members of the cluster.
 
     Raises:
@@ -113,4 +113,4 @@
 
 
 def _error(message: str, key: str) -> LeadershipConfigError:
-    return LeadershipConfigError(at_key(message, f"{SECTION}.{key}"))
+    return LeadershipConfigError(with_key_path(message, f"{SECTION}.{key}"))
--- a/onyxpost/leadership/effect_runner.py
+++ b/onyxpost/leadership/effect_runner.py
@@ -48,13 +48,13 @@
 
     def __init__(
         self,
-        net: Transport,
+        transport: Transport,
         connections: PeerConnections,
         registry: RoleRegistry,
         acceptor_log: AcceptorLog | None,
         service_log: ServiceLog,
     ) -> None:
-        self.net = net
+        self.transport = transport
         self.connections = connections
         self.registry = registry
         self.acceptor_log = acceptor_log
@@ -90,7 +90,7 @@
         """Logs a change and passes it to the role's listener."""
         match change:
             case LeaseAcquired():
-                self.leaderships[change.role] = Leadership(change.fencing_token, self.net.clock())
+                self.leaderships[change.role] = Leadership(change.fencing_token, self.transport.clock())
                 self.log.log_lease_acquired(change)
             case LeaseLost():
                 self._log_loss(change)
@@ -107,7 +107,7 @@
             self.log.write(fault_event(f"role {change.role}", error))
 
     def _log_loss(self, change: LeaseLost) -> None:
-        now_ms = self.net.clock()
+        now_ms = self.transport.clock()
         leadership = self.leaderships.pop(change.role, None)
         held_ms = now_ms - leadership.acquired_at_ms if leadership is not None else 0.0
         ended_ago_ms = max(0.0, now_ms - change.ended_at_ms)  # an expiry is detected at the next tick
@@ -124,9 +124,9 @@
         try:
             self.acceptor_log.append(state)
         except AcceptorLogError as error:
-            self.log.write(LogEvent(ACCEPTOR_LOG_FAILED, error.fields(), logging.ERROR))
+            self.log.write(LogEvent(ACCEPTOR_LOG_FAILED, error.log_fields(), logging.ERROR))
             self.registry.stop_acceptors()
-            resignations = self.registry.resign_all(self.net.clock())
+            resignations = self.registry.resign_all(self.transport.clock())
             self.apply([effect for effect in resignations if not isinstance(effect, PersistState)])
             return False
         return True
--- a/onyxpost/leadership/fenced_call.py
+++ b/onyxpost/leadership/fenced_call.py
@@ -41,7 +41,7 @@
     timeout_ms: float
 
 
-async def execute(net: Transport, call: FencedCall, is_leading: Callable[[], bool]) -> None:
+async def execute(transport: Transport, call: FencedCall, is_leading: Callable[[], bool]) -> None:
     """Makes the call, and returns when the resource has confirmed that it was executed.
 
     `is_leading` is checked again immediately before the request is written, as the lease may end while the
@@ -57,7 +57,7 @@
     data = encode_message(http, _request(call), call.body)
     try:
         async with asyncio.timeout(call.timeout_ms / MS_PER_SECOND):
-            reader, writer, *_ = await net.dial(call.address, READ_CHUNK_BYTES)
+            reader, writer, *_ = await transport.dial(call.address, READ_CHUNK_BYTES)
             try:
                 limit_read_size(writer, READ_CHUNK_BYTES)
                 if not is_leading():
--- a/onyxpost/leadership/service.py
+++ b/onyxpost/leadership/service.py
@@ -58,25 +58,25 @@
 
     def __init__(
         self,
-        net: Transport,
+        transport: Transport,
         name: str,
         config: LeadershipConfig,
         connections: PeerConnections,
         write_log: Callable[[LogEvent], None],
     ) -> None:
-        self.net = net
+        self.transport = transport
         self.name = name
         self.config = config
         self.connections = connections
-        self.log = ServiceLog(net, write_log)
+        self.log = ServiceLog(transport, write_log)
         self.acceptor_log = AcceptorLog(config.log_path) if config.log_path is not None else None
-        now_ms = net.clock()
+        now_ms = transport.clock()
         identity = NodeIdentity(name, incarnation=int(now_ms))
         saved_states = self.acceptor_log.states if self.acceptor_log is not None else {}
         self.registry = RoleRegistry(now_ms, identity, config, saved_states)
         self.started_at_ms = now_ms
         self.statistics_at_ms = now_ms
-        self.effects = EffectRunner(net, connections, self.registry, self.acceptor_log, self.log)
+        self.effects = EffectRunner(transport, connections, self.registry, self.acceptor_log, self.log)
         self.reports: Counter[str] = Counter()
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -108,7 +108,7 @@
         Without a token this node must not act as the leader.
         """
         participant = self.registry.participants.get(role)
-        return None if participant is None else participant.fencing_token(self.net.clock())
+        return None if participant is None else participant.fencing_token(self.transport.clock())
 
     def write(self, role: str, body: bytes) -> None:
         """Requests acceptance of a new record of the role; `RecordCommitted` reports success.
@@ -117,7 +117,7 @@
             NotLeaderError: this node does not lead the role, or no role has this name.
             RecordTooLongError: the body exceeds `RECORD_LIMIT_BYTES`.
         """
-        self.effects.apply(self.registry.write(self.net.clock(), role, body))
+        self.effects.apply(self.registry.write(self.transport.clock(), role, body))
 
     async def call(self, address: Address, role: str, body: bytes, timeout_ms: float) -> None:
         """Makes a fenced call as the role's leader; resigns if the resource has received a higher token.
@@ -132,11 +132,11 @@
             raise NotLeaderError("this node does not lead the role", role)
         call = FencedCall(address, role, token, self.name, body, timeout_ms)
         try:
-            await fenced_call.execute(self.net, call, lambda: self.fencing_token(role) == token)
+            await fenced_call.execute(self.transport, call, lambda: self.fencing_token(role) == token)
         except HigherFencingTokenError as error:
             self.log.log_fencing_token_rejected(role, token, error.message)
             if self.fencing_token(role) == token:
-                now_ms = self.net.clock()
+                now_ms = self.transport.clock()
                 self.effects.apply(self.registry.on_higher_fencing_token(now_ms, role, error.fencing_token))
             raise
         self.log.count_call()
@@ -147,9 +147,9 @@
         """Handles a message of another member; logs and drops a malformed one."""
         self.log.count_received()
         try:
-            self.effects.apply(self.registry.handle_encoded(self.net.clock(), sender, data), sender)
+            self.effects.apply(self.registry.handle_encoded(self.transport.clock(), sender, data), sender)
         except MalformedMessageError as error:
-            self.log.log_rate_limited(f"malformed/{sender}", MESSAGE_MALFORMED, error.fields())
+            self.log.log_rate_limited(f"malformed/{sender}", MESSAGE_MALFORMED, error.log_fields())
 
     def validate_reload(self, config: LeadershipConfig) -> None:
         """Checks whether the acceptor set of `config` may replace the one in force; changes nothing.
@@ -166,9 +166,9 @@
         """
         before = self.registry.acceptor_set
         try:
-            self.registry.change_acceptors(self.net.clock(), config)
+            self.registry.change_acceptors(self.transport.clock(), config)
         except LeadershipError as error:
-            self.log.write(LogEvent("reload refused", dict(error.fields()), logging.WARNING))
+            self.log.write(LogEvent("reload refused", dict(error.log_fields()), logging.WARNING))
         after = self.registry.acceptor_set
         if before != after:
             fields = {"version": after.version, "acceptors": after.names}
@@ -177,14 +177,14 @@
 
     def resign_all(self) -> None:
         """Resigns from all roles; this node's acceptors vote until its connections are closed."""
-        self.effects.apply(self.registry.resign_all(self.net.clock()))
+        self.effects.apply(self.registry.resign_all(self.transport.clock()))
 
     # Timer
 
     async def _run(self) -> None:
         reported_at_ms = 0.0
         while True:
-            now_ms = self.net.clock()
+            now_ms = self.transport.clock()
             self.effects.apply(self.registry.tick(now_ms, self._unreachable_nodes(now_ms)))
             resource = self.config.fenced_resource
             if resource is not None and now_ms - reported_at_ms >= self.config.report_interval_ms:
@@ -229,7 +229,7 @@
         except (NotLeaderError, HigherFencingTokenError):
             return
         except FencedCallError as error:
-            self.log.log_rate_limited(f"call/{role}", CALL_FAILED, error.fields())
+            self.log.log_rate_limited(f"call/{role}", CALL_FAILED, error.log_fields())
 
     def _log_statistics(self, now_ms: float) -> None:
         leads = {
--- a/onyxpost/leadership/service_log.py
+++ b/onyxpost/leadership/service_log.py
@@ -50,8 +50,8 @@
 class ServiceLog:
     """Writes log lines with `write`; limits the rate of lines that messages of other nodes can cause."""
 
-    def __init__(self, net: Transport, write: Callable[[LogEvent], None]) -> None:
-        self.net = net
+    def __init__(self, transport: Transport, write: Callable[[LogEvent], None]) -> None:
+        self.transport = transport
         self.write = write
         self.counters = Counters()
         self._written_at_ms: dict[str, float] = {}
@@ -112,7 +112,7 @@
 
     def log_rate_limited(self, kind: str, event: str, fields: Mapping[str, object]) -> None:
         """Writes a warning, unless the last one of its kind is newer than `RATE_LIMIT_INTERVAL_MS`."""
-        now_ms = self.net.clock()
+        now_ms = self.transport.clock()
         if now_ms - self._written_at_ms.get(kind, -RATE_LIMIT_INTERVAL_MS) < RATE_LIMIT_INTERVAL_MS:
             return
         if len(self._written_at_ms) > MAX_RATE_LIMITED_KINDS:
@@ -131,7 +131,7 @@
         fields = {
             "role": role,
             "fencing_token": fencing_token,
-            "monotonic_ms": round(self.net.monotonic(), 1),
+            "monotonic_ms": round(self.transport.monotonic(), 1),
             **extra_fields,
         }
         self.write(LogEvent(event, fields))
--- a/onyxpost/node/cluster_extension.py
+++ b/onyxpost/node/cluster_extension.py
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        net: Transport,
+        transport: Transport,
         name: str,
         config: ClusterConfig,
         log: Callable[[LogEvent], None],
@@ -37,9 +37,9 @@
 
         self.config = config
         self.handlers: dict[str, MessageHandler] = {}  # by topic
-        incarnation = Incarnation.starting_at(net.clock())
+        incarnation = Incarnation.starting_at(transport.clock())
         self.connections: PeerConnections = PeerConnections(
-            net, name, incarnation, config.membership, self._on_message, log
+            transport, name, incarnation, config.membership, self._on_message, log
         )
         self.leadership: LeadershipService | None = None
 
--- a/onyxpost/node/components.py
+++ b/onyxpost/node/components.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
-from onyxpost.edge.clients import Clients, build_clients
+from onyxpost.edge.client_components import Clients, build_clients
 from onyxpost.edge.descriptor_budget import DescriptorBudget
 from onyxpost.edge.discovery_client import DiscoveryClient, DiscoveryOptions
 from onyxpost.edge.event_processor import EventProcessor
@@ -21,10 +21,10 @@
     WatchEndpoints,
     WithdrawAttempt,
 )
-from onyxpost.edge.peers import PeerSocket
+from onyxpost.edge.peer_socket import PeerSocket
 from onyxpost.edge.state_machine import EdgeStateMachine
 from onyxpost.edge.upstream_pool import UpstreamPool, UpstreamPoolOptions
-from onyxpost.node.extensions import build_extensions
+from onyxpost.node.extension_factory import build_extensions
 from onyxpost.runtime.log_event import LogEvent
 
 if TYPE_CHECKING:
@@ -62,25 +62,25 @@
     """The components of one node."""
 
     state_machine: EdgeStateMachine
-    events: EventProcessor
+    event_processor: EventProcessor
     descriptors: DescriptorBudget
     clients: Clients
-    servers: UpstreamPool
+    upstream_pool: UpstreamPool
     discovery: DiscoveryClient
     peers: PeerSocket
     extensions: list[Extension]
 
 
-def build_components(config: NodeConfig, net: Transport, node: NodeCallbacks) -> Components:
+def build_components(config: NodeConfig, transport: Transport, node: NodeCallbacks) -> Components:
     """Builds all components of a node without opening a socket."""
     deployment = config.deployment
-    state_machine = EdgeStateMachine(deployment, deployment.build_gateway(net.clock(), config.seed))
-    events = EventProcessor(state_machine, net.clock, node.report_fault)
+    state_machine = EdgeStateMachine(deployment, deployment.build_gateway(transport.clock(), config.seed))
+    event_processor = EventProcessor(state_machine, transport.clock, node.report_fault)
     extensions: list[Extension] = []
     clients = build_clients(
         deployment,
-        net,
-        events.post,
+        transport,
+        event_processor.post,
         node.is_ready,
         lambda: descriptors.has_client_capacity(),  # `descriptors` is defined below, since it needs `clients`
         node.report_fault,
@@ -88,53 +88,53 @@
     options = UpstreamPoolOptions(
         connect_timeout_ms=deployment.connect_timeout_ms,
         keep_alive_ms=deployment.keep_alive_ms,
-        has_capacity=lambda: descriptors.has_server_capacity(),
-        accepts_requests=state_machine.endpoints.accepts_attempts,
-        may_start=node.may_start_attempt,
+        has_capacity=lambda: descriptors.has_upstream_capacity(),
+        accepts_attempts=state_machine.endpoints.accepts_attempts,
+        may_start_attempt=node.may_start_attempt,
         report_fault=node.report_fault,
     )
-    servers = UpstreamPool(net, events.post, options)
+    upstream_pool = UpstreamPool(transport, event_processor.post, options)
     descriptors = DescriptorBudget(
         node.descriptor_limit,
         clients,
-        servers,
+        upstream_pool,
         lambda: sum(extension.descriptor_count() for extension in extensions),
     )
-    discovery = _build_discovery(config, net, events, node)
-    extensions += build_extensions(config, net, events.post, node.log)
-    peers = PeerSocket(net, config.peers, deployment.node_index, events.post)
+    discovery = _build_discovery(config, transport, event_processor, node)
+    extensions += build_extensions(config, transport, event_processor.post, node.log)
+    peers = PeerSocket(transport, config.peers, deployment.node_index, event_processor.post)
     components = Components(
-        state_machine, events, descriptors, clients, servers, discovery, peers, extensions
+        state_machine, event_processor, descriptors, clients, upstream_pool, discovery, peers, extensions
     )
     _register_effect_handlers(components, node)
     return components
 
 
 def _build_discovery(
-    config: NodeConfig, net: Transport, events: EventProcessor, node: NodeCallbacks
+    config: NodeConfig, transport: Transport, event_processor: EventProcessor, node: NodeCallbacks
 ) -> DiscoveryClient:
     options = DiscoveryOptions(
         address=config.discovery,
-        alternative_address=config.alternate_discovery,
+        alternative_address=config.alternative_discovery,
         generation=config.known_endpoints.generation,
         seed=config.seed,
-        shared=config.deployment.polls_endpoints,
+        is_shared_service=config.deployment.polls_endpoints,
     )
-    return DiscoveryClient(net, options, events.post, node.log)
+    return DiscoveryClient(transport, options, event_processor.post, node.log)
 
 
 def _register_effect_handlers(components: Components, node: NodeCallbacks) -> None:
     """Registers for each type of effect the component that carries it out."""
     clients = components.clients
-    servers = components.servers
+    upstream_pool = components.upstream_pool
     discovery = components.discovery
-    handlers = components.events.effect_handlers
+    handlers = components.event_processor.effect_handlers
     handlers.update(
         {
-            SendAttempt: servers.send,
-            CloseAttempt: lambda effect: servers.cancel(effect.attempt_id),
-            WithdrawAttempt: lambda effect: servers.withdraw(effect.attempt_id),
-            RetireEndpoint: lambda effect: servers.retire_endpoint(effect.endpoint),
+            SendAttempt: upstream_pool.start_attempt,
+            CloseAttempt: lambda effect: upstream_pool.cancel(effect.attempt_id),
+            WithdrawAttempt: lambda effect: upstream_pool.withdraw(effect.attempt_id),
+            RetireEndpoint: lambda effect: upstream_pool.retire_endpoint(effect.endpoint),
             SendAnswer: clients.send_answer,
             SendPeerMessage: components.peers.send,
             ReportUnitsSpent: _ignore_effect,
--- a/onyxpost/node/config.py
+++ b/onyxpost/node/config.py
@@ -15,7 +15,7 @@
     InvalidInputError,
     InvalidValueError,
     NoConfigFileError,
-    at_key,
+    with_key_path,
 )
 from onyxpost.node.config_file import NodeFile
 from onyxpost.node.node_config import NodeConfig, PlannerClientConfig
@@ -34,7 +34,7 @@
 MAX_QUOTED_CHARS = 80  # an error quotes at most this many characters of an invalid value
 
 
-def read(environ: Mapping[str, str], *, is_reload: bool = False) -> NodeConfig:
+def read_config(environ: Mapping[str, str], *, is_reload: bool = False) -> NodeConfig:
     """Reads the file that `EDGE_CONFIG` names; other environment variables override some of its keys.
 
     Args:
@@ -56,10 +56,10 @@
         # Discovery may have moved while this node was down. Only one of the two addresses answers then, so
         # both are kept.
         fields["discovery_too"] = discovery_in_file
-    return decode(fields, path, is_reload=is_reload)
+    return decode_config(fields, path, is_reload=is_reload)
 
 
-def decode(fields: JsonObject, source: str = "node", *, is_reload: bool = False) -> NodeConfig:
+def decode_config(fields: JsonObject, source: str = "node", *, is_reload: bool = False) -> NodeConfig:
     """Decodes the fields of a node's file, and reads the rules file that it names.
 
     Args:
@@ -111,11 +111,11 @@
         leadership=_build_leadership(file, cluster),
         listen=parse_address_at("listen", file.listen),
         discovery=parse_address_at("discovery", file.discovery),
-        alternate_discovery=_parse_optional_address("discovery", file.discovery_too),
+        alternative_discovery=_parse_optional_address("discovery", file.discovery_too),
         max_descriptors=file.limits.sockets,
         peer_listen=_parse_optional_address("peer_listen", file.peer_listen),
         peers=[parse_address_at(f"peers[{index}]", peer) for index, peer in enumerate(file.peers)],
-        known_endpoints=build_endpoint_update(file.known, "$.known")._replace(complete=True),
+        known_endpoints=build_endpoint_update(file.known, "$.known")._replace(is_complete=True),
         log_level=file.log_level,
         zone=file.zone,
     )
@@ -126,7 +126,7 @@
         return int(text, 16)
     except ValueError:
         raise InvalidValueError(
-            at_key(f"expected a hexadecimal number, got {text[:MAX_QUOTED_CHARS]!r}", "seed")
+            with_key_path(f"expected a hexadecimal number, got {text[:MAX_QUOTED_CHARS]!r}", "seed")
         ) from None
 
 
@@ -145,7 +145,9 @@
     cluster = build_cluster_config(file.cluster, file.name)
     if file.cluster.listen in (file.listen, file.peer_listen):
         raise ConflictingValuesError(
-            at_key(f"{file.cluster.listen} is also the address in listen or peer_listen", "fleet.listen")
+            with_key_path(
+                f"{file.cluster.listen} is also the address in listen or peer_listen", "fleet.listen"
+            )
         )
     return cluster
 
@@ -154,10 +156,13 @@
     if file.leadership is None:
         return None
     if cluster is None:
-        raise ConflictingValuesError(at_key("the section duties requires the missing section fleet", "fleet"))
-    from onyxpost.leadership.config import read_section  # only nodes that take part in elections need it
+        raise ConflictingValuesError(
+            with_key_path("the section duties requires the missing section fleet", "fleet")
+        )
+    # Imported here because only nodes that take part in elections need it.
+    from onyxpost.leadership.config import decode_leadership_config
 
-    return read_section(file.leadership, tuple(sorted(cluster.membership.members)))
+    return decode_leadership_config(file.leadership, tuple(sorted(cluster.membership.members)))
 
 
 def _parse_optional_address(key: str, text: str | None) -> Address | None:
--- a/onyxpost/node/config_file.py
+++ b/onyxpost/node/config_file.py
@@ -23,8 +23,8 @@
 class NodeFile(Settings):
     """The keys of a node's config file. Unknown keys are ignored.
 
-    `seed` is a hexadecimal number. `discovery_too` is set by `config.read`, not by operators. `duties` is
-    decoded by `onyxpost.leadership.config`.
+    `seed` is a hexadecimal number. `discovery_too` is set by `config.read_config`, not by operators. `duties`
+    is decoded by `onyxpost.leadership.config`.
     """
 
     name: str
--- a/onyxpost/node/edge_node.py
+++ b/onyxpost/node/edge_node.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from onyxpost.core.events import RoutingRulesChanged
-from onyxpost.edge.descriptor_budget import ExhaustionLogLimit
+from onyxpost.edge.descriptor_budget import ExhaustionLogLimiter
 from onyxpost.edge.messages import ClientDisconnected, SendAttempt
 from onyxpost.errors import InvalidInputError
 from onyxpost.node.components import build_components
@@ -54,7 +54,7 @@
         config: NodeConfig,
         event_log: StructuredLog,
         read_config: Callable[[], NodeConfig],
-        net: Transport | None = None,
+        transport: Transport | None = None,
     ) -> None:
         """Builds the node.
 
@@ -62,23 +62,23 @@
             config: the configuration to start with.
             event_log: the node's log.
             read_config: reads the configuration again for a reload. Raises InvalidInputError.
-            net: the transport; the operating system's sockets by default.
+            transport: the operating system's sockets by default.
         """
         self.config = config
         self.event_log = event_log
         self.read_config = read_config
         self.routing_rules = config.routing_rules
-        self.net: Transport = net or SocketTransport()
-        self.clock = self.net.clock
-        self.system_descriptor_limit = self.net.descriptor_limit()
+        self.transport: Transport = transport or SocketTransport()
+        self.clock = self.transport.clock
+        self.system_descriptor_limit = self.transport.descriptor_limit()
         self.phase = Phase.STARTING
-        self._exhaustion_log_limit = ExhaustionLogLimit()
-        components = build_components(config, self.net, self)
+        self._exhaustion_log_limiter = ExhaustionLogLimiter()
+        components = build_components(config, self.transport, self)
         self.state_machine = components.state_machine
-        self.events = components.events
+        self.event_processor = components.event_processor
         self.descriptors = components.descriptors
         self.clients = components.clients
-        self.servers = components.servers
+        self.upstream_pool = components.upstream_pool
         self.discovery = components.discovery
         self.peers = components.peers
         self.extensions = components.extensions
@@ -97,7 +97,7 @@
             await self._start_serving()
             await stop.wait()
             await self._drain()
-        self.net.ignore_signals()
+        self.transport.ignore_signals()
         self.close()
         self._enter_phase(Phase.STOPPED)
         return 0
@@ -109,14 +109,14 @@
         contain, and waits a short time for endpoints from discovery.
         """
         asyncio.get_running_loop().set_exception_handler(self._handle_loop_error)
-        self.net.install_signal_handlers(stop.set, self.reload)
+        self.transport.install_signal_handlers(stop.set, self.reload)
         if self.config.peer_listen is not None:
             await self.peers.listen(self.config.peer_listen)
-        self.events.inbox.append(self.config.known_endpoints)
+        self.event_processor.queued_events.append(self.config.known_endpoints)
         if self.routing_rules is not None:
-            self.events.inbox.append(RoutingRulesChanged(self.routing_rules))
+            self.event_processor.queued_events.append(RoutingRulesChanged(self.routing_rules))
             self.log(LogEvent("routing rules applied", self.routing_rules.log_fields()))
-        self.events.run_round()
+        self.event_processor.run_round()
         if not self.config.deployment.polls_endpoints:
             self.discovery.start()
         # The endpoints in the file may be outdated, and a node that serves has to use those of discovery.
@@ -127,8 +127,8 @@
         for extension in self.extensions:
             await extension.start()
         await self.clients.listener.listen(self.config.listen)
-        self.sweep()
-        self.net.freeze_startup_objects()
+        self.close_expired_connections()
+        self.transport.freeze_startup_objects()
         self._enter_phase(Phase.SERVING)
 
     async def _drain(self) -> None:
@@ -151,7 +151,7 @@
     def close(self) -> None:
         """Closes all sockets at once."""
         self.clients.listener.close()
-        self.servers.close()
+        self.upstream_pool.close()
         self.peers.close()
         self.discovery.close()
         for extension in self.extensions:
@@ -178,7 +178,7 @@
             for extension in self.extensions:
                 extension.validate_reload(new)
         except InvalidInputError as error:
-            self.log(LogEvent("reload refused", dict(error.fields()), logging.WARNING))
+            self.log(LogEvent("reload refused", dict(error.log_fields()), logging.WARNING))
             return
         change = compare_configs(self.config, new, has_routing_rules=self.routing_rules is not None)
         self._reload_routing_rules(new)
@@ -198,7 +198,7 @@
         rules = reload_rules(new, self.config, self.routing_rules, self.log)
         if rules is not None:
             self.routing_rules = rules
-            self.events.post(RoutingRulesChanged(rules))
+            self.event_processor.post(RoutingRulesChanged(rules))
 
     # Callbacks of the components
 
@@ -210,7 +210,7 @@
         attempt would reach the app server after its request was answered.
         """
         if not self.clients.connections.is_waiting(effect.request.connection_id):
-            self.events.post(ClientDisconnected(effect.request.connection_id))
+            self.event_processor.post(ClientDisconnected(effect.request.connection_id))
             return False
         is_in_time = remaining_ms > self.config.deployment.tick_ms and self.clock() < effect.begin_before
         return is_in_time and self.state_machine.endpoints.accepts_attempts(effect.endpoint)
@@ -219,11 +219,11 @@
         """Returns the lower of the limits on file descriptors that the node's file and the system set."""
         return min(self.config.max_descriptors, self.system_descriptor_limit)
 
-    def sweep(self) -> None:
+    def close_expired_connections(self) -> None:
         """Closes connections that exceed a timeout, and schedules the next such check."""
-        self.servers.close_expired()
+        self.upstream_pool.close_expired()
         self.clients.closer.close_expired()
-        asyncio.get_running_loop().call_later(SWEEP_INTERVAL_SECONDS, self.sweep)
+        asyncio.get_running_loop().call_later(SWEEP_INTERVAL_SECONDS, self.close_expired_connections)
 
     # Log
 
@@ -237,5 +237,5 @@
 
     def _handle_loop_error(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
-        if not self._exhaustion_log_limit.is_logged_already(self.clock(), error):
+        if not self._exhaustion_log_limiter.should_suppress(self.clock(), error):
             self.report_fault(str(context.get("message")), error)
--- a/onyxpost/node/extensions.py
+++ b/onyxpost/node/extension_factory.py
@@ -19,22 +19,24 @@
 
 def build_extensions(
     config: NodeConfig,
-    net: Transport,
+    transport: Transport,
     post: Callable[[EdgeEvent], None],
     log: Callable[[LogEvent], None],
 ) -> list[Extension]:
     """Builds the extensions that `config` contains, in the order in which they start."""
     extensions: list[Extension] = []
     if config.planners is not None:
-        extensions.append(_build_planner_extension(config.name, config.planners, net, post, log))
+        extensions.append(_build_planner_extension(config.name, config.planners, transport, post, log))
     if config.cluster is not None:
         from onyxpost.node.cluster_extension import ClusterExtension
 
-        cluster = ClusterExtension(net, config.name, config.cluster, log)
+        cluster = ClusterExtension(transport, config.name, config.cluster, log)
         if config.leadership is not None:
             from onyxpost.leadership.service import LeadershipService
 
-            leadership = LeadershipService(net, config.name, config.leadership, cluster.connections, log)
+            leadership = LeadershipService(
+                transport, config.name, config.leadership, cluster.connections, log
+            )
             cluster.add_leadership(leadership)
         extensions.append(cluster)
     return extensions
@@ -43,11 +45,13 @@
 def _build_planner_extension(
     name: str,
     config: PlannerClientConfig,
-    net: Transport,
+    transport: Transport,
     post: Callable[[EdgeEvent], None],
     log: Callable[[LogEvent], None],
 ) -> Extension:
     from onyxpost.forwarder.planner_client import PlannerClient
     from onyxpost.node.planner_extension import PlannerExtension
 
-    return PlannerExtension(PlannerClient(net, name, config.members, config.membership_version, post, log))
+    return PlannerExtension(
+        PlannerClient(transport, name, config.members, config.membership_version, post, log)
+    )
--- a/onyxpost/node/node_config.py
+++ b/onyxpost/node/node_config.py
@@ -36,7 +36,7 @@
     name: str
     listen: Address
     discovery: Address
-    alternate_discovery: Address | None  # the address in the file, if EDGE_DISCOVERY overrides it
+    alternative_discovery: Address | None  # the address in the file, if EDGE_DISCOVERY overrides it
     seed: int
     max_descriptors: int
     peer_listen: Address | None
--- a/onyxpost/node/planner_extension.py
+++ b/onyxpost/node/planner_extension.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from onyxpost.edge.messages import ReportUnitsSpent, ReturnLease
-from onyxpost.errors import StaleVersionError, at_key
+from onyxpost.errors import StaleVersionError, with_key_path
 from onyxpost.node.extension import Extension
 
 if TYPE_CHECKING:
@@ -53,7 +53,7 @@
         new_version = new.planners.membership_version
         if new_version < current_version:
             raise StaleVersionError(
-                at_key(
+                with_key_path(
                     f"version {new_version} is older than version {current_version}, which is in force",
                     "planners.version",
                 )
--- a/onyxpost/node/rules_reload.py
+++ b/onyxpost/node/rules_reload.py
@@ -37,7 +37,7 @@
     try:
         rules = read_newer_rules(str(new.routing_rules_path), context, in_force)
     except InvalidInputError as error:
-        fields = {"kind": type(error).__name__, "version in force": current_version, **error.fields()}
+        fields = {"kind": type(error).__name__, "version in force": current_version, **error.log_fields()}
         log(LogEvent("routing rules rejected", fields, logging.WARNING))
         return None
     if rules is not None:
--- a/onyxpost/node/serve.py
+++ b/onyxpost/node/serve.py
@@ -19,9 +19,9 @@
 
 def serve() -> int:
     """Runs the node whose file `EDGE_CONFIG` names until a signal stops it; returns the exit code."""
-    return process.run_process(partial(config.read, os.environ), _run_node)
+    return process.run_process(partial(config.read_config, os.environ), _run_node)
 
 
 def _run_node(node_config: NodeConfig, event_log: StructuredLog) -> Coroutine[Any, Any, int]:
-    reread_config = partial(config.read, os.environ, is_reload=True)
+    reread_config = partial(config.read_config, os.environ, is_reload=True)
     return EdgeNode(node_config, event_log, reread_config).run()
--- a/onyxpost/planner/config.py
+++ b/onyxpost/planner/config.py
@@ -12,7 +12,7 @@
 from onyxpost.config.deployment import build_plans
 from onyxpost.config.planners import PlannerSettings
 from onyxpost.config.settings import PlanSettings
-from onyxpost.errors import ConflictingValuesError, at_key
+from onyxpost.errors import ConflictingValuesError, with_key_path
 from onyxpost.planner.lease_terms import LeaseTerms
 
 if TYPE_CHECKING:
@@ -77,11 +77,12 @@
         parse_address_at(f"planners.members.{name}", text, source)
     if file.name not in file.planners.members:
         raise ConflictingValuesError(
-            at_key(f"this planner's name, {file.name}, is not among the members", "planners.members"), source
+            with_key_path(f"this planner's name, {file.name}, is not among the members", "planners.members"),
+            source,
         )
     if len(set(file.forwarders)) < len(file.forwarders):
         raise ConflictingValuesError(
-            at_key("expected distinct names, got a forwarder more than once", "forwarders"), source
+            with_key_path("expected distinct names, got a forwarder more than once", "forwarders"), source
         )
     return PlannerConfig(
         name=file.name,
--- a/onyxpost/planner/planner.py
+++ b/onyxpost/planner/planner.py
@@ -42,14 +42,14 @@
         config: PlannerConfig,
         structured_log: StructuredLog,
         reload_config: Callable[[], PlannerConfig],
-        net: Transport | None = None,
+        transport: Transport | None = None,
         epoch: str | None = None,
     ) -> None:
         self.structured_log = structured_log
         self.reload_config = reload_config
-        self.net: Transport = net or SocketTransport()
+        self.transport: Transport = transport or SocketTransport()
         self.coordinator = LeaseCoordinator(
-            config, epoch or secrets.token_hex(8), self.net.clock(), self._log
+            config, epoch or secrets.token_hex(8), self.transport.clock(), self._log
         )
         self.writers: dict[str, asyncio.StreamWriter] = {}  # by forwarder
         self.unidentified = UnidentifiedConnections()
@@ -61,18 +61,18 @@
         return self.coordinator.config
 
     def _log(self, event: str, /, **fields: object) -> None:
-        self.structured_log.write(self.net.clock(), event, fields)
+        self.structured_log.write(self.transport.clock(), event, fields)
 
     def _log_warning(self, event: str, /, **fields: object) -> None:
-        self.structured_log.write(self.net.clock(), event, fields, logging.WARNING)
+        self.structured_log.write(self.transport.clock(), event, fields, logging.WARNING)
 
     # Process
 
     async def run(self) -> int:
         """Serves until SIGTERM; returns the exit code."""
         stop_requested = asyncio.Event()
-        self.net.install_signal_handlers(stop_requested.set, self.reload)
-        self.listener = await self.net.listen(
+        self.transport.install_signal_handlers(stop_requested.set, self.reload)
+        self.listener = await self.transport.listen(
             self._handle_connection, self.config.listen, READ_BUFFER_BYTES, MAX_ACCEPTS_PER_TURN
         )
         self._log(
@@ -82,7 +82,7 @@
         await stop_requested.wait()
         self._log("phase", phase="stopped", **self.coordinator.statistics())
         tick_task.cancel()
-        self.net.ignore_signals()
+        self.transport.ignore_signals()
         self.close()
         return 0
 
@@ -98,9 +98,9 @@
         """Reads the file again and applies it; an error is logged, and the current configuration stays."""
         try:
             config = self.reload_config()
-            revocations = self.coordinator.update_config(self.net.clock(), config)
+            revocations = self.coordinator.update_config(self.transport.clock(), config)
         except InvalidInputError as error:
-            self._log_warning("reload refused", **error.fields())
+            self._log_warning("reload refused", **error.log_fields())
             return
         for forwarder in self.writers.keys() - set(config.forwarders):
             self.writers.pop(forwarder).transport.abort()
@@ -113,10 +113,10 @@
         )
 
     async def _run_ticks(self) -> None:
-        logged_at_ms = self.net.clock()
+        logged_at_ms = self.transport.clock()
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            now_ms = self.net.clock()
+            now_ms = self.transport.clock()
             self.coordinator.tick(now_ms)
             if now_ms - logged_at_ms >= STATISTICS_INTERVAL_MS:
                 logged_at_ms = now_ms
@@ -137,7 +137,7 @@
             self._register(hello, writer)
             await self._receive_messages(forwarder, reader, writer)
         except MalformedFrameError as error:
-            self._log_warning("forwarder connection closed", forwarder=forwarder, **error.fields())
+            self._log_warning("forwarder connection closed", forwarder=forwarder, **error.log_fields())
         except (OSError, EOFError, asyncio.CancelledError):
             pass  # the forwarder disconnected, or this planner stops; neither is a fault
         finally:
@@ -159,7 +159,7 @@
         if previous is not None:
             previous.transport.abort()
         self.writers[hello.forwarder] = writer
-        welcome = self.coordinator.handle_hello(self.net.clock(), hello)
+        welcome = self.coordinator.handle_hello(self.transport.clock(), hello)
         writer.write(protocol.encode_frame(welcome))
 
     async def _receive_messages(
@@ -172,7 +172,7 @@
             # ones. Usage reports and returns on it count, because forwarders send each of them only once.
             is_current = self.writers.get(forwarder) is writer
             if is_current or isinstance(message, protocol.UsageReport | protocol.LeaseReturn):
-                self._send_all(self.coordinator.handle_message(self.net.clock(), forwarder, message))
+                self._send_all(self.coordinator.handle_message(self.transport.clock(), forwarder, message))
 
     def _remove_connection(self, forwarder: str, writer: asyncio.StreamWriter) -> None:
         self.unidentified.discard(writer)
@@ -194,5 +194,5 @@
         writer.write(protocol.encode_frame(message))
         if not has_buffer_space(writer, 0):
             error = SlowReaderError("forwarder does not read its messages; the send buffer is full")
-            self._log_warning("forwarder connection closed", forwarder=forwarder, **error.fields())
+            self._log_warning("forwarder connection closed", forwarder=forwarder, **error.log_fields())
             writer.transport.abort()
--- a/onyxpost/rollout/routing_rules/file.py
+++ b/onyxpost/rollout/routing_rules/file.py
@@ -6,7 +6,7 @@
 import os
 from typing import TYPE_CHECKING
 
-from onyxpost.errors import FileOpenError, InvalidInputError, at_key
+from onyxpost.errors import FileOpenError, InvalidInputError, with_key_path
 from onyxpost.rollout.routing_rules import schema
 from onyxpost.rollout.routing_rules.compiled import CompiledRules
 from onyxpost.rollout.routing_rules.errors import ConflictingRulesError, StaleRulesError
@@ -57,10 +57,10 @@
         return True
     if new.version < in_force.version:
         message = f"version {new.version} is earlier than {in_force.version}"
-        raise StaleRulesError(at_key(message, "version"), source)
+        raise StaleRulesError(with_key_path(message, "version"), source)
     if new.digest != in_force.digest:
         message = f"version {in_force.version} is in force with another text"
-        raise ConflictingRulesError(at_key(message, "version"), source)
+        raise ConflictingRulesError(with_key_path(message, "version"), source)
     return False
 
 
--- a/onyxpost/rollout/routing_rules/reachability.py
+++ b/onyxpost/rollout/routing_rules/reachability.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from onyxpost.errors import at_key
+from onyxpost.errors import with_key_path
 from onyxpost.rollout.routing_rules.errors import UnreachableRuleError
 
 if TYPE_CHECKING:
@@ -61,7 +61,7 @@
                 covering_rules.add(covering_rule)
         if not is_reachable:
             earlier = ", ".join(f"`$.rules[{covering}]`" for covering in sorted(covering_rules))
-            raise UnreachableRuleError(at_key(f"it never matches after {earlier}", f"rules[{index}]"))
+            raise UnreachableRuleError(with_key_path(f"it never matches after {earlier}", f"rules[{index}]"))
 
 
 def traffic_classes(
--- a/onyxpost/rollout/routing_rules/validation.py
+++ b/onyxpost/rollout/routing_rules/validation.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from onyxpost.core.types import DeduplicationScope, Idempotency
-from onyxpost.errors import at_key
+from onyxpost.errors import with_key_path
 from onyxpost.rollout.routing_rules.errors import (
     InvalidRulesError,
     MissingFallbackError,
@@ -48,7 +48,7 @@
         _check_names(rule.plans, context.plans, f"{path}.plans")
         _check_names(rule.node_zones, zones, f"{path}.at")
         if rule.node_zones is not None and context.own_zone is None:
-            raise UnknownNameError(at_key("the node's file does not say its `zone`", f"{path}.at"))
+            raise UnknownNameError(with_key_path("the node's file does not say its `zone`", f"{path}.at"))
         if rule.servers is not None:
             _check_servers(rule, rule.servers, zones, context, f"{path}.servers")
     check_reachable(rules_file.rules, context)
@@ -66,7 +66,7 @@
 def _check_names(names: Iterable[str] | None, known: Container[str], path: str) -> None:
     for name in names or ():
         if name not in known:
-            raise UnknownNameError(at_key(f"{name!r} is not known here", path))
+            raise UnknownNameError(with_key_path(f"{name!r} is not known here", path))
 
 
 def _check_servers(
@@ -83,9 +83,9 @@
 def _check_choice(choice: ServerChoice, zones: Container[str], path: str) -> None:
     criteria = choice.criteria()
     if not criteria:
-        raise InvalidRulesError(at_key("names no servers", path))
+        raise InvalidRulesError(with_key_path("names no servers", path))
     if sum(isinstance(values, dict) for values in criteria.values()) > 1:
-        raise InvalidRulesError(at_key("weights for more than one of zones, cells, names", path))
+        raise InvalidRulesError(with_key_path("weights for more than one of zones, cells, names", path))
     _check_names(choice.zones, zones, f"{path}.zones")
 
 
@@ -99,17 +99,19 @@
         for attribute in choice.criteria():
             if attribute is not SCOPE_ATTRIBUTES[scope]:
                 message = f"{name!r} deduplicates requests by {scope.value}, of which this selects a part"
-                raise SplitsDeduplicationScopeError(at_key(message, f"{path}.{attribute}"))
+                raise SplitsDeduplicationScopeError(with_key_path(message, f"{path}.{attribute}"))
 
 
 def _check_last_fallback(servers: ServerSelection, choices: list[LocatedChoice], path: str) -> None:
     if not servers.fallbacks or servers.fallbacks[-1] != ANY_SERVER:
         below, choice = choices[-1]
         attribute = next(iter(choice.criteria()))
-        raise MissingFallbackError(at_key("all of them may be unavailable", f"{path}{below}.{attribute}"))
+        raise MissingFallbackError(
+            with_key_path("all of them may be unavailable", f"{path}{below}.{attribute}")
+        )
     if ANY_SERVER in servers.fallbacks[:-1]:
         next_index = servers.fallbacks.index(ANY_SERVER) + 1
-        raise UnreachableRuleError(at_key('it comes after "any"', f"{path}.fallbacks[{next_index}]"))
+        raise UnreachableRuleError(with_key_path('it comes after "any"', f"{path}.fallbacks[{next_index}]"))
 
 
 def _check_fallbacks_reachable(choices: list[LocatedChoice], path: str) -> None:
@@ -117,4 +119,4 @@
         for earlier_below, earlier in choices[:index]:
             if is_subset(choice, earlier):
                 message = f"all of its servers are in `{path}{earlier_below}`"
-                raise UnreachableRuleError(at_key(message, f"{path}{below}"))
+                raise UnreachableRuleError(with_key_path(message, f"{path}{below}"))
--- a/onyxpost/runtime/socket_transport.py
+++ b/onyxpost/runtime/socket_transport.py
@@ -14,7 +14,7 @@
 
 from onyxpost.core.units import MS_PER_SECOND
 from onyxpost.errors import ListenError
-from onyxpost.runtime.transport import CountingReader, DialedConnection, FlowControlProtocol, Unread
+from onyxpost.runtime.transport import ByteCountingReader, DialedConnection, FlowControlProtocol, UnreadInput
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -42,7 +42,7 @@
         return time.monotonic() * MS_PER_SECOND
 
     async def listen(
-        self, serve: ConnectionHandler, address: Address, limit: int, accepts: int
+        self, serve: ConnectionHandler, address: Address, buffer_limit_bytes: int, max_accepts_per_turn: int
     ) -> asyncio.Server:
         """Listens at `address`; see `Transport.listen`."""
         try:
@@ -52,16 +52,16 @@
         loop = asyncio.get_running_loop()
 
         def create_protocol() -> asyncio.StreamReaderProtocol:
-            reader = CountingReader(limit=limit, loop=loop)
+            reader = ByteCountingReader(limit=buffer_limit_bytes, loop=loop)
             return asyncio.StreamReaderProtocol(reader, serve, loop=loop)  # type: ignore[arg-type]
 
-        server = await loop.create_server(create_protocol, sock=listener, backlog=accepts)
+        server = await loop.create_server(create_protocol, sock=listener, backlog=max_accepts_per_turn)
         # asyncio uses `backlog` both for the kernel's queue and for the number of connections accepted per
         # turn of the event loop. This call sets the kernel's queue to its own value.
         listener.listen(LISTEN_BACKLOG)
         return server
 
-    async def dial(self, address: Address, limit: int) -> DialedConnection:
+    async def dial(self, address: Address, buffer_limit_bytes: int) -> DialedConnection:
         """Opens a TCP connection.
 
         The socket is created here, not by asyncio, because `has_no_unread_input` peeks at its receive buffer.
@@ -72,7 +72,7 @@
         try:
             sock.setblocking(False)
             await loop.sock_connect(sock, address)
-            reader = CountingReader(limit=limit, loop=loop)
+            reader = ByteCountingReader(limit=buffer_limit_bytes, loop=loop)
             protocol = FlowControlProtocol(reader, loop=loop)
             transport, _ = await loop.create_connection(lambda: protocol, sock=sock)
         except BaseException:
@@ -82,14 +82,14 @@
         return DialedConnection(
             reader,
             writer,
-            lambda: _peek_input(sock) is Unread.NOTHING,
+            lambda: _peek_input(sock) is UnreadInput.NOTHING,
             lambda: not protocol.is_write_paused,
         )
 
-    def unread(self, transport: asyncio.BaseTransport) -> Unread:
+    def unread_input(self, transport: asyncio.BaseTransport) -> UnreadInput:
         """Checks the receive buffer of an accepted connection; returns END if the connection is closing."""
         if transport.is_closing():
-            return Unread.END
+            return UnreadInput.END
         # The socket object that asyncio exposes has no `recv`, so a temporary one shares its descriptor.
         socket_view = transport.get_extra_info("socket")
         sock = socket.socket(
@@ -153,16 +153,16 @@
     return socket.socket(sock.family, sock.type, socket.IPPROTO_TCP, fileno=sock.detach())
 
 
-def _peek_input(sock: socket.socket) -> Unread:
+def _peek_input(sock: socket.socket) -> UnreadInput:
     """Returns what the socket's receive buffer holds, without consuming it."""
     try:
         if not sock.recv(1, socket.MSG_PEEK):
-            return Unread.END
+            return UnreadInput.END
         # While bytes are unread, recv does not show an end of stream that follows them, but poll does.
         poll = select.poll()
         poll.register(sock, select.POLLRDHUP)
-        return Unread.END if poll.poll(0) else Unread.BYTES
+        return UnreadInput.END if poll.poll(0) else UnreadInput.BYTES
     except BlockingIOError:
-        return Unread.NOTHING
+        return UnreadInput.NOTHING
     except OSError:
-        return Unread.END
+        return UnreadInput.END
--- a/onyxpost/runtime/transport.py
+++ b/onyxpost/runtime/transport.py
@@ -20,7 +20,7 @@
 LOCAL_RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
-class CountingReader(asyncio.StreamReader):
+class ByteCountingReader(asyncio.StreamReader):
     """A stream reader that counts all bytes received.
 
     Input is unread if `bytes_received` exceeds the number of bytes that the owner has read.
@@ -34,7 +34,7 @@
         super().feed_data(data)
 
 
-ConnectionHandler = Callable[[CountingReader, asyncio.StreamWriter], Awaitable[None]]
+ConnectionHandler = Callable[[ByteCountingReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 class FlowControlProtocol(asyncio.StreamReaderProtocol):
@@ -68,13 +68,13 @@
             ended since.
     """
 
-    reader: CountingReader
+    reader: ByteCountingReader
     writer: asyncio.StreamWriter
     has_no_unread_input: Callable[[], bool]
     is_flushed: Callable[[], bool]
 
 
-class Unread(Enum):
+class UnreadInput(Enum):
     """The input that has arrived from the peer and that the event loop has not read yet."""
 
     NOTHING = "nothing"
@@ -102,23 +102,25 @@
     def monotonic(self) -> float:
         """Returns a monotonic time in ms that all processes on this machine share."""
 
-    async def listen(self, serve: ConnectionHandler, address: Address, limit: int, accepts: int) -> Listener:
+    async def listen(
+        self, serve: ConnectionHandler, address: Address, buffer_limit_bytes: int, max_accepts_per_turn: int
+    ) -> Listener:
         """Listens at `address` and runs `serve` for each accepted connection.
 
         Args:
             serve: handles one connection.
             address: the address to listen at.
-            limit: the buffer limit of each stream in bytes.
-            accepts: the maximum number of connections accepted in one turn of the event loop.
+            buffer_limit_bytes: the buffer limit of each stream.
+            max_accepts_per_turn: the maximum number of connections accepted in one turn of the event loop.
 
         Raises:
             ListenError: the address cannot be bound.
         """
 
-    async def dial(self, address: Address, limit: int) -> DialedConnection:
-        """Opens a connection; `limit` is the stream's buffer limit in bytes. Raises OSError."""
+    async def dial(self, address: Address, buffer_limit_bytes: int) -> DialedConnection:
+        """Opens a connection; `buffer_limit_bytes` is the stream's buffer limit. Raises OSError."""
 
-    def unread(self, transport: asyncio.BaseTransport) -> Unread:
+    def unread_input(self, transport: asyncio.BaseTransport) -> UnreadInput:
         """Returns which input of an accepted connection the event loop has not read yet."""
 
     async def open_datagram_endpoint(self, protocol: asyncio.DatagramProtocol, address: Address) -> None:
--- a/onyxpost/simulation/cli_sockets.py
+++ b/onyxpost/simulation/cli_sockets.py
@@ -92,7 +92,7 @@
     )
     generator.check_options(load_options)
     target = generator.require_loopback(parse_address(options.address))
-    deployment = config.read({"EDGE_CONFIG": str(options.node_file)}).deployment
+    deployment = config.read_config({"EDGE_CONFIG": str(options.node_file)}).deployment
     load_results = generator.generate_load(target, deployment, load_options)
     click.echo(load_results.to_text())
     if options.out is not None:
--- a/onyxpost/simulation/deterministic/node.py
+++ b/onyxpost/simulation/deterministic/node.py
@@ -116,7 +116,7 @@
         """Returns the node's file as it is now, decoded."""
         nodes = self._cluster.nodes
         settings = self._cluster.settings | {"ordinal": self.index, "n_instances": len(nodes)}
-        return config.decode(
+        return config.decode_config(
             {
                 "name": self.name,
                 "listen": deployment.format_address(self.address),
@@ -185,9 +185,9 @@
 
 def _silence(program: EdgeNode) -> None:
     """Keeps the tasks of a killed node, which still run, from doing anything."""
-    for task in program.servers.tasks.values():
+    for task in program.upstream_pool.tasks.values():
         task.cancel()
     program.discovery.close()
-    program.events.post = lambda event: None  # type: ignore[method-assign]  # noqa: ARG005
-    program.events.inbox.clear()
-    program.sweep = lambda: None  # type: ignore[method-assign]
+    program.event_processor.post = lambda event: None  # type: ignore[method-assign]  # noqa: ARG005
+    program.event_processor.queued_events.clear()
+    program.close_expired_connections = lambda: None  # type: ignore[method-assign]
--- a/onyxpost/simulation/discrete_event/client_model.py
+++ b/onyxpost/simulation/discrete_event/client_model.py
@@ -122,7 +122,7 @@
     def _choose_node(self, customer: Customer) -> RequestReceiver | None:
         """Chooses a node of the customer's set; None if all are considered down."""
         count = len(self._nodes)
-        indexes = [(customer.first_node + offset) % count for offset in range(customer.node_count)]
+        indexes = [(customer.first_node_index + offset) % count for offset in range(customer.node_count)]
         weights = [
             weight * self._nodes_considered_up[index]
             for index, weight in zip(indexes, customer.node_weights, strict=True)
--- a/onyxpost/simulation/discrete_event/node_model.py
+++ b/onyxpost/simulation/discrete_event/node_model.py
@@ -149,7 +149,7 @@
             customer.plan.name,
             request.units,
             customer.node_count,
-            customer.first_node,
+            customer.first_node_index,
         )
         self.handle(event)
         return request_id
--- a/onyxpost/simulation/discrete_event/workload.py
+++ b/onyxpost/simulation/discrete_event/workload.py
@@ -23,7 +23,7 @@
         key: name of the customer in requests.
         plan: its plan.
         demand: quota units that it asks for in a second.
-        first_node: index of the first node of its set.
+        first_node_index: index of the first node of its set.
         node_count: size of its set of nodes.
         quota: counts the units that nodes sent to servers.
         ideal_quota: counts the units that a single counter of all requests would admit.
@@ -31,11 +31,11 @@
         load_factor: demand relative to `demand`, raised by load surges.
     """
 
-    def __init__(self, key: str, plan: Plan, demand: float, first_node: int, node_count: int) -> None:
+    def __init__(self, key: str, plan: Plan, demand: float, first_node_index: int, node_count: int) -> None:
         self.key = key
         self.plan = plan
         self.demand = demand
-        self.first_node = first_node
+        self.first_node_index = first_node_index
         self.node_count = node_count
         self.quota = ExactQuota(plan.rate, plan.burst)
         self.ideal_quota = ExactQuota(plan.rate, plan.burst)
@@ -127,9 +127,9 @@
             demand_range = clients.greedy_demand_factor if index in greedy else clients.demand_factor
             demand_factor = rng.uniform(*demand_range)
             node_count = rng.randint(*section.nodes_per_customer)
-            first_node = rng.randrange(scenario.cluster.nodes)
+            first_node_index = rng.randrange(scenario.cluster.nodes)
             key = f"{section.name}-{index}"
-            customers.append(Customer(key, plan, demand_factor * plan.rate, first_node, node_count))
+            customers.append(Customer(key, plan, demand_factor * plan.rate, first_node_index, node_count))
     return customers
 
 
--- a/onyxpost/simulation/http_client.py
+++ b/onyxpost/simulation/http_client.py
@@ -39,7 +39,7 @@
     timeout_ms: float
     units: int
     node_count: int = 1  # of the customer's nodes
-    first_node: int = 0
+    first_node_index: int = 0
 
     def headers(self) -> list[tuple[str, str]]:
         """Returns the headers, `Host` among them."""
@@ -49,7 +49,7 @@
             ("Plan", self.plan),
             ("Cookie", f"key={self.customer:016x}"),
             ("X-Expires-In", f"{self.timeout_ms:.0f}m"),
-            ("Quota-Info", f"units={self.units},spread={self.node_count},first={self.first_node}"),
+            ("Quota-Info", f"units={self.units},spread={self.node_count},first={self.first_node_index}"),
         ]
 
 
--- a/onyxpost/simulation/load/generator.py
+++ b/onyxpost/simulation/load/generator.py
@@ -102,7 +102,7 @@
             timeout_ms=frontend.client_timeout_ms,
             units=units,
             node_count=max(1, min(MAX_CUSTOMER_NODES, deployment.node_count)),
-            first_node=deployment.node_index,
+            first_node_index=deployment.node_index,
         )
         headers = fields.headers()
         target = f"/{frontend.name}/{number}"
--- a/onyxpost/simulation/mutations.py
+++ b/onyxpost/simulation/mutations.py
@@ -126,15 +126,15 @@
 
 def _treat_lost_as_not_sent(node: EdgeNode) -> None:
     """An attempt whose connection broke counts as never sent."""
-    servers = node.servers
-    post = servers.post
+    upstream_pool = node.upstream_pool
+    post = upstream_pool.post
 
     def post_changed(event: Any) -> None:  # noqa: ANN401 - all events of the upstream pool
         if isinstance(event, AttemptEnded) and event.result is AttemptResult.LOST:
             event = event._replace(result=AttemptResult.NO_CONNECTION)
         post(event)
 
-    servers.post = post_changed
+    upstream_pool.post = post_changed
 
 
 def _ignore_disconnects(node: EdgeNode) -> None:
@@ -158,7 +158,7 @@
     def start_patient_watch(*arguments: Any, **options: Any) -> None:  # noqa: ANN401 - passed on
         start_watch(*arguments, **options)
         for watch in discovery.watches.values():
-            watch.tracker.on_poll_started = lambda *_arguments, **_options: NEVER_MS  # type: ignore[method-assign]
+            watch.schedule.on_poll_started = lambda *_arguments, **_options: NEVER_MS  # type: ignore[method-assign]
 
     discovery.start_watch = start_patient_watch  # type: ignore[method-assign]
 
--- a/onyxpost/simulation/planner_cluster/runner.py
+++ b/onyxpost/simulation/planner_cluster/runner.py
@@ -72,9 +72,11 @@
             find_free_ports(options.forwarders, socket.SOCK_DGRAM),
             find_free_ports(options.planners),
         )
-        net = SocketTransport()
-        self.app_servers = [AppServer(net, self, index, 0, ANY_PORT, "a") for index in range(APP_SERVERS)]
-        self.discovery_agent = DiscoveryAgent(net, self, 0, ANY_PORT)
+        transport = SocketTransport()
+        self.app_servers = [
+            AppServer(transport, self, index, 0, ANY_PORT, "a") for index in range(APP_SERVERS)
+        ]
+        self.discovery_agent = DiscoveryAgent(transport, self, 0, ANY_PORT)
         self.processes = ProcessGroup(folder, log_files=LogFiles.APPENDED)
         self.counter = UsageCounter(options)
         self.load = LoadGenerator(options, self.ports.forwarders, self.counter)
--- a/onyxpost/simulation/virtual_time/host.py
+++ b/onyxpost/simulation/virtual_time/host.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from onyxpost.core.units import MS_PER_SECOND
-from onyxpost.runtime.transport import Unread
+from onyxpost.runtime.transport import UnreadInput
 from onyxpost.simulation.virtual_time.connection import ConnectionEnd
 
 if TYPE_CHECKING:
@@ -29,10 +29,12 @@
     hosts: dict[Address, str]
     datagram_protocols: dict[Address, asyncio.DatagramProtocol]
 
-    def listen(self, host: str, address: Address, serve: ConnectionHandler, limit: int) -> VirtualListener:
+    def listen(
+        self, host: str, address: Address, serve: ConnectionHandler, buffer_limit_bytes: int
+    ) -> VirtualListener:
         """Listens for a host."""
 
-    async def dial(self, host: str, address: Address, limit: int) -> DialedConnection:
+    async def dial(self, host: str, address: Address, buffer_limit_bytes: int) -> DialedConnection:
         """Opens a connection for a host."""
 
     def send_datagram(self, host: str, source: Address, data: bytes, target: Address) -> None:
@@ -82,22 +84,22 @@
         self,
         serve: ConnectionHandler,
         address: Address,
-        limit: int,
-        accepts: int,  # noqa: ARG002 - the protocol's: there is no backlog here
+        buffer_limit_bytes: int,
+        max_accepts_per_turn: int,  # noqa: ARG002 - the protocol's: there is no backlog here
     ) -> VirtualListener:
-        """Listens at `address`; `limit` is the stream's buffer limit in bytes. Raises OSError."""
-        return self.network.listen(self.name, address, serve, limit)
+        """Listens at `address`; `buffer_limit_bytes` is the stream's buffer limit. Raises OSError."""
+        return self.network.listen(self.name, address, serve, buffer_limit_bytes)
 
-    async def dial(self, address: Address, limit: int) -> DialedConnection:
-        """Opens a connection; `limit` is the stream's buffer limit in bytes. Raises OSError."""
-        return await self.network.dial(self.name, address, limit)
+    async def dial(self, address: Address, buffer_limit_bytes: int) -> DialedConnection:
+        """Opens a connection; `buffer_limit_bytes` is the stream's buffer limit. Raises OSError."""
+        return await self.network.dial(self.name, address, buffer_limit_bytes)
 
-    def unread(self, transport: asyncio.BaseTransport) -> Unread:
+    def unread_input(self, transport: asyncio.BaseTransport) -> UnreadInput:
         """Returns what an accepted connection has received that the event loop has not read yet."""
         assert isinstance(transport, ConnectionEnd)
         if transport.is_shut or transport.has_received_end:
-            return Unread.END
-        return Unread.BYTES if transport.has_unread else Unread.NOTHING
+            return UnreadInput.END
+        return UnreadInput.BYTES if transport.has_unread else UnreadInput.NOTHING
 
     async def open_datagram_endpoint(self, protocol: asyncio.DatagramProtocol, address: Address) -> None:
         """Receives datagrams at `address`."""
--- a/onyxpost/simulation/virtual_time/listener.py
+++ b/onyxpost/simulation/virtual_time/listener.py
@@ -24,14 +24,16 @@
     """A listener in memory, which is closed as an `asyncio.Server` is.
 
     Attributes:
-        limit: The buffer limit in bytes of the streams that it accepts.
+        buffer_limit_bytes: The buffer limit of the streams that it accepts.
     """
 
-    def __init__(self, table: ListenerTable, address: Address, serve: ConnectionHandler, limit: int) -> None:
+    def __init__(
+        self, table: ListenerTable, address: Address, serve: ConnectionHandler, buffer_limit_bytes: int
+    ) -> None:
         self.table = table
         self.address = address
         self.serve = serve
-        self.limit = limit
+        self.buffer_limit_bytes = buffer_limit_bytes
 
     @property
     def sockets(self) -> tuple[Any, ...]:
--- a/onyxpost/simulation/virtual_time/network.py
+++ b/onyxpost/simulation/virtual_time/network.py
@@ -6,7 +6,7 @@
 from collections import defaultdict
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from onyxpost.runtime.transport import CountingReader, DialedConnection
+from onyxpost.runtime.transport import ByteCountingReader, DialedConnection
 from onyxpost.simulation.virtual_time.connection import Connection
 from onyxpost.simulation.virtual_time.host import VirtualHost
 from onyxpost.simulation.virtual_time.listener import VirtualListener
@@ -64,8 +64,10 @@
         """Returns the network as a host with this name has it."""
         return VirtualHost(self, name)
 
-    def listen(self, host: str, address: Address, serve: ConnectionHandler, limit: int) -> VirtualListener:
-        """Listens for a host; `limit` is the stream's buffer limit in bytes.
+    def listen(
+        self, host: str, address: Address, serve: ConnectionHandler, buffer_limit_bytes: int
+    ) -> VirtualListener:
+        """Listens for a host; `buffer_limit_bytes` is the stream's buffer limit.
 
         Raises:
             OSError: Somebody listens there already.
@@ -73,7 +75,7 @@
         if address in self.listeners:
             raise OSError(f"{address} is taken")
         self.hosts[address] = host
-        listener = VirtualListener(self, address, serve, limit)
+        listener = VirtualListener(self, address, serve, buffer_limit_bytes)
         self.listeners[address] = listener
         return listener
 
@@ -82,8 +84,8 @@
         if self.listeners.get(listener.address) is listener:
             del self.listeners[listener.address]
 
-    async def dial(self, host: str, address: Address, limit: int) -> DialedConnection:
-        """Opens a connection for a host; `limit` is the stream's buffer limit in bytes.
+    async def dial(self, host: str, address: Address, buffer_limit_bytes: int) -> DialedConnection:
+        """Opens a connection for a host; `buffer_limit_bytes` is the stream's buffer limit.
 
         Raises:
             ConnectionRefusedError: Nobody listens there.
@@ -99,7 +101,7 @@
             raise ConnectionRefusedError(f"nobody at {address}")
         connection = self._new_connection(host, target)
         near, far = connection.ends
-        reader = CountingReader(limit=limit, loop=self.loop)
+        reader = ByteCountingReader(limit=buffer_limit_bytes, loop=self.loop)
         protocol = asyncio.StreamReaderProtocol(reader, loop=self.loop)
         self._accept(listener, far)
         near.connect(protocol)
@@ -121,7 +123,7 @@
         return connection
 
     def _accept(self, listener: VirtualListener, end: ConnectionEnd) -> None:
-        reader = CountingReader(limit=listener.limit, loop=self.loop)
+        reader = ByteCountingReader(limit=listener.buffer_limit_bytes, loop=self.loop)
         serve: Any = listener.serve
         end.connect(asyncio.StreamReaderProtocol(reader, serve, loop=self.loop))
 
--- a/onyxpost/simulator_host/__main__.py
+++ b/onyxpost/simulator_host/__main__.py
@@ -18,7 +18,7 @@
     out = sys.stdout.buffer
     for line in sys.stdin.buffer:
         try:
-            reply = host.batch(msgspec.json.decode(line))
+            reply = host.handle_message(msgspec.json.decode(line))
         except (msgspec.DecodeError, WireError) as err:
             error = err if isinstance(err, WireError) else WireError(str(err))
             print(f"onyxpost.simulator_host: malformed line: {error.to_line()}", file=sys.stderr)
--- a/onyxpost/simulator_host/decode.py
+++ b/onyxpost/simulator_host/decode.py
@@ -115,7 +115,7 @@
         plan=fields.get("tariff", ""),
         units=fields.get("cost_units", 1),
         set_size=fields.get("spread", 1),
-        first_node=fields.get("first_door", 0),
+        first_node_index=fields.get("first_door", 0),
     )
 
 
--- a/onyxpost/simulator_host/host.py
+++ b/onyxpost/simulator_host/host.py
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
 
-    def batch(self, message: JsonObject) -> dict[str, list[Action]]:
+    def handle_message(self, message: JsonObject) -> dict[str, list[Action]]:
         """Handles one message and returns the reply.
 
         Args:
--- a/tests/cluster/test_loopback.py
+++ b/tests/cluster/test_loopback.py
@@ -105,9 +105,9 @@
 def check_reload(edge: RunningNode, fleet: dict[str, Any], version: int, event: bytes) -> None:
     """Reloads a file in which n0 is the only member, and checks that `event` is logged."""
     changed = {"version": version, "members": {"n0": "127.0.0.1:1"}}
-    edge.file = node_fields(fleet=fleet | changed)
-    edge.program.reload()
-    assert event in edge.out.getvalue()
+    edge.reload_fields = node_fields(fleet=fleet | changed)
+    edge.node.reload()
+    assert event in edge.log_output.getvalue()
 
 
 def test_an_edge_node_connects_by_its_file_changes_membership_on_sighup_and_leaves() -> None:
@@ -127,7 +127,7 @@
             StubAppServer() as server,
             RunningNode(server.address, fleet=fleet) as edge,
         ):
-            cluster = find_extension(edge.program.extensions, ClusterExtension)
+            cluster = find_extension(edge.node.extensions, ClusterExtension)
             assert cluster is not None
             own = cluster.connections
             await wait_until(
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -41,11 +41,11 @@
 
 
 def test_a_node_file_may_have_no_cluster_section() -> None:
-    assert config.decode(node_fields()).cluster is None
+    assert config.decode_config(node_fields()).cluster is None
 
 
 def test_a_node_file_may_have_a_cluster_section() -> None:
-    section = config.decode(node_fields(fleet=SECTION)).cluster
+    section = config.decode_config(node_fields(fleet=SECTION)).cluster
     assert section is not None
     assert section.listen == ("10.0.0.1", 7)
     assert section.membership.version == 3
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize("key", ["listen", "peer_listen"])
 def test_the_cluster_needs_an_address_of_its_own(key: str) -> None:
     with pytest.raises(InvalidInputError, match=r"fleet\.listen"):
-        config.decode(node_fields(fleet=SECTION, **{key: SECTION["listen"]}))
+        config.decode_config(node_fields(fleet=SECTION, **{key: SECTION["listen"]}))
 
 
 def test_only_a_later_version_supersedes() -> None:
--- a/tests/compatibility/external_names.py
+++ b/tests/compatibility/external_names.py
@@ -233,7 +233,7 @@
 
 
 def _earlier_spellings() -> Iterator[str]:
-    yield cli.OLD_SIMULATE
+    yield cli.DEPRECATED_SIMULATE
     yield from deprecation.CURRENT_COMMANDS
     yield from deprecation.CURRENT_OPTIONS
     for mutation in mutations.MUTATIONS.values():
--- a/tests/compatibility/leadership_digests.py
+++ b/tests/compatibility/leadership_digests.py
@@ -122,7 +122,7 @@
     """Digest every lease taken or lost and every write confirmed, with the virtual time in microseconds."""
 
     def changed(original: Any, runner: EffectRunner, effect: Any) -> None:
-        time_us = round(runner.net.monotonic() * 1000.0)
+        time_us = round(runner.transport.monotonic() * 1000.0)
         match effect:
             case effects.LeaseAcquired():
                 record = effect.record
--- a/tests/compatibility/meanings.py
+++ b/tests/compatibility/meanings.py
@@ -25,7 +25,7 @@
     """The meaning of a node's or a planner's file."""
     if planner_file.is_planner_file(msgspec.json.decode(path.read_bytes())):
         return planner(planner_file.read_config(str(path)))
-    return node(edge_node.read({"EDGE_CONFIG": str(path)}))
+    return node(edge_node.read_config({"EDGE_CONFIG": str(path)}))
 
 
 def planner(read: planner_file.PlannerConfig) -> JsonObject:
@@ -51,7 +51,7 @@
         "name": read.name,
         "listen": list(read.listen),
         "discovery": list(read.discovery),
-        "second discovery": read.alternate_discovery,
+        "second discovery": read.alternative_discovery,
         "seed": read.seed,
         "descriptors": read.max_descriptors,
         "peer listen": list(read.peer_listen or ()),
@@ -60,7 +60,7 @@
         "zone": read.zone,
         "servers": {
             "generation": known.generation,
-            "complete": known.complete,
+            "complete": known.is_complete,
             "rows": [server(row) for row in known.endpoints],
             "addresses": {name: list(address) for name, address in known.addresses.items()},
         },
--- a/tests/compatibility/test_http_bytes.py
+++ b/tests/compatibility/test_http_bytes.py
@@ -87,7 +87,7 @@
             def stop_node(self) -> None:
                 node_host.send_sigterm()
 
-        settings = config.decode(node_file)
+        settings = config.decode_config(node_file)
         log = StructuredLog("n0", out=io.TextIOWrapper(io.BytesIO()))
         program = EdgeNode(settings, log, lambda: settings, node_host)
         running = asyncio.get_running_loop().create_task(program.run())
--- a/tests/config/test_deployment.py
+++ b/tests/config/test_deployment.py
@@ -10,15 +10,16 @@
 from onyxpost.core.types import DeduplicationScope, Idempotency
 from onyxpost.errors import ConflictingValuesError, InvalidInputError, InvalidValueError
 from onyxpost.node import config as node_config
-from tests.edge.harness import SETTINGS, node_fields
+from tests.edge.harness import DEPLOYMENT_SETTINGS, node_fields
 
 
 def deployment_with(**changes: Any) -> Deployment:
     """Returns the deployment of the test settings, with some keys or sections changed."""
     merged = {
-        key: SETTINGS[key] | value if isinstance(value, dict) else value for key, value in changes.items()
+        key: DEPLOYMENT_SETTINGS[key] | value if isinstance(value, dict) else value
+        for key, value in changes.items()
     }
-    return decode_deployment(SETTINGS | merged)
+    return decode_deployment(DEPLOYMENT_SETTINGS | merged)
 
 
 def test_connect_timeout_does_not_exceed_the_drain_grace() -> None:
@@ -60,7 +61,7 @@
 @pytest.mark.parametrize("wrong", [{"grades": []}, {"n_instances": 0}, {"ordinal": 2}, {"rules": None}])
 def test_unusable_settings_are_rejected(wrong: dict[str, Any]) -> None:
     with pytest.raises(InvalidInputError):
-        node_config.decode(node_fields(settings=SETTINGS | wrong))
+        node_config.decode_config(node_fields(settings=DEPLOYMENT_SETTINGS | wrong))
 
 
 def test_a_node_index_out_of_range_names_its_key() -> None:
--- a/tests/edge/client_sockets.py
+++ b/tests/edge/client_sockets.py
@@ -39,7 +39,7 @@
 
 def begin_shutdown(edge: RunningNode) -> None:
     """Starts the shutdown: idle clients are closed, and other clients with their answer."""
-    edge.program.clients.closer.begin_shutdown()
+    edge.node.clients.closer.begin_shutdown()
 
 
 async def connect_idle_client(edge: RunningNode) -> socket.socket:
@@ -52,5 +52,5 @@
     while not text.endswith(b"hello"):
         text += await asyncio.get_running_loop().sock_recv(client, 65536)
     client.settimeout(5.0)
-    await wait_until(lambda: len(edge.program.clients.connections.open) == 1)
+    await wait_until(lambda: len(edge.node.clients.connections.open) == 1)
     return client
--- a/tests/edge/faulty_discovery.py
+++ b/tests/edge/faulty_discovery.py
@@ -208,11 +208,11 @@
             discovery.change_address(AGENT_ADDRESSES[1])
         await _sleep_until(ends_at + RUN_AFTER_FAULT_MS)
 
-    posted = run_watch(agents, scenario, replace(FIRST_AGENT, shared=shared)).posted
+    posted = run_watch(agents, scenario, replace(FIRST_AGENT, is_shared_service=shared)).posted
     return FaultRun(
         has_occurred=faulty.has_occurred or fault is Fault.REFUSED,
         changes_at=[at for at, event in posted if isinstance(event, EndpointUpdate) and event.endpoints],
-        stale_at=[at for at, event in posted if isinstance(event, EndpointUpdateFailed) and event.stale],
+        stale_at=[at for at, event in posted if isinstance(event, EndpointUpdateFailed) and event.is_stale],
         fault_ended_at=faulty.final_end_at,
     )
 
@@ -221,7 +221,7 @@
     """Makes new connections to the agent fail or be late during its fault."""
     original_dial = network.dial
 
-    async def dial(host: str, address: Address, limit: int) -> Any:
+    async def dial(host: str, address: Address, buffer_limit_bytes: int) -> Any:
         if address == faulty_address and faulty.begins_at <= now_ms() < faulty.ends_at:
             if faulty.fault is Fault.REFUSED:
                 raise ConnectionRefusedError("no listener")
@@ -231,7 +231,7 @@
             if faulty.fault is Fault.LATE:
                 faulty.has_occurred = True
                 await asyncio.sleep(LATE_CONNECTION_SECONDS)
-        return await original_dial(host, address, limit)
+        return await original_dial(host, address, buffer_limit_bytes)
 
     network.dial = dial  # type: ignore[method-assign]  # replaced for this instance only
 
--- a/tests/edge/harness.py
+++ b/tests/edge/harness.py
@@ -20,7 +20,7 @@
     from onyxpost.config.address import Address
     from onyxpost.node.node_config import NodeConfig
 
-SETTINGS: dict[str, Any] = {
+DEPLOYMENT_SETTINGS: dict[str, Any] = {
     "ordinal": 0,
     "n_instances": 2,
     "quantum_us": 2000,
@@ -69,7 +69,7 @@
         "peer_listen": "127.0.0.1:0",
         "peers": ["127.0.0.1:1", "127.0.0.1:2"],
         "known": {"generation": 4, "instances": instances},
-        "settings": SETTINGS,
+        "settings": DEPLOYMENT_SETTINGS,
     } | changes
 
 
@@ -109,7 +109,7 @@
 ) -> UpstreamPool:
     """Returns an upstream pool without a node; `post` receives the ends of its attempts."""
 
-    def may_start(attempt: SendAttempt, remaining_ms: float) -> bool:
+    def may_start_attempt(attempt: SendAttempt, remaining_ms: float) -> bool:
         return remaining_ms > 0.0 and accepts_attempts(attempt.endpoint)
 
     transport = transport_with_stopped_clock()
@@ -117,8 +117,8 @@
         connect_timeout_ms=connect_timeout_ms,
         keep_alive_ms=15000.0,
         has_capacity=lambda: True,
-        accepts_requests=accepts_attempts,
-        may_start=may_start,
+        accepts_attempts=accepts_attempts,
+        may_start_attempt=may_start_attempt,
         report_fault=print,
     )
     return UpstreamPool(transport, post, options)
@@ -133,8 +133,8 @@
 
     def __init__(self, *answers: tuple[bytes, bool] | None) -> None:
         self.answers = list(answers)
-        self.got: list[bytes] = []  # heads of the received requests
-        self.opened = 0
+        self.received_heads: list[bytes] = []  # heads of the received requests
+        self.connection_count = 0
         self.closed = asyncio.Event()
         self.writers: list[asyncio.StreamWriter] = []
 
@@ -147,11 +147,11 @@
         self.server.close()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.opened += 1
+        self.connection_count += 1
         self.writers.append(writer)
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while True:
-                self.got.append(await reader.readuntil(b"\r\n\r\n"))
+                self.received_heads.append(await reader.readuntil(b"\r\n\r\n"))
                 answer = self.answers.pop(0) if self.answers else (UPSTREAM_ANSWER, False)
                 if answer is None:
                     continue
@@ -168,18 +168,18 @@
 
     def __init__(self, *servers: Address, **changes: Any) -> None:
         """Creates a node with these app servers; `changes` replaces top-level fields of its file."""
-        self.out = io.BytesIO()  # the node's log
-        self.file: dict[str, Any] | None = None  # fields of the file that a reload reads
-        node_config = config.decode(node_fields(*servers, **changes))
-        event_log = StructuredLog("n0", out=io.TextIOWrapper(self.out, write_through=True))
-        self.program = EdgeNode(node_config, event_log, self._reread_config)
+        self.log_output = io.BytesIO()  # the node's log
+        self.reload_fields: dict[str, Any] | None = None  # fields of the file that a reload reads
+        node_config = config.decode_config(node_fields(*servers, **changes))
+        event_log = StructuredLog("n0", out=io.TextIOWrapper(self.log_output, write_through=True))
+        self.node = EdgeNode(node_config, event_log, self._reread_config)
 
     async def __aenter__(self) -> RunningNode:
-        self.running = asyncio.get_running_loop().create_task(self.program.run())
-        while not self.program.is_ready():
+        self.running = asyncio.get_running_loop().create_task(self.node.run())
+        while not self.node.is_ready():
             await asyncio.sleep(0.001)
-        assert self.program.clients.listener.server is not None
-        self.address = self.program.clients.listener.server.sockets[0].getsockname()
+        assert self.node.clients.listener.server is not None
+        self.address = self.node.clients.listener.server.sockets[0].getsockname()
         self.reader, self.writer = await asyncio.open_connection(*self.address)
         return self
 
@@ -187,7 +187,7 @@
         self.writer.close()
         self.running.cancel()
         await asyncio.gather(self.running, return_exceptions=True)
-        self.program.close()
+        self.node.close()
 
     async def send_request(self, data: bytes) -> tuple[bytes, bytes]:
         """Sends a request on the client connection and returns the head and the body of the answer."""
@@ -202,4 +202,4 @@
             return head, await self.reader.readexactly(length)
 
     def _reread_config(self) -> NodeConfig:
-        return config.decode(self.file or {}, is_reload=True)
+        return config.decode_config(self.reload_fields or {}, is_reload=True)
--- a/tests/edge/shutdown_steps.py
+++ b/tests/edge/shutdown_steps.py
@@ -22,7 +22,7 @@
 async def stop_node(edge: RunningNode) -> None:
     """Sends SIGTERM and waits until the node is in the phase `LEAVING`."""
     send_sigterm()
-    await wait_until(lambda: edge.program.phase is Phase.LEAVING)
+    await wait_until(lambda: edge.node.phase is Phase.LEAVING)
 
 
 async def exit_code(edge: RunningNode) -> int:
@@ -37,9 +37,9 @@
     assert answer.endswith(body)
     edge.writer.close()
     assert await exit_code(edge) == 0
-    assert b"fault" not in edge.out.getvalue()
+    assert b"fault" not in edge.log_output.getvalue()
 
 
 def has_begun_request(edge: RunningNode) -> bool:
     """Returns whether the node has received a part of a request."""
-    return any(client.has_partial_request for client in edge.program.clients.connections.open.values())
+    return any(client.has_partial_request for client in edge.node.clients.connections.open.values())
--- a/tests/edge/test_attempt_start.py
+++ b/tests/edge/test_attempt_start.py
@@ -29,42 +29,42 @@
 class DelayedDials:
     """Delays new connections to one server until `release` is called."""
 
-    def __init__(self, net: Any, address: Address) -> None:
+    def __init__(self, transport: Any, address: Address) -> None:
         self.started = asyncio.Event()
         self._released = asyncio.Event()
         self._address = address
-        self._original_dial = net.dial
-        net.dial = self._dial
+        self._original_dial = transport.dial
+        transport.dial = self._dial
 
     def release(self) -> None:
         self._released.set()
 
-    async def _dial(self, address: Address, limit: int) -> DialedConnection:
+    async def _dial(self, address: Address, buffer_limit_bytes: int) -> DialedConnection:
         if address == self._address:  # connections to discovery are not delayed
             self.started.set()
             await self._released.wait()
-        connection: DialedConnection = await self._original_dial(address, limit)
+        connection: DialedConnection = await self._original_dial(address, buffer_limit_bytes)
         return connection
 
 
 async def run_until_attempt_ends(disconnect: str) -> tuple[RunningNode, StubAppServer]:
     """Runs an attempt whose client disconnects in the turn in which the attempt is connected."""
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        dials = DelayedDials(edge.program.net, server.address)
+        dials = DelayedDials(edge.node.transport, server.address)
         client = socket.create_connection(edge.address)
         client.sendall(encode_request())
         await asyncio.wait_for(dials.started.wait(), 5.0)
-        (pending,) = edge.program.state_machine.requests.by_id.values()
+        (pending,) = edge.node.state_machine.requests.by_id.values()
         attempt_ended = asyncio.Event()
-        original_post = edge.program.servers.post
+        original_post = edge.node.upstream_pool.post
 
         def post(event: EdgeEvent) -> None:
             original_post(event)
             if isinstance(event, AttemptEnded):
                 attempt_ended.set()
 
-        edge.program.servers.post = post
-        original_may_start = edge.program.servers.may_start
+        edge.node.upstream_pool.post = post
+        original_may_start = edge.node.upstream_pool.may_start_attempt
 
         def may_start_after_disconnect(attempt: SendAttempt, remaining_ms: float) -> bool:
             # The event loop cannot read the client's end of stream before the attempt is checked.
@@ -73,11 +73,11 @@
             client.close()
             return original_may_start(attempt, remaining_ms)
 
-        edge.program.servers.may_start = may_start_after_disconnect
+        edge.node.upstream_pool.may_start_attempt = may_start_after_disconnect
         dials.release()
         await asyncio.wait_for(attempt_ended.wait(), 5.0)
         assert pending.client_request.trace_id
-        await wait_until(lambda: not edge.program.state_machine.requests.by_id)
+        await wait_until(lambda: not edge.node.state_machine.requests.by_id)
         return edge, server
 
 
@@ -85,8 +85,8 @@
 @in_event_loop
 async def test_no_attempt_starts_for_a_client_whose_disconnect_is_unread(disconnect: str) -> None:
     edge, server = await run_until_attempt_ends(disconnect)
-    assert server.got == []
-    assert edge.program.state_machine.requests.attempt_count == 1
+    assert server.received_heads == []
+    assert edge.node.state_machine.requests.attempt_count == 1
 
 
 @in_event_loop
@@ -94,26 +94,26 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async with StubAppServer((b"", True), None) as server, RunningNode(server.address) as edge:
-        program = edge.program
-        now = [program.clock()]
-        monkeypatch.setattr(program, "clock", lambda: now[0])
+        node = edge.node
+        now = [node.clock()]
+        monkeypatch.setattr(node, "clock", lambda: now[0])
         send = SendAttempt(
             7, Endpoint("s0", server.address), CLIENT_REQUEST, 900.0, begin_before=now[0] + 100.0
         )
-        with mock.patch.object(program.clients.connections, "is_waiting", autospec=True, return_value=True):
-            assert program.may_start_attempt(send, 900.0)
+        with mock.patch.object(node.clients.connections, "is_waiting", autospec=True, return_value=True):
+            assert node.may_start_attempt(send, 900.0)
             now[0] += 100.0
-            assert not program.may_start_attempt(send, 900.0)
+            assert not node.may_start_attempt(send, 900.0)
 
 
 @in_event_loop
 async def test_no_attempt_starts_with_a_tick_or_less_left() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        program = edge.program
+        node = edge.node
         send = SendAttempt(7, Endpoint("s0", server.address), CLIENT_REQUEST, 900.0)
-        with mock.patch.object(program.clients.connections, "is_waiting", autospec=True, return_value=True):
-            tick = program.config.deployment.tick_ms
-            decisions = [program.may_start_attempt(send, left) for left in (tick + 0.1, tick)]
+        with mock.patch.object(node.clients.connections, "is_waiting", autospec=True, return_value=True):
+            tick = node.config.deployment.tick_ms
+            decisions = [node.may_start_attempt(send, left) for left in (tick + 0.1, tick)]
             assert decisions == [True, False]
 
 
@@ -123,13 +123,13 @@
     async with StubAppServer() as server:
         pool = new_upstream_pool(ends.put_nowait)
         dials = DelayedDials(pool.transport, server.address)
-        pool.send(SendAttempt(7, Endpoint("s", server.address), CLIENT_REQUEST, 900.0))
+        pool.start_attempt(SendAttempt(7, Endpoint("s", server.address), CLIENT_REQUEST, 900.0))
         await dials.started.wait()
         pool.clock = lambda: 900.0
         dials.release()
         end = await asyncio.wait_for(ends.get(), 5.0)
         assert isinstance(end, AttemptEnded)
-        assert (end.result, server.got) == (AttemptResult.UNUSED, [])
+        assert (end.result, server.received_heads) == (AttemptResult.UNUSED, [])
 
 
 @in_event_loop
@@ -163,7 +163,7 @@
         pool.open_connection = open_with_small_buffer  # type: ignore[method-assign]  # replaced for this instance only
         request = CLIENT_REQUEST._replace(method=b"POST", body=b"x" * MAX_BODY_BYTES)
         with mock.patch.object(asyncio, "timeout", record_timeout):
-            pool.send(SendAttempt(7, Endpoint("s", listener.getsockname()), request, 60_000.0))
+            pool.start_attempt(SendAttempt(7, Endpoint("s", listener.getsockname()), request, 60_000.0))
             upstream = (await asyncio.to_thread(listener.accept))[0]
             with upstream, mock.patch.object(FlowControlProtocol, "resume_writing", resume_and_time_out):
                 await asyncio.to_thread(receive_body, upstream)
--- a/tests/edge/test_client_capacity.py
+++ b/tests/edge/test_client_capacity.py
@@ -29,7 +29,7 @@
             writers.append(writer)
             writer.write(encode_request(trace=f"t{number}"))
             assert b" 200 " in await asyncio.wait_for(reader.readuntil(b"hello"), 5.0)
-            assert len(edge.program.clients.connections.open) <= 10
+            assert len(edge.node.clients.connections.open) <= 10
         for writer in writers:
             writer.close()
 
@@ -44,13 +44,13 @@
         for reader, writer in others:
             await reader.readuntil(b"hello")
             writer.close()
-        await wait_until(lambda: len(edge.program.clients.connections.open) <= 1)
-        connection_count = edge.program.servers.connection_count
-        edge.file = node_fields(limits={"sockets": 8})  # less than the number of open connections
-        edge.program.reload()
+        await wait_until(lambda: len(edge.node.clients.connections.open) <= 1)
+        connection_count = edge.node.upstream_pool.connection_count
+        edge.reload_fields = node_fields(limits={"sockets": 8})  # less than the number of open connections
+        edge.node.reload()
         _, writer = await asyncio.open_connection(*edge.address)
-        await wait_until(lambda: len(edge.program.clients.connections.open) >= 2)
-        assert edge.program.servers.connection_count < connection_count
+        await wait_until(lambda: len(edge.node.clients.connections.open) >= 2)
+        assert edge.node.upstream_pool.connection_count < connection_count
         writer.close()
 
 
@@ -59,7 +59,7 @@
     async with StubAppServer() as server, RunningNode(server.address, limits={"sockets": 8}) as edge:
         await edge.send_request(encode_request(trace="a"))  # the third client needs an eviction
         silent, _ = await asyncio.open_connection(*edge.address)
-        await wait_until(lambda: len(edge.program.clients.connections.open) >= 2)
+        await wait_until(lambda: len(edge.node.clients.connections.open) >= 2)
         with mock.patch.object(client_eviction, "INCOMPLETE_REQUEST_GRACE_MS", -1.0):
             _, third = await asyncio.open_connection(*edge.address)
             assert await asyncio.wait_for(silent.read(), 5.0) == b""
@@ -68,7 +68,7 @@
 
 
 def has_received_more_than(edge: RunningNode, request_count: int) -> bool:
-    return edge.program.state_machine.requests.received_count > request_count
+    return edge.node.state_machine.requests.received_count > request_count
 
 
 @in_event_loop
@@ -89,11 +89,11 @@
 @in_event_loop
 async def test_a_client_over_capacity_gets_a_rejection_and_no_reset() -> None:
     async with StubAppServer(None) as server, RunningNode(server.address) as edge:
-        edge.program.clients.listener.has_capacity = lambda: False
+        edge.node.clients.listener.has_capacity = lambda: False
         reader, writer = await asyncio.open_connection(*edge.address)
         writer.write(encode_request())
         text = await asyncio.wait_for(reader.read(), 5.0)
         writer.close()
         assert b"503" in text.split(b"\r\n")[0]
         assert b"retry-after" in text.lower()
-        assert server.got == []
+        assert server.received_heads == []
--- a/tests/edge/test_client_closing.py
+++ b/tests/edge/test_client_closing.py
@@ -27,13 +27,13 @@
 
 
 def close_expired(edge: RunningNode) -> None:
-    for client in edge.program.clients.connections.open.values():
+    for client in edge.node.clients.connections.open.values():
         client.deadline = client.deadline if client.has_unanswered_request else 0.0
-    edge.program.clients.closer.close_expired()
+    edge.node.clients.closer.close_expired()
 
 
 def evict(edge: RunningNode) -> None:
-    edge.program.clients.eviction.evict_connection()
+    edge.node.clients.eviction.evict_connection()
 
 
 def close_after_feed(close: Close, edge: RunningNode) -> Callable[[Any, bytes], None]:
@@ -60,7 +60,7 @@
         close(edge)
         begin_shutdown(edge)
         assert b"hello" in await read_to_end(client)
-        assert len(server.got) == 2
+        assert len(server.received_heads) == 2
         client.close()
 
 
@@ -71,7 +71,7 @@
         client = await connect_idle_client(edge)
         with mock.patch.object(asyncio.StreamReader, "feed_data", close_after_feed(close, edge)):
             client.sendall(encode_request(trace="b"))
-            await wait_until(lambda: len(server.got) == 2)
+            await wait_until(lambda: len(server.received_heads) == 2)
         begin_shutdown(edge)
         assert b"hello" in await read_to_end(client)
         client.close()
@@ -87,27 +87,27 @@
         assert await read_to_end(client) == b""  # the client retries after the end of stream
         client.sendall(encode_request(trace="c"))
         client.close()
-        await wait_until(lambda: not edge.program.clients.connections.closing)
-        assert (len(server.got), edge.program.clients.connections.open) == (1, {})
+        await wait_until(lambda: not edge.node.clients.connections.closing)
+        assert (len(server.received_heads), edge.node.clients.connections.open) == (1, {})
 
 
 @in_event_loop
 async def test_a_client_that_never_closes_is_aborted_and_counts_until_then() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         client = await connect_idle_client(edge)
-        program = edge.program
-        in_use_before = program.descriptors.in_use_count()
+        node = edge.node
+        in_use_before = node.descriptors.in_use_count()
         begin_shutdown(edge)
-        assert (program.descriptors.in_use_count(), len(program.clients.connections.open)) == (
+        assert (node.descriptors.in_use_count(), len(node.clients.connections.open)) == (
             in_use_before,
             0,
         )
-        (closing,) = program.clients.connections.closing.values()
-        assert closing.deadline <= program.clock() + client_connections.LINGER_MS
+        (closing,) = node.clients.connections.closing.values()
+        assert closing.deadline <= node.clock() + client_connections.LINGER_MS
         closing.deadline = 0.0
         # The node calls `close_expired` periodically, which aborts the connection.
-        await wait_until(lambda: not program.clients.connections.closing)
-        assert (program.descriptors.in_use_count(), await read_to_end(client)) == (in_use_before - 1, b"")
+        await wait_until(lambda: not node.clients.connections.closing)
+        assert (node.descriptors.in_use_count(), await read_to_end(client)) == (in_use_before - 1, b"")
         client.close()
 
 
@@ -116,12 +116,12 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         client = await connect_idle_client(edge)
         begin_shutdown(edge)
-        (closing,) = edge.program.clients.connections.closing.values()
+        (closing,) = edge.node.clients.connections.closing.values()
         for is_kept in (True, False):
             client.sendall(b"x")
             closing.deadline = 0.0
-            edge.program.clients.closer.close_expired()
-            assert (closing.connection_id in edge.program.clients.connections.closing) == is_kept
+            edge.node.clients.closer.close_expired()
+            assert (closing.connection_id in edge.node.clients.connections.closing) == is_kept
         client.close()
 
 
@@ -130,10 +130,10 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         client = await connect_idle_client(edge)
         begin_shutdown(edge)
-        with mock.patch.object(edge.program.descriptors, "in_use_count", autospec=True, return_value=1 << 30):
-            upstream_count = edge.program.servers.connection_count
-            assert edge.program.descriptors.has_server_capacity()
-        assert (edge.program.clients.connections.closing, edge.program.servers.connection_count) == (
+        with mock.patch.object(edge.node.descriptors, "in_use_count", autospec=True, return_value=1 << 30):
+            upstream_count = edge.node.upstream_pool.connection_count
+            assert edge.node.descriptors.has_upstream_capacity()
+        assert (edge.node.clients.connections.closing, edge.node.upstream_pool.connection_count) == (
             {},
             upstream_count,
         )
@@ -153,4 +153,4 @@
             client.sendall(encode_request(trace="a", Connection="close"))
             assert (await read_to_end(client)).endswith(b"hello")
         client.close()
-        assert len(server.got) == 1
+        assert len(server.received_heads) == 1
--- a/tests/edge/test_client_disconnects.py
+++ b/tests/edge/test_client_disconnects.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from onyxpost.edge.clients import build_clients
+from onyxpost.edge.client_components import build_clients
 from onyxpost.simulation import virtual_time
 from tests.edge.client_sockets import LINGER_RESET, connect_client
 from tests.edge.event_loop import in_event_loop, wait_until
@@ -30,9 +30,9 @@
 async def send_unanswered_request(edge: RunningNode, server: StubAppServer) -> tuple[socket.socket, int]:
     client = connect_client(edge)
     client.sendall(encode_request("toll", Idempotency_Key="k", X_Expires_In="4900m"))
-    await wait_until(lambda: server.got)
+    await wait_until(lambda: server.received_heads)
     ((connection_id, _),) = [
-        item for item in edge.program.clients.connections.open.items() if item[1].has_unanswered_request
+        item for item in edge.node.clients.connections.open.items() if item[1].has_unanswered_request
     ]
     return client, connection_id
 
@@ -42,7 +42,7 @@
 async def test_a_disconnect_is_seen_before_the_loop_has_read_it(disconnect: str) -> None:
     async with StubAppServer(None) as server, RunningNode(server.address) as edge:
         client, connection_id = await send_unanswered_request(edge, server)
-        is_waiting = edge.program.clients.connections.is_waiting
+        is_waiting = edge.node.clients.connections.is_waiting
         assert (is_waiting(connection_id), is_waiting(connection_id + 9)) == (True, False)
         if "ahead" in disconnect:
             client.sendall(encode_request(trace="ahead"))
@@ -55,7 +55,7 @@
             client.close()
         assert not is_waiting(connection_id)
         await wait_until(lambda: server.closed.is_set())  # the attempt is cancelled too
-        assert (is_waiting(connection_id), edge.program.state_machine.unanswered_count) == (False, 0)
+        assert (is_waiting(connection_id), edge.node.state_machine.unanswered_count) == (False, 0)
         client.close()
 
 
@@ -64,8 +64,8 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         await edge.send_request(encode_request())
         assert [
-            edge.program.clients.connections.is_waiting(connection_id)
-            for connection_id in edge.program.clients.connections.open
+            edge.node.clients.connections.is_waiting(connection_id)
+            for connection_id in edge.node.clients.connections.open
         ] == [False]
 
 
@@ -73,7 +73,7 @@
     async def main() -> list[bool]:
         net = virtual_time.Network(Random("net"))
         received = asyncio.Event()
-        deployment: Any = RunningNode(("127.0.0.1", 9)).program.config.deployment
+        deployment: Any = RunningNode(("127.0.0.1", 9)).node.config.deployment
         host = net.host("edge")
 
         def post(value: EdgeEvent) -> None:
--- a/tests/edge/test_client_flow_control.py
+++ b/tests/edge/test_client_flow_control.py
@@ -23,8 +23,8 @@
 async def test_tcp_nodelay_is_set_for_clients_and_servers() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         await edge.send_request(encode_request())
-        ((upstream,),) = edge.program.servers.idle_connections.values()
-        (client,) = edge.program.clients.connections.open.values()
+        ((upstream,),) = edge.node.upstream_pool.idle_connections.values()
+        (client,) = edge.node.clients.connections.open.values()
         for writer in (client.writer, upstream.writer):
             sock = writer.transport.get_extra_info("socket")
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -35,19 +35,19 @@
     page = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60000
     async with StubAppServer(*[(page, False)] * 400) as server, RunningNode(server.address) as edge:
         edge.writer.close()
-        await wait_until(lambda: not edge.program.clients.connections.open)
+        await wait_until(lambda: not edge.node.clients.connections.open)
         client = socket.socket()
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.connect(edge.address[:2])
         sent_count = 0
-        await wait_until(lambda: len(edge.program.clients.connections.open) == 1)
-        (connection,) = edge.program.clients.connections.open.values()
+        await wait_until(lambda: len(edge.node.clients.connections.open) == 1)
+        (connection,) = edge.node.clients.connections.open.values()
         async with asyncio.timeout(10.0):
-            while connection.connection_id in edge.program.clients.connections.open and sent_count < 400:
+            while connection.connection_id in edge.node.clients.connections.open and sent_count < 400:
                 sent_count += 1
                 client.sendall(encode_request(trace=f"t{sent_count}"))
-                while connection.connection_id in edge.program.clients.connections.open and (
-                    edge.program.state_machine.requests.received_count < sent_count
+                while connection.connection_id in edge.node.clients.connections.open and (
+                    edge.node.state_machine.requests.received_count < sent_count
                     or connection.has_unanswered_request
                 ):
                     await asyncio.sleep(0)
@@ -73,8 +73,7 @@
                 client.close()
             assert (await edge.send_request(encode_request(trace=f"good{turn}")))[1] == b"hello"
         await wait_until(
-            lambda: len(edge.program.clients.connections.open) == 1
-            and not edge.program.clients.connections.closing
+            lambda: len(edge.node.clients.connections.open) == 1 and not edge.node.clients.connections.closing
         )
-        await wait_until(lambda: not edge.program.state_machine.requests.by_id)
-        assert b"fault" not in edge.out.getvalue()
+        await wait_until(lambda: not edge.node.state_machine.requests.by_id)
+        assert b"fault" not in edge.log_output.getvalue()
--- a/tests/edge/test_client_requests.py
+++ b/tests/edge/test_client_requests.py
@@ -24,7 +24,7 @@
             assert status in (await edge.send_request(data))[0]
         long = encode_request(Content_Length="70000") + b"x" * 70000
         assert b"413" in (await edge.send_request(long))[0]
-        assert server.got == []
+        assert server.received_heads == []
 
 
 @in_event_loop
@@ -33,7 +33,7 @@
         async with StubAppServer() as server, RunningNode(server.address) as edge:
             edge.writer.write(bad * 500)
             text = await asyncio.wait_for(edge.reader.read(), 5.0)
-            assert (text.count(b"HTTP/1.1"), server.got) == (1, [])
+            assert (text.count(b"HTTP/1.1"), server.received_heads) == (1, [])
 
 
 @in_event_loop
@@ -61,7 +61,7 @@
         )
         edge.writer.write(both + b"0\r\n\r\n" + hidden)
         text = await asyncio.wait_for(edge.reader.read(), 5.0)
-        assert (text[9:12], text.count(b"HTTP/1.1"), server.got) == (b"400", 1, [])
+        assert (text[9:12], text.count(b"HTTP/1.1"), server.received_heads) == (b"400", 1, [])
 
 
 @in_event_loop
@@ -69,7 +69,7 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         edge.writer.write(b"".join(encode_request(trace=f"t{i}") for i in range(300)))
         text = await asyncio.wait_for(edge.reader.read(), 5.0)
-        assert (text.count(b"HTTP/1.1 200"), len(server.got)) == (1, 1)
+        assert (text.count(b"HTTP/1.1 200"), len(server.received_heads)) == (1, 1)
         assert b"connection: close" in text.lower()
 
 
@@ -82,7 +82,7 @@
             slow_writer.write(encode_request()[:-2])
             assert await asyncio.wait_for(silent.read(), 2.0) == b""
             assert b" 408 " in await asyncio.wait_for(slow.read(), 2.0)
-        assert server.got == []
+        assert server.received_heads == []
         assert (await edge.send_request(encode_request()))[1] == b"hello"
         silent_writer.close()
         slow_writer.close()
--- a/tests/edge/test_descriptor_budget.py
+++ b/tests/edge/test_descriptor_budget.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from onyxpost.edge.descriptor_budget import ExhaustionLogLimit
+from onyxpost.edge.descriptor_budget import ExhaustionLogLimiter
 from tests.edge.event_loop import in_event_loop, wait_until
 from tests.edge.harness import RunningNode, StubAppServer, encode_request, node_fields
 
@@ -114,7 +114,7 @@
     first, second = servers
     in_flight_reader, in_flight_writer = await asyncio.open_connection(*address)
     in_flight_writer.write(encode_request(trace="held"))
-    await wait_until(lambda: first.got)
+    await wait_until(lambda: first.received_heads)
     async with idle_clients(address, client_count) as statuses:
         assert set(statuses) == {b"200"}
         assert await request_status(address, HEALTH_CHECK) == b"200"
@@ -125,7 +125,7 @@
             agent.answers = True
             await agent.list_received.wait()
         assert await request_status(address, encode_request(trace="t3")) == b"200"
-        assert [head for head in second.got if b"t3" in head]
+        assert [head for head in second.received_heads if b"t3" in head]
         assert await request_status(address, HEALTH_CHECK) == b"200"
         async with asyncio.timeout(3.0):  # its server drains without an answer; a retry may have succeeded
             status = (await in_flight_reader.readuntil(b"\r\n")).split(b" ")[1]
@@ -134,13 +134,13 @@
 
 
 def test_exhaustion_is_logged_once_in_a_while_and_other_errors_always() -> None:
-    limit = ExhaustionLogLimit()
+    limiter = ExhaustionLogLimiter()
     exhausted = OSError(errno.EMFILE, "Too many open files")
     times_ms = [0.0, 0.1, 9_999.0, 10_000.0, 10_001.0]
-    logged_already = [limit.is_logged_already(at, exhausted) for at in times_ms]
-    assert logged_already == [False, True, True, False, True]
-    assert not limit.is_logged_already(10_002.0, OSError(errno.EIO, "x"))
-    assert not limit.is_logged_already(10_002.0, None)
+    are_suppressed = [limiter.should_suppress(at, exhausted) for at in times_ms]
+    assert are_suppressed == [False, True, True, False, True]
+    assert not limiter.should_suppress(10_002.0, OSError(errno.EIO, "x"))
+    assert not limiter.should_suppress(10_002.0, None)
 
 
 @pytest.mark.parametrize("sockets", [40, 64])
@@ -225,14 +225,14 @@
         raise OSError(errno.EMFILE, "too many")
 
     async with StubAppServer() as one, StubAppServer() as two, RunningNode(one.address, two.address) as edge:
-        node = edge.program
+        node = edge.node
         for shortage in shortages:
             with pytest.MonkeyPatch.context() as patch:
                 if shortage == "capacity":
-                    patch.setattr(node.servers, "has_capacity", lambda: False)
+                    patch.setattr(node.upstream_pool, "has_capacity", lambda: False)
                 else:
-                    patch.setattr(node.net, "dial", fail_to_dial)
+                    patch.setattr(node.transport, "dial", fail_to_dial)
                 assert b" 429 " in (await edge.send_request(encode_request(trace=shortage)))[0]
-        assert b" ejected: " not in edge.out.getvalue()
+        assert b" ejected: " not in edge.log_output.getvalue()
         assert b" 200 " in (await edge.send_request(encode_request(trace="then")))[0]
-        assert len(one.got + two.got) == 1
+        assert len(one.received_heads + two.received_heads) == 1
--- a/tests/edge/test_address_choice.py
+++ b/tests/edge/test_discovery_address.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from onyxpost.edge.address_choice import AddressChoice
-from onyxpost.edge.staleness import PollFailure
+from onyxpost.edge.discovery_address import AddressChoice
+from onyxpost.edge.poll_schedule import PollFailure
 
 FIRST = ("10.0.0.1", 1)
 SECOND = ("10.0.0.2", 1)
--- a/tests/edge/test_discovery_faults.py
+++ b/tests/edge/test_discovery_faults.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from onyxpost.edge.staleness import (
+from onyxpost.edge.poll_schedule import (
     AGENT_ANSWER_MARGIN_MS,
     AGENT_BACKOFF_MAX_MS,
     AGENT_LONG_POLL_MS,
--- a/tests/edge/test_discovery_moves.py
+++ b/tests/edge/test_discovery_moves.py
@@ -103,7 +103,7 @@
 
     old_agent = Agent()
     old_agent.status = 503
-    assert EndpointUpdateFailed(stale=True) not in run_watch([old_agent], scenario).events()
+    assert EndpointUpdateFailed(is_stale=True) not in run_watch([old_agent], scenario).events()
 
 
 def test_the_alternative_address_is_forgotten_once_the_first_has_answered() -> None:
--- a/tests/edge/test_discovery_watch.py
+++ b/tests/edge/test_discovery_watch.py
@@ -178,9 +178,9 @@
     async def scenario(discovery: DiscoveryClient, network: Network) -> None:
         dial = network.dial
 
-        async def dial_late(host: str, address: Address, limit: int) -> DialedConnection:
+        async def dial_late(host: str, address: Address, buffer_limit_bytes: int) -> DialedConnection:
             await asyncio.sleep(connect_seconds)
-            return await dial(host, address, limit)
+            return await dial(host, address, buffer_limit_bytes)
 
         network.dial = dial_late  # type: ignore[method-assign]  # replaced for this instance only
         discovery.start()
@@ -207,7 +207,7 @@
         await asyncio.sleep(9.0)
 
     events = run_watch([TruncatingAgent(sent)], scenario).events()
-    assert (EndpointUpdateFailed(stale=True) in events) == makes_stale
+    assert (EndpointUpdateFailed(is_stale=True) in events) == makes_stale
 
 
 def test_a_complete_list_of_a_restarted_discovery_is_applied_at_a_lower_generation() -> None:
@@ -216,7 +216,7 @@
         await asyncio.sleep(1.0)
 
     result = run_watch([RestartedAgent()], scenario, replace(FIRST_AGENT, generation=41))
-    are_complete = [event.complete for event in result.events() if isinstance(event, EndpointUpdate)]
+    are_complete = [event.is_complete for event in result.events() if isinstance(event, EndpointUpdate)]
     assert result.discovery.generation == 3
     assert are_complete[:1] == [True]
 
@@ -237,4 +237,4 @@
 
     agent = Agent()
     agent.status = 503
-    assert EndpointUpdateFailed(stale=True) not in run_watch([agent], scenario).events()
+    assert EndpointUpdateFailed(is_stale=True) not in run_watch([agent], scenario).events()
--- a/tests/edge/test_overloaded_discovery.py
+++ b/tests/edge/test_overloaded_discovery.py
@@ -84,7 +84,7 @@
             await network.host(f"agent{node}").listen(
                 partial(service.serve, node), address, READ_SIZE_BYTES, 16
             )
-            options = DiscoveryOptions(address, seed=node, shared=True)
+            options = DiscoveryOptions(address, seed=node, is_shared_service=True)
             DiscoveryClient(network.host(f"n{node}"), options, lambda _: None, lambda _: None).start()
         await asyncio.sleep(20.0)
         return service
@@ -105,11 +105,11 @@
             StubAppServer(None) as agent,
             RunningNode(discovery=name) as edge,
         ):
-            await wait_until(lambda: b"discovery down" in edge.out.getvalue())
-            edge.file = node_fields(server.address, discovery="{}:{}".format(*agent.address))
+            await wait_until(lambda: b"discovery down" in edge.log_output.getvalue())
+            edge.reload_fields = node_fields(server.address, discovery="{}:{}".format(*agent.address))
             signal.raise_signal(signal.SIGHUP)
-            await wait_until(lambda: agent.got)
-            first_watch = next(iter(edge.program.discovery.watches))
+            await wait_until(lambda: agent.received_heads)
+            first_watch = next(iter(edge.node.discovery.watches))
             assert not first_watch.done(), first_watch
 
     asyncio.run(main())
--- a/tests/edge/test_peers.py
+++ b/tests/edge/test_peer_socket.py
@@ -8,7 +8,7 @@
 
 from onyxpost.core.events import PeerMessageReceived
 from onyxpost.edge.messages import EdgeEvent, SendPeerMessage
-from onyxpost.edge.peers import PeerSocket
+from onyxpost.edge.peer_socket import PeerSocket
 from tests.edge.event_loop import in_event_loop
 from tests.edge.harness import (
     transport_with_stopped_clock,
--- a/tests/edge/test_staleness.py
+++ b/tests/edge/test_poll_schedule.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from onyxpost.edge.staleness import (
+from onyxpost.edge.poll_schedule import (
     AGENT_BACKOFF_MAX_MS,
     AGENT_BACKOFF_MIN_MS,
     ANSWER_TIMEOUT_MS,
@@ -18,13 +18,13 @@
     STALE_AFTER_MS,
     STALE_AFTER_RELOAD_MS,
     PollFailure,
-    StalenessTracker,
+    PollSchedule,
 )
 
 
 @pytest.fixture
-def tracker() -> StalenessTracker:
-    return StalenessTracker(Random(1))
+def schedule() -> PollSchedule:
+    return PollSchedule(Random(1))
 
 
 @pytest.mark.parametrize(
@@ -36,16 +36,16 @@
     ],
 )
 def test_after_a_failure_and_an_overload_the_first_failure_counts(
-    tracker: StalenessTracker, failures: list[PollFailure]
+    schedule: PollSchedule, failures: list[PollFailure]
 ) -> None:
     now = 1000.0
     for failure in failures:
-        tracker.on_poll_started(now, 1.0)
+        schedule.on_poll_started(now, 1.0)
         now += 1900.0
-        tracker.on_poll_failed(now, failure)
-    tracker.on_poll_started(now, 1.0)
-    tracker.on_poll_failed(now, PollFailure.OVERLOADED)
-    assert tracker.stale_in_ms(now) == 1000.0 + STALE_AFTER_MS - now
+        schedule.on_poll_failed(now, failure)
+    schedule.on_poll_started(now, 1.0)
+    schedule.on_poll_failed(now, PollFailure.OVERLOADED)
+    assert schedule.stale_in_ms(now) == 1000.0 + STALE_AFTER_MS - now
 
 
 @pytest.mark.parametrize("down", [PollFailure.TIMEOUT, PollFailure.UNREACHABLE])
@@ -61,89 +61,89 @@
     ],
 )
 def test_an_outage_restarts_the_6_s_unless_a_change_may_have_been_missed_before(
-    tracker: StalenessTracker, before: list[PollFailure], may_miss_changes: bool, down: PollFailure
+    schedule: PollSchedule, before: list[PollFailure], may_miss_changes: bool, down: PollFailure
 ) -> None:
     now = 1000.0
-    tracker.on_poll_started(now, 1.0)
-    tracker.on_poll_answered()
+    schedule.on_poll_started(now, 1.0)
+    schedule.on_poll_answered()
     for failure in [*before, down, down]:
-        tracker.on_poll_started(now, 1.0)
+        schedule.on_poll_started(now, 1.0)
         now += 1000.0
-        tracker.on_poll_failed(now, failure)
-    stale_in_ms = tracker.stale_in_ms(now)
+        schedule.on_poll_failed(now, failure)
+    stale_in_ms = schedule.stale_in_ms(now)
     assert stale_in_ms == (1000.0 + STALE_AFTER_MS - now if may_miss_changes else None)
-    tracker.on_poll_started(now, 1.0)
-    tracker.on_poll_failed(now, PollFailure.OVERLOADED)
+    schedule.on_poll_started(now, 1.0)
+    schedule.on_poll_failed(now, PollFailure.OVERLOADED)
     if may_miss_changes:
         reachable_since = 1000.0
     elif down is PollFailure.TIMEOUT:
         reachable_since = now - 1000.0  # discovery was down when the unanswered poll started
     else:
         reachable_since = now  # discovery was down when the connection was refused
-    assert tracker.stale_in_ms(now) == reachable_since + STALE_AFTER_MS - now
+    assert schedule.stale_in_ms(now) == reachable_since + STALE_AFTER_MS - now
 
 
-def test_a_watch_that_times_out_counts_from_the_start_of_its_poll(tracker: StalenessTracker) -> None:
-    tracker.on_poll_started(0.0, 1.0)
-    tracker.on_poll_answered()
-    tracker.on_poll_started(1000.0, 1000.0)
-    tracker.on_poll_failed(2250.0, PollFailure.TIMEOUT)
-    tracker.on_poll_started(2250.0, 1.0)
-    tracker.on_poll_failed(2251.0, PollFailure.OVERLOADED)
-    assert tracker.stale_in_ms(2251.0) == 1000.0 + STALE_AFTER_MS - 2251.0
+def test_a_watch_that_times_out_counts_from_the_start_of_its_poll(schedule: PollSchedule) -> None:
+    schedule.on_poll_started(0.0, 1.0)
+    schedule.on_poll_answered()
+    schedule.on_poll_started(1000.0, 1000.0)
+    schedule.on_poll_failed(2250.0, PollFailure.TIMEOUT)
+    schedule.on_poll_started(2250.0, 1.0)
+    schedule.on_poll_failed(2251.0, PollFailure.OVERLOADED)
+    assert schedule.stale_in_ms(2251.0) == 1000.0 + STALE_AFTER_MS - 2251.0
 
 
-def test_after_a_move_the_list_is_stale_4_s_after_the_first_timeout(tracker: StalenessTracker) -> None:
-    tracker.on_poll_started(1000.0, 1.0, is_after_move=True)
-    tracker.on_poll_failed(1251.0, PollFailure.TIMEOUT)
-    tracker.on_poll_started(1251.0, 1.0, is_after_move=True)
-    tracker.on_poll_failed(1260.0, PollFailure.OVERLOADED)
-    assert tracker.stale_in_ms(1260.0) == 1000.0 + STALE_AFTER_RELOAD_MS - 1260.0
+def test_after_a_move_the_list_is_stale_4_s_after_the_first_timeout(schedule: PollSchedule) -> None:
+    schedule.on_poll_started(1000.0, 1.0, is_after_move=True)
+    schedule.on_poll_failed(1251.0, PollFailure.TIMEOUT)
+    schedule.on_poll_started(1251.0, 1.0, is_after_move=True)
+    schedule.on_poll_failed(1260.0, PollFailure.OVERLOADED)
+    assert schedule.stale_in_ms(1260.0) == 1000.0 + STALE_AFTER_RELOAD_MS - 1260.0
 
 
 @pytest.mark.parametrize("first", [PollFailure.OVERLOADED, PollFailure.CONNECTION_CLOSED])
 def test_connections_that_keep_closing_make_the_list_stale_after_6_s(
-    tracker: StalenessTracker, first: PollFailure
+    schedule: PollSchedule, first: PollFailure
 ) -> None:
     now = 1000.0
     while now < 1000.0 + STALE_AFTER_MS:
         for failure in (first, PollFailure.CONNECTION_CLOSED):
-            tracker.on_poll_started(now, 1.0)
-            now += tracker.on_poll_failed(now, failure)
-    assert tracker.stale_in_ms(now) == 0.0
+            schedule.on_poll_started(now, 1.0)
+            now += schedule.on_poll_failed(now, failure)
+    assert schedule.stale_in_ms(now) == 0.0
 
 
 @pytest.mark.parametrize("shared", [False, True])
 @pytest.mark.parametrize("seed", range(20))
 def test_the_next_poll_leaves_time_for_its_answer_before_the_list_is_stale(shared: bool, seed: int) -> None:
-    tracker = StalenessTracker(Random(seed), shared=shared)
+    schedule = PollSchedule(Random(seed), is_shared_service=shared)
     now = 1_000_000.0
-    tracker.on_poll_started(now, 1.0)
+    schedule.on_poll_started(now, 1.0)
     pauses = []
     for _ in range(4):
-        pauses.append(tracker.on_poll_failed(now, PollFailure.OVERLOADED))
-        remaining_ms = tracker.stale_in_ms(now)
+        pauses.append(schedule.on_poll_failed(now, PollFailure.OVERLOADED))
+        remaining_ms = schedule.stale_in_ms(now)
         assert remaining_ms is not None
         if remaining_ms > ANSWER_TIMEOUT_MS + RETRY_PAUSE_MS:
             assert pauses[-1] + ANSWER_TIMEOUT_MS <= remaining_ms
         now += pauses[-1]
-        tracker.on_poll_started(now, 1.0)
+        schedule.on_poll_started(now, 1.0)
     assert max(pauses) <= (STALE_AFTER_MS - ANSWER_TIMEOUT_MS if shared else AGENT_BACKOFF_MAX_MS)
 
 
 def test_a_malformed_answer_is_retried_soon_and_an_answer_resets_the_backoff(
-    tracker: StalenessTracker,
+    schedule: PollSchedule,
 ) -> None:
-    tracker.on_poll_started(0.0, 1.0)
-    pauses = [tracker.on_poll_failed(1.0, PollFailure.MALFORMED_ANSWER) for _ in range(40)]
+    schedule.on_poll_started(0.0, 1.0)
+    pauses = [schedule.on_poll_failed(1.0, PollFailure.MALFORMED_ANSWER) for _ in range(40)]
     assert max(pauses) <= 1.25 * RETRY_PAUSE_MS  # discovery keeps a watch for 200 ms without a poll
     assert max(pauses) - min(pauses) > 0.5 * RETRY_PAUSE_MS  # jitter against simultaneous polls
     for _ in range(4):
-        tracker.on_poll_failed(1.0, PollFailure.OVERLOADED)
-    backoffs = [tracker.on_poll_failed(1.0, PollFailure.OVERLOADED) for _ in range(40)]
+        schedule.on_poll_failed(1.0, PollFailure.OVERLOADED)
+    backoffs = [schedule.on_poll_failed(1.0, PollFailure.OVERLOADED) for _ in range(40)]
     assert max(backoffs) > AGENT_BACKOFF_MIN_MS
-    tracker.on_poll_answered()
+    schedule.on_poll_answered()
     for _ in range(40):
-        tracker.on_poll_started(0.0, 1.0)
-        assert tracker.on_poll_failed(1.0, PollFailure.OVERLOADED) <= AGENT_BACKOFF_MIN_MS
-        tracker.on_poll_answered()
+        schedule.on_poll_started(0.0, 1.0)
+        assert schedule.on_poll_failed(1.0, PollFailure.OVERLOADED) <= AGENT_BACKOFF_MIN_MS
+        schedule.on_poll_answered()
--- a/tests/edge/test_readiness.py
+++ b/tests/edge/test_readiness.py
@@ -19,7 +19,7 @@
 from onyxpost.runtime.structured_log import StructuredLog
 from onyxpost.simulation.virtual_time import Network, run
 from tests.edge.discovery_agents import Agent
-from tests.edge.harness import SETTINGS, node_fields
+from tests.edge.harness import DEPLOYMENT_SETTINGS, node_fields
 from tests.edge.test_overloaded_discovery import NODE_COUNT, OverloadedDiscovery
 
 LONG_DRAIN_GRACE_US = 30_000_000
@@ -54,16 +54,16 @@
     """An edge node that runs on the virtual network."""
 
     def __init__(self, network: Network, name: str, agent: str, settings: dict[str, Any]) -> None:
-        rules = SETTINGS["rules"] | {"drain_grace_us": LONG_DRAIN_GRACE_US}
+        rules = DEPLOYMENT_SETTINGS["rules"] | {"drain_grace_us": LONG_DRAIN_GRACE_US}
         fields = node_fields(
             ("10.0.0.1", 1),
             name=name,
             listen=f"{name}:1",
             peer_listen=f"{name}:2",
             discovery=agent,
-            settings=SETTINGS | {"rules": rules} | settings,
+            settings=DEPLOYMENT_SETTINGS | {"rules": rules} | settings,
         )
-        node_config = config.decode(fields)
+        node_config = config.decode_config(fields)
         event_log = StructuredLog(name, out=io.StringIO())
         self.node = EdgeNode(node_config, event_log, lambda: node_config, network.host(name))
         self.task = asyncio.get_running_loop().create_task(self.node.run())
--- a/tests/edge/test_reload.py
+++ b/tests/edge/test_reload.py
@@ -18,20 +18,22 @@
 
 
 def compare(before: dict[str, Any], after: dict[str, Any], has_routing_rules: bool = False) -> ConfigChange:
-    running = config.decode(node_fields(**before))
-    new = config.decode(node_fields(**after), is_reload=True)
+    running = config.decode_config(node_fields(**before))
+    new = config.decode_config(node_fields(**after), is_reload=True)
     return compare_configs(running, new, has_routing_rules=has_routing_rules)
 
 
 def test_the_same_file_changes_nothing() -> None:
-    running = config.decode(node_fields())
-    change = compare_configs(running, config.decode(node_fields(), is_reload=True), has_routing_rules=False)
+    running = config.decode_config(node_fields())
+    change = compare_configs(
+        running, config.decode_config(node_fields(), is_reload=True), has_routing_rules=False
+    )
     assert change == ConfigChange(running, ())
 
 
 def test_discovery_and_limits_take_effect_at_once() -> None:
-    running = config.decode(node_fields())
-    new = config.decode(node_fields(discovery="10.0.0.9:1", limits={"sockets": 99}), is_reload=True)
+    running = config.decode_config(node_fields())
+    new = config.decode_config(node_fields(discovery="10.0.0.9:1", limits={"sockets": 99}), is_reload=True)
     change = compare_configs(running, new, has_routing_rules=False)
     expected = replace(running, discovery=("10.0.0.9", 1), max_descriptors=99)
     assert change == ConfigChange(expected, ())
@@ -50,7 +52,7 @@
 def test_the_identity_and_addresses_of_a_node_change_only_at_a_restart(key: str, value: Any) -> None:
     change = compare({}, {key: value})
     assert change.restart_keys == (key,)
-    assert change.config == config.decode(node_fields())
+    assert change.config == config.decode_config(node_fields())
 
 
 def test_a_changed_deployment_takes_a_restart() -> None:
--- a/tests/edge/test_request_headers.py
+++ b/tests/edge/test_request_headers.py
@@ -20,9 +20,9 @@
     decode_request,
     forwarded_request,
 )
-from tests.edge.harness import SETTINGS
+from tests.edge.harness import DEPLOYMENT_SETTINGS
 
-DEPLOYMENT = deployment.decode_deployment(SETTINGS)
+DEPLOYMENT = deployment.decode_deployment(DEPLOYMENT_SETTINGS)
 HEADERS = {
     "x-trace-id": "t",
     "plan": "basic",
@@ -44,7 +44,7 @@
 def test_a_request_is_decoded_from_its_headers() -> None:
     request = decode()
     assert (request.frontend, request.customer, request.plan) == ("check", "b4d65521", "basic")
-    assert (request.units, request.set_size, request.first_node) == (2, 2, 1)
+    assert (request.units, request.set_size, request.first_node_index) == (2, 2, 1)
     assert request.timeout_ms == 480.0
 
 
--- a/tests/edge/test_shutdown_clients.py
+++ b/tests/edge/test_shutdown_clients.py
@@ -20,7 +20,7 @@
 
 async def send_long_request(edge: RunningNode, server: StubAppServer) -> None:
     edge.writer.write(POST)
-    await wait_until(lambda: server.got)
+    await wait_until(lambda: server.received_heads)
 
 
 async def assert_only_the_long_request_was_forwarded(edge: RunningNode, server: StubAppServer) -> None:
@@ -28,7 +28,7 @@
     assert (await asyncio.wait_for(edge.reader.read(), 5.0)).endswith(b"hello")
     edge.writer.close()
     assert await exit_code(edge) == 0
-    assert len(server.got) == 1
+    assert len(server.received_heads) == 1
 
 
 @pytest.mark.usefixtures("short_accept_time", "long_request_timeout")
@@ -37,7 +37,7 @@
     async with StubAppServer(None) as server, RunningNode(server.address) as edge:
         reader, writer = await asyncio.open_connection(*edge.address)
         await send_long_request(edge, server)
-        await wait_until(lambda: len(edge.program.clients.connections.open) == 2)
+        await wait_until(lambda: len(edge.node.clients.connections.open) == 2)
         send_sigterm()
         assert await asyncio.wait_for(reader.read(), 5.0) == b""
         writer.write(encode_request(trace="late"))
@@ -90,7 +90,7 @@
         assert await exit_code(edge) == 0
         await asyncio.wait_for(asyncio.gather(*senders), 5.0)
         assert [answer for answer in answers if answer[9:12] not in (b"200", b"429")] == []
-        assert len(answers) == edge.program.state_machine.requests.received_count
+        assert len(answers) == edge.node.state_machine.requests.received_count
 
 
 @pytest.mark.usefixtures("short_accept_time", "long_request_timeout")
--- a/tests/edge/test_shutdown_of_node.py
+++ b/tests/edge/test_shutdown_of_node.py
@@ -30,7 +30,7 @@
         edge.writer.write(encode_request(X_Expires_In="900m"))
         idle_writer.write(b"GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n")
         assert b"200 " in await idle_reader.readuntil(b"\r\n\r\n")
-        await wait_until(lambda: server.got)
+        await wait_until(lambda: server.received_heads)
         signal.raise_signal(signal.SIGTERM)
         assert await asyncio.wait_for(idle_reader.read(), 5.0) == b""
         idle_writer.close()
@@ -67,7 +67,7 @@
         with mock.patch("onyxpost.node.edge_node.asyncio.sleep", sleep_until_accepted):
             signal.raise_signal(signal.SIGTERM)
             assert await asyncio.wait_for(edge.running, 5.0) == 0
-        assert (accepted_turns, len(server.got)) == (1, 1)
+        assert (accepted_turns, len(server.received_heads)) == (1, 1)
         assert b"hello" in late_client.recv(65536)
         late_client.close()
 
@@ -75,9 +75,9 @@
 @in_event_loop
 async def test_a_peer_message_after_the_end_is_no_fault() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
-        edge.program.close()
+        edge.node.close()
         await asyncio.sleep(0.01)
-        edge.program.peers.send(SendPeerMessage(1, b"x"))
+        edge.node.peers.send(SendPeerMessage(1, b"x"))
 
 
 @in_event_loop
@@ -87,9 +87,9 @@
     monkeypatch.setattr("onyxpost.node.edge_node.ACCEPT_AFTER_STOP_SECONDS", 0.0)
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         reader, writer = await asyncio.open_connection(*edge.address)
-        await wait_until(lambda: len(edge.program.clients.connections.open) >= 2)
+        await wait_until(lambda: len(edge.node.clients.connections.open) >= 2)
         signal.raise_signal(signal.SIGTERM)
-        while edge.program.phase.value != "closing":
+        while edge.node.phase.value != "closing":
             await asyncio.sleep(0)
         writer.write(encode_request(trace="late"))
         assert b"hello" in await asyncio.wait_for(reader.read(), 5.0)
--- a/tests/edge/test_shutdown_outside_serving.py
+++ b/tests/edge/test_shutdown_outside_serving.py
@@ -29,9 +29,9 @@
 from onyxpost.runtime.socket_transport import SocketTransport
 
 async def main():
-    net = SocketTransport()
-    net.install_signal_handlers(lambda: None, lambda: None)
-    net.ignore_signals()
+    transport = SocketTransport()
+    transport.install_signal_handlers(lambda: None, lambda: None)
+    transport.ignore_signals()
 
 asyncio.run(main())
 for number in (signal.SIGTERM, signal.SIGHUP):
@@ -70,9 +70,9 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(DiscoveryClient, "wait_for_first_answer", wait_forever)
         edge = RunningNode(("127.0.0.1", 9))
-        running = asyncio.get_running_loop().create_task(edge.program.run())
+        running = asyncio.get_running_loop().create_task(edge.node.run())
         await is_waiting.wait()
         send_sigterm()
         assert await asyncio.wait_for(running, 5.0) == 0
-    assert edge.program.clients.listener.server is None
-    assert b"serving" not in edge.out.getvalue()
+    assert edge.node.clients.listener.server is None
+    assert b"serving" not in edge.log_output.getvalue()
--- a/tests/edge/test_shutdown_requests.py
+++ b/tests/edge/test_shutdown_requests.py
@@ -47,11 +47,11 @@
 async def test_a_request_that_is_not_forwarded_yet_is_answered() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         attempts: list[SendAttempt] = []
-        edge.program.events.effect_handlers[SendAttempt] = attempts.append
+        edge.node.event_processor.effect_handlers[SendAttempt] = attempts.append
         edge.writer.write(encode_request())
         await wait_until(lambda: attempts)
         await stop_node(edge)
-        edge.program.servers.send(attempts[0])
+        edge.node.upstream_pool.start_attempt(attempts[0])
         await assert_last_answer(edge)
 
 
@@ -83,7 +83,7 @@
 async def test_an_attempt_whose_answer_is_half_received_is_answered(received_bytes: int) -> None:
     async with StubAppServer(None) as server, RunningNode(server.address) as edge:
         edge.writer.write(encode_request())
-        await wait_until(lambda: server.got)
+        await wait_until(lambda: server.received_heads)
         server.writers[0].write(UPSTREAM_ANSWER[:received_bytes])
         await stop_node(edge)
         server.writers[0].write(UPSTREAM_ANSWER[received_bytes:])
@@ -97,8 +97,8 @@
         pause_reading(edge.writer)
         edge.writer.write(encode_request())
         await wait_until(
-            lambda: edge.program.state_machine.requests.received_count
-            and not edge.program.state_machine.unanswered_count
+            lambda: edge.node.state_machine.requests.received_count
+            and not edge.node.state_machine.unanswered_count
         )
         await stop_node(edge)
         resume_reading(edge.writer)
@@ -116,21 +116,21 @@
         send_sigterm()  # the event loop gets the signal and the request in the same turn
         edge.writer.write(encode_request(trace="b"))
         await assert_last_answer(edge)
-        assert len(server.got) == 2
+        assert len(server.received_heads) == 2
 
 
 @pytest.mark.usefixtures("short_accept_time")
 @in_event_loop
 async def test_a_second_sigterm_and_sighups_around_it_change_nothing() -> None:
     async with StubAppServer(None) as server, RunningNode(server.address) as edge:
-        edge.file = node_fields(server.address, discovery="127.0.0.1:2")
+        edge.reload_fields = node_fields(server.address, discovery="127.0.0.1:2")
         edge.writer.write(encode_request())
-        await wait_until(lambda: server.got)
+        await wait_until(lambda: server.received_heads)
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             signal.raise_signal(number)
-        await wait_until(lambda: edge.out.getvalue().count(b'"reloaded"') == 2)
-        await wait_until(lambda: edge.program.phase is not Phase.SERVING)
+        await wait_until(lambda: edge.log_output.getvalue().count(b'"reloaded"') == 2)
+        await wait_until(lambda: edge.node.phase is not Phase.SERVING)
         send_sigterm()
         server.writers[0].write(UPSTREAM_ANSWER)
         await assert_last_answer(edge)
-        assert edge.out.getvalue().count(b'"leaving"') == 1
+        assert edge.log_output.getvalue().count(b'"leaving"') == 1
--- a/tests/edge/test_silent_discovery.py
+++ b/tests/edge/test_silent_discovery.py
@@ -17,7 +17,7 @@
 
 from onyxpost.edge.errors import InvalidEndpointUpdateError
 from onyxpost.edge.messages import EndpointUpdate, EndpointUpdateFailed, decode_endpoint_update
-from onyxpost.edge.staleness import (
+from onyxpost.edge.poll_schedule import (
     ANSWER_TIMEOUT_MS,
     RETRY_PAUSE_MS,
     STALE_AFTER_LONG_POLL_MS,
@@ -38,7 +38,7 @@
     from onyxpost.simulation.virtual_time import Network
 
 DRAIN_GRACE_MS = 250.0  # attempts that start later on a draining server violate the protocol
-SHARED_DISCOVERY = replace(FIRST_AGENT, shared=True)
+SHARED_DISCOVERY = replace(FIRST_AGENT, is_shared_service=True)
 
 Scenario = Callable[["DiscoveryClient"], Awaitable[None]]
 
@@ -66,7 +66,7 @@
 
 
 def stale_posted_at(posted: list[PostedEvent]) -> list[float]:
-    return [at for at, event in posted if isinstance(event, EndpointUpdateFailed) and event.stale]
+    return [at for at, event in posted if isinstance(event, EndpointUpdateFailed) and event.is_stale]
 
 
 @pytest.mark.parametrize("truncated", [False, True])
@@ -158,7 +158,7 @@
     old.change_at = 7000.0
     posted = watch([old, new], 7500.0, move)
     assert isinstance(posted[-2].event, EndpointUpdate)
-    assert posted[-1].event == EndpointUpdateFailed(stale=True)
+    assert posted[-1].event == EndpointUpdateFailed(is_stale=True)
 
 
 def test_an_unreachable_second_address_does_not_hide_an_overloaded_first_one() -> None:
@@ -180,7 +180,7 @@
     old.status = 503
     new.change_at = 0.0
     events = [event for _, event in watch([old, new], 7100.0, move_to_older_list)]
-    after_stale = events[events.index(EndpointUpdateFailed(stale=True)) + 1]
+    after_stale = events[events.index(EndpointUpdateFailed(is_stale=True)) + 1]
     assert after_stale == EndpointUpdate(5, False, [], {})
 
 
--- a/tests/edge/test_state_machine.py
+++ b/tests/edge/test_state_machine.py
@@ -34,12 +34,12 @@
 )
 from onyxpost.edge.state_machine import EdgeStateMachine
 from onyxpost.runtime.log_event import LogEvent
-from tests.edge.harness import CLIENT_REQUEST, SETTINGS, node_fields
+from tests.edge.harness import CLIENT_REQUEST, DEPLOYMENT_SETTINGS, node_fields
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-DEPLOYMENT = deployment.decode_deployment(SETTINGS)
+DEPLOYMENT = deployment.decode_deployment(DEPLOYMENT_SETTINGS)
 ENDPOINT_FIELDS = {"instanceId": "s0", "hostPort": "127.0.0.1:9", "lifecycle": "up"}
 ENDPOINT = Endpoint("s0", ("127.0.0.1", 9))
 RESPONSE = UpstreamResponse([], b"x")
--- a/tests/edge/test_upstream_responses.py
+++ b/tests/edge/test_upstream_responses.py
@@ -36,8 +36,8 @@
             head, body = await edge.send_request(encode_request(trace=trace))
             assert (head.split(b"\r\n")[0][:12], body) == (b"HTTP/1.1 200", b"hello")
             assert b"x-mark: 1" in head.lower()
-        assert (len(server.got), server.opened) == (2, 1)
-        assert server.got[0].startswith(b"GET /check/7?a=b HTTP/1.1\r\n")
+        assert (len(server.received_heads), server.connection_count) == (2, 1)
+        assert server.received_heads[0].startswith(b"GET /check/7?a=b HTTP/1.1\r\n")
 
 
 @in_event_loop
@@ -66,14 +66,14 @@
     ):
         assert (await edge.send_request(encode_request(trace="a")))[1] == b"hello"
         assert (await edge.send_request(encode_request(trace="b")))[1] == b"hello"
-        assert server.opened == 2
+        assert server.connection_count == 2
 
 
 @in_event_loop
 async def test_late_bytes_on_an_idle_connection_do_not_answer_the_next_request() -> None:
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         await edge.send_request(encode_request(trace="a"))
-        ((connection,),) = edge.program.servers.idle_connections.values()
+        ((connection,),) = edge.node.upstream_pool.idle_connections.values()
         connection.reader.feed_data(UPSTREAM_ANSWER.replace(b"hello", b"other"))
         assert (await edge.send_request(encode_request(trace="b")))[1] == b"hello"
 
@@ -86,7 +86,7 @@
     async with StubAppServer() as server, RunningNode(server.address) as edge:
         for trace in ("a", "b"):
             assert (await edge.send_request(encode_request(trace=trace)))[1] == b"hello"
-        assert server.opened == 2
+        assert server.connection_count == 2
 
 
 @in_event_loop
@@ -106,7 +106,7 @@
     ends: asyncio.Queue[EdgeEvent] = asyncio.Queue()
     pool = create_pool(ends.put_nowait)
     async with StubAppServer((UPSTREAM_ANSWER.replace(b": 5", b": 3000000000"), False)) as server:
-        pool.send(SendAttempt(7, Endpoint("s", server.address), CLIENT_REQUEST, 4000.0))
+        pool.start_attempt(SendAttempt(7, Endpoint("s", server.address), CLIENT_REQUEST, 4000.0))
         end = await asyncio.wait_for(ends.get(), 5.0)
         assert isinstance(end, AttemptEnded)
         assert end.result is AttemptResult.LOST
@@ -126,9 +126,9 @@
     pool = create_pool(ends.put_nowait)
     async with StubAppServer() as server:
         for number, name in enumerate(("old", "old", "new")):
-            pool.send(SendAttempt(number, Endpoint(name, server.address), CLIENT_REQUEST, 900.0))
+            pool.start_attempt(SendAttempt(number, Endpoint(name, server.address), CLIENT_REQUEST, 900.0))
             await asyncio.wait_for(ends.get(), 5.0)
-        assert (server.opened, pool.connection_count) == (2, 2)
+        assert (server.connection_count, pool.connection_count) == (2, 2)
         pool.retire_endpoint(Endpoint("old", server.address))
         assert pool.connection_count == 1
         pool.close()
@@ -138,7 +138,7 @@
 async def test_a_connection_that_the_server_closed_is_not_reused() -> None:
     async with StubAppServer((UPSTREAM_ANSWER, True)) as server, RunningNode(server.address) as edge:
         await edge.send_request(encode_request(trace="a"))
-        ((connection,),) = edge.program.servers.idle_connections.values()
+        ((connection,),) = edge.node.upstream_pool.idle_connections.values()
         await wait_until(lambda: connection.reader.at_eof())
         assert (await edge.send_request(encode_request(trace="b")))[1] == b"hello"
-        assert (server.opened, len(server.got)) == (2, 2)
+        assert (server.connection_count, len(server.received_heads)) == (2, 2)
--- a/tests/leadership/test_config.py
+++ b/tests/leadership/test_config.py
@@ -9,7 +9,7 @@
 import pytest
 
 from onyxpost.errors import InvalidInputError
-from onyxpost.leadership.config import read_section
+from onyxpost.leadership.config import decode_leadership_config
 from onyxpost.leadership.errors import LeadershipError
 from onyxpost.node import config
 from onyxpost.node.cluster_extension import ClusterExtension
@@ -39,14 +39,14 @@
 )
 def test_an_invalid_value_is_named_with_its_key(change: dict[str, Any], key_path: str) -> None:
     with pytest.raises(LeadershipError) as caught:
-        read_section(SECTION | change, NODES)
+        decode_leadership_config(SECTION | change, NODES)
     assert isinstance(caught.value, InvalidInputError)
     assert f"$.duties.{key_path}" in str(caught.value)
 
 
 def test_the_section_needs_a_cluster() -> None:
     with pytest.raises(InvalidInputError, match="the section duties requires the missing section fleet"):
-        config.decode(node_fields(duties=SECTION))
+        config.decode_config(node_fields(duties=SECTION))
 
 
 def test_an_edge_node_reads_its_section_and_rejects_the_replacement_of_an_acceptor() -> None:
@@ -60,13 +60,13 @@
             StubAppServer() as server,
             RunningNode(server.address, fleet=fleet, duties=SECTION) as edge,
         ):
-            cluster = find_extension(edge.program.extensions, ClusterExtension)
+            cluster = find_extension(edge.node.extensions, ClusterExtension)
             assert cluster is not None
             service = cluster.leadership
             assert service is not None
-            edge.file = node_fields(fleet=fleet, duties=with_replacement)
-            edge.program.reload()
-            assert b"reload refused" in edge.out.getvalue()
+            edge.reload_fields = node_fields(fleet=fleet, duties=with_replacement)
+            edge.node.reload()
+            assert b"reload refused" in edge.log_output.getvalue()
             assert service.registry.acceptor_set.version == 1
 
     asyncio.run(main())
@@ -77,7 +77,8 @@
     [
         pytest.param("", id="no file"),
         pytest.param(
-            "from onyxpost.node import config; config.read({'EDGE_CONFIG': 'deploy/example-node.json'}); ",
+            "from onyxpost.node import config; "
+            "config.read_config({'EDGE_CONFIG': 'deploy/example-node.json'}); ",
             id="file without the section",
         ),
     ],
@@ -88,7 +89,7 @@
 
 
 def test_the_example_file_names_its_roles() -> None:
-    section = config.read({"EDGE_CONFIG": "deploy/example-duties.json"}).leadership
+    section = config.read_config({"EDGE_CONFIG": "deploy/example-duties.json"}).leadership
     assert section is not None
     assert section.roles == ("rollout", "swap")
 
--- a/tests/leadership/test_races.py
+++ b/tests/leadership/test_races.py
@@ -76,7 +76,7 @@
 
     async def scenario(cluster: VirtualCluster) -> None:
         service = cluster.nodes["n00"].leadership
-        before = service.registry.fencing_tokens(service.net.clock())
+        before = service.registry.fencing_tokens(service.transport.clock())
         for role in cluster.config.roles:
             for message in (
                 StatusQuery(role=role, version=2, queried_at_ms=1),
@@ -84,7 +84,7 @@
                 RecoveryQuery(role=role, version=4, queried_at_ms=1),
             ):
                 service.handle_message("n01", protocol.encode(message))
-        assert service.registry.fencing_tokens(service.net.clock()) == before
+        assert service.registry.fencing_tokens(service.transport.clock()) == before
         logs = [log.event for log in cluster.logs if log.node == "n00"]
         (dropped,) = [log.fields for log in logs if log.event == DiagnosticKind.MESSAGE_DROPPED.value]
         assert dropped["reason"] == "acceptor set version 2 from n01, expected 1"
--- a/tests/planner/cluster.py
+++ b/tests/planner/cluster.py
@@ -73,12 +73,12 @@
 
     def start_planner(self, name: str) -> Planner:
         self.planner_incarnations[name] += 1
-        net = self.net.host(self.planner_host(name))
+        transport = self.net.host(self.planner_host(name))
         log = io.StringIO()
         self.logs[name] = log
         epoch = f"{name}-{self.planner_incarnations[name]}"
         planner = Planner(
-            self.config(name), StructuredLog(name, out=log), lambda: self.config(name), net, epoch
+            self.config(name), StructuredLog(name, out=log), lambda: self.config(name), transport, epoch
         )
         self.planners[name] = planner
         self.tasks[name] = asyncio.get_running_loop().create_task(planner.run())
--- a/tests/planner/forwarder_model.py
+++ b/tests/planner/forwarder_model.py
@@ -75,9 +75,9 @@
         self.incarnation += 1
         self.is_alive = True
         self.request_count = 0
-        net = cluster.net.host(f"{self.name}.{self.incarnation}")
-        self.host = net.name
-        self.clock = net.clock
+        transport = cluster.net.host(f"{self.name}.{self.incarnation}")
+        self.host = transport.name
+        self.clock = transport.clock
         options = GatewayOptions(
             seed=self.incarnation,
             node_index=self.index,
@@ -89,9 +89,9 @@
             limits=GatewayLimits(2, True, True, False, 500.0, 0.0, SAFE_SHARE),
             polls_endpoints=False,
         )
-        self.gateway = Gateway(net.clock(), options)
+        self.gateway = Gateway(transport.clock(), options)
         self.client = PlannerClient(
-            net, self.name, cluster.members(), cluster.membership_version, self.post, lambda log: None
+            transport, self.name, cluster.members(), cluster.membership_version, self.post, lambda log: None
         )
         self.client.start()
         self.handle(EndpointsUpdated(True, [EndpointStatus("s", "", 0, EndpointState.READY, 1.0, 0.0)]))
--- a/tests/planner/test_config.py
+++ b/tests/planner/test_config.py
@@ -38,17 +38,17 @@
 
 
 def test_node_with_planners_keeps_its_safe_share() -> None:
-    node = node_config.decode(node_fields(planners=MEMBERSHIP))
+    node = node_config.decode_config(node_fields(planners=MEMBERSHIP))
     assert node.planners is not None
     assert node.planners.members == {"p0": ("127.0.0.1", 7100)}
     assert node.deployment.limits.local_share == 0.2
 
 
 def test_node_without_planners_has_no_safe_share() -> None:
-    assert node_config.decode(node_fields()).deployment.limits.local_share == 0.0
+    assert node_config.decode_config(node_fields()).deployment.limits.local_share == 0.0
 
 
 def test_error_in_a_nodes_planners_names_the_key() -> None:
     with pytest.raises(InvalidInputError) as caught:
-        node_config.decode(node_fields(planners=MEMBERSHIP | {"members": {"p0": "x"}}))
+        node_config.decode_config(node_fields(planners=MEMBERSHIP | {"members": {"p0": "x"}}))
     assert "$.planners.members.p0" in str(caught.value)
--- a/tests/planner/test_connections.py
+++ b/tests/planner/test_connections.py
@@ -147,29 +147,29 @@
 def test_planner_stopped_at_any_iteration_of_a_new_connection_ends_without_a_fault(iterations: int) -> None:
     """A stop may come at any point between the accept and the hello; no task may end with an error."""
     faults: list[dict[str, Any]] = []
-    net = LoopbackWithoutSignals()
+    transport = LoopbackWithoutSignals()
 
     async def main() -> int:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: faults.append(context))
         config = replace(VirtualCluster(1, 1, 1, PLAN).config("p0"), listen=("127.0.0.1", 0))
-        planner = Planner(config, StructuredLog("p0", out=io.StringIO()), lambda: config, net, "e")
+        planner = Planner(config, StructuredLog("p0", out=io.StringIO()), lambda: config, transport, "e")
         running = loop.create_task(planner.run())
         while planner.listener is None:
             await asyncio.sleep(0)
         address = planner.listener.sockets[0].getsockname()
-        reader, writer, *_ = await net.dial(address, 65536)
+        reader, writer, *_ = await transport.dial(address, 65536)
         writer.write(protocol.encode_frame(protocol.Hello(1, "f0", 1)))
         assert isinstance(await protocol.read_planner_message(reader), protocol.Welcome)
         with socket.create_connection(address):
             for _ in range(iterations):
                 await asyncio.sleep(0)
-            net.stop()
+            transport.stop()
             return await running
 
     assert asyncio.run(main()) == 0
     assert faults == []
-    assert not net.handles_signals  # a SIGHUP after the stop would find no event loop
+    assert not transport.handles_signals  # a SIGHUP after the stop would find no event loop
 
 
 def test_connections_without_a_hello_are_limited_and_forwarders_connect_nevertheless() -> None:
--- a/tests/process/test_command_line.py
+++ b/tests/process/test_command_line.py
@@ -37,7 +37,7 @@
 import sys, onyxpost.{0}.serve
 if "{0}" == "node":
     from onyxpost.node import config, edge_node
-    edge_node.EdgeNode(config.read({{"EDGE_CONFIG": "deploy/example-node.json"}}), None, None)
+    edge_node.EdgeNode(config.read_config({{"EDGE_CONFIG": "deploy/example-node.json"}}), None, None)
 print(*sorted(name for name in sys.modules if name.split(".")[0] in {1} or name in {1}))
 """
 
