--- a/tests/process/test_node_file.py
+++ b/tests/process/test_node_file.py
@@ -7,10 +7,10 @@
 from onyxpost.edge.messages import decode_endpoint_update
 from onyxpost.errors import InvalidInputError
 from onyxpost.node import config
-from tests.edge.harness import SETTINGS, node_fields
+from tests.edge.harness import DEPLOYMENT_SETTINGS, node_fields
 
-FRONTEND: dict[str, Any] = SETTINGS["grades"][0]
-BOUNDS: dict[str, Any] = SETTINGS["bounds"]
+FRONTEND: dict[str, Any] = DEPLOYMENT_SETTINGS["grades"][0]
+BOUNDS: dict[str, Any] = DEPLOYMENT_SETTINGS["bounds"]
 ENDPOINT = {"instanceId": "s", "lifecycle": "up", "zone": None, "cell": None, "weight": 2}
 
 
@@ -24,25 +24,33 @@
         ({"limits": {"sockets": "many"}}, "$.limits.sockets"),
         ({"log_level": "loud"}, "$.log_level"),
         ({"known": {"generation": 1, "instances": [{"lifecycle": "up"}]}}, "$.known.instances[0]"),
-        ({"settings": SETTINGS | {"ordinal": 2}}, "$.ordinal"),
-        ({"settings": SETTINGS | {"grades": []}}, "$.settings.grades"),
-        ({"settings": SETTINGS | {"grades": [FRONTEND | {"group": 1}]}}, "$.settings.grades[0].group"),
+        ({"settings": DEPLOYMENT_SETTINGS | {"ordinal": 2}}, "$.ordinal"),
+        ({"settings": DEPLOYMENT_SETTINGS | {"grades": []}}, "$.settings.grades"),
         (
-            {"settings": SETTINGS | {"grades": [FRONTEND | {"aim_us": 0}]}},
+            {"settings": DEPLOYMENT_SETTINGS | {"grades": [FRONTEND | {"group": 1}]}},
+            "$.settings.grades[0].group",
+        ),
+        (
+            {"settings": DEPLOYMENT_SETTINGS | {"grades": [FRONTEND | {"aim_us": 0}]}},
             "$.settings.grades[0].aim_us",
         ),
-        ({"settings": SETTINGS | {"bounds": BOUNDS | {"try_limit": 0}}}, "$.settings.bounds.try_limit"),
+        (
+            {"settings": DEPLOYMENT_SETTINGS | {"bounds": BOUNDS | {"try_limit": 0}}},
+            "$.settings.bounds.try_limit",
+        ),
     ],
 )
 def test_an_invalid_value_is_reported_with_its_path(changed: dict[str, Any], path: str) -> None:
     with pytest.raises(InvalidInputError) as caught:
-        config.decode(node_fields(**changed))
+        config.decode_config(node_fields(**changed))
     assert f"`{path}`" in str(caught.value)
     assert "\n" not in str(caught.value)
 
 
 def test_unknown_keys_are_ignored() -> None:
-    node = config.decode(node_fields(more={"of": "it"}, settings=SETTINGS | {"family": "x"}))
+    node = config.decode_config(
+        node_fields(more={"of": "it"}, settings=DEPLOYMENT_SETTINGS | {"family": "x"})
+    )
     assert (node.name, node.log_level, node.max_descriptors) == ("n0", "info", 256)
 
 
--- a/tests/process/test_rejected_reloads.py
+++ b/tests/process/test_rejected_reloads.py
@@ -42,17 +42,17 @@
     async def run() -> None:
         members = PLANNER_FIELDS["planners"]["members"]
         async with RunningNode(planners={"version": 3, "members": members}) as edge:
-            before = edge.program.config
-            edge.file = node_fields(discovery="127.0.0.1:2", limits={"sockets": 99}, **changed)
+            before = edge.node.config
+            edge.reload_fields = node_fields(discovery="127.0.0.1:2", limits={"sockets": 99}, **changed)
             signal.raise_signal(signal.SIGHUP)
             async with asyncio.timeout(5.0):
-                while not rejected_reload_lines(edge.out):
+                while not rejected_reload_lines(edge.log_output):
                     await asyncio.sleep(0.001)
-            (line,) = rejected_reload_lines(edge.out)
+            (line,) = rejected_reload_lines(edge.log_output)
             assert path in line["cause"]
             assert (line["level"], line["remedy"]) == ("warning", error_type.remedy)
-            assert edge.program.config is before
-            assert edge.program.discovery.address == before.discovery
+            assert edge.node.config is before
+            assert edge.node.discovery.address == before.discovery
 
     asyncio.run(run(), debug=True)
 
--- a/tests/process/test_reported_errors.py
+++ b/tests/process/test_reported_errors.py
@@ -24,7 +24,7 @@
     SimulationFileError,
     SimulationStalledError,
 )
-from tests.edge.harness import SETTINGS, node_fields
+from tests.edge.harness import DEPLOYMENT_SETTINGS, node_fields
 from tests.process.operator_errors import PLANNER_FIELDS, assert_reported_in_one_line
 
 if TYPE_CHECKING:
@@ -44,7 +44,11 @@
         (node_fields(seed="x"), errors.InvalidValueError, "`$.seed`"),
         (node_fields(listen="nowhere"), errors.InvalidAddressError, "`$.listen`"),
         (node_fields(("x", 99999)), errors.InvalidAddressError, "`$.known.instances[0].hostPort`"),
-        (node_fields(settings=SETTINGS | {"ordinal": 2}), errors.ConflictingValuesError, "`$.ordinal`"),
+        (
+            node_fields(settings=DEPLOYMENT_SETTINGS | {"ordinal": 2}),
+            errors.ConflictingValuesError,
+            "`$.ordinal`",
+        ),
     ],
 )
 def test_an_unusable_node_file_is_reported_by_serve_and_check(
--- a/tests/rollout/test_routing_rules_reload.py
+++ b/tests/rollout/test_routing_rules_reload.py
@@ -51,7 +51,7 @@
 
 
 def log_lines(edge: RunningNode) -> list[dict[str, Any]]:
-    return [json.loads(line) for line in edge.out.getvalue().splitlines()]
+    return [json.loads(line) for line in edge.log_output.getvalue().splitlines()]
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
@@ -93,10 +93,10 @@
 async def check_path_is_rejected(rules_path: Path, path: str) -> None:
     async with RunningNode(UNUSED_SERVER) as edge:
         fields = node_fields_with_rules(rules_path, UNUSED_SERVER, discovery="127.0.0.1:3")
-        edge.file = fields | {"rules": path}
+        edge.reload_fields = fields | {"rules": path}
         (line,) = await reload(edge)
         assert line["event"] == REJECTED
-        assert edge.program.config.discovery == ("127.0.0.1", 3)
+        assert edge.node.config.discovery == ("127.0.0.1", 3)
 
 
 def test_a_path_with_a_zero_byte_is_rejected(rules_path: Path) -> None:
@@ -125,13 +125,13 @@
         (rules_text(1, "a"), StaleRulesError),
     ]
     for rules, error in steps:
-        in_force = edge.program.routing_rules
+        in_force = edge.node.routing_rules
         rules_path.write_text(rules)
         (line,) = await reload(edge)
         assert line["event"] == (APPLIED if error is None else REJECTED)
         if error is not None:
             assert (line["kind"], line["remedy"]) == (error.__name__, error.remedy)
-            assert edge.program.routing_rules is in_force
+            assert edge.node.routing_rules is in_force
     assert line["version in force"] == 2
 
 
@@ -150,16 +150,18 @@
         fields = node_fields_with_rules(rules_path, first_in_a.address, second_in_a.address, in_b.address)
         async with RunningNode(**fields) as edge:
             edge.writer.write(encode_request(trace="t1"))
-            await wait_until(lambda: len(first_in_a.got) + len(second_in_a.got) == 1)
-            edge.file = fields
+            await wait_until(lambda: len(first_in_a.received_heads) + len(second_in_a.received_heads) == 1)
+            edge.reload_fields = fields
             await check_reloads(edge, rules_path)
             assert b"200" in await send_request(edge)
-            used, unused = (first_in_a, second_in_a) if first_in_a.got else (second_in_a, first_in_a)
-            assert (len(unused.got), len(in_b.got)) == (0, 1)
+            used, unused = (
+                (first_in_a, second_in_a) if first_in_a.received_heads else (second_in_a, first_in_a)
+            )
+            assert (len(unused.received_heads), len(in_b.received_heads)) == (0, 1)
             unused.answers = []
             used.writers[0].close()  # the first request is retried, under the rules of its first attempt
             assert b"200" in (await edge.answer())[0]
-            assert (len(unused.got), len(in_b.got)) == (1, 1)
+            assert (len(unused.received_heads), len(in_b.received_heads)) == (1, 1)
 
 
 def test_a_later_version_applies_to_new_requests_and_not_to_those_in_flight(rules_path: Path) -> None:
@@ -168,16 +170,16 @@
 
 async def check_first_rules(rules_path: Path) -> None:
     async with RunningNode(UNUSED_SERVER) as edge:
-        edge.file = node_fields_with_rules(rules_path, UNUSED_SERVER, discovery="127.0.0.1:3")
+        edge.reload_fields = node_fields_with_rules(rules_path, UNUSED_SERVER, discovery="127.0.0.1:3")
         for rules, event in ((None, REJECTED), ("x", REJECTED), (rules_text(1, "a"), APPLIED)):
             if rules is not None:
                 rules_path.write_text(rules)
             assert [line["event"] for line in await reload(edge)] == [event]
-            assert edge.program.config.discovery == ("127.0.0.1", 3)
-        assert edge.program.routing_rules is not None
-        gateway = edge.program.state_machine.decision_maker
+            assert edge.node.config.discovery == ("127.0.0.1", 3)
+        assert edge.node.routing_rules is not None
+        gateway = edge.node.state_machine.decision_maker
         assert isinstance(gateway, Gateway)
-        await wait_until(lambda: gateway.state.rules is edge.program.routing_rules)
+        await wait_until(lambda: gateway.state.rules is edge.node.routing_rules)
 
 
 def test_the_first_rules_may_come_by_sighup_and_rejected_ones_stop_nothing_else(rules_path: Path) -> None:
@@ -189,11 +191,11 @@
     fields = node_fields_with_rules(rules_path, UNUSED_SERVER)
     async with RunningNode(**fields) as edge:
         without_rules = {key: value for key, value in fields.items() if key != "rules"}
-        edge.file = without_rules | {"discovery": "127.0.0.1:3"}
+        edge.reload_fields = without_rules | {"discovery": "127.0.0.1:3"}
         assert await reload(edge) == []
         (line,) = [line for line in log_lines(edge) if line["event"] == "reloaded"]
         assert (line["after restart"], line["discovery"]) == (["rules"], "127.0.0.1:3")
-        assert edge.program.routing_rules is not None
+        assert edge.node.routing_rules is not None
 
 
 def test_removing_the_key_keeps_the_rules_until_a_restart_and_is_logged(rules_path: Path) -> None:
--- a/tests/simulation/load/test_load_generator.py
+++ b/tests/simulation/load/test_load_generator.py
@@ -21,7 +21,7 @@
 
 def patient_deployment(*frontends: str) -> Deployment:
     """A deployment whose clients wait long, however busy the machine is; with these frontends, or all."""
-    deployment = config.decode(node_fields()).deployment
+    deployment = config.decode_config(node_fields()).deployment
     chosen = [each for each in deployment.frontends if not frontends or each.name in frontends]
     return replace(deployment, frontends=[replace(each, client_timeout_ms=30_000.0) for each in chosen])
 
--- a/tests/simulation/stub_upstreams/test_environment.py
+++ b/tests/simulation/stub_upstreams/test_environment.py
@@ -98,7 +98,7 @@
         await environment.open()
         (tmp_path / "example.json").write_text(json.dumps(node_fields()))
         write_node_file(tmp_path / "example.json", tmp_path / "node.json", environment)
-        node_config = config.decode(json.loads((tmp_path / "node.json").read_text()))
+        node_config = config.decode_config(json.loads((tmp_path / "node.json").read_text()))
         deployment = node_config.deployment
         timeouts_ms = {each.name: each.client_timeout_ms for each in deployment.frontends}
         meter = StallMeter()
