--- a/onyxpost/rollout/routing_rules/reachability.py
+++ b/onyxpost/rollout/routing_rules/reachability.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from onyxpost.errors import at_key
+from onyxpost.errors import with_key_path
 from onyxpost.rollout.routing_rules.errors import UnreachableRuleError
 
 if TYPE_CHECKING:
@@ -63,7 +63,9 @@
         if not is_reachable:
             earlier = ", ".join(f"`$.rules[{covering}]`" for covering in sorted(covering_rules))
             raise UnreachableRuleError(
-                at_key(f"this rule never applies: {earlier} match all of its requests", f"rules[{index}]")
+                with_key_path(
+                    f"this rule never applies: {earlier} match all of its requests", f"rules[{index}]"
+                )
             )
 
 
--- a/onyxpost/rollout/routing_rules/validation.py
+++ b/onyxpost/rollout/routing_rules/validation.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from onyxpost.core.types import DeduplicationScope, Idempotency
-from onyxpost.errors import at_key
+from onyxpost.errors import with_key_path
 from onyxpost.rollout.routing_rules.errors import (
     InvalidRulesError,
     MissingFallbackError,
@@ -48,7 +48,9 @@
         _check_names(rule.plans, context.plans, f"{path}.plans")
         _check_names(rule.node_zones, zones, f"{path}.at")
         if rule.node_zones is not None and context.own_zone is None:
-            raise UnknownNameError(at_key("expected a `zone` in the node's file, got none", f"{path}.at"))
+            raise UnknownNameError(
+                with_key_path("expected a `zone` in the node's file, got none", f"{path}.at")
+            )
         if rule.servers is not None:
             _check_servers(rule, rule.servers, zones, context, f"{path}.servers")
     check_reachable(rules_file.rules, context)
@@ -66,7 +68,7 @@
 def _check_names(names: Iterable[str] | None, known: Container[str], path: str) -> None:
     for name in names or ():
         if name not in known:
-            raise UnknownNameError(at_key(f"expected a name that this node knows, got {name!r}", path))
+            raise UnknownNameError(with_key_path(f"expected a name that this node knows, got {name!r}", path))
 
 
 def _check_servers(
@@ -83,9 +85,11 @@
 def _check_choice(choice: ServerChoice, zones: Container[str], path: str) -> None:
     criteria = choice.criteria()
     if not criteria:
-        raise InvalidRulesError(at_key("expected `zones`, `cells` or `names`, got none", path))
+        raise InvalidRulesError(with_key_path("expected `zones`, `cells` or `names`, got none", path))
     if sum(isinstance(values, dict) for values in criteria.values()) > 1:
-        raise InvalidRulesError(at_key("expected weights for one of zones, cells and names, got more", path))
+        raise InvalidRulesError(
+            with_key_path("expected weights for one of zones, cells and names, got more", path)
+        )
     _check_names(choice.zones, zones, f"{path}.zones")
 
 
@@ -102,7 +106,7 @@
         for attribute in choice.criteria():
             if attribute is not SCOPE_ATTRIBUTES[scope]:
                 message = f"frontend {name!r} deduplicates by {scope.value}; this may select a part of one"
-                raise SplitsDeduplicationScopeError(at_key(message, f"{path}.{attribute}"))
+                raise SplitsDeduplicationScopeError(with_key_path(message, f"{path}.{attribute}"))
 
 
 def _check_last_fallback(servers: ServerSelection, choices: list[LocatedChoice], path: str) -> None:
@@ -110,7 +114,7 @@
         subpath, choice = choices[-1]
         attribute = next(iter(choice.criteria()))
         raise MissingFallbackError(
-            at_key(
+            with_key_path(
                 'these may all be unavailable; expected "any" as last fallback',
                 f"{path}{subpath}.{attribute}",
             )
@@ -118,7 +122,9 @@
     if ANY_SERVER in servers.fallbacks[:-1]:
         next_index = servers.fallbacks.index(ANY_SERVER) + 1
         raise UnreachableRuleError(
-            at_key('this fallback never applies: it comes after "any"', f"{path}.fallbacks[{next_index}]")
+            with_key_path(
+                'this fallback never applies: it comes after "any"', f"{path}.fallbacks[{next_index}]"
+            )
         )
 
 
@@ -127,4 +133,4 @@
         for earlier_subpath, earlier in choices[:index]:
             if is_subset(choice, earlier):
                 message = f"this fallback never applies: all of its servers are in `{path}{earlier_subpath}`"
-                raise UnreachableRuleError(at_key(message, f"{path}{subpath}"))
+                raise UnreachableRuleError(with_key_path(message, f"{path}{subpath}"))
--- a/onyxpost/simulation/discrete_event/workload.py
+++ b/onyxpost/simulation/discrete_event/workload.py
@@ -23,7 +23,7 @@
         key: name of the customer in requests.
         plan: plan of the customer.
         demand: quota units that its clients request in a second.
-        first_node: index of the first node of the customer's set.
+        first_node_index: index of the first node of the customer's set.
         node_count: number of nodes in the customer's set.
         quota: counts the units of requests that nodes sent to servers.
         ideal_quota: counts the units that one counter for all nodes would admit.
@@ -31,11 +31,11 @@
         load_factor: current multiple of `demand`; load surges raise it above 1.
     """
 
-    def __init__(self, key: str, plan: Plan, demand: float, first_node: int, node_count: int) -> None:
+    def __init__(self, key: str, plan: Plan, demand: float, first_node_index: int, node_count: int) -> None:
         self.key = key
         self.plan = plan
         self.demand = demand
-        self.first_node = first_node
+        self.first_node_index = first_node_index
         self.node_count = node_count
         self.quota = ExactQuota(plan.rate, plan.burst)
         self.ideal_quota = ExactQuota(plan.rate, plan.burst)
@@ -132,9 +132,9 @@
             demand_range = clients.heavy_demand_factor if index in heavy_customers else clients.demand_factor
             demand_factor = rng.uniform(*demand_range)
             node_count = rng.randint(*section.nodes_per_customer)
-            first_node = rng.randrange(scenario.cluster.nodes)
+            first_node_index = rng.randrange(scenario.cluster.nodes)
             key = f"{section.name}-{index}"
-            customers.append(Customer(key, plan, demand_factor * plan.rate, first_node, node_count))
+            customers.append(Customer(key, plan, demand_factor * plan.rate, first_node_index, node_count))
     return customers
 
 
--- a/onyxpost/simulation/virtual_time/network.py
+++ b/onyxpost/simulation/virtual_time/network.py
@@ -6,7 +6,7 @@
 from collections import defaultdict
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from onyxpost.runtime.transport import CountingReader, DialedConnection
+from onyxpost.runtime.transport import ByteCountingReader, DialedConnection
 from onyxpost.simulation.virtual_time.connection import Connection
 from onyxpost.simulation.virtual_time.host import VirtualHost
 from onyxpost.simulation.virtual_time.listener import VirtualListener
@@ -64,7 +64,9 @@
         """Returns a new host with this name."""
         return VirtualHost(self, name)
 
-    def listen(self, host: str, address: Address, serve: ConnectionHandler, limit: int) -> VirtualListener:
+    def listen(
+        self, host: str, address: Address, serve: ConnectionHandler, buffer_limit_bytes: int
+    ) -> VirtualListener:
         """Starts a listener of a host; `limit` is the buffer limit in bytes of the accepted streams.
 
         Raises:
@@ -73,7 +75,7 @@
         if address in self.listeners:
             raise OSError(f"address already in use: {address}")
         self.hosts[address] = host
-        listener = VirtualListener(self, address, serve, limit)
+        listener = VirtualListener(self, address, serve, buffer_limit_bytes)
         self.listeners[address] = listener
         return listener
 
@@ -82,8 +84,8 @@
         if self.listeners.get(listener.address) is listener:
             del self.listeners[listener.address]
 
-    async def dial(self, host: str, address: Address, limit: int) -> DialedConnection:
-        """Opens a connection from a host; `limit` is the stream's buffer limit in bytes.
+    async def dial(self, host: str, address: Address, buffer_limit_bytes: int) -> DialedConnection:
+        """Opens a connection from a host; `buffer_limit_bytes` is the stream's buffer limit.
 
         Raises:
             ConnectionRefusedError: There is no listener at the address.
@@ -99,7 +101,7 @@
             raise ConnectionRefusedError(f"connection refused: no listener at {address}")
         connection = self._new_connection(host, target)
         near, far = connection.ends
-        reader = CountingReader(limit=limit, loop=self.loop)
+        reader = ByteCountingReader(limit=buffer_limit_bytes, loop=self.loop)
         protocol = asyncio.StreamReaderProtocol(reader, loop=self.loop)
         self._accept(listener, far)
         near.connect(protocol)
@@ -121,7 +123,7 @@
         return connection
 
     def _accept(self, listener: VirtualListener, end: ConnectionEnd) -> None:
-        reader = CountingReader(limit=listener.limit, loop=self.loop)
+        reader = ByteCountingReader(limit=listener.buffer_limit_bytes, loop=self.loop)
         serve: Any = listener.serve
         end.connect(asyncio.StreamReaderProtocol(reader, serve, loop=self.loop))
 
--- a/tests/simulation/load/test_load_generator.py
+++ b/tests/simulation/load/test_load_generator.py
@@ -21,7 +21,7 @@
 
 def deployment_with_long_timeouts(*names: str) -> Deployment:
     """Returns a deployment with the named frontends, or all, whose client timeouts outlast a busy machine."""
-    deployment = config.decode(node_fields()).deployment
+    deployment = config.decode_config(node_fields()).deployment
     frontends = [frontend for frontend in deployment.frontends if not names or frontend.name in names]
     return replace(
         deployment, frontends=[replace(frontend, client_timeout_ms=30_000.0) for frontend in frontends]
