--- a/onyxpost/cluster/connections.py
+++ b/onyxpost/cluster/connections.py
@@ -16,10 +16,10 @@
 from onyxpost.cluster.errors import ClusterError, MalformedFrameError
 from onyxpost.cluster.frames import encode_frame
 from onyxpost.cluster.handshake import Handshake
-from onyxpost.cluster.heartbeats import HeartbeatSender
 from onyxpost.cluster.listener import PeerListener
-from onyxpost.cluster.membership import Membership, members_to_disconnect, supersedes
+from onyxpost.cluster.membership import Membership, is_later_version, members_to_disconnect
 from onyxpost.cluster.payload_delivery import PayloadDelivery
+from onyxpost.cluster.peer_checks import PeerChecker
 from onyxpost.cluster.peer_log import PeerLog
 from onyxpost.cluster.peer_monitor import PeerMonitor
 from onyxpost.cluster.protocol import Hello, Payload, PeerMessage, Ping, Pong, read_message
@@ -65,10 +65,10 @@
         self.monitor = PeerMonitor(self._other_members(), self._peer_log, network.clock())
         self.dialer = Dialer(network, self.handshake, self._run_connection, self._on_dial_ended)
         self.listener = PeerListener(network, self.handshake, self._run_connection, self._on_rejected)
-        self._heartbeats = HeartbeatSender(
+        self._peer_checker = PeerChecker(
             network, self.established, self.monitor, self.statistics, self._peer_log, self._on_rejected
         )
-        self._heartbeat_task: asyncio.Task[None] | None = None
+        self._peer_check_task: asyncio.Task[None] | None = None
         self._is_leaving = False
 
     @property
@@ -87,7 +87,7 @@
 
     def start(self) -> None:
         """Starts to dial and check the other members; requires a running event loop."""
-        self._heartbeat_task = asyncio.get_running_loop().create_task(self._heartbeats.run())
+        self._peer_check_task = asyncio.get_running_loop().create_task(self._peer_checker.run())
         self._apply_membership()
 
     def send(self, receiver: str, topic: str, body: bytes) -> bool:
@@ -128,7 +128,7 @@
         Returns whether it was applied. Called when the node's file is reloaded after SIGHUP.
         """
         try:
-            if self._is_leaving or not supersedes(membership, self.membership):
+            if self._is_leaving or not is_later_version(membership, self.membership):
                 return False
         except ClusterError as err:
             self._peer_log.log_rejected_membership(err)
@@ -167,8 +167,8 @@
         """Aborts all connections and stops listening; messages that were read already are not delivered."""
         self._stop()
         self.listener.close()
-        if self._heartbeat_task is not None:
-            self._heartbeat_task.cancel()
+        if self._peer_check_task is not None:
+            self._peer_check_task.cancel()
         self.dialer.cancel_all()
         for name in list(self.established):
             self.established.pop(name).abort("closed by this node")
--- a/onyxpost/cluster/dialer.py
+++ b/onyxpost/cluster/dialer.py
@@ -9,7 +9,7 @@
 from onyxpost.cluster.connection import READ_BUFFER_BYTES, RunConnection
 from onyxpost.cluster.errors import MemberNameMismatchError
 from onyxpost.cluster.failure_detector import GONE_TIMEOUT_MS
-from onyxpost.cluster.reconnect import ReconnectBackoff, keep_connected
+from onyxpost.cluster.reconnect import ReconnectBackoff, reconnect_forever
 from onyxpost.runtime.http1 import limit_read_size
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
         if member in self.tasks or member < own_name:
             return
         backoff = ReconnectBackoff(f"{own_name}/{member}")
-        connecting = keep_connected(partial(self._dial, member), partial(self._on_ended, member, backoff))
+        connecting = reconnect_forever(partial(self._dial, member), partial(self._on_ended, member, backoff))
         self.tasks[member] = asyncio.get_running_loop().create_task(connecting)
 
     def cancel(self, member: str) -> None:
--- a/onyxpost/cluster/listener.py
+++ b/onyxpost/cluster/listener.py
@@ -8,7 +8,7 @@
 
 from onyxpost.cluster.connection import READ_BUFFER_BYTES, RunConnection
 from onyxpost.cluster.errors import ClusterError, WrongDialerError
-from onyxpost.cluster.unidentified import MAX_ACCEPTS_PER_TURN, UnidentifiedConnections
+from onyxpost.cluster.unidentified_connections import MAX_ACCEPTS_PER_TURN, UnidentifiedConnections
 from onyxpost.runtime.http1 import limit_read_size
 
 if TYPE_CHECKING:
--- a/onyxpost/cluster/membership.py
+++ b/onyxpost/cluster/membership.py
@@ -6,7 +6,7 @@
 
 from onyxpost.cluster.errors import InvalidMembershipError, MembershipConflictError, StaleMembershipError
 from onyxpost.config.address import Address, parse_address
-from onyxpost.config.cluster import ClusterSettings
+from onyxpost.config.cluster_settings import ClusterSettings
 from onyxpost.config.decoding import decode_as
 from onyxpost.errors import InvalidInputError, with_key_path
 
@@ -68,7 +68,7 @@
     return ClusterConfig(_parse_address(settings.listen, "listen"), Membership(settings.version, members))
 
 
-def supersedes(new: Membership, current: Membership) -> bool:
+def is_later_version(new: Membership, current: Membership) -> bool:
     """Returns whether `new` has a later version than `current` and so replaces it.
 
     Raises:
--- a/onyxpost/cluster/heartbeats.py
+++ b/onyxpost/cluster/peer_checks.py
@@ -21,7 +21,7 @@
 STATISTICS_INTERVAL_MS = 10_000.0
 
 
-class HeartbeatSender:
+class PeerChecker:
     """Sends the pings that the failure detectors request, aborts timed-out connections, logs statistics."""
 
     def __init__(
--- a/onyxpost/cluster/protocol.py
+++ b/onyxpost/cluster/protocol.py
@@ -29,7 +29,7 @@
 MAX_TOPIC_CHARS = 32
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
-Number = Annotated[int, Meta(ge=0, lt=2**53)]
+NonNegativeInt = Annotated[int, Meta(ge=0, lt=2**53)]
 
 
 class Message(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
@@ -39,24 +39,24 @@
 class Hello(Message, tag="hello"):
     """The first message of each side of a connection; the dialer sends its hello first."""
 
-    protocol_version: Number
+    protocol_version: NonNegativeInt
     sender: Name
     incarnation: Name  # the text form of an `Incarnation`
     receiver: Name  # the member to which the sender intends to connect
-    dial_number: Number  # the count of the dialer's dials in its incarnation; the reply repeats it
-    membership_version: Number
+    dial_number: NonNegativeInt  # the count of the dialer's dials in its incarnation; the reply repeats it
+    membership_version: NonNegativeInt
 
 
 class Ping(Message, tag="ping"):
     """A heartbeat, which the receiver answers by a pong with the same number."""
 
-    number: Number
+    number: NonNegativeInt
 
 
 class Pong(Message, tag="pong"):
     """The answer to a ping."""
 
-    number: Number
+    number: NonNegativeInt
 
 
 class Payload(Message, tag="word"):
--- a/onyxpost/cluster/reconnect.py
+++ b/onyxpost/cluster/reconnect.py
@@ -38,7 +38,7 @@
         return delay_seconds * self._rng.uniform(MIN_JITTER_FACTOR, 1.0)
 
 
-async def keep_connected(
+async def reconnect_forever(
     connect: Callable[[], Awaitable[None]], on_ended: Callable[[Exception | None], float]
 ) -> None:
     """Runs one connection after another until the task is cancelled.
--- a/onyxpost/core/sink.py
+++ b/onyxpost/core/sink.py
@@ -44,7 +44,7 @@
     def watch_endpoints(self) -> None:
         """Asks discovery for changes of endpoints; a failure is passed back as `EndpointPollFailed`."""
 
-    def report_units_spent(self, customer: int, plan: str, units: int, lease: int) -> None:
+    def record_units_spent(self, customer: int, plan: str, units: int, lease: int) -> None:
         """Reports to the planners the units that a request took from a lease.
 
         Lease 0 stands for this node's own share. Units that a request rejected over quota lacked are reported
--- a/onyxpost/edge/client_connections.py
+++ b/onyxpost/edge/client_connections.py
@@ -22,14 +22,14 @@
     Attributes:
         open: connections that may send requests, by id.
         closing: connections that send no further requests, by id; each still holds its descriptor.
-        post: receives the event that a client has disconnected.
+        post_event: receives the event that a client has disconnected.
     """
 
-    def __init__(self, transport: Transport, post: Callable[[EdgeEvent], None]) -> None:
+    def __init__(self, transport: Transport, post_event: Callable[[EdgeEvent], None]) -> None:
         """Creates an empty table."""
         self.open: dict[int, ClientConnection] = {}
         self.closing: dict[int, ClientConnection] = {}
-        self.post = post
+        self.post_event = post_event
         self._transport = transport
 
     def add(self, connection: ClientConnection) -> None:
@@ -64,7 +64,7 @@
         connection.on_closing(self._transport.clock(), LINGER_MS)
         if connection.has_unanswered_request:
             connection.on_request_settled()
-            self.post(ClientDisconnected(connection.connection_id))
+            self.post_event(ClientDisconnected(connection.connection_id))
         try:
             connection.writer.write_eof()
         except OSError:  # the client has reset the connection
--- a/onyxpost/edge/client_http.py
+++ b/onyxpost/edge/client_http.py
@@ -47,7 +47,7 @@
         self,
         deployment: Deployment,
         clock: Callable[[], float],
-        post: Callable[[EdgeEvent], None],
+        post_event: Callable[[EdgeEvent], None],
         is_ready: Callable[[], bool],
         begin_closing: Callable[[ClientConnection], None],
     ) -> None:
@@ -56,14 +56,14 @@
         Args:
             deployment: the settings that requests are checked against.
             clock: the node's clock, in ms.
-            post: receives each complete request.
+            post_event: receives each complete request.
             is_ready: returns whether health checks are answered with 200 rather than 503.
             begin_closing: closes a connection once its last response has been sent.
         """
         self.is_shutting_down = False
         self._deployment = deployment
         self._clock = clock
-        self._post = post
+        self._post_event = post_event
         self._is_ready = is_ready
         self._begin_closing = begin_closing
 
@@ -160,7 +160,7 @@
         else:
             request = connection.client_request._replace(body=bytes(connection.body))
             connection.on_request_posted()
-            self._post(request)
+            self._post_event(request)
 
     def _respond(
         self,
--- a/onyxpost/edge/discovery_client.py
+++ b/onyxpost/edge/discovery_client.py
@@ -65,7 +65,7 @@
         self,
         transport: Transport,
         options: DiscoveryOptions,
-        post: Callable[[EdgeEvent], None],
+        post_event: Callable[[EdgeEvent], None],
         log: Callable[[LogEvent], None],
     ) -> None:
         """Creates a client without starting a watch.
@@ -73,7 +73,7 @@
         Args:
             transport: the node's transport.
             options: where discovery is, and how it is polled.
-            post: receives the events.
+            post_event: receives the events.
             log: receives the log events.
         """
         self.generation = options.generation
@@ -83,7 +83,7 @@
         self._transport = transport
         # The addresses of the newest watch.
         self._addresses = AddressChoice(options.address, options.alternative_address)
-        self._post = post
+        self._post_event = post_event
         self._log = log
         self._rng = Random(options.seed)
         self._is_shared = options.is_shared_service
@@ -179,9 +179,11 @@
         self._schedule_staleness()
         self._first_poll_finished.set()
         if update.endpoints or update.is_complete or was_stale != self.is_stale:
-            self._post(update)
+            self._post_event(update)
             if self.is_stale:
-                self._post(EndpointUpdateFailed(is_stale=True))  # the update alone would clear the staleness
+                self._post_event(
+                    EndpointUpdateFailed(is_stale=True)
+                )  # the update alone would clear the staleness
 
     def _cancel_older_watches(self, answered: DiscoveryWatch) -> None:
         for task, watch in list(self.watches.items()):
@@ -197,7 +199,7 @@
         now = self._transport.clock()
         if not self.is_down:
             self.is_down = True
-            self._post(EndpointUpdateFailed())
+            self._post_event(EndpointUpdateFailed())
         if not self._is_outage_logged and now >= self._next_outage_log_at:
             self._is_outage_logged = True
             self._next_outage_log_at = now + OUTAGE_LOG_INTERVAL_MS
@@ -231,4 +233,4 @@
     def _on_stale(self) -> None:
         self.is_stale = True
         self._log(LogEvent("endpoints may be stale", {"generation": self.generation}, logging.WARNING))
-        self._post(EndpointUpdateFailed(is_stale=True))
+        self._post_event(EndpointUpdateFailed(is_stale=True))
--- a/onyxpost/edge/effect_sink.py
+++ b/onyxpost/edge/effect_sink.py
@@ -10,7 +10,7 @@
     CloseAttempt,
     Effect,
     FinalAnswer,
-    ReportUnitsSpent,
+    RecordUnitsSpent,
     ReturnLease,
     SendAnswer,
     SendAttempt,
@@ -151,9 +151,9 @@
         """Starts the watch on discovery, unless one is running."""
         self.effects.append(WatchEndpoints())
 
-    def report_units_spent(self, customer: int, plan: str, units: int, lease_id: int) -> None:
+    def record_units_spent(self, customer: int, plan: str, units: int, lease_id: int) -> None:
         """Reports the units that a request spent from a lease, or from this node's own share (lease 0)."""
-        self.effects.append(ReportUnitsSpent(customer, plan, units, lease_id))
+        self.effects.append(RecordUnitsSpent(customer, plan, units, lease_id))
 
     def return_lease(self, lease_id: int, units: int) -> None:
         """Returns a lease with its remaining units."""
--- a/onyxpost/edge/messages/effects.py
+++ b/onyxpost/edge/messages/effects.py
@@ -98,7 +98,7 @@
     token: int
 
 
-class ReportUnitsSpent(NamedTuple):
+class RecordUnitsSpent(NamedTuple):
     """Reports that a request has spent units of a lease, or of this node's own share (lease 0)."""
 
     customer: int
@@ -126,7 +126,7 @@
     | SendAnswer
     | SendPeerMessage
     | StartTimer
-    | ReportUnitsSpent
+    | RecordUnitsSpent
     | ReturnLease
     | WatchEndpoints
     | LogEvent
--- a/onyxpost/edge/upstream_pool.py
+++ b/onyxpost/edge/upstream_pool.py
@@ -63,7 +63,7 @@
     """Holds the connections to all app servers, and the attempts in flight.
 
     Attributes:
-        post: receives the end of each attempt.
+        post_event: receives the end of each attempt.
         has_capacity: see `UpstreamPoolOptions`.
         may_start_attempt: see `UpstreamPoolOptions`.
         clock: the transport's clock, in ms.
@@ -73,11 +73,11 @@
     """
 
     def __init__(
-        self, transport: Transport, post: Callable[[EdgeEvent], None], options: UpstreamPoolOptions
+        self, transport: Transport, post_event: Callable[[EdgeEvent], None], options: UpstreamPoolOptions
     ) -> None:
         self.transport = transport
         self.clock = transport.clock
-        self.post = post
+        self.post_event = post_event
         self.has_capacity = options.has_capacity
         self.may_start_attempt = options.may_start_attempt
         self.connection_count = 0
@@ -99,7 +99,7 @@
             # A task that is cancelled before its first step never runs, and so would not post the end.
             del self.tasks[attempt_id]
             self._withdrawn_attempt_ids.discard(attempt_id)
-            self.post(AttemptEnded(attempt_id, AttemptResult.UNUSED, 0.0))
+            self.post_event(AttemptEnded(attempt_id, AttemptResult.UNUSED, 0.0))
         if task is not None:
             task.cancel()
 
@@ -216,7 +216,7 @@
             if connection is not None:
                 is_complete = response is not None or result in COMPLETE_RESPONSE_RESULTS
                 self._release(connection, completed=is_complete)
-            self.post(AttemptEnded(attempt.attempt_id, result, self.clock() - started_at, response))
+            self.post_event(AttemptEnded(attempt.attempt_id, result, self.clock() - started_at, response))
 
     def _handle_error(self, connection: UpstreamConnection | None, err: Exception) -> AttemptResult:
         if not isinstance(err, OSError | EOFError | h11.RemoteProtocolError):
--- a/onyxpost/forwarder/lease_cache.py
+++ b/onyxpost/forwarder/lease_cache.py
@@ -16,7 +16,7 @@
 from onyxpost.cluster.heartbeat_timing import HEARTBEAT_INTERVAL_MS
 from onyxpost.core.events import LeaseGranted, LeaseRevoked
 from onyxpost.forwarder.cached_lease import NOT_ACCEPTED, CachedLease
-from onyxpost.forwarder.lease_requests import LeaseRequester
+from onyxpost.forwarder.lease_requester import LeaseRequester
 from onyxpost.forwarder.planner_sessions import PlannerSessions
 from onyxpost.forwarder.seen_leases import LeaseKey, SeenLeases
 from onyxpost.planner import protocol
@@ -72,7 +72,7 @@
 
     # Events of the policy
 
-    def report_units_spent(self, now_ms: float, customer: int, plan: str, units: int, local_id: int) -> None:
+    def record_units_spent(self, now_ms: float, customer: int, plan: str, units: int, local_id: int) -> None:
         """Handles that a client request consumed `units` of a lease, or lacked units (local id 0)."""
         self.requester.record_use(now_ms, customer, plan, units)
         lease = self.leases.get(local_id)
@@ -190,7 +190,7 @@
 
     # Membership and shutdown
 
-    def hello(self, now_ms: float) -> protocol.Hello:
+    def build_hello(self, now_ms: float) -> protocol.Hello:
         """Returns the first message on a new connection, with the leases that this forwarder holds."""
         leases = [
             lease for lease in self.leases.values() if lease.units_left > 0 and lease.expires_at_ms > now_ms
--- a/onyxpost/forwarder/planner_client.py
+++ b/onyxpost/forwarder/planner_client.py
@@ -10,10 +10,10 @@
 
 from onyxpost.cluster.errors import MalformedFrameError
 from onyxpost.cluster.frames import has_buffer_space
-from onyxpost.cluster.reconnect import keep_connected
+from onyxpost.cluster.reconnect import reconnect_forever
 from onyxpost.forwarder.errors import PlannerUnavailableError
 from onyxpost.forwarder.lease_cache import LeaseCache
-from onyxpost.forwarder.lease_requests import ANSWER_TIMEOUT_MS
+from onyxpost.forwarder.lease_requester import ANSWER_TIMEOUT_MS
 from onyxpost.planner import protocol
 from onyxpost.planner.errors import SlowReaderError
 from onyxpost.runtime.http1 import READ_CHUNK_BYTES
@@ -24,7 +24,7 @@
 
     from onyxpost.config.address import Address
     from onyxpost.core.events import LeaseGranted, LeaseRevoked
-    from onyxpost.edge.messages import ReportUnitsSpent, ReturnLease
+    from onyxpost.edge.messages import RecordUnitsSpent, ReturnLease
     from onyxpost.errors import OperatorError
     from onyxpost.runtime.transport import Transport
 
@@ -75,9 +75,9 @@
             if planner not in self._connection_tasks:  # a reload before `start` may have started it
                 self._connection_tasks[planner] = self._keep_connected(planner)
 
-    def report_units_spent(self, effect: ReportUnitsSpent) -> None:
+    def record_units_spent(self, effect: RecordUnitsSpent) -> None:
         """Handles that the policy spent units of a lease, or lacked units; may send a lease request."""
-        self.cache.report_units_spent(
+        self.cache.record_units_spent(
             self.transport.clock(), effect.customer, effect.plan, effect.units, effect.lease_id
         )
         self._deliver()
@@ -140,7 +140,7 @@
             self.writers.pop(planner, None)
             return RECONNECT_DELAY_SECONDS
 
-        connecting = keep_connected(partial(self._run_connection, planner), on_connection_end)
+        connecting = reconnect_forever(partial(self._run_connection, planner), on_connection_end)
         return asyncio.get_running_loop().create_task(connecting)
 
     def _log_disconnect(self, planner: str, error: Exception) -> None:
@@ -157,7 +157,7 @@
         async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
             reader, writer, *_ = await self.transport.dial(self.members[planner], READ_CHUNK_BYTES)
         try:
-            writer.write(protocol.encode_frame(self.cache.hello(self.transport.clock())))
+            writer.write(protocol.encode_frame(self.cache.build_hello(self.transport.clock())))
             async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 welcome = await protocol.read_planner_message(reader)
             if not isinstance(welcome, protocol.Welcome) or welcome.protocol != protocol.PROTOCOL_VERSION:
--- a/onyxpost/leadership/acceptor.py
+++ b/onyxpost/leadership/acceptor.py
@@ -17,7 +17,7 @@
 from onyxpost.leadership.acceptor_state import AcceptorState
 from onyxpost.leadership.ballots import NO_BALLOT, Ballot
 from onyxpost.leadership.effects import Diagnostic, DiagnosticKind, Effect, PersistState, SendMessage
-from onyxpost.leadership.granted_lease import GrantedLease
+from onyxpost.leadership.granted_role_lease import GrantedRoleLease
 from onyxpost.leadership.proposal_validation import find_reject_reason
 from onyxpost.leadership.protocol import (
     EMPTY_RECORD,
@@ -36,10 +36,10 @@
 )
 
 if TYPE_CHECKING:
-    from onyxpost.leadership.lease_timing import LeaseTiming
-    from onyxpost.leadership.membership import AcceptorSet
+    from onyxpost.leadership.acceptor_set import AcceptorSet
+    from onyxpost.leadership.role_lease_timing import RoleLeaseTiming
 
-REASON_LIMIT_CHARACTERS = 100  # longest reason in a log line that contains the name of a remote node
+MAX_REASON_CHARS = 100  # longest reason in a log line that contains the name of a remote node
 
 
 class Acceptor:
@@ -54,7 +54,7 @@
         now_ms: float,
         node: str,
         role: str,
-        timing: LeaseTiming,
+        timing: RoleLeaseTiming,
         acceptors: AcceptorSet,
         saved: AcceptorState | None = None,
     ) -> None:
@@ -63,14 +63,14 @@
         self.timing = timing
         self.acceptors = acceptors
         self.is_voting = False
-        self.lease = GrantedLease()
+        self.lease = GrantedRoleLease()
         self.promised_at_ms = now_ms - timing.restart_wait_ms  # too long ago to delay a candidate
         self.recovery: AcceptorRecovery | None = None
         if saved is not None:
             self.promised = saved.promised
             self.record = saved.record
             self.record_epoch_ms = saved.record_epoch_ms
-            self.settled_version = saved.settled_version
+            self.committed_set_version = saved.committed_set_version
             self.restart_wait_ends_at_ms = now_ms + timing.acceptor_lease_ms
             return
         # Before its restart this acceptor promised no ballot number more than `skew_ms` above its clock, and
@@ -78,7 +78,7 @@
         self.promised = Ballot(int(now_ms + 2.0 * timing.skew_ms), NO_BALLOT.node, 0)
         self.record = EMPTY_RECORD
         self.record_epoch_ms = 0
-        self.settled_version = 0
+        self.committed_set_version = 0
         self.restart_wait_ends_at_ms = now_ms + timing.restart_wait_ms
         self.recovery = AcceptorRecovery(node, role, timing, acceptors, self.restart_wait_ends_at_ms)
 
@@ -108,7 +108,7 @@
     def handle(self, now_ms: float, sender: str, message: Message) -> list[Effect]:
         """Handles a message of any type and acceptor set version; ignores types not meant for acceptors."""
         if isinstance(message, Prepare | Accept | Release) and message.ballot.node != sender:
-            reason = f"ballot of {message.ballot.node} received from {sender}"[:REASON_LIMIT_CHARACTERS]
+            reason = f"ballot of {message.ballot.node} received from {sender}"[:MAX_REASON_CHARS]
             return [Diagnostic(self.role, DiagnosticKind.MESSAGE_DROPPED, reason)]
         if isinstance(message, Prepare | Accept):
             return self._handle_proposal(now_ms, sender, message)
@@ -189,10 +189,10 @@
         before = self._state()
         number = message.ballot.number
         self.promised = message.ballot
-        if message.record is not None and (number, message.sequence) > self.record.recency():
+        if message.record is not None and (number, message.sequence) > self.record.recency_key():
             self.record = replace(message.record, ballot_number=number, sequence=message.sequence)
         self.record_epoch_ms = max(self.record_epoch_ms, message.record_epoch_ms)
-        self.settled_version = max(self.settled_version, message.settled_version)
+        self.committed_set_version = max(self.committed_set_version, message.committed_set_version)
         self.lease.grant(message.ballot, now_ms + self.timing.acceptor_lease_ms)
         accepted = Accepted(
             role=self.role,
@@ -218,7 +218,7 @@
             is_voting=self.is_voting,
             record=self.record,
             record_epoch_ms=self.record_epoch_ms,
-            settled_version=self.settled_version,
+            committed_set_version=self.committed_set_version,
         )
 
     def _handle_recovery_reply(self, now_ms: float, sender: str, reply: RecoveryReply) -> list[Effect]:
@@ -227,7 +227,7 @@
             return []
         self.record = recovered.record
         self.record_epoch_ms = recovered.record_epoch_ms
-        self.settled_version = recovered.settled_version
+        self.committed_set_version = recovered.committed_set_version
         return self.start_voting(recovered.reason)
 
     def change_acceptors(self, now_ms: float, acceptors: AcceptorSet) -> None:
@@ -247,5 +247,5 @@
             promised=self.promised,
             record=self.record,
             record_epoch_ms=self.record_epoch_ms,
-            settled_version=self.settled_version,
+            committed_set_version=self.committed_set_version,
         )
--- a/onyxpost/leadership/acceptor_log.py
+++ b/onyxpost/leadership/acceptor_log.py
@@ -18,7 +18,7 @@
 from onyxpost.leadership.errors import AcceptorLogError
 
 COMPACT_AT_BYTES = 4 * 1024 * 1024  # a larger file is rewritten with only the last state of each role
-ENTRY_LIMIT_BYTES = 128 * 1024  # well above a record of 64 KiB and its envelope; a greater length is damage
+MAX_ENTRY_BYTES = 128 * 1024  # well above a record of 64 KiB and its envelope; a greater length is damage
 FILE_MODE = 0o600
 READ_CHUNK_BYTES = 1 << 20
 INTEGER_BYTES = 4
@@ -68,7 +68,7 @@
     length = int.from_bytes(length_bytes, "big")
     length_checksum = int.from_bytes(data[offset + INTEGER_BYTES : offset + 2 * INTEGER_BYTES], "big")
     body_checksum = int.from_bytes(data[offset + 2 * INTEGER_BYTES : body_offset], "big")
-    if crc32(length_bytes) != length_checksum or length > ENTRY_LIMIT_BYTES:
+    if crc32(length_bytes) != length_checksum or length > MAX_ENTRY_BYTES:
         raise AcceptorLogError(f"damaged entry at byte {offset}: invalid length {length}", path)
     body = data[body_offset : body_offset + length]
     if len(body) < length:
--- a/onyxpost/leadership/acceptor_recovery.py
+++ b/onyxpost/leadership/acceptor_recovery.py
@@ -17,8 +17,8 @@
 from onyxpost.leadership.protocol import EMPTY_RECORD, Record, RecoveryQuery, RecoveryReply
 
 if TYPE_CHECKING:
-    from onyxpost.leadership.lease_timing import LeaseTiming
-    from onyxpost.leadership.membership import AcceptorSet
+    from onyxpost.leadership.acceptor_set import AcceptorSet
+    from onyxpost.leadership.role_lease_timing import RoleLeaseTiming
 
 # When a majority has lost its state, the acceptor waits for the replies of all others, but no longer than
 # this many further restart waits.
@@ -31,7 +31,7 @@
 
     record: Record
     record_epoch_ms: int
-    settled_version: int
+    committed_set_version: int
     reason: str
 
 
@@ -39,7 +39,7 @@
     """Queries the other acceptors from `starts_at_ms` on, until enough of them have replied."""
 
     def __init__(
-        self, node: str, role: str, timing: LeaseTiming, acceptors: AcceptorSet, starts_at_ms: float
+        self, node: str, role: str, timing: RoleLeaseTiming, acceptors: AcceptorSet, starts_at_ms: float
     ) -> None:
         self.node = node
         self.role = role
@@ -101,8 +101,8 @@
     """
     records = (reply.record for reply in replies)
     return RecoveredState(
-        record=max(records, key=Record.recency, default=EMPTY_RECORD),
+        record=max(records, key=Record.recency_key, default=EMPTY_RECORD),
         record_epoch_ms=max([record_epoch_ms, *(reply.record_epoch_ms for reply in replies)]),
-        settled_version=max([0, *(reply.settled_version for reply in replies)]),
+        committed_set_version=max([0, *(reply.committed_set_version for reply in replies)]),
         reason=reason,
     )
--- a/onyxpost/leadership/acceptor_state.py
+++ b/onyxpost/leadership/acceptor_state.py
@@ -20,9 +20,9 @@
     promised: Ballot
     record: Record
     record_epoch_ms: int = msgspec.field(name="era")
-    settled_version: int = msgspec.field(name="settled")
+    committed_set_version: int = msgspec.field(name="settled")
 
     @property
     def is_record_committed(self) -> bool:
         """Whether a majority of the acceptor set is known to have the record; True if there is none."""
-        return not self.record.ballot_number or self.settled_version >= self.acceptor_set_version
+        return not self.record.ballot_number or self.committed_set_version >= self.acceptor_set_version
--- a/onyxpost/leadership/ballots.py
+++ b/onyxpost/leadership/ballots.py
@@ -15,7 +15,7 @@
 from msgspec import Meta
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
-Number = Annotated[int, Meta(ge=0, lt=2**53)]
+NonNegativeInt = Annotated[int, Meta(ge=0, lt=2**53)]
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,9 +32,9 @@
     The incarnation distinguishes a node's ballots from those that it proposed before a restart.
     """
 
-    number: Number
+    number: NonNegativeInt
     node: Name
-    incarnation: Number
+    incarnation: NonNegativeInt
 
 
 NO_BALLOT = Ballot(0, "-", 0)
--- a/onyxpost/leadership/candidate.py
+++ b/onyxpost/leadership/candidate.py
@@ -28,8 +28,8 @@
 from onyxpost.leadership.status_poll import StatusPoll
 
 if TYPE_CHECKING:
-    from onyxpost.leadership.lease_timing import LeaseTiming
-    from onyxpost.leadership.membership import AcceptorSet
+    from onyxpost.leadership.acceptor_set import AcceptorSet
+    from onyxpost.leadership.role_lease_timing import RoleLeaseTiming
 
 # No acceptor can have promised a ballot number further ahead of this node's clock than this many times
 # `skew_ms`: an acceptor without state treats numbers up to 2 skews above its own clock as promised, and its
@@ -58,7 +58,7 @@
         now_ms: float,
         identity: NodeIdentity,
         role: str,
-        timing: LeaseTiming,
+        timing: RoleLeaseTiming,
         acceptors: AcceptorSet,
         ballot_numbers: BallotCounter,
     ) -> None:
@@ -144,7 +144,7 @@
 
         Called with promises of a majority: at least one of them has the last committed record.
         """
-        newest = max((promise.record for promise in self.promises.values()), key=Record.recency)
+        newest = max((promise.record for promise in self.promises.values()), key=Record.recency_key)
         self.record = replace(newest, ballot_number=self.ballot.number)
         self.record_epoch_ms = max(promise.record_epoch_ms for promise in self.promises.values())
         self._start_phase(Phase.ACCEPTING, now_ms, 2.0 * self.timing.response_timeout_ms)
@@ -158,7 +158,7 @@
                 round_id=FIRST_ROUND,
                 lease_ms=self.timing.lease_ms,
                 sequence=self.record.sequence,
-                settled_version=0,
+                committed_set_version=0,
                 record_epoch_ms=self.record_epoch_ms,
                 record=self.record,
             )
--- a/onyxpost/leadership/config.py
+++ b/onyxpost/leadership/config.py
@@ -10,10 +10,10 @@
 from onyxpost.config.address import Address, parse_address
 from onyxpost.config.decoding import Settings, decode_as
 from onyxpost.errors import InvalidInputError, with_key_path
+from onyxpost.leadership.acceptor_set import AcceptorSet, validate_acceptor_set
 from onyxpost.leadership.ballots import Name
 from onyxpost.leadership.errors import LeadershipConfigError
-from onyxpost.leadership.lease_timing import LeaseTiming
-from onyxpost.leadership.membership import AcceptorSet, validate_acceptor_set
+from onyxpost.leadership.role_lease_timing import RoleLeaseTiming
 
 SECTION = "duties"
 SECTION_PATH = f"$.{SECTION}"
@@ -26,7 +26,7 @@
     acceptors: Annotated[list[Name], Meta(min_length=3, max_length=7)] = field(name="voters")
     roles: Annotated[list[Name], Meta(min_length=1, max_length=256)] = field(name="names")
     previous_acceptors: Annotated[list[Name], Meta(max_length=7)] = field(name="before", default_factory=list)
-    barred: dict[str, list[Name]] = field(default_factory=dict)
+    excluded_nodes: dict[str, list[Name]] = field(name="barred", default_factory=dict)
     lease_ms: Annotated[float, Meta(ge=200.0, le=60_000.0)] = 2000.0
     drift: Annotated[float, Meta(ge=0.0, le=0.1)] = 0.01
     skew_ms: Annotated[float, Meta(ge=50.0, le=60_000.0)] = 500.0
@@ -39,7 +39,7 @@
 class LeadershipConfig:
     """The validated section.
 
-    `nodes` are the members of the cluster; each may lead any role that `barred` does not exclude it from.
+    `nodes` are the members of the cluster; each may lead any role unless `excluded_nodes` lists it there.
     Leaders report to `fenced_resource` every `report_interval_ms`; None: no reports. Acceptors keep a log at
     `log_path`; None: their state is lost at a restart.
     """
@@ -47,8 +47,8 @@
     acceptors: AcceptorSet
     roles: tuple[str, ...]
     nodes: tuple[str, ...]
-    barred: dict[str, tuple[str, ...]]
-    timing: LeaseTiming
+    excluded_nodes: dict[str, tuple[str, ...]]
+    timing: RoleLeaseTiming
     log_path: str | None
     fenced_resource: Address | None
     report_interval_ms: float
@@ -66,15 +66,17 @@
     except InvalidInputError as error:
         raise LeadershipConfigError(str(error).replace("`$", f"`{SECTION_PATH}")) from error
     _check_acceptors(section, nodes)
-    _check_barred(section, nodes)
+    _check_excluded_nodes(section, nodes)
     acceptors = AcceptorSet(section.version, tuple(section.acceptors), tuple(section.previous_acceptors))
     validate_acceptor_set(acceptors, SECTION_PATH)
     return LeadershipConfig(
         acceptors=acceptors,
         roles=tuple(section.roles),
         nodes=nodes,
-        barred={role: tuple(barred) for role, barred in section.barred.items()},
-        timing=LeaseTiming(section.lease_ms, section.drift, section.skew_ms),
+        excluded_nodes={
+            role: tuple(excluded_nodes) for role, excluded_nodes in section.excluded_nodes.items()
+        },
+        timing=RoleLeaseTiming(section.lease_ms, section.drift, section.skew_ms),
         log_path=section.log_path,
         fenced_resource=_resource_address(section),
         report_interval_ms=section.report_interval_ms,
@@ -95,11 +97,11 @@
         )
 
 
-def _check_barred(section: LeadershipSection, nodes: tuple[str, ...]) -> None:
-    for role, barred in section.barred.items():
+def _check_excluded_nodes(section: LeadershipSection, nodes: tuple[str, ...]) -> None:
+    for role, excluded_nodes in section.excluded_nodes.items():
         if role not in section.roles:
             raise _error("the role is not listed in `names`", f"barred.{role}")
-        if set(nodes) <= set(barred):
+        if set(nodes) <= set(excluded_nodes):
             raise _error(f"all {len(nodes)} nodes are barred, so no node can lead the role", f"barred.{role}")
 
 
--- a/onyxpost/leadership/effect_runner.py
+++ b/onyxpost/leadership/effect_runner.py
@@ -10,15 +10,15 @@
 from onyxpost.leadership.effects import (
     Diagnostic,
     Effect,
+    LeadershipAcquired,
     LeadershipChange,
-    LeaseAcquired,
-    LeaseLost,
+    LeadershipLost,
     PersistState,
     RecordCommitted,
     SendMessage,
 )
 from onyxpost.leadership.errors import AcceptorLogError
-from onyxpost.leadership.service_log import ACCEPTOR_LOG_FAILED
+from onyxpost.leadership.leadership_log import ACCEPTOR_LOG_FAILED
 from onyxpost.runtime.log_event import LogEvent, fault_event
 
 if TYPE_CHECKING:
@@ -27,8 +27,8 @@
     from onyxpost.cluster.connections import PeerConnections
     from onyxpost.leadership.acceptor_log import AcceptorLog
     from onyxpost.leadership.acceptor_state import AcceptorState
+    from onyxpost.leadership.leadership_log import LeadershipLog
     from onyxpost.leadership.registry import RoleRegistry
-    from onyxpost.leadership.service_log import ServiceLog
     from onyxpost.runtime.transport import Transport
 
 
@@ -52,13 +52,13 @@
         connections: PeerConnections,
         registry: RoleRegistry,
         acceptor_log: AcceptorLog | None,
-        service_log: ServiceLog,
+        leadership_log: LeadershipLog,
     ) -> None:
         self.transport = transport
         self.connections = connections
         self.registry = registry
         self.acceptor_log = acceptor_log
-        self.log = service_log
+        self.log = leadership_log
         self.listeners: dict[str, Callable[[LeadershipChange], None]] = {}
         self.leaderships: dict[str, Leadership] = {}
 
@@ -78,7 +78,7 @@
                         # Lost leases and diagnostics do not depend on it.
                         following = effects[index + 1 :]
                         self.apply(
-                            [other for other in following if isinstance(other, LeaseLost | Diagnostic)]
+                            [other for other in following if isinstance(other, LeadershipLost | Diagnostic)]
                         )
                         return
                 case Diagnostic():
@@ -89,10 +89,10 @@
     def handle_change(self, change: LeadershipChange) -> None:
         """Logs a change and passes it to the role's listener."""
         match change:
-            case LeaseAcquired():
+            case LeadershipAcquired():
                 self.leaderships[change.role] = Leadership(change.fencing_token, self.transport.clock())
-                self.log.log_lease_acquired(change)
-            case LeaseLost():
+                self.log.log_leadership_acquired(change)
+            case LeadershipLost():
                 self._log_loss(change)
             case RecordCommitted():
                 leader = self.registry.participants[change.role].leader
@@ -106,12 +106,12 @@
         except Exception as error:  # a faulty listener must not stop other roles or the following effects
             self.log.write(fault_event(f"role {change.role}", error))
 
-    def _log_loss(self, change: LeaseLost) -> None:
+    def _log_loss(self, change: LeadershipLost) -> None:
         now_ms = self.transport.clock()
         leadership = self.leaderships.pop(change.role, None)
         held_ms = now_ms - leadership.acquired_at_ms if leadership is not None else 0.0
         ended_ago_ms = max(0.0, now_ms - change.ended_at_ms)  # an expiry is detected at the next tick
-        self.log.log_lease_lost(change, held_ms, ended_ago_ms)
+        self.log.log_leadership_lost(change, held_ms, ended_ago_ms)
 
     def _send(self, effect: SendMessage) -> None:
         is_sent = self.connections.send(effect.recipient, protocol.TOPIC, protocol.encode(effect.message))
--- a/onyxpost/leadership/effects.py
+++ b/onyxpost/leadership/effects.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseAcquired:
+class LeadershipAcquired:
     """Reports that this node has acquired the lease of the role.
 
     If `record_epoch_ms` is greater than `record.fencing_token`, a majority of acceptors has lost its state
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseLost:
+class LeadershipLost:
     """Reports that this node no longer leads the role.
 
     `ended_at_ms` is the scheduled end of the lease by this node's clock: in the past if the lease expired, in
@@ -84,5 +84,5 @@
     ballot_number: int = 0
 
 
-LeadershipChange = LeaseAcquired | LeaseLost | RecordCommitted
+LeadershipChange = LeadershipAcquired | LeadershipLost | RecordCommitted
 Effect = SendMessage | PersistState | LeadershipChange | Diagnostic
--- a/onyxpost/leadership/election_schedule.py
+++ b/onyxpost/leadership/election_schedule.py
@@ -9,7 +9,7 @@
 
 if TYPE_CHECKING:
     from onyxpost.leadership.ballots import NodeIdentity
-    from onyxpost.leadership.lease_timing import LeaseTiming
+    from onyxpost.leadership.role_lease_timing import RoleLeaseTiming
 
 # The three nodes of the lowest rank query again as soon as a lease may have ended. The others wait longer, so
 # that the number of messages grows slowly with the size of the cluster.
@@ -28,7 +28,7 @@
 
     identity: NodeIdentity
     role: str
-    timing: LeaseTiming
+    timing: RoleLeaseTiming
     rank: int = 0
     failed_ballots: int = 0
 
--- a/onyxpost/leadership/fenced_call.py
+++ b/onyxpost/leadership/fenced_call.py
@@ -24,8 +24,8 @@
     from onyxpost.config.address import Address
     from onyxpost.runtime.transport import Transport
 
-RESPONSE_LIMIT_BYTES = 65536
-CAUSE_LIMIT_CHARACTERS = 200  # longest cause in an error message
+MAX_RESPONSE_BYTES = 65536
+MAX_CAUSE_CHARS = 200  # longest cause in an error message
 TOKEN_LIMIT_DIGITS = 19  # the digits of a 64-bit number; a longer header value is not a token
 
 
@@ -64,12 +64,12 @@
                     raise NotLeaderError("the lease ended before the call was sent", call.role)
                 writer.write(data)
                 response, _ = await read_response(
-                    http, lambda: reader.read(READ_CHUNK_BYTES), RESPONSE_LIMIT_BYTES
+                    http, lambda: reader.read(READ_CHUNK_BYTES), MAX_RESPONSE_BYTES
                 )
             finally:
                 writer.transport.abort()
     except (TimeoutError, OSError, h11.ProtocolError) as error:
-        cause = f"no valid response: {type(error).__name__} {error}"[:CAUSE_LIMIT_CHARACTERS]
+        cause = f"no valid response: {type(error).__name__} {error}"[:MAX_CAUSE_CHARS]
         raise FencedCallError(cause, location) from error
     if response.status_code == HTTPStatus.CONFLICT:
         higher = _fencing_token(response)
--- a/onyxpost/leadership/granted_lease.py
+++ b/onyxpost/leadership/granted_role_lease.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(slots=True)
-class GrantedLease:
+class GrantedRoleLease:
     """The last lease that one acceptor granted for a role.
 
     `highest_released` is the highest ballot number that a node has released. The acceptor rejects ballots up
--- a/onyxpost/leadership/leader.py
+++ b/onyxpost/leadership/leader.py
@@ -5,15 +5,15 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from onyxpost.leadership.effects import Effect, LeaseLost, RecordCommitted, SendMessage
+from onyxpost.leadership.effects import Effect, LeadershipLost, RecordCommitted, SendMessage
 from onyxpost.leadership.election import FIRST_ROUND, ElectionWon
 from onyxpost.leadership.errors import NotLeaderError, RecordTooLongError
-from onyxpost.leadership.lease_timing import RECORD_LIMIT_BYTES, LeaseTiming
 from onyxpost.leadership.protocol import Accept, Accepted, Message, Record, Reject, RejectReason, Release
 from onyxpost.leadership.rejections import rejection_diagnostic
+from onyxpost.leadership.role_lease_timing import MAX_RECORD_BYTES, RoleLeaseTiming
 
 if TYPE_CHECKING:
-    from onyxpost.leadership.membership import AcceptorSet
+    from onyxpost.leadership.acceptor_set import AcceptorSet
 
 LEASE_EXPIRED = "no majority of acceptors renewed the lease"
 UNKNOWN_SEQUENCE = -1  # for an acceptor that may have no record of this ballot; below all sequence numbers
@@ -34,7 +34,9 @@
 class Leader:
     """Holds the lease of a role that this node won in `election`."""
 
-    def __init__(self, role: str, timing: LeaseTiming, acceptors: AcceptorSet, election: ElectionWon) -> None:
+    def __init__(
+        self, role: str, timing: RoleLeaseTiming, acceptors: AcceptorSet, election: ElectionWon
+    ) -> None:
         self.role = role
         self.timing = timing
         self.acceptors = acceptors
@@ -46,7 +48,7 @@
         # For each acceptor, the sequence number of the newest record that it is known to have.
         self.acceptor_sequences = {name: election.record.sequence for name in election.accepted_by}
         self.committed_sequence = election.record.sequence
-        self.settled_version = acceptors.version
+        self.committed_set_version = acceptors.version
         self.round_id = FIRST_ROUND
         self.rounds: dict[int, Round] = {}
 
@@ -70,10 +72,10 @@
 
         Raises:
             NotLeaderError: the lease has ended.
-            RecordTooLongError: the body exceeds `RECORD_LIMIT_BYTES`.
+            RecordTooLongError: the body exceeds `MAX_RECORD_BYTES`.
         """
-        if len(body) > RECORD_LIMIT_BYTES:
-            raise RecordTooLongError(f"record of {len(body)} bytes, limit {RECORD_LIMIT_BYTES}", self.role)
+        if len(body) > MAX_RECORD_BYTES:
+            raise RecordTooLongError(f"record of {len(body)} bytes, limit {MAX_RECORD_BYTES}", self.role)
         if not self.holds_lease(now_ms):
             raise NotLeaderError("the lease has ended", self.role)
         self.record = Record(self.fencing_token, self.record.sequence + 1, self.fencing_token, body)
@@ -106,7 +108,7 @@
         if len(renewal.accepted_by) < self.acceptors.majority:
             return []
         self.lease_ends_at_ms = max(self.lease_ends_at_ms, renewal.requested_at_ms + self.timing.lease_ms)
-        self.settled_version = self.acceptors.version
+        self.committed_set_version = self.acceptors.version
         if renewal.sequence <= self.committed_sequence:
             return []
         self.committed_sequence = renewal.sequence
@@ -117,7 +119,7 @@
         ended_at_ms = self.lease_ends_at_ms
         self.lease_ends_at_ms = float("-inf")
         release = Release(role=self.role, version=self.acceptors.version, ballot=self.ballot, was_leader=True)
-        lost = LeaseLost(self.role, self.fencing_token, reason, ended_at_ms)
+        lost = LeadershipLost(self.role, self.fencing_token, reason, ended_at_ms)
         return [lost, *(SendMessage(name, release) for name in self.acceptors.names)]
 
     def change_acceptors(self, acceptors: AcceptorSet) -> None:
@@ -150,7 +152,7 @@
             round_id=self.round_id,
             lease_ms=self.timing.lease_ms,
             sequence=self.record.sequence,
-            settled_version=self.settled_version,
+            committed_set_version=self.committed_set_version,
             record_epoch_ms=self.record_epoch_ms,
             record=None if has_record else self.record,
         )
--- a/onyxpost/leadership/service_log.py
+++ b/onyxpost/leadership/leadership_log.py
@@ -6,7 +6,7 @@
 from dataclasses import asdict, dataclass
 from typing import TYPE_CHECKING
 
-from onyxpost.leadership.effects import Diagnostic, DiagnosticKind, LeaseAcquired, LeaseLost
+from onyxpost.leadership.effects import Diagnostic, DiagnosticKind, LeadershipAcquired, LeadershipLost
 from onyxpost.leadership.protocol import Prepare
 from onyxpost.runtime.log_event import LogEvent
 
@@ -20,8 +20,8 @@
 MAX_RATE_LIMITED_KINDS = 256  # the kinds are cleared above this number, to limit the memory
 RECORD_PREFIX_BYTES = 100  # how much of a record's body a log line contains
 
-LEASE_ACQUIRED = "leadership acquired"
-LEASE_LOST = "leadership lost"
+LEADERSHIP_ACQUIRED = "leadership acquired"
+LEADERSHIP_LOST = "leadership lost"
 RECORD_COMMITTED = "leadership record committed"
 CALL_REJECTED = "leadership call rejected"
 CALL_FAILED = "leadership call failed"
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Counters:
+class LeadershipCounters:
     """Counts since the start of the process; the statistics line has them under these names."""
 
     acquired: int = 0
@@ -47,22 +47,22 @@
     received: int = 0
 
 
-class ServiceLog:
+class LeadershipLog:
     """Writes log lines with `write`; limits the rate of lines that messages of other nodes can cause."""
 
     def __init__(self, transport: Transport, write: Callable[[LogEvent], None]) -> None:
         self.transport = transport
         self.write = write
-        self.counters = Counters()
+        self.counters = LeadershipCounters()
         self._written_at_ms: dict[str, float] = {}
 
-    def log_lease_acquired(self, change: LeaseAcquired) -> None:
+    def log_leadership_acquired(self, change: LeadershipAcquired) -> None:
         """Logs that this node acquired the lease of a role."""
         self.counters.acquired += 1
         extra_fields = {**_record_fields(change.record), "era": change.record_epoch_ms}
-        self._log_role_event(LEASE_ACQUIRED, change.role, change.fencing_token, extra_fields)
+        self._log_role_event(LEADERSHIP_ACQUIRED, change.role, change.fencing_token, extra_fields)
 
-    def log_lease_lost(self, change: LeaseLost, held_ms: float, ended_ago_ms: float) -> None:
+    def log_leadership_lost(self, change: LeadershipLost, held_ms: float, ended_ago_ms: float) -> None:
         """Logs that this node no longer leads a role, which it led for `held_ms`.
 
         The lease ended `ended_ago_ms` ago; 0 if this node resigned before its end.
@@ -73,7 +73,7 @@
             "held_ms": round(held_ms),
             "ended_ms_ago": round(ended_ago_ms, 1),
         }
-        self._log_role_event(LEASE_LOST, change.role, change.fencing_token, extra_fields)
+        self._log_role_event(LEADERSHIP_LOST, change.role, change.fencing_token, extra_fields)
 
     def log_record_committed(self, role: str, fencing_token: int, record: Record) -> None:
         """Logs that a majority of acceptors has accepted the record that this node wrote."""
--- a/onyxpost/leadership/participant.py
+++ b/onyxpost/leadership/participant.py
@@ -7,7 +7,7 @@
 
 from onyxpost.leadership.ballots import BallotCounter
 from onyxpost.leadership.candidate import Candidate
-from onyxpost.leadership.effects import Effect, LeaseAcquired, SendMessage
+from onyxpost.leadership.effects import Effect, LeadershipAcquired, SendMessage
 from onyxpost.leadership.election import ElectionWon
 from onyxpost.leadership.election_schedule import PREFERRED_RANKS
 from onyxpost.leadership.errors import NotLeaderError
@@ -18,9 +18,9 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
+    from onyxpost.leadership.acceptor_set import AcceptorSet
     from onyxpost.leadership.ballots import Ballot, NodeIdentity
-    from onyxpost.leadership.lease_timing import LeaseTiming
-    from onyxpost.leadership.membership import AcceptorSet
+    from onyxpost.leadership.role_lease_timing import RoleLeaseTiming
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,9 +31,9 @@
     """
 
     name: str
-    timing: LeaseTiming
+    timing: RoleLeaseTiming
     nodes: tuple[str, ...]
-    barred: tuple[str, ...] = ()
+    excluded_nodes: tuple[str, ...] = ()
 
 
 class Participant:
@@ -45,7 +45,7 @@
         self.identity = identity
         self.settings = settings
         self.acceptors = acceptors
-        self.ranking = rank_nodes(settings.name, settings.nodes, settings.barred)
+        self.ranking = rank_nodes(settings.name, settings.nodes, settings.excluded_nodes)
         self.candidate = self._new_candidate(now_ms, BallotCounter())
         self.leader: Leader | None = None
         self.resigned_at_ms: dict[str, float] = {}  # by node; one that resigned lately has a lower rank
@@ -102,14 +102,16 @@
             return outcome
         settings = self.settings
         self.leader = Leader(settings.name, settings.timing, self.acceptors, outcome)
-        return [LeaseAcquired(settings.name, outcome.ballot.number, outcome.record, outcome.record_epoch_ms)]
+        return [
+            LeadershipAcquired(settings.name, outcome.ballot.number, outcome.record, outcome.record_epoch_ms)
+        ]
 
     def write(self, now_ms: float, body: bytes) -> list[Effect]:
         """Requests acceptance of a new record; `RecordCommitted` reports success.
 
         Raises:
             NotLeaderError: this node does not lead the role.
-            RecordTooLongError: the body exceeds `RECORD_LIMIT_BYTES`.
+            RecordTooLongError: the body exceeds `MAX_RECORD_BYTES`.
         """
         if self.leader is None:
             raise NotLeaderError("this node does not lead the role", self.settings.name)
--- a/onyxpost/leadership/proposal_validation.py
+++ b/onyxpost/leadership/proposal_validation.py
@@ -9,16 +9,16 @@
 
 if TYPE_CHECKING:
     from onyxpost.leadership.acceptor_state import AcceptorState
-    from onyxpost.leadership.granted_lease import GrantedLease
-    from onyxpost.leadership.lease_timing import LeaseTiming
+    from onyxpost.leadership.granted_role_lease import GrantedRoleLease
+    from onyxpost.leadership.role_lease_timing import RoleLeaseTiming
 
 
 def find_reject_reason(
     now_ms: float,
     proposal: Prepare | Accept,
     state: AcceptorState,
-    lease: GrantedLease,
-    timing: LeaseTiming,
+    lease: GrantedRoleLease,
+    timing: RoleLeaseTiming,
 ) -> RejectReason | None:
     """Returns why an acceptor with this state and lease must reject the proposal, or None.
 
@@ -35,7 +35,7 @@
     return RejectReason.LEASE_ACTIVE if lease.is_held_by_other(now_ms, ballot) else None
 
 
-def _find_accept_reject_reason(accept: Accept, known: Record, timing: LeaseTiming) -> RejectReason | None:
+def _find_accept_reject_reason(accept: Accept, known: Record, timing: RoleLeaseTiming) -> RejectReason | None:
     if accept.lease_ms > timing.lease_ms:
         return RejectReason.LEASE_TOO_LONG
     is_same_ballot = known.ballot_number == accept.ballot.number
--- a/onyxpost/leadership/protocol.py
+++ b/onyxpost/leadership/protocol.py
@@ -12,15 +12,15 @@
 import msgspec
 from msgspec import Meta, field
 
-from onyxpost.leadership.ballots import Ballot, Name, Number
+from onyxpost.leadership.ballots import Ballot, Name, NonNegativeInt
 from onyxpost.leadership.errors import MalformedMessageError
-from onyxpost.leadership.lease_timing import RECORD_LIMIT_BYTES
+from onyxpost.leadership.role_lease_timing import MAX_RECORD_BYTES
 
 TOPIC = "duties"
-MESSAGE_LIMIT_BYTES = RECORD_LIMIT_BYTES + 1024  # the largest record and its envelope
-CAUSE_LIMIT_CHARACTERS = 200  # longest text of a decoder that an error message contains
+MAX_MESSAGE_BYTES = MAX_RECORD_BYTES + 1024  # the largest record and its envelope
+MAX_CAUSE_CHARS = 200  # longest text of a decoder that an error message contains
 
-Body = Annotated[bytes, Meta(max_length=RECORD_LIMIT_BYTES)]
+Body = Annotated[bytes, Meta(max_length=MAX_RECORD_BYTES)]
 Milliseconds = Annotated[float, Meta(ge=0.0, le=600_000.0)]
 
 
@@ -43,12 +43,12 @@
     all leaders of the role. `fencing_token` is of the leader that wrote the record.
     """
 
-    ballot_number: Number = 0
-    sequence: Number = 0
-    fencing_token: Number = 0
+    ballot_number: NonNegativeInt = 0
+    sequence: NonNegativeInt = 0
+    fencing_token: NonNegativeInt = 0
     body: Body = b""
 
-    def recency(self) -> tuple[int, int]:
+    def recency_key(self) -> tuple[int, int]:
         """Returns a key that is greater for a newer record."""
         return self.ballot_number, self.sequence
 
@@ -60,13 +60,13 @@
     """Base class of all messages; `version` is that of the sender's acceptor set."""
 
     role: Name = field(name="duty")
-    version: Number
+    version: NonNegativeInt
 
 
 class StatusQuery(RoleMessage, tag="look", frozen=True, kw_only=True):
     """Candidate to acceptor: asks whether the role is free. The acceptor's state does not change."""
 
-    queried_at_ms: Number = field(name="asked")
+    queried_at_ms: NonNegativeInt = field(name="asked")
 
 
 class StatusReply(RoleMessage, tag="seen", frozen=True, kw_only=True):
@@ -76,11 +76,11 @@
     promise; 0 if the role is free. `is_voting` is false if the acceptor has restarted and must not vote yet.
     """
 
-    queried_at_ms: Number = field(name="asked")
+    queried_at_ms: NonNegativeInt = field(name="asked")
     is_voting: bool = field(name="votes")
     remaining_ms: Milliseconds = field(name="left")
     leader: Annotated[str, Meta(max_length=64)] = field(name="holder")
-    highest_ballot: Number = field(name="number")
+    highest_ballot: NonNegativeInt = field(name="number")
 
 
 class Prepare(RoleMessage, tag="prepare", frozen=True, kw_only=True):
@@ -98,22 +98,22 @@
 
     ballot: Ballot
     record: Record
-    record_epoch_ms: Number = field(name="era")
+    record_epoch_ms: NonNegativeInt = field(name="era")
 
 
 class Accept(RoleMessage, tag="accept", frozen=True, kw_only=True):
     """Candidate or leader to acceptor: asks to accept the record and to grant or renew the lease (phase 2a).
 
-    `settled_version` is the version of the acceptor set of which a majority is known to have accepted the
-    record; 0 if none is known. `record` is None if the acceptor is known to have it.
+    `committed_set_version` is the version of the acceptor set of which a majority is known to have accepted
+    the record; 0 if none is known. `record` is None if the acceptor is known to have it.
     """
 
     ballot: Ballot
-    round_id: Number = field(name="round")
+    round_id: NonNegativeInt = field(name="round")
     lease_ms: Milliseconds = field(name="lasts")
-    sequence: Number = field(name="seq")
-    settled_version: Number = field(name="settled")
-    record_epoch_ms: Number = field(name="era")
+    sequence: NonNegativeInt = field(name="seq")
+    committed_set_version: NonNegativeInt = field(name="settled")
+    record_epoch_ms: NonNegativeInt = field(name="era")
     record: Record | None = None
 
 
@@ -121,8 +121,8 @@
     """Acceptor to candidate or leader: confirms an Accept and repeats its `sequence` (phase 2b)."""
 
     ballot: Ballot
-    round_id: Number = field(name="round")
-    sequence: Number = field(name="seq")
+    round_id: NonNegativeInt = field(name="round")
+    sequence: NonNegativeInt = field(name="seq")
 
 
 class Reject(RoleMessage, tag="refuse", frozen=True, kw_only=True):
@@ -132,9 +132,9 @@
     """
 
     ballot: Ballot
-    round_id: Number = field(name="round")
+    round_id: NonNegativeInt = field(name="round")
     reason: RejectReason = field(name="why")
-    highest_ballot: Number = field(name="number")
+    highest_ballot: NonNegativeInt = field(name="number")
 
 
 class Release(RoleMessage, tag="release", frozen=True, kw_only=True):
@@ -152,17 +152,17 @@
 class RecoveryQuery(RoleMessage, tag="learn", frozen=True, kw_only=True):
     """Acceptor without state, after its restart wait, to the others: asks for their state of the role."""
 
-    queried_at_ms: Number = field(name="asked")
+    queried_at_ms: NonNegativeInt = field(name="asked")
 
 
 class RecoveryReply(RoleMessage, tag="told", frozen=True, kw_only=True):
     """Acceptor to acceptor: answers a RecoveryQuery; `is_voting` is false if the sender lacks its state."""
 
-    queried_at_ms: Number = field(name="asked")
+    queried_at_ms: NonNegativeInt = field(name="asked")
     is_voting: bool = field(name="votes")
     record: Record
-    record_epoch_ms: Number = field(name="era")
-    settled_version: Number = field(name="settled")
+    record_epoch_ms: NonNegativeInt = field(name="era")
+    committed_set_version: NonNegativeInt = field(name="settled")
 
 
 Message = (
@@ -193,10 +193,10 @@
     Raises:
         MalformedMessageError: the data is too long, or is not a message of this protocol version.
     """
-    if len(data) > MESSAGE_LIMIT_BYTES:
-        raise MalformedMessageError(f"message of {len(data)} bytes, limit {MESSAGE_LIMIT_BYTES}", sender)
+    if len(data) > MAX_MESSAGE_BYTES:
+        raise MalformedMessageError(f"message of {len(data)} bytes, limit {MAX_MESSAGE_BYTES}", sender)
     try:
         message: Message = _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise MalformedMessageError(str(error)[:CAUSE_LIMIT_CHARACTERS], sender) from error
+        raise MalformedMessageError(str(error)[:MAX_CAUSE_CHARS], sender) from error
     return message
--- a/onyxpost/leadership/registry.py
+++ b/onyxpost/leadership/registry.py
@@ -7,10 +7,10 @@
 
 from onyxpost.leadership import protocol
 from onyxpost.leadership.acceptor import Acceptor
+from onyxpost.leadership.acceptor_set import AcceptorSet, validate_transition
 from onyxpost.leadership.config import SECTION_PATH
 from onyxpost.leadership.effects import Diagnostic, DiagnosticKind, Effect, SendMessage
 from onyxpost.leadership.errors import NotLeaderError
-from onyxpost.leadership.membership import AcceptorSet, validate_transition
 from onyxpost.leadership.participant import Participant, RoleSettings
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
         self.acceptor_set = config.acceptors
         self.participants: dict[str, Participant] = {}
         for role in config.roles:
-            settings = RoleSettings(role, config.timing, config.nodes, config.barred.get(role, ()))
+            settings = RoleSettings(role, config.timing, config.nodes, config.excluded_nodes.get(role, ()))
             self.participants[role] = Participant(now_ms, identity, settings, config.acceptors)
         self.acceptors: dict[str, Acceptor] = {}
         if self._is_acceptor():
@@ -101,7 +101,7 @@
 
         Raises:
             NotLeaderError: this node does not lead the role, or no role has this name.
-            RecordTooLongError: the body exceeds `RECORD_LIMIT_BYTES`.
+            RecordTooLongError: the body exceeds `MAX_RECORD_BYTES`.
         """
         if role not in self.participants:
             raise NotLeaderError("no role has this name", role)
--- a/onyxpost/leadership/rendezvous.py
+++ b/onyxpost/leadership/rendezvous.py
@@ -10,12 +10,12 @@
     from collections.abc import Iterable
 
 
-def rank_nodes(role: str, nodes: Iterable[str], barred: Iterable[str] = ()) -> list[str]:
+def rank_nodes(role: str, nodes: Iterable[str], excluded_nodes: Iterable[str] = ()) -> list[str]:
     """Returns the nodes that may lead the role, the most preferred one first.
 
     Adding or removing a node does not change the order of the others.
     """
-    eligible = set(nodes) - set(barred)
+    eligible = set(nodes) - set(excluded_nodes)
     return sorted(eligible, key=lambda node: (stable_hash(f"{node}/{role}"), node), reverse=True)
 
 
--- a/onyxpost/leadership/lease_timing.py
+++ b/onyxpost/leadership/role_lease_timing.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-RECORD_LIMIT_BYTES = 64 * 1024
+MAX_RECORD_BYTES = 64 * 1024
 
 RENEWALS_PER_LEASE = 4.0  # the lease survives two consecutive failed renewals
 RESPONSE_TIMEOUTS_PER_LEASE = 8.0  # makes the timeout 250 ms at the default lease of 2 s
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseTiming:
+class RoleLeaseTiming:
     """The duration of a lease and the assumed limits of clock errors, with the durations derived from them.
 
     `drift` limits the relative error of each clock's rate (0.01: 1%). `skew_ms` limits the difference between
--- a/onyxpost/leadership/service.py
+++ b/onyxpost/leadership/service.py
@@ -21,14 +21,14 @@
     NotLeaderError,
 )
 from onyxpost.leadership.fenced_call import FencedCall
-from onyxpost.leadership.registry import RoleRegistry
-from onyxpost.leadership.service_log import (
+from onyxpost.leadership.leadership_log import (
     ACCEPTORS_CHANGED,
     CALL_FAILED,
     MESSAGE_MALFORMED,
-    Counters,
-    ServiceLog,
+    LeadershipCounters,
+    LeadershipLog,
 )
+from onyxpost.leadership.registry import RoleRegistry
 from onyxpost.runtime.log_event import LogEvent
 
 if TYPE_CHECKING:
@@ -68,7 +68,7 @@
         self.name = name
         self.config = config
         self.connections = connections
-        self.log = ServiceLog(transport, write_log)
+        self.log = LeadershipLog(transport, write_log)
         self.acceptor_log = AcceptorLog(config.log_path) if config.log_path is not None else None
         now_ms = transport.clock()
         identity = NodeIdentity(name, incarnation=int(now_ms))
@@ -76,12 +76,12 @@
         self.registry = RoleRegistry(now_ms, identity, config, saved_states)
         self.started_at_ms = now_ms
         self.statistics_at_ms = now_ms
-        self.effects = EffectRunner(transport, connections, self.registry, self.acceptor_log, self.log)
+        self.effect_runner = EffectRunner(transport, connections, self.registry, self.acceptor_log, self.log)
         self.reports: Counter[str] = Counter()
         self.tasks: set[asyncio.Task[None]] = set()
 
     @property
-    def counters(self) -> Counters:
+    def counters(self) -> LeadershipCounters:
         """The counters since the start of the process."""
         return self.log.counters
 
@@ -100,7 +100,7 @@
 
     def subscribe(self, role: str, listener: Callable[[LeadershipChange], None]) -> None:
         """Sets the listener of a role's later leadership changes at this node; replaces an earlier one."""
-        self.effects.subscribe(role, listener)
+        self.effect_runner.subscribe(role, listener)
 
     def fencing_token(self, role: str) -> int | None:
         """Returns the fencing token if this node holds the lease now, else None.
@@ -115,9 +115,9 @@
 
         Raises:
             NotLeaderError: this node does not lead the role, or no role has this name.
-            RecordTooLongError: the body exceeds `RECORD_LIMIT_BYTES`.
+            RecordTooLongError: the body exceeds `MAX_RECORD_BYTES`.
         """
-        self.effects.apply(self.registry.write(self.transport.clock(), role, body))
+        self.effect_runner.apply(self.registry.write(self.transport.clock(), role, body))
 
     async def call(self, address: Address, role: str, body: bytes, timeout_ms: float) -> None:
         """Makes a fenced call as the role's leader; resigns if the resource has received a higher token.
@@ -137,7 +137,9 @@
             self.log.log_fencing_token_rejected(role, token, error.message)
             if self.fencing_token(role) == token:
                 now_ms = self.transport.clock()
-                self.effects.apply(self.registry.on_higher_fencing_token(now_ms, role, error.fencing_token))
+                self.effect_runner.apply(
+                    self.registry.on_higher_fencing_token(now_ms, role, error.fencing_token)
+                )
             raise
         self.log.count_call()
 
@@ -147,7 +149,9 @@
         """Handles a message of another member; logs and drops a malformed one."""
         self.log.count_received()
         try:
-            self.effects.apply(self.registry.handle_encoded(self.transport.clock(), sender, data), sender)
+            self.effect_runner.apply(
+                self.registry.handle_encoded(self.transport.clock(), sender, data), sender
+            )
         except MalformedMessageError as error:
             self.log.log_rate_limited(f"malformed/{sender}", MESSAGE_MALFORMED, error.log_fields())
 
@@ -177,7 +181,7 @@
 
     def resign_all(self) -> None:
         """Resigns from all roles; this node's acceptors vote until its connections are closed."""
-        self.effects.apply(self.registry.resign_all(self.transport.clock()))
+        self.effect_runner.apply(self.registry.resign_all(self.transport.clock()))
 
     # Timer
 
@@ -185,7 +189,7 @@
         reported_at_ms = 0.0
         while True:
             now_ms = self.transport.clock()
-            self.effects.apply(self.registry.tick(now_ms, self._unreachable_nodes(now_ms)))
+            self.effect_runner.apply(self.registry.tick(now_ms, self._unreachable_nodes(now_ms)))
             resource = self.config.fenced_resource
             if resource is not None and now_ms - reported_at_ms >= self.config.report_interval_ms:
                 reported_at_ms = now_ms
@@ -219,9 +223,9 @@
 
         If the role has no listener, its record is set to the number of reports first.
         """
-        has_listener = role in self.effects.listeners
+        has_listener = role in self.effect_runner.listeners
         try:
-            if not has_listener and role in self.effects.leaderships:
+            if not has_listener and role in self.effect_runner.leaderships:
                 self.write(role, b"%d" % (self.reports[role] + 1))
                 self.reports[role] += 1
             timeout_ms = min(self.config.report_interval_ms, self.config.timing.lease_ms)
@@ -234,7 +238,7 @@
     def _log_statistics(self, now_ms: float) -> None:
         leads = {
             role: [leadership.fencing_token, round(now_ms - leadership.acquired_at_ms)]
-            for role, leadership in self.effects.leaderships.items()
+            for role, leadership in self.effect_runner.leaderships.items()
         }
         voting = sum(acceptor.is_voting for acceptor in self.registry.acceptors.values())
         self.log.log_statistics(leads, self.registry.acceptor_set.version, voting)
--- a/onyxpost/leadership/status_poll.py
+++ b/onyxpost/leadership/status_poll.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from onyxpost.leadership.membership import AcceptorSet
+    from onyxpost.leadership.acceptor_set import AcceptorSet
     from onyxpost.leadership.protocol import StatusReply
 
 
--- a/onyxpost/node/components.py
+++ b/onyxpost/node/components.py
@@ -12,7 +12,7 @@
 from onyxpost.edge.messages import (
     CloseAttempt,
     Effect,
-    ReportUnitsSpent,
+    RecordUnitsSpent,
     RetireEndpoint,
     ReturnLease,
     SendAnswer,
@@ -137,7 +137,7 @@
             RetireEndpoint: lambda effect: upstream_pool.retire_endpoint(effect.endpoint),
             SendAnswer: clients.send_answer,
             SendPeerMessage: components.peers.send,
-            ReportUnitsSpent: _ignore_effect,
+            RecordUnitsSpent: _ignore_effect,
             ReturnLease: _ignore_effect,
             WatchEndpoints: lambda _effect: discovery.start(),
             LogEvent: node.log,
--- a/onyxpost/node/config.py
+++ b/onyxpost/node/config.py
@@ -24,7 +24,7 @@
     from collections.abc import Mapping
 
     from onyxpost.cluster.membership import ClusterConfig
-    from onyxpost.config.planners import PlannerSettings
+    from onyxpost.config.planner_settings import PlannerSettings
     from onyxpost.leadership.config import LeadershipConfig
 
 CONFIG_PATH_VARIABLE = "EDGE_CONFIG"
@@ -85,8 +85,8 @@
 
 def _with_routing_rules(config: NodeConfig) -> NodeConfig:
     # Imported here because only nodes whose file names a rules file need it.
-    from onyxpost.rollout.routing_rules.context import RoutingContext
-    from onyxpost.rollout.routing_rules.file import read_rules
+    from onyxpost.rollout.routing_rules.routing_context import RoutingContext
+    from onyxpost.rollout.routing_rules.rules_file import read_rules
 
     zones = (endpoint.zone for endpoint in config.known_endpoints.endpoints)
     context = RoutingContext.of_deployment(config.deployment, zones, config.zone)
@@ -134,7 +134,7 @@
     members = {
         name: parse_address_at(f"planners.members.{name}", text) for name, text in settings.members.items()
     }
-    return PlannerClientConfig(settings.version, members, settings.share)
+    return PlannerClientConfig(settings.version, members, settings.safe_share)
 
 
 def _build_cluster(file: NodeFile) -> ClusterConfig | None:
--- a/onyxpost/node/config_file.py
+++ b/onyxpost/node/config_file.py
@@ -7,9 +7,9 @@
 import msgspec
 from msgspec import Meta
 
-from onyxpost.config.cluster import ClusterSettings
+from onyxpost.config.cluster_settings import ClusterSettings
 from onyxpost.config.decoding import Settings
-from onyxpost.config.planners import PlannerSettings
+from onyxpost.config.planner_settings import PlannerSettings
 from onyxpost.config.settings import DeploymentSettings
 from onyxpost.edge.messages import WireEndpointUpdate
 
--- a/onyxpost/node/node_config.py
+++ b/onyxpost/node/node_config.py
@@ -11,7 +11,7 @@
     from onyxpost.config.deployment import Deployment
     from onyxpost.edge.messages import EndpointUpdate
     from onyxpost.leadership.config import LeadershipConfig
-    from onyxpost.rollout.routing_rules.compiled import CompiledRules
+    from onyxpost.rollout.routing_rules.compiled_rules import CompiledRules
 
 
 @dataclass(frozen=True, slots=True)
--- a/onyxpost/node/planner_extension.py
+++ b/onyxpost/node/planner_extension.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from onyxpost.edge.messages import ReportUnitsSpent, ReturnLease
+from onyxpost.edge.messages import RecordUnitsSpent, ReturnLease
 from onyxpost.errors import StaleVersionError, with_key_path
 from onyxpost.node.extension import Extension
 
@@ -25,7 +25,7 @@
     def effect_handlers(self) -> dict[type, Callable[[Any], None]]:
         """Returns the client's methods that report spent units and return leases."""
         return {
-            ReportUnitsSpent: self.client.report_units_spent,
+            RecordUnitsSpent: self.client.record_units_spent,
             ReturnLease: self.client.return_lease,
         }
 
--- a/onyxpost/node/rules_reload.py
+++ b/onyxpost/node/rules_reload.py
@@ -6,15 +6,15 @@
 from typing import TYPE_CHECKING
 
 from onyxpost.errors import InvalidInputError
-from onyxpost.rollout.routing_rules.context import RoutingContext
-from onyxpost.rollout.routing_rules.file import read_newer_rules
+from onyxpost.rollout.routing_rules.routing_context import RoutingContext
+from onyxpost.rollout.routing_rules.rules_file import read_newer_rules
 from onyxpost.runtime.log_event import LogEvent
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from onyxpost.node.node_config import NodeConfig
-    from onyxpost.rollout.routing_rules.compiled import CompiledRules
+    from onyxpost.rollout.routing_rules.compiled_rules import CompiledRules
 
 
 def reload_rules(
--- a/onyxpost/planner/config.py
+++ b/onyxpost/planner/config.py
@@ -10,7 +10,7 @@
 from onyxpost.config.address import Address, parse_address_at
 from onyxpost.config.decoding import Settings, decode_as, read_json_file
 from onyxpost.config.deployment import build_plans
-from onyxpost.config.planners import PlannerSettings
+from onyxpost.config.planner_settings import PlannerSettings
 from onyxpost.config.settings import PlanSettings
 from onyxpost.errors import ConflictingValuesError, with_key_path
 from onyxpost.planner.lease_terms import LeaseTerms
@@ -92,7 +92,7 @@
         forwarders=tuple(file.forwarders),
         plans=tuple(build_plans(file.packages)),
         lease_terms=LeaseTerms(file.lease_ms, file.drift),
-        safe_share=file.planners.share,
+        safe_share=file.planners.safe_share,
         log_level=file.log_level,
     )
 
--- a/onyxpost/planner/planner.py
+++ b/onyxpost/planner/planner.py
@@ -10,7 +10,7 @@
 
 from onyxpost.cluster.errors import MalformedFrameError
 from onyxpost.cluster.frames import has_buffer_space
-from onyxpost.cluster.unidentified import MAX_ACCEPTS_PER_TURN, UnidentifiedConnections
+from onyxpost.cluster.unidentified_connections import MAX_ACCEPTS_PER_TURN, UnidentifiedConnections
 from onyxpost.errors import InvalidInputError
 from onyxpost.planner import protocol
 from onyxpost.planner.errors import SlowReaderError
--- a/onyxpost/planner/protocol.py
+++ b/onyxpost/planner/protocol.py
@@ -23,7 +23,7 @@
 MAX_RETRY_AFTER_MS = 60_000.0  # longest retry time, also sent if no retry can succeed, as for an unknown plan
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
-Number = Annotated[int, Meta(ge=0, lt=2**53)]
+NonNegativeInt = Annotated[int, Meta(ge=0, lt=2**53)]
 Units = Annotated[int, Meta(ge=0, le=1_000_000)]
 
 
@@ -34,7 +34,7 @@
 class HeldLease(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
     """A lease that a forwarder holds, from which a restarted planner recovers its ledger."""
 
-    customer: Number
+    customer: NonNegativeInt
     plan: Name
     units: Units
     remaining_ms: Annotated[float, Meta(ge=0.0, le=600_000.0)]
@@ -43,9 +43,9 @@
 class Hello(Message, tag="hello"):
     """First message of a forwarder on a connection."""
 
-    protocol: Number
+    protocol: NonNegativeInt
     forwarder: Name
-    membership_version: Number = msgspec.field(name="follows")
+    membership_version: NonNegativeInt = msgspec.field(name="follows")
     held_leases: Annotated[list[HeldLease], Meta(max_length=MAX_REPORTED_LEASES)] = msgspec.field(
         name="holds", default_factory=list
     )
@@ -56,36 +56,36 @@
 class Welcome(Message, tag="welcome"):
     """A planner's answer to a hello. `epoch` identifies its incarnation; lease ids are unique within it."""
 
-    protocol: Number
+    protocol: NonNegativeInt
     planner: Name
     epoch: Name
-    membership_version: Number = msgspec.field(name="version")
+    membership_version: NonNegativeInt = msgspec.field(name="version")
     lease_duration_ms: Annotated[float, Meta(gt=0.0, le=600_000.0)] = msgspec.field(name="lasts")
 
 
 class MembershipHeartbeat(Message, tag="follow"):
     """Tells a planner, every half second, which membership version the forwarder follows."""
 
-    membership_version: Number = msgspec.field(name="version")
+    membership_version: NonNegativeInt = msgspec.field(name="version")
 
 
 class LeaseRequest(Message, tag="ask"):
     """A forwarder's request for a lease of at most `units`, and of at least `min_units`."""
 
-    request_id: Number = msgspec.field(name="number")
-    customer: Number
+    request_id: NonNegativeInt = msgspec.field(name="number")
+    customer: NonNegativeInt
     plan: Name
     units: Units
     min_units: Units = msgspec.field(name="least")
-    membership_version: Number = msgspec.field(name="version")
+    membership_version: NonNegativeInt = msgspec.field(name="version")
 
 
 class LeaseGrant(Message, tag="grant"):
     """Answer to a lease request: a lease of `units`, for the duration given in the welcome."""
 
-    request_id: Number = msgspec.field(name="ask")
-    lease_id: Number = msgspec.field(name="lease")
-    customer: Number
+    request_id: NonNegativeInt = msgspec.field(name="ask")
+    lease_id: NonNegativeInt = msgspec.field(name="lease")
+    customer: NonNegativeInt
     plan: Name
     units: Units
     epoch: Name
@@ -94,8 +94,8 @@
 class LeaseRejection(Message, tag="refuse"):
     """Answer to a lease request: nothing is granted; the forwarder may retry after `retry_after_ms`."""
 
-    request_id: Number = msgspec.field(name="ask")
-    customer: Number
+    request_id: NonNegativeInt = msgspec.field(name="ask")
+    customer: NonNegativeInt
     retry_after_ms: Annotated[float, Meta(ge=0.0)] = msgspec.field(name="after")
     reason: Annotated[str, Meta(max_length=64)] = msgspec.field(name="why")
 
@@ -103,14 +103,14 @@
 class LeaseRevocation(Message, tag="withdraw"):
     """A planner revokes a lease; the forwarder answers with a lease return."""
 
-    lease_id: Number = msgspec.field(name="lease")
+    lease_id: NonNegativeInt = msgspec.field(name="lease")
     epoch: Name
 
 
 class UsageReport(Message, tag="used"):
     """Units of a lease that a forwarder has spent since its last usage report for this lease."""
 
-    lease_id: Number = msgspec.field(name="lease")
+    lease_id: NonNegativeInt = msgspec.field(name="lease")
     units: Units
     epoch: Name
 
@@ -118,7 +118,7 @@
 class LeaseReturn(Message, tag="back"):
     """A forwarder ends a lease and returns its unused units."""
 
-    lease_id: Number = msgspec.field(name="lease")
+    lease_id: NonNegativeInt = msgspec.field(name="lease")
     unused_units: Units = msgspec.field(name="units")
     epoch: Name
 
--- a/onyxpost/policy/leases.py
+++ b/onyxpost/policy/leases.py
@@ -87,4 +87,4 @@
     def _report(self, request: Request, use: LeaseUse, sink: DecisionSink) -> None:
         if self._has_planners:
             customer = request.customer
-            sink.report_units_spent(customer.key, customer.plan.name, use.units, use.lease_id)
+            sink.record_units_spent(customer.key, customer.plan.name, use.units, use.lease_id)
--- a/onyxpost/rollout/analysis/decision.py
+++ b/onyxpost/rollout/analysis/decision.py
@@ -24,7 +24,7 @@
 """Limit on the logarithm of a printed e-value; the exponential of a very large one would overflow."""
 
 
-class Outcome(StrEnum):
+class StageOutcome(StrEnum):
     """The outcome of a stage: the rollout halts, advances to the next stage, or holds at this stage."""
 
     HALT = "halt"
@@ -36,7 +36,7 @@
 class Decision:
     """An outcome, and the reason in one line with figures, for the record and the log."""
 
-    outcome: Outcome
+    outcome: StageOutcome
     reason: str
 
 
@@ -49,11 +49,11 @@
         stage_duration_ms: the time since the stage began.
     """
     if reason := _halt_reason(evidence):
-        return Decision(Outcome.HALT, reason)
+        return Decision(StageOutcome.HALT, reason)
     if reason := _hold_reason(evidence, activity, stage_duration_ms):
-        return Decision(Outcome.HOLD, reason)
+        return Decision(StageOutcome.HOLD, reason)
     failures = evidence.total_counts(Measure.FAILED_REQUESTS)
-    return Decision(Outcome.ADVANCE, f"{Measure.FAILED_REQUESTS}: {_format_rates(failures)}")
+    return Decision(StageOutcome.ADVANCE, f"{Measure.FAILED_REQUESTS}: {_format_rates(failures)}")
 
 
 def log_halt_threshold(evidence: Evidence) -> float:
--- a/onyxpost/rollout/analysis/strata.py
+++ b/onyxpost/rollout/analysis/strata.py
@@ -11,9 +11,9 @@
 
 from onyxpost.rollout.analysis.thresholds import LEVEL_LIMITS, Level
 from onyxpost.rollout.metrics.aggregation import Stratum
-from onyxpost.rollout.metrics.protocol import OTHER
+from onyxpost.rollout.metrics.protocol import OTHER_STRATUM_NAME
 
-OVERFLOW_STRATUM = Stratum(OTHER, OTHER, OTHER)
+OVERFLOW_STRATUM = Stratum(OTHER_STRATUM_NAME, OTHER_STRATUM_NAME, OTHER_STRATUM_NAME)
 """The stratum that replaces all strata beyond the limits."""
 
 OVERFLOW_DIMENSIONS = 3
--- a/onyxpost/rollout/metrics/counters.py
+++ b/onyxpost/rollout/metrics/counters.py
@@ -8,11 +8,11 @@
 from onyxpost.rollout.metrics.latency import bucket_upper_bound
 from onyxpost.rollout.metrics.protocol import (
     MAX_STRATA_PER_NODE,
-    OTHER,
+    OTHER_STRATUM_NAME,
     MetricsSnapshot,
     RequestCounters,
     StratumCounters,
-    split,
+    split_to_frames,
 )
 
 if TYPE_CHECKING:
@@ -90,7 +90,7 @@
             StratumCounters(frontend, plan, _copy(sides[Side.CANDIDATE]), _copy(sides[Side.CONTROL]))
             for (frontend, plan), sides in self._strata.items()
         ]
-        return split(
+        return split_to_frames(
             MetricsSnapshot(
                 node=self.node,
                 incarnation=self.incarnation,
@@ -105,7 +105,7 @@
         key = (frontend, plan)
         if key not in self._strata:
             if len(self._strata) >= MAX_STRATA_PER_NODE:
-                key = (OTHER, OTHER)
+                key = (OTHER_STRATUM_NAME, OTHER_STRATUM_NAME)
             self._strata.setdefault(key, {each: RequestCounters() for each in Side})
         return self._strata[key][side]
 
--- a/onyxpost/rollout/metrics/protocol.py
+++ b/onyxpost/rollout/metrics/protocol.py
@@ -20,9 +20,9 @@
 """Maximum size of one snapshot in MessagePack; a frame between nodes holds 64 KiB."""
 
 MAX_STRATA_PER_NODE = 64
-"""Maximum number of strata that a node counts separately; all further ones are counted as `OTHER`."""
+"""Maximum number of strata that a node counts separately; further ones count as `OTHER_STRATUM_NAME`."""
 
-OTHER = "other"
+OTHER_STRATUM_NAME = "other"
 """The frontend and plan under which a node counts the strata beyond `MAX_STRATA_PER_NODE`."""
 
 MAX_LATENCY_BUCKETS = 256
@@ -146,12 +146,12 @@
     )
 
 
-def split(snapshot: MetricsSnapshot) -> Iterator[MetricsSnapshot]:
+def split_to_frames(snapshot: MetricsSnapshot) -> Iterator[MetricsSnapshot]:
     """Yields the snapshot in parts of at most `MAX_SNAPSHOT_BYTES`; one stratum is never divided."""
     stratum_count = len(snapshot.strata)
     if stratum_count <= 1 or len(msgspec.msgpack.encode(snapshot)) <= MAX_SNAPSHOT_BYTES:
         yield snapshot
         return
     half = stratum_count // 2
-    yield from split(msgspec.structs.replace(snapshot, strata=snapshot.strata[:half]))
-    yield from split(msgspec.structs.replace(snapshot, strata=snapshot.strata[half:]))
+    yield from split_to_frames(msgspec.structs.replace(snapshot, strata=snapshot.strata[:half]))
+    yield from split_to_frames(msgspec.structs.replace(snapshot, strata=snapshot.strata[half:]))
--- a/onyxpost/rollout/routing_rules/compiled.py
+++ b/onyxpost/rollout/routing_rules/compiled_rules.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from onyxpost.core.types import ServerType
-    from onyxpost.rollout.routing_rules.context import RoutingContext
+    from onyxpost.rollout.routing_rules.routing_context import RoutingContext
     from onyxpost.rollout.routing_rules.schema import Rule, RulesFile
     from onyxpost.rollout.routing_rules.server_filter import ServerFilter
 
@@ -29,8 +29,8 @@
 
     def __init__(self, filters: list[ServerFilter], rule: Rule) -> None:
         self.filters = filters
-        self.max_attempts: float = rule.attempts or UNRESTRICTED.max_attempts
-        self.capacity_share = rule.window or UNRESTRICTED.capacity_share
+        self.max_attempts: float = rule.max_attempts or UNRESTRICTED.max_attempts
+        self.capacity_share = rule.capacity_share or UNRESTRICTED.capacity_share
 
     def select(self, servers: list[ServerType]) -> list[ServerType]:
         """Returns the servers that pass the first filter that any server passes; all servers if none do."""
@@ -139,7 +139,7 @@
 
 
 def _compile_constraint(rule: Rule, weight_hash: int) -> RoutingConstraint:
-    if rule.servers is None and rule.attempts is None and rule.window is None:
+    if rule.servers is None and rule.max_attempts is None and rule.capacity_share is None:
         return UNRESTRICTED
     filters: list[ServerFilter] = []
     if rule.servers is not None:
--- a/onyxpost/rollout/routing_rules/reachability.py
+++ b/onyxpost/rollout/routing_rules/reachability.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
 
-    from onyxpost.rollout.routing_rules.context import RoutingContext
+    from onyxpost.rollout.routing_rules.routing_context import RoutingContext
     from onyxpost.rollout.routing_rules.schema import Rule
 
 ALL_CUSTOMERS = None
--- a/onyxpost/rollout/routing_rules/file.py
+++ b/onyxpost/rollout/routing_rules/rules_file.py
@@ -8,12 +8,12 @@
 
 from onyxpost.errors import FileOpenError, InvalidInputError, with_key_path
 from onyxpost.rollout.routing_rules import schema
-from onyxpost.rollout.routing_rules.compiled import CompiledRules
+from onyxpost.rollout.routing_rules.compiled_rules import CompiledRules
 from onyxpost.rollout.routing_rules.errors import ConflictingRulesError, StaleRulesError
 from onyxpost.rollout.routing_rules.validation import validate
 
 if TYPE_CHECKING:
-    from onyxpost.rollout.routing_rules.context import RoutingContext
+    from onyxpost.rollout.routing_rules.routing_context import RoutingContext
 
 
 def compile_rules(data: bytes, context: RoutingContext, source: str = "rules") -> CompiledRules:
@@ -47,7 +47,7 @@
     return compile_rules(data, context, path)
 
 
-def supersedes(new: CompiledRules, in_force: CompiledRules | None, source: str = "rules") -> bool:
+def is_later_version(new: CompiledRules, in_force: CompiledRules | None, source: str = "rules") -> bool:
     """Returns whether new rules take effect; rules with the version and text in force do not.
 
     Raises:
@@ -74,7 +74,7 @@
         InvalidInputError: the file cannot be read or used, or its version conflicts with the one in force.
     """
     new = read_rules(path, context)
-    return new if supersedes(new, in_force, path) else None
+    return new if is_later_version(new, in_force, path) else None
 
 
 def _open_nonblocking(path: str, flags: int) -> int:
--- a/onyxpost/rollout/routing_rules/schema.py
+++ b/onyxpost/rollout/routing_rules/schema.py
@@ -102,8 +102,8 @@
     """Conditions on requests (its match), and restrictions on how these are served. All are optional.
 
     The conditions are `frontends`, `plans`, `customers` and `node_zones`, the zones of the nodes at which the
-    rule applies. The restrictions are `servers`, `attempts` (the maximum number of attempts of a request) and
-    `window` (the fraction of its servers' capacity that requests may use).
+    rule applies. The restrictions are `servers`, `max_attempts` (the maximum number of attempts of a request)
+    and `capacity_share` (the fraction of its servers' capacity that requests may use).
     """
 
     name: str = ""
@@ -112,16 +112,16 @@
     customers: CustomerShare | None = None
     node_zones: Names | None = msgspec.field(default=None, name="at")
     servers: ServerSelection | None = None
-    attempts: Annotated[int, Meta(ge=1)] | None = None
-    window: Annotated[float, Meta(gt=0.0, le=1.0)] | None = None
+    max_attempts: Annotated[int, Meta(ge=1)] | None = msgspec.field(default=None, name="attempts")
+    capacity_share: Annotated[float, Meta(gt=0.0, le=1.0)] | None = msgspec.field(default=None, name="window")
 
 
 class RulesFile(StrictStruct):
-    """One version of the rules; `zones` are zones that rules may name although no known server is in them."""
+    """One version of the rules; rules may also name `additional_zones`, in which no known server is."""
 
     version: Annotated[int, Meta(ge=1, lt=2**53)]
     rules: Annotated[list[Rule], Meta(max_length=256)]
-    zones: Names | None = None
+    additional_zones: Names | None = msgspec.field(default=None, name="zones")
 
 
 def parse(data: bytes) -> RulesFile:
--- a/onyxpost/rollout/routing_rules/validation.py
+++ b/onyxpost/rollout/routing_rules/validation.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Container, Iterable
 
-    from onyxpost.rollout.routing_rules.context import RoutingContext
+    from onyxpost.rollout.routing_rules.routing_context import RoutingContext
     from onyxpost.rollout.routing_rules.schema import (
         LocatedChoice,
         Rule,
@@ -41,7 +41,7 @@
     Raises:
         InvalidInputError: an error of the `errors` module, for the first place that is not valid.
     """
-    zones = context.zones | set(rules_file.zones or ())
+    zones = context.zones | set(rules_file.additional_zones or ())
     for index, rule in enumerate(rules_file.rules):
         path = f"rules[{index}]"
         _check_names(rule.frontends, context.frontends, f"{path}.frontends")
--- a/onyxpost/simulation/discrete_event/decision_sink.py
+++ b/onyxpost/simulation/discrete_event/decision_sink.py
@@ -116,10 +116,10 @@
     def watch_endpoints(self) -> None:
         """Does nothing, as simulated endpoint updates are pushed to the nodes."""
 
-    def report_units_spent(self, customer: int, plan: str, units: int, lease: int) -> None:
+    def record_units_spent(self, customer: int, plan: str, units: int, lease: int) -> None:
         """Reports spent units to the planners, if the scenario has any."""
         if self._planners is not None:
-            self._planners.report_units_spent(self._node, customer, plan, units, lease)
+            self._planners.record_units_spent(self._node, customer, plan, units, lease)
 
     def return_lease(self, lease: int, units: int) -> None:
         """Returns a lease to the planners, if the scenario has any."""
--- a/onyxpost/simulation/discrete_event/planner_model.py
+++ b/onyxpost/simulation/discrete_event/planner_model.py
@@ -131,7 +131,7 @@
         now = self._now()
         cache = self.caches[node.name]
         cache.handle_disconnected(name)
-        welcome = planner.handle_hello(now, cache.hello(now))
+        welcome = planner.handle_hello(now, cache.build_hello(now))
         cache.handle_connected(now, name, welcome)
 
     def _disconnect(self, node: Forwarder, name: str) -> None:
@@ -192,9 +192,9 @@
 
     # Reports of the policy
 
-    def report_units_spent(self, node: Forwarder, customer: int, plan: str, units: int, lease: int) -> None:
+    def record_units_spent(self, node: Forwarder, customer: int, plan: str, units: int, lease: int) -> None:
         """Reports units that a node's policy spent, or lacked when it rejected a request."""
-        self.caches[node.name].report_units_spent(self._now(), customer, plan, units, lease)
+        self.caches[node.name].record_units_spent(self._now(), customer, plan, units, lease)
         self._clock.call_after(0.0, self._deliver_if_alive, node, node.incarnation)
 
     def return_lease(self, node: Forwarder, lease: int, units: int) -> None:
--- a/onyxpost/simulation/model_checking/failover_timing.py
+++ b/onyxpost/simulation/model_checking/failover_timing.py
@@ -12,7 +12,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from onyxpost.leadership.service_log import LEASE_ACQUIRED
+from onyxpost.leadership.leadership_log import LEADERSHIP_ACQUIRED
 from onyxpost.simulation import virtual_time
 from onyxpost.simulation.model_checking.virtual_cluster import VirtualCluster
 
@@ -72,7 +72,7 @@
     for _ in range(SAMPLES_AFTER_FAILOVER):
         cluster.sample_state()
         await asyncio.sleep(SAMPLE_INTERVAL_SECONDS)
-    latest_record = cluster.logged_fields(LEASE_ACQUIRED)[-1]["record"]
+    latest_record = cluster.logged_fields(LEADERSHIP_ACQUIRED)[-1]["record"]
     await cluster.close()
     is_consistent = latest_record == f"kept {seed}" and cluster.tokens_increase()
     return FailoverMeasurement(duration_ms, cluster.overlaps, is_consistent)
--- a/onyxpost/simulation/model_checking/history.py
+++ b/onyxpost/simulation/model_checking/history.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
-    from onyxpost.leadership.effects import LeaseAcquired, RecordCommitted
+    from onyxpost.leadership.effects import LeadershipAcquired, RecordCommitted
 
 
 class CommittedRecord(NamedTuple):
@@ -55,7 +55,7 @@
         """Records that no majority of the acceptors has its state, so that the record may be lost."""
         self.committed = NO_RECORD
 
-    def record_lease(self, effect: LeaseAcquired) -> None:
+    def record_lease(self, effect: LeadershipAcquired) -> None:
         """Records that a candidate has acquired the lease; checks its token and the record that it read."""
         if effect.fencing_token <= self.latest_token:
             self.violation = f"token {effect.fencing_token} granted after {self.latest_token}"
--- a/onyxpost/simulation/model_checking/leadership_model.py
+++ b/onyxpost/simulation/model_checking/leadership_model.py
@@ -11,12 +11,12 @@
 
 from onyxpost.leadership import protocol
 from onyxpost.leadership.acceptor import Acceptor
+from onyxpost.leadership.acceptor_set import AcceptorSet
 from onyxpost.leadership.ballots import NodeIdentity
-from onyxpost.leadership.effects import Effect, LeaseAcquired, RecordCommitted, SendMessage
+from onyxpost.leadership.effects import Effect, LeadershipAcquired, RecordCommitted, SendMessage
 from onyxpost.leadership.errors import NotLeaderError
-from onyxpost.leadership.lease_timing import LeaseTiming
-from onyxpost.leadership.membership import AcceptorSet
 from onyxpost.leadership.participant import Participant, RoleSettings
+from onyxpost.leadership.role_lease_timing import RoleLeaseTiming
 from onyxpost.simulation.model_checking.actions import (
     Action,
     CallResource,
@@ -45,7 +45,7 @@
 
 ROLE = "d"
 EPOCH_MS = 1_000_000.0  # time of all clocks at the start
-TIMING = LeaseTiming(lease_ms=800.0, drift=0.1, skew_ms=40.0)
+TIMING = RoleLeaseTiming(lease_ms=800.0, drift=0.1, skew_ms=40.0)
 MAX_DELIVERIES = 200  # messages delivered in one exchange
 
 
@@ -68,7 +68,7 @@
     tick_durations_ms = (TIMING.renew_interval_ms, TIMING.acceptor_lease_ms)
 
     def __init__(
-        self, acceptors: int = 3, candidates: int = 2, restarts: int = 2, timing: LeaseTiming = TIMING
+        self, acceptors: int = 3, candidates: int = 2, restarts: int = 2, timing: RoleLeaseTiming = TIMING
     ) -> None:
         acceptor_names = tuple(f"v{index}" for index in range(acceptors))
         candidate_names = tuple(f"c{index}" for index in range(candidates))
@@ -194,7 +194,7 @@
                 case SendMessage():
                     body = protocol.encode(effect.message)
                     self.send(MessageInFlight(name, effect.recipient, body))
-                case LeaseAcquired():
+                case LeadershipAcquired():
                     self.history.record_lease(effect)
                 case RecordCommitted():
                     self.history.record_commit(effect)
--- a/onyxpost/simulation/model_checking/virtual_cluster.py
+++ b/onyxpost/simulation/model_checking/virtual_cluster.py
@@ -9,10 +9,10 @@
 
 from onyxpost.cluster.membership import Membership
 from onyxpost.core.units import MS_PER_SECOND
+from onyxpost.leadership.acceptor_set import AcceptorSet
 from onyxpost.leadership.config import LeadershipConfig
-from onyxpost.leadership.lease_timing import LeaseTiming
-from onyxpost.leadership.membership import AcceptorSet
-from onyxpost.leadership.service_log import LEASE_ACQUIRED
+from onyxpost.leadership.leadership_log import LEADERSHIP_ACQUIRED
+from onyxpost.leadership.role_lease_timing import RoleLeaseTiming
 from onyxpost.simulation import virtual_time
 from onyxpost.simulation.model_checking.virtual_node import VirtualNode
 
@@ -61,7 +61,7 @@
         size: int,
         roles: int = 1,
         acceptors: int = 3,
-        timing: LeaseTiming | None = None,
+        timing: RoleLeaseTiming | None = None,
         resource: Address | None = None,
     ) -> None:
         names = tuple(f"n{index:02d}" for index in range(size))
@@ -73,7 +73,7 @@
             tuple(f"d{index}" for index in range(roles)),
             names,
             {},
-            timing or LeaseTiming(),
+            timing or RoleLeaseTiming(),
             None,
             resource,
             CALL_INTERVAL_MS,
@@ -160,7 +160,7 @@
     def tokens_increase(self) -> bool:
         """Returns whether the fencing tokens of each role increased with each lease."""
         tokens_of_role: dict[str, list[int]] = defaultdict(list)
-        for fields in self.logged_fields(LEASE_ACQUIRED):
+        for fields in self.logged_fields(LEADERSHIP_ACQUIRED):
             tokens_of_role[fields["role"]].append(fields["fencing_token"])
         return all(tokens == sorted(set(tokens)) for tokens in tokens_of_role.values())
 
--- a/onyxpost/simulation/multiprocess/node_log.py
+++ b/onyxpost/simulation/multiprocess/node_log.py
@@ -8,10 +8,10 @@
 import msgspec
 from msgspec import field
 
-from onyxpost.leadership.service_log import (
+from onyxpost.leadership.leadership_log import (
     ACCEPTOR_VOTING,
-    LEASE_ACQUIRED,
-    LEASE_LOST,
+    LEADERSHIP_ACQUIRED,
+    LEADERSHIP_LOST,
     RECORD_COMMITTED,
     STATISTICS,
 )
@@ -27,7 +27,7 @@
     node: str
 
 
-class LeadershipAcquired(NodeEvent, frozen=True, kw_only=True, tag=LEASE_ACQUIRED):
+class LeadershipAcquired(NodeEvent, frozen=True, kw_only=True, tag=LEADERSHIP_ACQUIRED):
     """The node leads a role, and has read the role's record.
 
     Records committed before `recovery_epoch_ms` (Unix time) may be missing, because a majority of the
@@ -42,7 +42,7 @@
     unix_ms: float | None = field(name="at", default=None)
 
 
-class LeadershipLost(NodeEvent, frozen=True, kw_only=True, tag=LEASE_LOST):
+class LeadershipLost(NodeEvent, frozen=True, kw_only=True, tag=LEADERSHIP_LOST):
     """The node no longer leads a role.
 
     `ended_ms_ago` is the time since the lease ended by the node's clock; 0 if the lease had not ended.
@@ -104,7 +104,7 @@
     | RequestOverdue
 )
 DECODED_EVENTS = frozenset(
-    {LEASE_ACQUIRED, LEASE_LOST, RECORD_COMMITTED, ACCEPTOR_VOTING, STATISTICS, "fault", "overdue"}
+    {LEADERSHIP_ACQUIRED, LEADERSHIP_LOST, RECORD_COMMITTED, ACCEPTOR_VOTING, STATISTICS, "fault", "overdue"}
 )
 
 
--- a/onyxpost/simulation/mutations.py
+++ b/onyxpost/simulation/mutations.py
@@ -127,26 +127,26 @@
 def _treat_lost_as_not_sent(node: EdgeNode) -> None:
     """An attempt whose connection broke is treated as not sent."""
     upstream_pool = node.upstream_pool
-    post = upstream_pool.post
+    post_event = upstream_pool.post_event
 
     def post_changed(event: Any) -> None:  # noqa: ANN401 - all events of the upstream pool
         if isinstance(event, AttemptEnded) and event.result is AttemptResult.LOST:
             event = event._replace(result=AttemptResult.NO_CONNECTION)
-        post(event)
+        post_event(event)
 
-    upstream_pool.post = post_changed
+    upstream_pool.post_event = post_changed
 
 
 def _ignore_disconnects(node: EdgeNode) -> None:
     """Client disconnects are ignored, also in the check before the first byte of an attempt is sent."""
     connections = node.clients.connections
-    post = connections.post
+    post_event = connections.post_event
 
     def post_without_disconnects(event: Any) -> None:  # noqa: ANN401 - all events of the client listener
         if not isinstance(event, ClientDisconnected):
-            post(event)
+            post_event(event)
 
-    connections.post = post_without_disconnects
+    connections.post_event = post_without_disconnects
     connections.is_waiting = lambda connection_id: True  # type: ignore[method-assign]  # noqa: ARG005
 
 
--- a/onyxpost/simulation/rollout_analysis/measure.py
+++ b/onyxpost/simulation/rollout_analysis/measure.py
@@ -12,7 +12,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from onyxpost.rollout.analysis.decision import Outcome
+from onyxpost.rollout.analysis.decision import StageOutcome
 from onyxpost.rollout.analysis.evidence import Evidence
 from onyxpost.rollout.analysis.thresholds import Thresholds
 from onyxpost.simulation.rollout_analysis.scenario import Scenario
@@ -97,7 +97,7 @@
             outage=scenario.outage and baseline is None,
         )
         result = run_stage(stage_scenario, len(STAGES) * seed + index, evidence)
-        if result.decision.outcome is Outcome.HALT:
+        if result.decision.outcome is StageOutcome.HALT:
             return RolloutResult(f"{stage.name}: {result.decision.reason}", half_advances=False)
         if stage is HALF:
             half_advances = bool(result.advanced_at_s)
@@ -138,7 +138,7 @@
 
 def _format_halts(results: list[StageResult]) -> str:
     """Returns table cells: the share of halted stages, their candidate requests and their durations."""
-    halted = [result for result in results if result.decision.outcome is Outcome.HALT]
+    halted = [result for result in results if result.decision.outcome is StageOutcome.HALT]
     if not halted:
         return f"0/{len(results)} | - | -"
     requests = _format_spread(result.candidate_requests for result in halted)
--- a/onyxpost/simulation/rollout_analysis/stage.py
+++ b/onyxpost/simulation/rollout_analysis/stage.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from onyxpost.core.units import MS_PER_SECOND
-from onyxpost.rollout.analysis.decision import Decision, Outcome, decide
+from onyxpost.rollout.analysis.decision import Decision, StageOutcome, decide
 from onyxpost.rollout.analysis.evidence import Evidence
 from onyxpost.rollout.analysis.thresholds import Thresholds
 from onyxpost.rollout.metrics.aggregation import NodeActivity
@@ -46,11 +46,11 @@
     cluster = EmulatedCluster(scenario, seed)
     evidence = evidence or Evidence(Thresholds())
     activity = NodeActivity(active=scenario.nodes, stalled=0, silent=0)
-    decision = Decision(Outcome.HOLD, "")
+    decision = Decision(StageOutcome.HOLD, "")
     requests = 0
     failures = 0
     advanced_at_s = 0.0
-    while cluster.time_s < scenario.duration_s and decision.outcome is not Outcome.HALT:
+    while cluster.time_s < scenario.duration_s and decision.outcome is not StageOutcome.HALT:
         increments = cluster.next_increments()
         evidence.update(increments)
         requests += sum(increment.candidate.requests for increment in increments)
@@ -58,6 +58,6 @@
         if cluster.time_s % PERIOD_S < scenario.snapshot_interval_s:
             evidence.on_period_end()
         decision = decide(evidence, activity, cluster.time_s * MS_PER_SECOND)
-        if decision.outcome is Outcome.ADVANCE and not advanced_at_s:
+        if decision.outcome is StageOutcome.ADVANCE and not advanced_at_s:
             advanced_at_s = cluster.time_s
     return StageResult(decision, cluster.time_s, requests, failures, advanced_at_s)
--- a/onyxpost/simulation/slow_start/node_model.py
+++ b/onyxpost/simulation/slow_start/node_model.py
@@ -141,7 +141,7 @@
     def watch_endpoints(self) -> None:
         """Ignored: the emulation notifies every node of endpoint updates."""
 
-    def report_units_spent(self, customer: int, plan: str, units: int, lease: int) -> None:
+    def record_units_spent(self, customer: int, plan: str, units: int, lease: int) -> None:
         """Ignored: there are no planners."""
 
     def return_lease(self, lease: int, units: int) -> None:
--- a/onyxpost/simulator_host/encode.py
+++ b/onyxpost/simulator_host/encode.py
@@ -51,7 +51,7 @@
         """Subscribes to endpoint updates."""
         self._write("KeepInformed", active=True)
 
-    def report_units_spent(self, customer: int, plan: str, units: int, lease: int) -> None:
+    def record_units_spent(self, customer: int, plan: str, units: int, lease: int) -> None:
         """Does nothing: the simulator has no planners."""
 
     def return_lease(self, lease: int, units: int) -> None:
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -8,8 +8,8 @@
 from onyxpost.cluster.membership import (
     Membership,
     decode_cluster_config,
+    is_later_version,
     members_to_disconnect,
-    supersedes,
 )
 from onyxpost.errors import InvalidInputError
 from onyxpost.node import config
@@ -60,12 +60,12 @@
 def test_only_a_later_version_supersedes() -> None:
     current = Membership(3, {"n0": ("a", 1)})
     other_members = {"n0": ("a", 1), "n1": ("b", 1)}
-    assert supersedes(Membership(4, other_members), current)
-    assert not supersedes(Membership(3, dict(current.members)), current)
+    assert is_later_version(Membership(4, other_members), current)
+    assert not is_later_version(Membership(3, dict(current.members)), current)
     with pytest.raises(MembershipConflictError):
-        supersedes(Membership(3, other_members), current)
+        is_later_version(Membership(3, other_members), current)
     with pytest.raises(StaleMembershipError):
-        supersedes(Membership(2, other_members), current)
+        is_later_version(Membership(2, other_members), current)
 
 
 def test_removed_members_and_those_dialed_at_another_address_are_disconnected() -> None:
--- a/tests/compatibility/external_names.py
+++ b/tests/compatibility/external_names.py
@@ -25,7 +25,7 @@
 from onyxpost.cluster.statistics import ConnectionStatistics
 from onyxpost.core.types import AttemptResult
 from onyxpost.forwarder.lease_cache import LeaseCache
-from onyxpost.leadership.service_log import Counters
+from onyxpost.leadership.leadership_log import LeadershipCounters
 from onyxpost.node import reload
 from onyxpost.simulation import deprecation, mutations
 from onyxpost.simulation.cli import simulate
@@ -130,7 +130,7 @@
     return {
         "cluster": {field.name for field in fields(ConnectionStatistics)},
         "forwarder": {field.name for field in fields(lease_counters)},
-        "leadership": {field.name for field in fields(Counters)},
+        "leadership": {field.name for field in fields(LeadershipCounters)},
         "node": set(reload.RESTART_FIELDS),
         "simulation": set(LoadOptions._fields),
     }
--- a/tests/compatibility/leadership_digests.py
+++ b/tests/compatibility/leadership_digests.py
@@ -124,11 +124,11 @@
     def changed(original: Any, runner: EffectRunner, effect: Any) -> None:
         time_us = round(runner.transport.monotonic() * 1000.0)
         match effect:
-            case effects.LeaseAcquired():
+            case effects.LeadershipAcquired():
                 record = effect.record
                 digest.add(time_us, "taken", runner.registry.identity.name, effect.role, effect.fencing_token)
                 digest.add(record.sequence, record.body, effect.record_epoch_ms)
-            case effects.LeaseLost():
+            case effects.LeadershipLost():
                 digest.add(time_us, "lost", runner.registry.identity.name, effect.role, effect.fencing_token)
             case effects.RecordCommitted():
                 digest.add(
--- a/tests/compatibility/leadership_messages.py
+++ b/tests/compatibility/leadership_messages.py
@@ -30,7 +30,7 @@
     round_id=3,
     lease_ms=2000.0,
     sequence=9,
-    settled_version=1,
+    committed_set_version=1,
     record_epoch_ms=8,
     record=RECORD,
 )
@@ -41,7 +41,7 @@
     is_voting=True,
     record=RECORD,
     record_epoch_ms=8,
-    settled_version=2,
+    committed_set_version=2,
 )
 
 
--- a/tests/compatibility/meanings.py
+++ b/tests/compatibility/meanings.py
@@ -176,7 +176,7 @@
         "voters before": list(read.acceptors.previous_names),
         "names": list(read.roles),
         "nodes": list(read.nodes),
-        "barred": {name: list(nodes) for name, nodes in read.barred.items()},
+        "barred": {name: list(nodes) for name, nodes in read.excluded_nodes.items()},
         "lease ms": read.timing.lease_ms,
         "clock drift": read.timing.drift,
         "clock skew ms": read.timing.skew_ms,
@@ -217,7 +217,11 @@
 def rules(data: bytes) -> JsonObject:
     """The meaning of a rules' file by itself."""
     read = schema.parse(data)
-    return {"version": read.version, "zones": read.zones, "rules": [rule(one) for one in read.rules]}
+    return {
+        "version": read.version,
+        "zones": read.additional_zones,
+        "rules": [rule(one) for one in read.rules],
+    }
 
 
 def rule(read: schema.Rule) -> JsonObject:
@@ -230,8 +234,8 @@
         "plans": read.plans,
         "customers": None if customers is None else {"share": customers.share, "salt": customers.salt},
         "node zones": read.node_zones,
-        "attempts": read.attempts,
-        "window share": read.window,
+        "attempts": read.max_attempts,
+        "window share": read.capacity_share,
         "servers": None
         if servers is None
         else [choice(servers), *(one if isinstance(one, str) else choice(one) for one in servers.fallbacks)],
--- a/tests/compatibility/metrics_messages.py
+++ b/tests/compatibility/metrics_messages.py
@@ -26,7 +26,10 @@
         frontend="lookup", plan="team", candidate=tally, control=counts.RequestCounters()
     )
     other = counts.StratumCounters(
-        frontend=counts.OTHER, plan=counts.OTHER, candidate=counts.RequestCounters(requests=1), control=tally
+        frontend=counts.OTHER_STRATUM_NAME,
+        plan=counts.OTHER_STRATUM_NAME,
+        candidate=counts.RequestCounters(requests=1),
+        control=tally,
     )
     snapshot = counts.MetricsSnapshot(
         node="n1", incarnation=4, clock_ms=1500.5, version="v2", zone="a", strata=[entry, other]
@@ -45,4 +48,4 @@
     snapshot = counts.MetricsSnapshot(
         node="n1", incarnation=4, clock_ms=1.0, version="v2", zone="a", strata=entries
     )
-    return [msgspec.msgpack.encode(part) for part in counts.split(snapshot)]
+    return [msgspec.msgpack.encode(part) for part in counts.split_to_frames(snapshot)]
--- a/tests/compatibility/rollout_digests.py
+++ b/tests/compatibility/rollout_digests.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from onyxpost.rollout.analysis.decision import Outcome
+from onyxpost.rollout.analysis.decision import StageOutcome
 from onyxpost.simulation.rollout_analysis.cluster import EmulatedCluster
 from onyxpost.simulation.rollout_analysis.scenario import Scenario
 from onyxpost.simulation.rollout_analysis.stage import run_stage
@@ -28,7 +28,7 @@
     """The decision on one emulated stage, and a digest of the counters that it was given."""
     scenario = rollout_scenarios()[name]
     digest = EventDigest()
-    outcomes = {Outcome.HALT: "halt", Outcome.ADVANCE: "advance", Outcome.HOLD: "hold"}
+    outcomes = {StageOutcome.HALT: "halt", StageOutcome.ADVANCE: "advance", StageOutcome.HOLD: "hold"}
 
     def observed(original: Any, cluster: EmulatedCluster) -> Any:
         increments = original(cluster)
--- a/tests/compatibility/voter_files.py
+++ b/tests/compatibility/voter_files.py
@@ -64,5 +64,5 @@
             "body": record.body.hex(),
         },
         "era": state.record_epoch_ms,
-        "settled version": state.settled_version,
+        "settled version": state.committed_set_version,
     }
--- a/tests/edge/harness.py
+++ b/tests/edge/harness.py
@@ -103,11 +103,11 @@
 
 
 def new_upstream_pool(
-    post: Callable[[EdgeEvent], None],
+    post_event: Callable[[EdgeEvent], None],
     connect_timeout_ms: float = 250.0,
     accepts_attempts: Callable[[Endpoint], bool] = lambda _endpoint: True,
 ) -> UpstreamPool:
-    """Returns an upstream pool without a node; `post` receives the ends of its attempts."""
+    """Returns an upstream pool without a node; `post_event` receives the ends of its attempts."""
 
     def may_start_attempt(attempt: SendAttempt, remaining_ms: float) -> bool:
         return remaining_ms > 0.0 and accepts_attempts(attempt.endpoint)
@@ -121,7 +121,7 @@
         may_start_attempt=may_start_attempt,
         report_fault=print,
     )
-    return UpstreamPool(transport, post, options)
+    return UpstreamPool(transport, post_event, options)
 
 
 class StubAppServer:
--- a/tests/edge/test_attempt_start.py
+++ b/tests/edge/test_attempt_start.py
@@ -56,14 +56,14 @@
         await asyncio.wait_for(dials.started.wait(), 5.0)
         (pending,) = edge.node.state_machine.requests.by_id.values()
         attempt_ended = asyncio.Event()
-        original_post = edge.node.upstream_pool.post
+        original_post = edge.node.upstream_pool.post_event
 
-        def post(event: EdgeEvent) -> None:
+        def post_event(event: EdgeEvent) -> None:
             original_post(event)
             if isinstance(event, AttemptEnded):
                 attempt_ended.set()
 
-        edge.node.upstream_pool.post = post
+        edge.node.upstream_pool.post_event = post_event
         original_may_start = edge.node.upstream_pool.may_start_attempt
 
         def may_start_after_disconnect(attempt: SendAttempt, remaining_ms: float) -> bool:
--- a/tests/edge/test_client_disconnects.py
+++ b/tests/edge/test_client_disconnects.py
@@ -76,10 +76,10 @@
         deployment: Any = RunningNode(("127.0.0.1", 9)).node.config.deployment
         host = net.host("edge")
 
-        def post(value: EdgeEvent) -> None:
+        def post_event(value: EdgeEvent) -> None:
             received.set()
 
-        clients = build_clients(deployment, host, post, lambda: True, lambda: True, print)
+        clients = build_clients(deployment, host, post_event, lambda: True, lambda: True, print)
         await clients.listener.listen(("edge", 80))
         waiting_results = []
         for reset in (False, True):
--- a/tests/forwarder/test_lease_cache.py
+++ b/tests/forwarder/test_lease_cache.py
@@ -34,7 +34,7 @@
 
 
 def spend(cache: LeaseCache, now_ms: float, units: int = 3, local_id: int = 0) -> None:
-    cache.report_units_spent(now_ms, CUSTOMER, "p", units, local_id)
+    cache.record_units_spent(now_ms, CUSTOMER, "p", units, local_id)
 
 
 def request_lease(cache: LeaseCache, now_ms: float) -> protocol.LeaseRequest:
@@ -114,7 +114,7 @@
 def test_records_of_old_leases_customers_and_requests_are_dropped(cache: LeaseCache) -> None:
     for number in range(2000):
         cache.handle_message(number * 1.0, "p1", protocol.LeaseRevocation(number, "e1"))
-        cache.report_units_spent(number * 1.0, number, "p", 1, 0)
+        cache.record_units_spent(number * 1.0, number, "p", 1, 0)
     cache.tick(200_000.0)
     assert len(cache.seen_leases) == 0
     assert cache.requester.usage == {}
--- a/tests/forwarder/test_planner_client.py
+++ b/tests/forwarder/test_planner_client.py
@@ -8,15 +8,15 @@
 
 import pytest
 
-from onyxpost.edge.messages import ReportUnitsSpent, ReturnLease
+from onyxpost.edge.messages import RecordUnitsSpent, ReturnLease
 from onyxpost.forwarder.cached_lease import CachedLease
 from onyxpost.forwarder.planner_client import PlannerClient
 from onyxpost.planner import protocol
 from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.simulation import virtual_time
 from tests.cluster.slow_socket import count_messages, limit_receive_buffer, send_and_read_to_end
-from tests.planner.cluster import PLAN, VirtualCluster
 from tests.planner.scripted_forwarder import START_SECONDS, run_planner
+from tests.planner.virtual_cluster import PLAN, VirtualCluster
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -150,7 +150,7 @@
         cluster.net.is_blocked = lambda source, target: True  # type: ignore[method-assign]  # of this instance alone
         await asyncio.sleep(6.0)
         assert aborted_connections() == []
-        client.report_units_spent(ReportUnitsSpent(7, "p", 3, 0))
+        client.record_units_spent(RecordUnitsSpent(7, "p", 3, 0))
         await asyncio.sleep(3.2)
         assert aborted_connections() == ["p0"]
         cluster.net.is_blocked = lambda source, target: False  # type: ignore[method-assign]  # of this instance alone
--- a/tests/leadership/test_acceptor_log.py
+++ b/tests/leadership/test_acceptor_log.py
@@ -7,10 +7,10 @@
 
 from onyxpost.leadership.acceptor import Acceptor
 from onyxpost.leadership.acceptor_log import AcceptorLog
+from onyxpost.leadership.acceptor_set import AcceptorSet
 from onyxpost.leadership.acceptor_state import AcceptorState
 from onyxpost.leadership.ballots import Ballot
 from onyxpost.leadership.errors import AcceptorLogError
-from onyxpost.leadership.membership import AcceptorSet
 from onyxpost.leadership.protocol import Record
 from onyxpost.simulation.model_checking.leadership_model import EPOCH_MS, ROLE, TIMING
 
--- a/tests/leadership/test_membership.py
+++ b/tests/leadership/test_acceptor_set.py
@@ -2,8 +2,8 @@
 
 import pytest
 
+from onyxpost.leadership.acceptor_set import AcceptorSet, validate_transition
 from onyxpost.leadership.errors import MembershipChangeError
-from onyxpost.leadership.membership import AcceptorSet, validate_transition
 from onyxpost.simulation.model_checking.actions import Exchange
 from onyxpost.simulation.model_checking.initial_states import elect_leader
 from onyxpost.simulation.model_checking.leadership_model import TIMING, LeadershipModel
--- a/tests/leadership/test_fenced_calls.py
+++ b/tests/leadership/test_fenced_calls.py
@@ -6,7 +6,7 @@
 
 from onyxpost.leadership.errors import FencedCallError, HigherFencingTokenError, NotLeaderError
 from onyxpost.leadership.fenced_call import FencedCall, execute
-from onyxpost.leadership.service_log import RECORD_COMMITTED
+from onyxpost.leadership.leadership_log import RECORD_COMMITTED
 from onyxpost.simulation.model_checking.virtual_cluster import FENCED_RESOURCE_ADDRESS, VirtualCluster
 from tests.leadership.cluster import TIMEOUT_MS, FencedResource, run_cluster
 
--- a/tests/leadership/test_races.py
+++ b/tests/leadership/test_races.py
@@ -7,15 +7,16 @@
 
 from onyxpost.leadership import protocol
 from onyxpost.leadership.acceptor import Acceptor
+from onyxpost.leadership.acceptor_set import AcceptorSet
 from onyxpost.leadership.acceptor_state import AcceptorState
 from onyxpost.leadership.ballots import NO_BALLOT, Ballot
 from onyxpost.leadership.candidate import Phase
 from onyxpost.leadership.effects import (
     DiagnosticKind,
     Effect,
+    LeadershipAcquired,
     LeadershipChange,
-    LeaseAcquired,
-    LeaseLost,
+    LeadershipLost,
     PersistState,
     RecordCommitted,
     SendMessage,
@@ -23,8 +24,6 @@
 from onyxpost.leadership.election import ElectionWon
 from onyxpost.leadership.errors import AcceptorLogError
 from onyxpost.leadership.leader import Leader
-from onyxpost.leadership.lease_timing import LeaseTiming
-from onyxpost.leadership.membership import AcceptorSet
 from onyxpost.leadership.protocol import (
     EMPTY_RECORD,
     Accept,
@@ -36,13 +35,14 @@
     Release,
     StatusQuery,
 )
+from onyxpost.leadership.role_lease_timing import RoleLeaseTiming
 from onyxpost.simulation import virtual_time
 from onyxpost.simulation.model_checking.virtual_cluster import VirtualCluster
 from tests.leadership.cluster import run_cluster
 
 ROLE = "d0"
 ACCEPTORS = AcceptorSet(1, ("n0", "n1", "n2"))
-LEASE_MS = LeaseTiming().lease_ms
+LEASE_MS = RoleLeaseTiming().lease_ms
 
 
 @pytest.mark.parametrize("phase", [Phase.PREPARING, Phase.ACCEPTING])
@@ -98,7 +98,7 @@
     An accepted request would grant the released lease again, with no node that leads the role.
     """
     ballot = Ballot(900_000, "n1", 1)
-    acceptor = Acceptor(0.0, "n0", "d", LeaseTiming(), ACCEPTORS)
+    acceptor = Acceptor(0.0, "n0", "d", RoleLeaseTiming(), ACCEPTORS)
     acceptor.is_voting = True
     now_ms = 1_000_000.0
     acceptor.handle(now_ms, "n1", Prepare(role="d", version=1, ballot=ballot))
@@ -110,7 +110,7 @@
         round_id=1,
         lease_ms=2000.0,
         sequence=0,
-        settled_version=0,
+        committed_set_version=0,
         record_epoch_ms=0,
         record=EMPTY_RECORD,
     )
@@ -155,16 +155,16 @@
         acceptor_log = mock.Mock()
         acceptor_log.append.side_effect = AcceptorLogError("the disk is full", "file")
         service.acceptor_log = acceptor_log
-        service.effects.acceptor_log = acceptor_log
-        service.effects.apply(
+        service.effect_runner.acceptor_log = acceptor_log
+        service.effect_runner.apply(
             [
                 PersistState(AcceptorState("other", 1, NO_BALLOT, EMPTY_RECORD, 0, 0)),
-                LeaseAcquired(ROLE, 5, EMPTY_RECORD, 0),
-                LeaseLost(ROLE, 4, "over"),
+                LeadershipAcquired(ROLE, 5, EMPTY_RECORD, 0),
+                LeadershipLost(ROLE, 4, "over"),
                 SendMessage("n01", StatusQuery(role=ROLE, version=1, queried_at_ms=7)),
             ]
         )
-        assert changes == [LeaseLost(ROLE, 4, "over")]
+        assert changes == [LeadershipLost(ROLE, 4, "over")]
         assert service.counters.sent + service.counters.send_failed == 0
         await cluster.close()
 
@@ -181,7 +181,7 @@
     """An acceptor that restarts without state relies on this: its restart wait is longer than a lease."""
     ballot = Ballot(5, "n0", 1)
     election = ElectionWon(ballot, EMPTY_RECORD, 0, 0.0, frozenset(("n0", "n1")))
-    leader = Leader("d", LeaseTiming(), ACCEPTORS, election)
+    leader = Leader("d", RoleLeaseTiming(), ACCEPTORS, election)
     (request, *_) = leader.write(0.0, b"x")
     assert isinstance(request, SendMessage)
     assert isinstance(request.message, Accept)
@@ -191,5 +191,5 @@
         effects += leader.handle(now_ms, sender, reply)
     committed = [effect for effect in effects if isinstance(effect, RecordCommitted)]
     assert committed == [RecordCommitted("d", 5, 1)] * is_committed
-    assert any(isinstance(effect, LeaseLost) for effect in effects) is not is_committed
+    assert any(isinstance(effect, LeadershipLost) for effect in effects) is not is_committed
     assert leader.holds_lease(last_reply_at_ms) is is_committed
--- a/tests/leadership/test_service.py
+++ b/tests/leadership/test_service.py
@@ -5,9 +5,9 @@
 
 import pytest
 
+from onyxpost.leadership.acceptor_set import AcceptorSet
 from onyxpost.leadership.errors import LeadershipError
-from onyxpost.leadership.membership import AcceptorSet
-from onyxpost.leadership.service_log import LEASE_ACQUIRED, MESSAGE_MALFORMED
+from onyxpost.leadership.leadership_log import LEADERSHIP_ACQUIRED, MESSAGE_MALFORMED
 from onyxpost.simulation import virtual_time
 from onyxpost.simulation.model_checking.failover_timing import FAULTS, measure_failover, measure_idle_messages
 from onyxpost.simulation.model_checking.virtual_cluster import VirtualCluster
@@ -98,7 +98,7 @@
             await asyncio.sleep(8.0)
         await cluster.kill(cluster.leaders_of(ROLE)[0])
         await cluster.wait_for_leader(ROLE)
-        assert cluster.logged_fields(LEASE_ACQUIRED)[-1]["record"] == "kept"
+        assert cluster.logged_fields(LEADERSHIP_ACQUIRED)[-1]["record"] == "kept"
         with pytest.raises(LeadershipError):
             next(iter(cluster.nodes.values())).leadership.validate_reload(cluster.config)
 
--- a/tests/planner/forwarder_model.py
+++ b/tests/planner/forwarder_model.py
@@ -24,7 +24,7 @@
     Idempotency,
     SlowStartPolicy,
 )
-from onyxpost.edge.messages import ReportUnitsSpent, ReturnLease
+from onyxpost.edge.messages import RecordUnitsSpent, ReturnLease
 from onyxpost.forwarder.planner_client import PlannerClient
 from onyxpost.policy.gateway import Gateway
 
@@ -91,7 +91,12 @@
         )
         self.gateway = Gateway(transport.clock(), options)
         self.client = PlannerClient(
-            transport, self.name, cluster.members(), cluster.membership_version, self.post, lambda log: None
+            transport,
+            self.name,
+            cluster.members(),
+            cluster.membership_version,
+            self.post_event,
+            lambda log: None,
         )
         self.client.start()
         self.handle(EndpointsUpdated(True, [EndpointStatus("s", "", 0, EndpointState.READY, 1.0, 0.0)]))
@@ -106,7 +111,7 @@
             self.kill()
             self.start()
 
-    def post(self, event: LeaseGranted | LeaseRevoked) -> None:
+    def post_event(self, event: LeaseGranted | LeaseRevoked) -> None:
         self.handle(event)
 
     def handle(self, *events: Event) -> None:
@@ -137,8 +142,8 @@
     def abort(self, request_id: str) -> None:
         self.final_answer += "aborted"
 
-    def report_units_spent(self, customer: int, plan: str, units: int, lease: int) -> None:
-        self.client.report_units_spent(ReportUnitsSpent(customer, plan, units, lease))
+    def record_units_spent(self, customer: int, plan: str, units: int, lease: int) -> None:
+        self.client.record_units_spent(RecordUnitsSpent(customer, plan, units, lease))
 
     def return_lease(self, lease: int, units: int) -> None:
         self.client.return_lease(ReturnLease(lease, units))
--- a/tests/planner/scripted_forwarder.py
+++ b/tests/planner/scripted_forwarder.py
@@ -7,7 +7,7 @@
 
 from onyxpost.planner import protocol
 from onyxpost.simulation import virtual_time
-from tests.planner.cluster import PLAN, VirtualCluster, planner_address
+from tests.planner.virtual_cluster import PLAN, VirtualCluster, planner_address
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
--- a/tests/planner/test_cluster_faults.py
+++ b/tests/planner/test_cluster_faults.py
@@ -13,8 +13,8 @@
 
 from onyxpost.core.types import Plan
 from onyxpost.planner.lease_ledger import LeaseLedger
-from tests.planner.cluster import LEASE_TERMS, PLAN, VirtualCluster, run_cluster
 from tests.planner.forwarder_model import SAFE_SHARE
+from tests.planner.virtual_cluster import LEASE_TERMS, PLAN, VirtualCluster, run_cluster
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
--- a/tests/planner/test_connections.py
+++ b/tests/planner/test_connections.py
@@ -15,8 +15,8 @@
 from onyxpost.planner.planner import MAX_EXTRA_UNIDENTIFIED, Planner
 from onyxpost.runtime.socket_transport import SocketTransport
 from onyxpost.runtime.structured_log import StructuredLog
-from tests.planner.cluster import PLAN, VirtualCluster
 from tests.planner.scripted_forwarder import ScriptedForwarder, lease_request, run_planner
+from tests.planner.virtual_cluster import PLAN, VirtualCluster
 from tests.stream_transports import pause_reading, resume_reading
 
 if TYPE_CHECKING:
--- a/tests/planner/test_protocol.py
+++ b/tests/planner/test_protocol.py
@@ -10,7 +10,7 @@
 
 from onyxpost.cluster.errors import MalformedFrameError
 from onyxpost.planner import protocol
-from tests.planner.cluster import VirtualCluster, run_cluster
+from tests.planner.virtual_cluster import VirtualCluster, run_cluster
 
 HELLO = protocol.encode_frame(protocol.Hello(1, "f0", 1))
 FORWARDERS = 6
--- a/tests/policy/gateway_host.py
+++ b/tests/policy/gateway_host.py
@@ -184,7 +184,7 @@
         """Records a poll of discovery."""
         self.decisions.append(("watch",))
 
-    def report_units_spent(self, *args: Any) -> None:
+    def record_units_spent(self, *args: Any) -> None:
         """Records a report of units to the planners."""
         self.decisions.append(("report", *args))
 
--- a/tests/rollout/analysis_evidence.py
+++ b/tests/rollout/analysis_evidence.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from onyxpost.rollout.analysis.decision import Decision, Outcome, decide
+from onyxpost.rollout.analysis.decision import Decision, StageOutcome, decide
 from onyxpost.rollout.analysis.evidence import Evidence
 from onyxpost.rollout.analysis.thresholds import Thresholds
 from onyxpost.rollout.metrics.aggregation import CounterIncrement, NodeActivity, Stratum
@@ -51,7 +51,7 @@
     return decide(evidence, activity, duration_ms)
 
 
-def outcome_of(evidence: Evidence) -> Outcome:
+def outcome_of(evidence: Evidence) -> StageOutcome:
     return decided(evidence).outcome
 
 
@@ -63,7 +63,7 @@
 
 
 def halts(evidence: Evidence) -> bool:
-    return outcome_of(evidence) is Outcome.HALT
+    return outcome_of(evidence) is StageOutcome.HALT
 
 
 def random_failures(rng: Random, requests: int, rate: float) -> int:
--- a/tests/rollout/rules.py
+++ b/tests/rollout/rules.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from onyxpost.core.types import DeduplicationScope, Frontend, Idempotency
-from onyxpost.rollout.routing_rules.compiled import CompiledRules
-from onyxpost.rollout.routing_rules.context import RoutingContext
+from onyxpost.rollout.routing_rules.compiled_rules import CompiledRules
+from onyxpost.rollout.routing_rules.routing_context import RoutingContext
 from onyxpost.rollout.routing_rules.schema import RulesFile
 from onyxpost.rollout.routing_rules.validation import validate
 
--- a/tests/rollout/test_advance_and_hold.py
+++ b/tests/rollout/test_advance_and_hold.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from onyxpost.rollout.analysis import decision
-from onyxpost.rollout.analysis.decision import Outcome
+from onyxpost.rollout.analysis.decision import StageOutcome as Outcome
 from onyxpost.rollout.metrics.aggregation import NodeActivity
 from tests.rollout.analysis_evidence import (
     HEALTHY_CELL,
--- a/tests/rollout/test_routing_rules_deterministic.py
+++ b/tests/rollout/test_routing_rules_deterministic.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from onyxpost.rollout.routing_rules import file
-from onyxpost.rollout.routing_rules.compiled import CompiledConstraint
-from onyxpost.rollout.routing_rules.context import RoutingContext
+from onyxpost.rollout.routing_rules import rules_file
+from onyxpost.rollout.routing_rules.compiled_rules import CompiledConstraint
+from onyxpost.rollout.routing_rules.routing_context import RoutingContext
 from onyxpost.simulation import deterministic
 from onyxpost.simulation.deterministic import Fault, FaultKind, Outcome
 from onyxpost.simulation.deterministic.node import SimulatedNode
@@ -44,7 +44,7 @@
     """Runs a seed with its own faults and two SIGHUPs; each read of a node's file finds a new version."""
     rng = Random(seed)
     original_node = SimulatedNode.read_config
-    original_supersedes = file.supersedes
+    original_is_later_version = rules_file.is_later_version
     reloads = [Fault(rng.uniform(0.5, 3.5), FaultKind.SIGHUP, rng.randrange(3), 0.0, 0.0) for _ in range(2)]
     path = folder / f"{seed}.toml"
     versions = iter(range(1, 1000))
@@ -58,16 +58,16 @@
         )
         zones = [endpoint.zone for endpoint in node.known_endpoints.endpoints]
         context = RoutingContext.of_deployment(node.deployment, zones, node.zone)
-        return replace(node, routing_rules=file.read_rules(str(path), context))
+        return replace(node, routing_rules=rules_file.read_rules(str(path), context))
 
     def count_changes(new: Any, in_force: Any, source: str = "") -> bool:
         nonlocal rule_changes
-        rule_changes += original_supersedes(new, in_force, source)
+        rule_changes += original_is_later_version(new, in_force, source)
         return True
 
     with (
         mock.patch.object(SimulatedNode, "read_config", node_with_rules),
-        mock.patch.object(file, "supersedes", count_changes),
+        mock.patch.object(rules_file, "is_later_version", count_changes),
     ):
         outcome = deterministic.run_seed(seed, sorted([*deterministic.draw_script(seed), *reloads]))
     return ReloadRun(outcome, rule_changes)
--- a/tests/rollout/test_routing_rules_file.py
+++ b/tests/rollout/test_routing_rules_file.py
@@ -13,7 +13,6 @@
 
 from onyxpost.errors import InvalidInputError
 from onyxpost.rollout.routing_rules import validation
-from onyxpost.rollout.routing_rules.context import RoutingContext
 from onyxpost.rollout.routing_rules.errors import (
     ConflictingRulesError,
     InvalidRulesError,
@@ -23,8 +22,9 @@
     UnknownNameError,
     UnreachableRuleError,
 )
-from onyxpost.rollout.routing_rules.file import compile_rules, supersedes
 from onyxpost.rollout.routing_rules.reachability import TrafficClass, check_reachable, traffic_classes
+from onyxpost.rollout.routing_rules.routing_context import RoutingContext
+from onyxpost.rollout.routing_rules.rules_file import compile_rules, is_later_version
 from onyxpost.rollout.routing_rules.schema import Rule
 from tests.rollout.rules import CONTEXT, ZONES, compiled_rules, rules_text
 from tests.rollout.test_routing_rules_matching import CUSTOMERS, first_match
@@ -128,8 +128,8 @@
 
 def test_only_a_later_version_takes_effect() -> None:
     in_force = compile_rules(rules_text("rules = []"), CONTEXT)
-    assert not supersedes(in_force, in_force)
-    assert supersedes(compile_rules(b"version = 3\nrules = []", CONTEXT), in_force)
+    assert not is_later_version(in_force, in_force)
+    assert is_later_version(compile_rules(b"version = 3\nrules = []", CONTEXT), in_force)
 
 
 @pytest.mark.parametrize(
@@ -142,7 +142,7 @@
     in_force = compile_rules(rules_text("rules = []"), CONTEXT)
     changed = compile_rules(text, CONTEXT)
     with pytest.raises(kind):
-        supersedes(changed, in_force)
+        is_later_version(changed, in_force)
 
 
 def test_repeated_names_do_not_multiply_traffic_classes() -> None:
--- a/tests/rollout/test_routing_rules_matching.py
+++ b/tests/rollout/test_routing_rules_matching.py
@@ -12,8 +12,8 @@
 from hypothesis import strategies as st
 
 from onyxpost.core.types import UNRESTRICTED
-from onyxpost.rollout.routing_rules import compiled
-from onyxpost.rollout.routing_rules.compiled import CompiledConstraint, compile_rule
+from onyxpost.rollout.routing_rules import compiled_rules as compiled
+from onyxpost.rollout.routing_rules.compiled_rules import CompiledConstraint, compile_rule
 from onyxpost.rollout.routing_rules.customer_hash import HASH_RANGE, customer_hash
 from onyxpost.rollout.routing_rules.schema import Rule
 from tests.rollout.rules import ZONES, Server, compiled_rules, rule_preferring_zones
