--- a/tests/ci/test_ci_run.py
+++ b/tests/ci/test_ci_run.py
@@ -1,4 +1,4 @@
-"""`.ci/run`: its last line and exit code, also for a run in which no test ran."""
+"""Last line and exit code of `.ci/run`, including runs in which no test ran."""
 
 import pathlib
 import shutil
@@ -8,8 +8,9 @@
 import pytest
 
 RUN = pathlib.Path(".ci/run")
-# Stands in for the virtual environment's python: for pytest it copies a prepared result, else it runs python.
-PYTHON = """#!/bin/sh
+# Replaces the interpreter of the virtual environment. `-m pytest` copies a prepared result file and exits
+# with a given code; every other command is passed to the real interpreter.
+FAKE_PYTHON = """#!/bin/sh
 test "$1 $2" = "-m pytest" || exec {python} "$@"
 cp prepared.xml "${{3#--junitxml=}}" 2>/dev/null
 exit {code}
@@ -23,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    ("counts", "code", "line", "verdict"),
+    ("counts", "code", "line", "is_success"),
     [
         ({"passed": 187}, 0, "187 passed, 0 failed", True),
         ({"failed": 2, "passed": 5, "error": 1}, 1, "5 passed, 3 failed", False),
@@ -38,22 +39,23 @@
     ],
 )
 def test_ci_fails_where_a_test_failed_or_none_ran(
-    tmp_path: pathlib.Path, counts: dict[str, int] | None, code: int, line: str, verdict: bool
+    tmp_path: pathlib.Path, counts: dict[str, int] | None, code: int, line: str, is_success: bool
 ) -> None:
     shutil.copytree(RUN.parent, tmp_path / ".ci")
     (tmp_path / "Makefile").write_text("lint:\n\n.ci-venv:\n")
     (tmp_path / "test_x.py").touch()
     python = tmp_path / ".ci-venv/bin/python"
     python.parent.mkdir(parents=True)
-    python.write_text(PYTHON.format(python=sys.executable, code=code))
+    python.write_text(FAKE_PYTHON.format(python=sys.executable, code=code))
     python.chmod(0o755)
-    (tmp_path / ".ci-venv/tests.xml").write_text(CASES["passed"])  # of an older run: never to be taken
+    # The result of an earlier run, which must not be used.
+    (tmp_path / ".ci-venv/tests.xml").write_text(CASES["passed"])
     if counts is not None:
         cases = [CASES[kind].format(n=n) for kind, count in counts.items() for n in range(count)]
         (tmp_path / "prepared.xml").write_text(f"<testsuite>{''.join(cases)}</testsuite>")
-    found = subprocess.run(["bash", ".ci/run"], cwd=tmp_path, capture_output=True, text=True)
-    assert found.stdout.splitlines()[-1] == line
-    assert (found.returncode == 0) is verdict
+    completed = subprocess.run(["bash", ".ci/run"], cwd=tmp_path, capture_output=True, text=True)
+    assert completed.stdout.splitlines()[-1] == line
+    assert (completed.returncode == 0) is is_success
 
 
 def test_tests_of_the_same_name_in_nested_folders_are_all_collected(tmp_path: pathlib.Path) -> None:
@@ -61,7 +63,7 @@
     for folder in ("tests", "tests/leadership", "tests/rollout/deep"):
         (tmp_path / folder).mkdir(parents=True)
         (tmp_path / folder / "test_same.py").write_text("def test_one(): pass\n")
-    found = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "pytest", "-n", "0"], cwd=tmp_path, capture_output=True, text=True
     )
-    assert "3 passed" in found.stdout, found.stdout
+    assert "3 passed" in completed.stdout, completed.stdout
--- a/tests/ci/test_known_red.py
+++ b/tests/ci/test_known_red.py
@@ -1,4 +1,4 @@
-"""CI's verdict on pytest's result: only the tests that KNOWN-RED.txt lists may fail."""
+"""`.ci/known_red.py`: a pytest run passes only if exactly the tests listed in KNOWN-RED.txt fail."""
 
 import os
 import pathlib
@@ -7,7 +7,8 @@
 
 import pytest
 
-pytestmark = pytest.mark.xdist_group("known red")  # the sample tests are run once
+# One worker runs all tests of this file, so that the module's fixture runs the sample tests only once.
+pytestmark = pytest.mark.xdist_group("known red")
 
 SCRIPT = pathlib.Path(".ci/known_red.py").absolute()
 SAMPLE_TESTS = """
@@ -54,7 +55,10 @@
 
 
 class Run:
-    """Real pytest in a folder of its own, several processes as in the repository; then the verdict."""
+    """Runs pytest on one file of tests in a folder of its own; `verdict` then judges the result.
+
+    `processes` is the number of pytest-xdist workers; 0 runs pytest without pytest-xdist.
+    """
 
     def __init__(self, root: pathlib.Path, text: str, processes: int = 2) -> None:
         self.root = root
@@ -67,14 +71,19 @@
         self.status = subprocess.run(command, cwd=root, env=environment, capture_output=True).returncode
 
     def verdict(self, listing: str | None, status: int | None = None) -> tuple[int, list[str]]:
+        """Returns the exit code and the printed lines of known_red.py.
+
+        `listing` is the content of KNOWN-RED.txt; None stands for no file. `status` replaces pytest's exit
+        code.
+        """
         file = self.root / "KNOWN-RED.txt"
         file.unlink(missing_ok=True)
         if listing is not None:
             file.write_text(listing)
         command = [sys.executable, str(SCRIPT), "r.xml", str(self.status if status is None else status)]
-        found = subprocess.run(command, cwd=self.root, capture_output=True, text=True)
-        assert not found.stderr
-        return found.returncode, found.stdout.splitlines()
+        completed = subprocess.run(command, cwd=self.root, capture_output=True, text=True)
+        assert not completed.stderr
+        return completed.returncode, completed.stdout.splitlines()
 
 
 @pytest.fixture(scope="module")
@@ -131,9 +140,9 @@
 def test_a_list_that_cannot_be_read_fails(failing: Run) -> None:
     (failing.root / "not_utf8.txt").write_bytes(b"\xff, cause, #1\n")
     command = [sys.executable, str(SCRIPT), "r.xml", "1", "not_utf8.txt"]
-    found = subprocess.run(command, cwd=failing.root, capture_output=True, text=True)
-    assert found.returncode == 1
-    assert found.stdout.startswith("not_utf8.txt: can't be read")
+    completed = subprocess.run(command, cwd=failing.root, capture_output=True, text=True)
+    assert completed.returncode == 1
+    assert completed.stdout.startswith("not_utf8.txt: cannot be read")
 
 
 def test_a_run_that_ended_early_fails_although_all_failures_are_listed(failing: Run) -> None:
@@ -178,7 +187,7 @@
     assert run.verdict(None)[0] == 1
     (tmp_path / "r.xml").unlink()
     code, lines = run.verdict(None)
-    assert (code, lines[0][:24], lines[-1]) == (1, "r.xml: no whole result o", "0 passed, 0 failed")
+    assert (code, lines[0][:24], lines[-1]) == (1, "r.xml: incomplete result", "0 passed, 0 failed")
 
 
 @pytest.mark.parametrize("order", [(0, 1), (1, 0)])
