--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
-# build: what a node needs; test, lint: as CI runs them; demo: a first look;
-# run: one node by NODE.
+# build: installs what a node needs; test, lint: the tests and checks that CI runs; demo: a short demonstration;
+# run: starts one node with the configuration file NODE.
 NODE ?= deploy/example-node.json
 
 .PHONY: build demo test lint run clean
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Leaves in the folder all that a node needs; compiled ahead, as files are read-only when it runs.
+# Installs a node's dependencies into .venv and compiles the package in advance, because the files are
+# read-only while a node runs.
 set -e
 .venv/bin/python -c 'import h11, msgspec, click' 2>/dev/null || {
     python3 -m venv .venv
--- a/deploy/sites/names.py
+++ b/deploy/sites/names.py
@@ -1,16 +1,16 @@
-"""Writes real.json and wire.json beside each variant's site file: `python deploy/sites/names.py`.
+"""Writes real.json and wire.json beside the site file of each variant: `python deploy/sites/names.py`.
 
-Names are those of the protocol page and the wire page, which every deployment of this family shares; the
-tables here are written from those pages.
+The tables hold the names that the protocol page and the wire page specify. All deployments of this family use
+the same names.
 """
 
 import json
 import pathlib
 
-HERE = pathlib.Path(__file__).parent
+SITES_FOLDER = pathlib.Path(__file__).parent
 
-# On sockets: headers, paths, query, fields of a list.
-REAL = {
+# Names used on sockets: headers, paths, query parameters and the fields of an endpoint list.
+SOCKET_NAMES = {
     "v": 1,
     "family": "gate",
     "proto": "http",
@@ -30,7 +30,7 @@
         "retry": "X-Second-Try",
         "load": "Endpoint-Load-Metrics",
         "not_run": "X-Never-Ran",
-        # Wanted by the bench, carried by none of these days.
+        # The bench requires names for the headers below, although none of its current requests carries them.
         "class": "X-Class",
         "key": "X-Customer",
         "hint": "X-Work-Hint",
@@ -61,16 +61,17 @@
     "states": {"ready": "up", "draining": "draining", "gone": "removed"},
 }
 
-# In the simulator: an event's or action's name, and its fields as `what it is: its name`.
-INST = {"inst": "node_id"}
-REQ = INST | {"id": "ref"}
-ATTEMPT_RESULT = {"latency": "wait_time_us", "status": "rc", "server": "server", "load": "pressure"}
+# Names used by the simulator's host protocol. Each event or action has a name, and a table that maps the
+# meaning of each field to the field's name.
+INSTANCE_FIELDS = {"inst": "node_id"}
+REQUEST_FIELDS = INSTANCE_FIELDS | {"id": "ref"}
+ATTEMPT_RESULT_FIELDS = {"latency": "wait_time_us", "status": "rc", "server": "server", "load": "pressure"}
 EVENTS = {
-    "init": ("Attach", INST | {"seed": "init_seed", "info": "params"}),
-    "members": ("Sync", INST | {"version": "epoch", "list_kind": "scope", "entries": "rows"}),
+    "init": ("Attach", INSTANCE_FIELDS | {"seed": "init_seed", "info": "params"}),
+    "members": ("Sync", INSTANCE_FIELDS | {"version": "epoch", "list_kind": "scope", "entries": "rows"}),
     "request": (
         "Accept",
-        REQ
+        REQUEST_FIELDS
         | {
             "class": "cls",
             "tenant": "tariff",
@@ -83,25 +84,28 @@
             "x3": "first_door",
         },
     ),
-    "first": ("Headers", REQ | {"attempt": "round_no", "server": "server", "latency": "wait_time_us"}),
+    "first": (
+        "Headers",
+        REQUEST_FIELDS | {"attempt": "round_no", "server": "server", "latency": "wait_time_us"},
+    ),
     "outcome": (
         "Completed",
-        REQ
+        REQUEST_FIELDS
         | {"attempt": "round_no"}
-        | ATTEMPT_RESULT
+        | ATTEMPT_RESULT_FIELDS
         | {
             "closed": "settled",
             "used": "fleet_use",
             "cost": "actual",
         },
     ),
-    "gone": ("CancelledByClient", REQ),
-    "probed": ("CheckResult", INST | ATTEMPT_RESULT),
-    "timer": ("TimeoutFired", INST | {"token": "nonce"}),
-    "peer": ("Message", INST | {"from": "src_peer", "data": "body"}),
+    "gone": ("CancelledByClient", REQUEST_FIELDS),
+    "probed": ("CheckResult", INSTANCE_FIELDS | ATTEMPT_RESULT_FIELDS),
+    "timer": ("TimeoutFired", INSTANCE_FIELDS | {"token": "nonce"}),
+    "peer": ("Message", INSTANCE_FIELDS | {"from": "src_peer", "data": "body"}),
     "counted": (
         "Total",
-        INST
+        INSTANCE_FIELDS
         | {
             "counter": "name",
             "status": "rc",
@@ -109,24 +113,24 @@
             "latency": "wait_time_us",
         },
     ),
-    "stop": ("Teardown", INST),
+    "stop": ("Teardown", INSTANCE_FIELDS),
 }
 ACTIONS = {
-    "send": ("SubmitTo", REQ | {"server": "server", "timeout": "give_up_after_us"}),
-    "refuse": ("Reject", REQ | {"retry_after": "backoff_us"}),
-    "fail": ("EndFailed", REQ),
-    "cancel": ("UndoSend", REQ | {"attempt": "round_no"}),
-    "timer": ("After", INST | {"token": "nonce", "delay": "offset_us"}),
-    "probe": ("AskLoad", INST | {"server": "server"}),
-    "close": ("Disconnect", INST | {"server": "server"}),
-    "tell": ("Post", INST | {"peer": "peer", "data": "body"}),
-    "watch": ("KeepInformed", INST | {"on": "active"}),
-    "fetch": ("Pull", INST),
-    "count": ("Incr", INST | {"counter": "name", "amount": "add", "ttl": "lives_us"}),
-    "log": ("Emit", INST | {"text": "what"}),
-    "fault": ("Bug", INST | {"text": "what"}),
+    "send": ("SubmitTo", REQUEST_FIELDS | {"server": "server", "timeout": "give_up_after_us"}),
+    "refuse": ("Reject", REQUEST_FIELDS | {"retry_after": "backoff_us"}),
+    "fail": ("EndFailed", REQUEST_FIELDS),
+    "cancel": ("UndoSend", REQUEST_FIELDS | {"attempt": "round_no"}),
+    "timer": ("After", INSTANCE_FIELDS | {"token": "nonce", "delay": "offset_us"}),
+    "probe": ("AskLoad", INSTANCE_FIELDS | {"server": "server"}),
+    "close": ("Disconnect", INSTANCE_FIELDS | {"server": "server"}),
+    "tell": ("Post", INSTANCE_FIELDS | {"peer": "peer", "data": "body"}),
+    "watch": ("KeepInformed", INSTANCE_FIELDS | {"on": "active"}),
+    "fetch": ("Pull", INSTANCE_FIELDS),
+    "count": ("Incr", INSTANCE_FIELDS | {"counter": "name", "amount": "add", "ttl": "lives_us"}),
+    "log": ("Emit", INSTANCE_FIELDS | {"text": "what"}),
+    "fault": ("Bug", INSTANCE_FIELDS | {"text": "what"}),
 }
-ROW = {
+SERVER_ROW_FIELDS = {
     "server": "server",
     "state": "condition",
     "zone": "hall",
@@ -135,7 +139,7 @@
     "weight": "scale",
     "ready_at": "up_since_us",
 }
-SETTINGS = {
+SETTING_NAMES = {
     "balancers": "n_instances",
     "me": "ordinal",
     "classes": "grades",
@@ -171,7 +175,7 @@
     "tenants.ceiling_burst": "ceiling_burst",
     "tenants.ceiling_slack": "cap_slack",
 }
-WORDS = {
+SETTING_VALUES = {
     "safe": "retryable",
     "keyed": "dedup",
     "unsafe": "fragile",
@@ -186,16 +190,16 @@
 }
 
 
-def messages(table: dict[str, tuple[str, dict[str, str]]]) -> dict[str, object]:
-    """Returns the wire form of a table of events or actions."""
+def wire_messages(table: dict[str, tuple[str, dict[str, str]]]) -> dict[str, object]:
+    """Returns a table of events or actions in the form that wire.json has."""
     return {
         key: {"name": name, "code": 0, "fields": [list(field) for field in fields.items()]}
         for key, (name, fields) in table.items()
     }
 
 
-def wire(name: str) -> dict[str, object]:
-    """Returns the names on the simulator's wire for the site `name`."""
+def wire_names(name: str) -> dict[str, object]:
+    """Returns the content of wire.json for the site `name`."""
     return {
         "v": 1,
         "name": name,
@@ -241,10 +245,16 @@
             "key2_prefix": "pre-",
             "salt": sum(name.encode()),
         },
-        "init": {"pairs": False, "case": "snake", "unit_suffix": "_us", "rename": SETTINGS, "words": WORDS},
-        "events": messages(EVENTS),
-        "actions": messages(ACTIONS),
-        "entry": [list(pair) for pair in ROW.items()],
+        "init": {
+            "pairs": False,
+            "case": "snake",
+            "unit_suffix": "_us",
+            "rename": SETTING_NAMES,
+            "words": SETTING_VALUES,
+        },
+        "events": wire_messages(EVENTS),
+        "actions": wire_messages(ACTIONS),
+        "entry": [list(pair) for pair in SERVER_ROW_FIELDS.items()],
         "extras": ["units", "spread", "first"],
         "status": {
             "ok": "delivered",
@@ -262,9 +272,9 @@
 
 
 def main() -> None:
-    """Writes both files beside each site file."""
-    for site in sorted(HERE.glob("*/*.toml")):
-        for file, content in (("real.json", REAL), ("wire.json", wire(site.stem))):
+    """Writes real.json and wire.json beside each site file, replacing the existing ones."""
+    for site in sorted(SITES_FOLDER.glob("*/*.toml")):
+        for file, content in (("real.json", SOCKET_NAMES), ("wire.json", wire_names(site.stem))):
             (site.parent / file).write_text(json.dumps(content, indent=1) + "\n")
 
 
