--- a/tests/compatibility/__init__.py
+++ b/tests/compatibility/__init__.py
@@ -1,1 +1,1 @@
-"""Pins of wire formats and file formats, recorded from an earlier build: a rename must not change them."""
+"""Compatibility tests: wire formats, file formats and simulation results equal those of an earlier build."""
--- a/tests/compatibility/cluster_messages.py
+++ b/tests/compatibility/cluster_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the nodes of a cluster, by their neutral case names."""
+"""Messages between the nodes of a cluster, by the case names of the recorded data."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def fleet_messages() -> dict[str, Any]:
-    """Messages between two instances of the fleet."""
+    """Returns messages that two nodes exchange, by case; the recorded data calls the cluster `fleet`."""
     hello = cluster_protocol.Hello(
         protocol_version=1,
         sender="n1",
@@ -54,7 +54,10 @@
 
 
 def fleet_hello_admission(data: bytes) -> str | None:
-    """How node n0 of a membership of n0 and n1 judges a hello, having seen n1's dial 3 of its life."""
+    """Returns how node n0 refuses a hello, or None if n0 accepts it.
+
+    The members are n0 and n1. n0 has already accepted connection 3 of the current incarnation of n1.
+    """
     hello = read_frame(cluster_protocol.read_message, data)
     membership = Membership(7, {"n0": ("127.0.0.1", 7100), "n1": ("127.0.0.1", 7101)})
     last = cluster_protocol.ConnectionOrder(Incarnation.parse("1700000000000-ab12"), 3)
@@ -62,7 +65,7 @@
 
 
 def fleet_hellos() -> dict[str, Any]:
-    """First messages of a connection, to be judged by `fleet_hello_admission`."""
+    """Returns first messages of a connection, by case; `fleet_hello_admission` validates them."""
     good = cluster_protocol.Hello(
         protocol_version=1,
         sender="n1",
@@ -87,10 +90,10 @@
 
 
 def parse_incarnation() -> Callable[[str], tuple[int, str]]:
-    """The function that sorts incarnations by their start."""
+    """Returns the function that parses the text of an incarnation; its results sort by start time."""
     return Incarnation.parse
 
 
 def incarnation_text(now: float, token: str) -> str:
-    """The text of an incarnation that begins at `now`."""
+    """Returns the text of an incarnation that starts at `now`, whose fraction is dropped."""
     return str(Incarnation(int(now), token))
--- a/tests/compatibility/command_case.py
+++ b/tests/compatibility/command_case.py
@@ -1,4 +1,4 @@
-"""A command with its files and environment, as it is recorded."""
+"""A command with its files and environment variables, in the form that is recorded."""
 
 from __future__ import annotations
 
@@ -12,7 +12,16 @@
 
 @dataclass(frozen=True)
 class Command:
-    """A command in which FOLDER stands for the place of its files, HELD_PORT for a port in use."""
+    """A command line of the program.
+
+    In its texts, FOLDER stands for the folder of its files and HELD_PORT for a port that is in use.
+
+    Attributes:
+        arguments: the arguments as a list, or as one text separated by spaces.
+        files: content by file name.
+        environment: environment variables.
+        own_process: whether the command runs in a process of its own.
+    """
 
     arguments: str | list[str]
     files: Files = field(default_factory=dict)
@@ -20,7 +29,7 @@
     own_process: bool = False
 
     def case(self) -> dict[str, Any]:
-        """The form in which it is recorded."""
+        """Returns the command in the form of the recorded data."""
         arguments = self.arguments.split() if isinstance(self.arguments, str) else self.arguments
         return {
             "command": arguments,
--- a/tests/compatibility/command_cases.py
+++ b/tests/compatibility/command_cases.py
@@ -1,4 +1,4 @@
-"""Commands with wrong options, names and files, and some that succeed."""
+"""Commands with invalid options, names and files, and commands that succeed."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def commands() -> dict[str, Command]:
-    """All commands, by the subcommand and the case."""
+    """Returns all commands by `subcommand: case`."""
     groups = {
         "main": main_commands(),
         "serve": serve_commands(),
--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -1,7 +1,7 @@
-"""Runs commands of the program for the tests here, and compares their refusals with the recorded ones.
+"""Runs commands of the program for the compatibility tests, and translates recorded refusals.
 
-This is the one place that knows how a command is run, how an old spelling is announced, and which recorded
-words are written otherwise today. The recorded data keeps the words of the build that it was recorded from.
+Only this module knows how a command is run, how the use of a deprecated name is announced, and which recorded
+texts have been reworded since. The recorded data keeps the texts of the build from which it was recorded.
 """
 
 from __future__ import annotations
@@ -23,16 +23,17 @@
     from collections.abc import Iterator
     from pathlib import Path
 
-FOLDER = "FOLDER"  # in a recorded command: where its files are
-HELD_PORT = "HELD_PORT"  # in a recorded command: a port of 127.0.0.1 that another process listens on
+# Placeholders in recorded commands: the folder of the command's files, and a port of 127.0.0.1 in use.
+FOLDER = "FOLDER"
+HELD_PORT = "HELD_PORT"
 PROCESS_TIMEOUT_SECONDS = 60.0
 
-# A line of standard error that an old spelling may add before anything else, once.
+# The line that a deprecated command or option may write to standard error, once and before all other output.
 DEPRECATION = re.compile(r"onyxpost: [^\n]*\bdeprecated\b[^\n]*\n")
-# Commands and options after which that line may come.
+# Deprecated commands, options and values that may cause the line above.
 OLD_SPELLINGS = ("lab", "rig", "run", "seeds", "stand", "town", "--plant", "careless")
 
-# Recorded words and those that stand in their place today: ("recorded", "current"), applied in this order.
+# Recorded texts and the texts that replace them today: ("recorded", "current"), applied in this order.
 REWORDED: tuple[tuple[str, str], ...] = (
     (
         "name a shipped scenario or a TOML file as docs/rig.md has it",
@@ -109,7 +110,10 @@
 
 
 class Result(NamedTuple):
-    """What a command that has ended left behind, without the line that announces an old spelling."""
+    """Exit code, standard output and standard error of a command.
+
+    Standard error does not include the line that announces a deprecated name.
+    """
 
     exit_code: int
     output: str
@@ -117,21 +121,21 @@
 
 
 def current_wording(recorded: str) -> str:
-    """A recorded text in the words that the program uses today."""
+    """Returns a recorded text with each text of REWORDED replaced by its current form."""
     for before, now in REWORDED:
         recorded = recorded.replace(before, now)
     return recorded
 
 
 def without_deprecation(arguments: list[str], error: str) -> str:
-    """Standard error without the one line that announces an old spelling; a second such line stays."""
+    """Returns standard error without the first line that announces a deprecated name; others are kept."""
     if any(argument in OLD_SPELLINGS for argument in arguments) and (announced := DEPRECATION.match(error)):
         return error[announced.end() :]
     return error
 
 
 def run(arguments: list[str], environment: dict[str, str] | None = None) -> Result:
-    """Runs a command in this process. Raises what the command did not handle."""
+    """Runs a command in this process; raises the exceptions that the command does not handle."""
     unset: dict[str, str | None] = {name: None for name in os.environ if name.startswith("EDGE_")}
     with signals_restored():
         done = CliRunner().invoke(cli.main, arguments, env=unset | (environment or {}))
@@ -141,7 +145,7 @@
 
 
 def run_process(arguments: list[str], environment: dict[str, str] | None = None) -> Result:
-    """Runs a command as `python -m onyxpost`."""
+    """Runs a command as `python -m onyxpost` in a process of its own."""
     inherited = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
     done = subprocess.run(
         [sys.executable, "-m", "onyxpost", *arguments],
@@ -155,7 +159,7 @@
 
 
 def refusal(error: str) -> dict[str, str]:
-    """What is compared of standard error: of a usage error its error line alone, else all of it."""
+    """Returns the part of standard error that is compared: a usage error's message, else the whole text."""
     if error.startswith("Usage: "):
         found = USAGE_ERROR.search(error)
         return {"usage error": "" if found is None else found.group()}
@@ -164,7 +168,7 @@
 
 @contextlib.contextmanager
 def signals_restored() -> Iterator[None]:
-    """Undoes what a command sets for its own process: handlers, and signals that are blocked."""
+    """Restores the signal handlers and the signal mask, which a command may change for its process."""
     handlers = {number: signal.getsignal(number) for number in (signal.SIGTERM, signal.SIGINT)}
     blocked = signal.pthread_sigmask(signal.SIG_BLOCK, ())
     try:
@@ -177,13 +181,16 @@
 
 @contextlib.contextmanager
 def held_port() -> Iterator[str]:
-    """A port of 127.0.0.1 that cannot be bound."""
+    """Yields a port of 127.0.0.1 that is in use, so that no other process can bind to it."""
     with socket.create_server(("127.0.0.1", 0)) as holder:
         yield str(holder.getsockname()[1])
 
 
 def run_case(case: dict[str, Any], folder: Path) -> dict[str, Any]:
-    """Runs a recorded command with its files in `folder`; returns its exit code and refusal as recorded."""
+    """Runs a recorded command with its files in `folder`.
+
+    Returns the exit code and the refusal in the form of the recorded data. The refusal is None on success.
+    """
     with held_port() as port:
 
         def filled(text: str) -> str:
@@ -195,5 +202,5 @@
         environment = {name: filled(value) for name, value in case["environment"].items()}
         result = run_process(arguments, environment) if case["own process"] else run(arguments, environment)
         error = result.error.replace(str(folder), FOLDER).replace(port, HELD_PORT)
-    # What a command that succeeds writes to standard error beside its results may hold times.
+    # A successful command is compared by its exit code only: its standard error may contain times.
     return {"exit code": int(result.exit_code), "refusal": refusal(error) if result.exit_code else None}
--- a/tests/compatibility/command_refusals.py
+++ b/tests/compatibility/command_refusals.py
@@ -1,4 +1,4 @@
-"""Exit code, location and remedy of a refusal by the command line."""
+"""Reads exit code, location and remedy from a refusal of the command line."""
 
 from __future__ import annotations
 
@@ -9,19 +9,22 @@
 
 
 def error_location(text: str) -> str | None:
-    """The place that a message names: a key, a line or a byte."""
+    """Returns the key, line or byte that a message names, or None if the message names none."""
     found = re.search(r"`(\$[^`]*)`|(\bline \d+)|(\bbyte \d+)", text)
     return None if found is None else next(group for group in found.groups() if group)
 
 
 def run_command(arguments: list[str]) -> tuple[int, str]:
-    """Exit code and output of the command line, without the line that announces an old spelling."""
+    """Returns the exit code and the output of a command, without the line that announces a deprecated name.
+
+    Standard error follows standard output.
+    """
     result = command_line.run(arguments)
     return result.exit_code, result.output + result.error
 
 
 def remedies() -> set[str]:
-    """Each remedy that an error of the program offers."""
+    """Returns the remedies of all error types of the program."""
     kinds: list[type[OperatorError]] = [OperatorError]
     for kind in kinds:
         kinds += kind.__subclasses__()
@@ -29,6 +32,6 @@
 
 
 def remedy_in(output: str) -> str | None:
-    """The remedy with which an output ends."""
+    """Returns the remedy at the end of an output, or None if the output ends with no known remedy."""
     fitting = [remedy for remedy in remedies() if output.rstrip().endswith(f"({remedy})")]
     return max(fitting, key=len) if fitting else None
--- a/tests/compatibility/deterministic_digests.py
+++ b/tests/compatibility/deterministic_digests.py
@@ -1,4 +1,4 @@
-"""Digests of the deterministic simulation: whole edge nodes on the virtual clock."""
+"""Digests of the deterministic simulation, which runs complete edge nodes on a virtual clock."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @contextlib.contextmanager
 def observe_exits(digest: EventDigest) -> Iterator[None]:
-    """Digest the exit code of every edge node's process that ends by itself."""
+    """Adds the exit code of each edge node that exits to the digest, with the virtual time in us."""
 
     async def run(original: Any, program: EdgeNode) -> int:
         code: int = await original(program)
@@ -33,7 +33,7 @@
 
 
 def cluster_record(seed: int) -> Record:
-    """One seed of `onyxpost lab seeds`."""
+    """Returns digest and counts of one seed of `onyxpost lab seeds`."""
     digest = EventDigest()
     with without_collector(), observe_network(digest), observe_exits(digest):
         simulation = run_script(seed, draw_script(seed))
--- a/tests/compatibility/discrete_event_digests.py
+++ b/tests/compatibility/discrete_event_digests.py
@@ -1,4 +1,4 @@
-"""Digests and figures of the discrete-event simulation."""
+"""Digests and figures of the discrete-event simulation, which the recorded data calls `emulator`."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 class EmulatorObserver:
     """Adds events of the discrete-event simulation to a digest, with their times in ms.
 
-    Each method is called in place of a method of the simulation, with the original before its arguments.
+    Each method replaces a method of the simulation. It receives the original method as its first argument.
     """
 
     def __init__(self, digest: EventDigest) -> None:
@@ -85,7 +85,7 @@
         timeout_ms: float,
         begin_before: float,
     ) -> None:
-        """Observes an attempt that a node starts."""
+        """Records that a node starts an attempt."""
         now_ms = _now_ms(sink._environment.network)
         self._digest.add(
             now_ms, "attempt", sink._node.node_index, request, server, timeout_ms, float(begin_before)
@@ -93,14 +93,14 @@
         original(sink, request, server, timeout_ms, begin_before)
 
     def receive_attempt(self, original: Any, server: ServerModel, attempt: Any) -> None:
-        """Observes an attempt that reaches a server."""
+        """Records that an attempt reaches an app server."""
         self._digest.add(_now_ms(server), "request", server.server_id, *attempt.origin, attempt.work_ms)
         original(server, attempt)
 
     def answer(
         self, original: Any, requests: PendingRequests, pending: Any, outcome: str, retry_after: float
     ) -> None:
-        """Observes the final answer to a request."""
+        """Records the final answer to a request."""
         node_index = int(requests._node.removeprefix("n"))
         status = STATUSES[outcome]
         self._digest.add(
@@ -111,17 +111,17 @@
     def send_peer_message(
         self, original: Any, network: Network, node: NodeModel, peer: NodeModel, body: str
     ) -> None:
-        """Observes a message between nodes."""
+        """Records that a node sends a message to a peer."""
         self._digest.add(_now_ms(network), "message", node.node_index, peer.node_index, body)
         original(network, node, peer, body)
 
     def start(self, original: Any, node: NodeModel) -> None:
-        """Observes the start of a node."""
+        """Records that a node starts."""
         self._digest.add(_now_ms(node), "start", node.node_index)
         original(node)
 
     def kill(self, original: Any, node: NodeModel) -> None:
-        """Observes that a node is killed."""
+        """Records that a node is killed."""
         self._digest.add(_now_ms(node), "kill", node.node_index)
         original(node)
 
@@ -132,7 +132,7 @@
 
 @contextlib.contextmanager
 def observe_emulator(digest: EventDigest) -> Iterator[None]:
-    """Digests attempts, answers, peer messages, starts and kills while the context lasts."""
+    """Adds attempts, answers, peer messages, starts and kills to the digest while the context is open."""
     observer = EmulatorObserver(digest)
     with contextlib.ExitStack() as stack:
         for owner, method_name, wrapper in (
@@ -148,7 +148,7 @@
 
 
 def emulator_figures(world: World) -> Record:
-    """Every figure of a run's totals but the counts of log lines by their wording."""
+    """Returns the figures of a run's totals, except the counts of log lines, whose wording may change."""
     found = run_totals(world)
     return {
         "passed value": found["passed_value"],
@@ -172,7 +172,7 @@
 
 
 def emulator_second(second: Counter[str]) -> tuple[float, ...]:
-    """The counts of one emulated second, in a fixed order."""
+    """Returns the counts of one simulated second; the recorded digests depend on their order."""
     counts = (
         second["offered"], second["offered_inside"], second["value_inside"], second["tries"],
         second["passed"], second["denied"], second["aborted"], second["cut"], second["gave_up"],
@@ -185,7 +185,10 @@
 
 
 def emulator_record(name: str, seed: int) -> Record:
-    """One run of `onyxpost lab run` with few nodes and servers; `planners` is the scenario in this file."""
+    """Returns digests and figures of one run of `onyxpost lab run`.
+
+    `planners` is the scenario in this file. Shipped scenarios run with a smaller number of nodes and servers.
+    """
     if name == "planners":
         scenario = parse_scenario(PLANNER_SCENARIO, name)
     else:
@@ -206,5 +209,5 @@
 
 
 def emulator_runs() -> list[tuple[str, int]]:
-    """All pinned runs of the emulator."""
+    """Returns scenario and seed of each recorded run."""
     return [*EMULATOR_RUNS, *(("planners", seed) for seed in PLANNER_SEEDS)]
--- a/tests/compatibility/event_digest.py
+++ b/tests/compatibility/event_digest.py
@@ -1,6 +1,6 @@
-"""Digests of events, and the means to observe calls of the code under test.
+"""Digests of events, and wrappers that observe method calls of the code under test.
 
-A digest contains no class name, field name, repr or log line.
+A digest contains no class name, field name, repr or log line, so that a rename does not change the digest.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class EventDigest:
-    """A running sha256 over events, each a sequence of plain values, encoded without ambiguity."""
+    """SHA-256 over a sequence of events; each event is a sequence of plain values, encoded unambiguously."""
 
     def __init__(self) -> None:
         self.hash = hashlib.sha256()
@@ -27,22 +27,25 @@
         self.numbers: dict[Any, int] = {}
 
     def add(self, *values: Value) -> None:
-        """Append one event."""
+        """Adds one event."""
         self.events += 1
         encoded = b"".join(encode(value) for value in values)
         self.hash.update(b"%d:%s" % (len(encoded), encoded))
 
     def number(self, thing: Any) -> int:
-        """The place of a host or connection in the order of first appearance."""
+        """Returns the index of a host or connection in the order of first appearance."""
         return self.numbers.setdefault(thing, len(self.numbers))
 
     def hexdigest(self) -> str:
-        """The digest of all events so far."""
+        """Returns the digest of all events added so far."""
         return self.hash.hexdigest()
 
 
 def encode(value: Value) -> bytes:
-    """One value as a type tag, a length and its bytes; floats by their shortest exact decimal form."""
+    """Encodes one value with a type tag; texts and bytes have a length before them.
+
+    Floats are written in their shortest exact decimal form.
+    """
     if value is None:
         return b"n"
     if isinstance(value, bytes):
@@ -57,7 +60,7 @@
 
 @contextlib.contextmanager
 def wrapped(owner: type, name: str, wrapper: Callable[..., Any]) -> Iterator[None]:
-    """Replace the method `name` by `wrapper(original, self, *args)` for the time of the context."""
+    """Replaces the method `name` by `wrapper(original, self, *args)` while the context is open."""
     original = getattr(owner, name)
 
     @functools.wraps(original)
@@ -73,7 +76,7 @@
 
 @contextlib.contextmanager
 def without_collector() -> Iterator[None]:
-    """Keep the cyclic collector from closing abandoned tasks at a moment of its own."""
+    """Disables the cyclic garbage collector, which would close abandoned tasks at unpredictable times."""
     was_enabled = gc.isenabled()
     gc.disable()
     try:
@@ -85,6 +88,9 @@
 
 
 async def final_digest(digest: EventDigest, main: Coroutine[Any, Any, Any]) -> tuple[Any, str, int]:
-    """The result of `main` with the digest at its end, before the loop tears down what is left."""
+    """Returns the result of `main`, and the digest and number of events at its end.
+
+    The digest is taken before the event loop cancels the remaining tasks, whose events are not recorded.
+    """
     result = await main
     return result, digest.hexdigest(), digest.events
--- a/tests/compatibility/frame_reading.py
+++ b/tests/compatibility/frame_reading.py
@@ -1,4 +1,4 @@
-"""Reads one message as a connection would."""
+"""Decodes one framed message from a byte stream."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def read_frame(read: Callable[[asyncio.StreamReader], Awaitable[Any]], data: bytes) -> Any:
-    """What the program reads from a connection on which `data` comes before it ends."""
+    """Returns the message that `read` decodes from a connection that delivers `data` and then ends."""
 
     async def run() -> Any:
         reader = asyncio.StreamReader()
--- a/tests/compatibility/gossip_datagrams.py
+++ b/tests/compatibility/gossip_datagrams.py
@@ -1,4 +1,4 @@
-"""Gossip datagrams between edge nodes: what is sent for a customer, and what a receiver learns."""
+"""Gossip datagrams between edge nodes: the datagrams sent for customers, and their effect on a receiver."""
 
 from __future__ import annotations
 
@@ -41,14 +41,14 @@
 
 
 def quota_policy(customers: dict[int, CustomerQuota]) -> QuotaPolicy:
-    """A node's quotas for its customers."""
+    """Returns the quota policy of a node with these customers."""
     table = CustomerTable(0.0)
     table.by_key = customers
     return QuotaPolicy(GOSSIP_OPTIONS, table)
 
 
 def gossip(customers: dict[int, CustomerQuota]) -> QuotaGossip:
-    """A node's gossip over its customers, none of them reported yet."""
+    """Returns the gossip of a node that has not yet reported any of these customers to its peers."""
     exchange = QuotaGossip(GOSSIP_OPTIONS, quota_policy(customers))
     exchange.incarnation = INCARNATION
     for one in customers.values():
@@ -57,7 +57,7 @@
 
 
 def customer_of(key: int, plan_index: int, set_size: int, units: int) -> CustomerQuota:
-    """A customer of node 0 that `units` were sent on for."""
+    """Returns a customer of node 0 that has consumed `units` units."""
     made = CustomerQuota(key, 0.0)
     quota_policy({}).assign_plan(made, 0.0, Placement(plan_index, 0, set_size))
     made.consume(units, 0)
@@ -66,13 +66,13 @@
 
 
 def report_to(customer: CustomerQuota, peer: int, units: int, in_flight: int) -> None:
-    """Applies a first report of a peer."""
+    """Applies the first usage report of a peer to a customer."""
     report = UsageReport(customer.key, units, in_flight, units, 0, Placement(0, 0, 0))
     PeerUsageAccounting().apply_report(customer, 0.0, peer, "19c00", report)
 
 
 def gossip_senders() -> dict[str, dict[int, CustomerQuota]]:
-    """Customers of a node that it has to tell its peers about, by case."""
+    """Returns customers whose usage a node has to report to its peers, by case."""
     giver = customer_of(0xABC, 0, 2, 3)
     report_to(giver, 1, 50, 1)
     giver.hard_limit.tokens = 40.0
@@ -92,7 +92,7 @@
 
 
 def gossip_datagrams(case: str) -> list[list[Any]]:
-    """What a node sends in one round: pairs of a peer's number and a datagram in hexadecimal digits."""
+    """Returns the datagrams of one gossip round: pairs of a peer's index and a datagram in hexadecimal."""
     sent: list[list[Any]] = []
     gossip(gossip_senders()[case]).send(
         0.0, lambda peer, body: sent.append([peer, encode_datagram(body).hex()])
@@ -101,7 +101,10 @@
 
 
 def gossip_received(data: bytes, peer: int | None) -> JsonObject | None:
-    """What a node makes of a datagram; None: it is from a stranger or no text."""
+    """Returns the effect of a datagram on a node, or None if the node drops the datagram.
+
+    A datagram is dropped if its sender is no peer (`peer` is None) or its bytes are no valid text.
+    """
     datagram = decode_datagram(data, peer)
     if datagram is None:
         return None
@@ -112,7 +115,7 @@
 
 
 def customer_from_peers(customer: CustomerQuota) -> JsonObject:
-    """What is held of a customer of which only peers have told."""
+    """Returns the state of a customer that is known from reports of peers only."""
     usage_by_peer = {
         str(peer): {
             "incarnation": usage.incarnation,
--- a/tests/compatibility/http_cases.py
+++ b/tests/compatibility/http_cases.py
@@ -1,4 +1,4 @@
-"""The recorded HTTP exchanges, by case name."""
+"""HTTP exchanges by case name, as they were recorded."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-# An answer by its name: its bytes, and what the server does after them.
+# Answers that an edge node does not pass on: name, bytes, and what the app server does after sending them.
 UNFORWARDED_ANSWERS: tuple[tuple[str, bytes, str], ...] = (
     ("error", ERROR, "keep"), ("busy", BUSY, "keep"), ("cut", PAGE[:-2], "close"),
     ("reset", b"", "reset"),
@@ -47,7 +47,7 @@
 
 
 def forwarded_cases() -> Iterator[tuple[str, Fields]]:
-    """What is forwarded to an app server."""
+    """Yields requests that are forwarded to an app server."""
     yield "get", case(client(request()))
     yield "get without time left given", case(client(request(X_Expires_In="")))
     yield "get time left in microseconds", case(client(request(X_Expires_In="812345.5u")))
@@ -80,7 +80,7 @@
 
 
 def failing_server_cases(name: str, frontend: str, text: bytes, then: str) -> Iterator[tuple[str, Fields]]:
-    """An answer that is not forwarded, of all servers and of either one of two."""
+    """Yields exchanges with an answer that is not passed on, first from all servers, then from one of two."""
     client_script = client(request(frontend))
     until = 3000.0 if then == "hang" else 1500.0
     yield (
@@ -97,7 +97,7 @@
 
 
 def passed_cases() -> Iterator[tuple[str, Fields]]:
-    """Answers of app servers that are passed on, and those that are not."""
+    """Yields answers of app servers that are passed on to the client, and answers that are not."""
     hop = (
         b"HTTP/1.1 200 Fine\r\nconnection: keep-alive, X-Hop\r\nKeep-Alive: 9\r\nUpgrade: h2c\r\nTE: x\r\n"
         b"Trailer: X\r\nProxy-Connection: y\r\nX-Never-Ran: 1\r\nEndpoint-Load-Metrics: cpu=1\r\n"
@@ -125,7 +125,10 @@
 
 
 def denied_cases() -> Iterator[tuple[str, Fields]]:
-    """429 by quotas and for want of servers; 502 where nothing is known."""
+    """Yields requests that are denied with 429, by a quota or for lack of an app server.
+
+    A second request whose trace ID is in use is answered with 502, as its outcome is unknown.
+    """
     one = "units=1,spread=1,first=0"
     twice = [request(X_Trace_Id=f"t{i}", Plan="small", Quota_Info=one) for i in range(4)]
     yield "quota used up", case(client(*twice))
@@ -153,7 +156,7 @@
 
 
 def refused_body_cases() -> Iterator[tuple[str, Fields]]:
-    """Bodies that are malformed, too large or not permitted, and requests that are no HTTP/1."""
+    """Yields bodies that are malformed, too large or not permitted, and requests that are not HTTP/1."""
     yield "body on get", case(client(request("check", b"abc")))
     chunked = {"Content_Length": "", "Transfer_Encoding": "chunked"}
     yield "chunked body on get", case(client(request_with(chunked, "check") + b"0\r\n\r\n"))
@@ -174,7 +177,7 @@
 
 
 def refused_cases() -> Iterator[tuple[str, Fields]]:
-    """What is not taken."""
+    """Yields invalid and incomplete requests, and connections that time out."""
     for header in ("X-Trace-Id", "Plan", "Cookie", "Quota-Info"):
         yield f"missing {header}", case(client(request_with({header: ""})))
         again = f"{header.lower()}: {HEADERS[header]}"
@@ -201,7 +204,7 @@
 
 
 def health_cases() -> Iterator[tuple[str, Fields]]:
-    """/healthz, a node that is told to stop, and one without room."""
+    """Yields requests for /healthz, requests to a stopping node, and more connections than a node allows."""
     get = b"GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n"
     yield "healthz", case(client(get, get))
     yield "healthz head", case(client(get.replace(b"GET", b"HEAD")))
--- a/tests/compatibility/http_requests.py
+++ b/tests/compatibility/http_requests.py
@@ -1,4 +1,4 @@
-"""Clients' requests and exchanges of them, for the recorded HTTP cases."""
+"""Builds client requests and exchanges for the recorded HTTP cases."""
 
 from __future__ import annotations
 
@@ -64,7 +64,10 @@
     frontend: str = "check", body: bytes = b"", method: str = "", version: str = "1.1", target: str = "",
     **headers: str,
 ) -> bytes:  # fmt: skip
-    """A client's request; a header given as empty is left out."""
+    """Returns a client's request; a header whose value is "" is left out.
+
+    In keywords, an underscore stands for the hyphen of a header's name.
+    """
     named = dict(HEADERS)
     if frontend == "toll":
         named["Idempotency-Key"] = "k-1"
@@ -77,18 +80,21 @@
 
 
 def request_with(headers: dict[str, Any], frontend: str = "check") -> bytes:
-    """A client's request with further or other headers, by their names."""
+    """Returns a client's request with headers added or replaced by name."""
     return request(frontend, **headers)
 
 
 def with_lines(data: bytes, *lines: str) -> bytes:
-    """The request with further header lines, as they are."""
+    """Returns the request with header lines appended unchanged, so that they may be repeated or malformed."""
     head, _, body = data.partition(b"\r\n\r\n")
     return b"\r\n".join([head, *(line.encode() for line in lines)]) + b"\r\n\r\n" + body
 
 
 def client(*writes: bytes | tuple[float, bytes], connect_at_ms: float = 0.0) -> Fields:
-    """One connection; writes without a time are 400 ms apart."""
+    """Returns the script of one connection: pairs of a time in ms and the bytes to write at that time.
+
+    Writes without a time start at 5 ms and are 400 ms apart.
+    """
     timed = [w if isinstance(w, tuple) else (5.0 + 400.0 * i, w) for i, w in enumerate(writes)]
     return {"connect_at_ms": connect_at_ms, "writes": [[at, http.packed(data)] for at, data in timed]}
 
@@ -97,7 +103,10 @@
     *clients: Fields, servers: list[list[tuple[bytes, str]]] | None = None, settings: Fields = HTTP_SETTINGS,
     sockets: int = 256, stop_at_ms: float | None = None, until_ms: float = 1500.0, absent: int = 0,
 ) -> Fields:  # fmt: skip
-    """One exchange; `absent`: app servers in the list at whose address nobody listens."""
+    """Returns one exchange.
+
+    `absent` is the number of further app servers in the list at whose addresses nothing listens.
+    """
     answers = [[(PAGE, "keep")] * 9] if servers is None else servers
     rows = [
         {
--- a/tests/compatibility/inputs.py
+++ b/tests/compatibility/inputs.py
@@ -1,4 +1,4 @@
-"""Files that the tests give to the program, good and bad; `record` writes them down."""
+"""Valid and invalid files that the tests give to the program; `record` stores them in the recorded data."""
 
 from __future__ import annotations
 
@@ -37,35 +37,35 @@
 
 
 def example(name: str) -> dict[str, Any]:
-    """One of the shipped files."""
+    """Returns the content of a shipped example file."""
     example_file: dict[str, Any] = json.loads((DEPLOY / f"example-{name}.json").read_text())
     return example_file
 
 
 def changed(name: str, change: Change) -> Files:
-    """A shipped file with one change."""
+    """Returns a shipped example file with one change."""
     fields = example(name)
     change(fields)
     return {"config.json": json.dumps(fields)}
 
 
 def node_with_rules(text: str) -> Files:
-    """A node's file with rules of its own beside it."""
+    """Returns a node's file and a file with the given routing rules."""
     return {**changed("ruled", lambda f: f.update(rules="rules.toml")), "rules.toml": text}
 
 
 def rule(body: str) -> Files:
-    """A node's file with one rule."""
+    """Returns a node's file and a file with one routing rule."""
     return node_with_rules(f"version = 1\n[[rules]]\n{body}\n")
 
 
 def bad_configs() -> dict[str, Files]:
-    """Files that `check` refuses, by case."""
+    """Returns files that `check` refuses, by case."""
     return {**bad_node_files(), **bad_member_files(), **bad_rules()}
 
 
 def bad_node_files() -> dict[str, Files]:
-    """A node's files with a wrong value of its own."""
+    """Returns node files with an invalid value outside the lists of members and the routing rules."""
     return {
         "no JSON": {"config.json": '{"name": '},
         "no file": {},
@@ -82,7 +82,7 @@
 
 
 def bad_member_files() -> dict[str, Files]:
-    """Files with wrong members of a cluster, of an election or of planners."""
+    """Returns files with invalid members of a cluster, of a leader election or of a planner group."""
     return {
         "fleet without this node": changed("fleet", lambda f: f["fleet"]["members"].pop("n0")),
         "fleet address twice": changed("fleet", lambda f: f["fleet"]["members"].update(n9="127.0.0.1:7100")),
@@ -105,7 +105,7 @@
 
 
 def bad_rules() -> dict[str, Files]:
-    """A node's files beside wrong routing rules."""
+    """Returns node files with invalid routing rules."""
     return {
         "rules are no TOML": node_with_rules("version ="),
         "rules without a version": node_with_rules("rules = []"),
@@ -124,7 +124,7 @@
 
 
 def bad_results(good: str) -> dict[str, Files]:
-    """Results that `lab compare` refuses, by case; `good` are some that it takes."""
+    """Returns result files that `lab compare` refuses, by case; `good` is a valid result file."""
     lines = good.splitlines(keepends=True)
     return {
         "no JSON": {"results.jsonl": "{"},
@@ -136,7 +136,7 @@
 
 
 def bad_scripts(good: str) -> dict[str, Files]:
-    """Fault scripts that `lab rig --replay` refuses, by case; `good` is one that it takes."""
+    """Returns fault scripts that `lab rig --replay` refuses, by case; `good` is a valid script."""
     return {
         "no JSON": {"script.json": "{"},
         "no file": {},
@@ -147,7 +147,11 @@
 
 
 def bad_voter_files(good: bytes, damaged_body: int) -> dict[str, bytes]:
-    """Files that a voter refuses, or takes but for an entry cut short at the end."""
+    """Returns damaged log files of an acceptor, made from the valid file `good`.
+
+    An acceptor refuses a damaged entry. It ignores an incomplete entry at the end of the file.
+    `damaged_body` is the offset of a byte within the body of an entry.
+    """
     return {
         "length damaged": b"\xff" + good[1:],
         "body damaged": good[:damaged_body] + bytes([good[damaged_body] ^ 1]) + good[damaged_body + 1 :],
--- a/tests/compatibility/json_types.py
+++ b/tests/compatibility/json_types.py
@@ -1,4 +1,4 @@
-"""Types of JSON values."""
+"""Type aliases of JSON values."""
 
 from __future__ import annotations
 
