--- a/tests/compatibility/leadership_digests.py
+++ b/tests/compatibility/leadership_digests.py
@@ -1,4 +1,4 @@
-"""Digests of leases: random walks of the model, and whole nodes that fail over."""
+"""Digests of leader leases: random walks of the model, and failovers of complete nodes."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 FAILOVER_RUNS = tuple((fault, seed) for fault in ("sigterm", "kill", "stall", "cut") for seed in (1, 2))
 FAILOVER_NODES = 5
 
-# Of the draws from 0 to 9, those that are not named here are actions of a leader.
+# The type of an action is drawn from 0 to 9. The draws that have no name here are actions of a leader.
 DRAW_LIMIT = 10
 TICK_DRAWS = (0, 1)
 EXCHANGE_DRAWS = (2, 3)
@@ -58,7 +58,7 @@
 
 
 def observe_lease_model(digest: EventDigest, model: LeadershipModel) -> None:
-    """Digest what a step left behind: messages under way, who holds the lease, what was confirmed."""
+    """Adds the state after an action: committed writes, calls, fencing tokens and messages in flight."""
     digest.add(
         model.now_ms,
         model.history.latest_token,
@@ -73,7 +73,7 @@
 
 
 def lease_actions(rng: Random, model: LeadershipModel) -> list[Action]:
-    """The next actions of a random walk. The recorded walks depend on the order of the draws."""
+    """Draws the next actions of a random walk. The recorded walks depend on the order of the draws."""
     candidate = rng.choice(list(model.participants))
     absent = rng.choice(["", "", *model.acceptors])
     draw = rng.randrange(DRAW_LIMIT)
@@ -87,7 +87,7 @@
 
 
 def single_action(rng: Random, model: LeadershipModel, candidate: str, draw: int) -> Action:
-    """A delivery, the restart of an acceptor, or an action of a leader."""
+    """Draws a delivery, the restart of an acceptor, or an action of a leader."""
     if draw == CANDIDATE_DELIVERY_DRAW:
         return rng.choice(CANDIDATE_DELIVERIES)(candidate)
     if draw == MESSAGE_DELIVERY_DRAW and model.in_flight:
@@ -101,7 +101,7 @@
 
 
 def lease_record(seed: int) -> Record:
-    """A random walk of five voters and three candidates of one lease."""
+    """Returns digest and counts of a random walk with five acceptors and three candidates for one lease."""
     rng = Random(f"{seed}/lease")
     digest = EventDigest()
     model = elect_leader(LeadershipModel(5, 3, 6))
@@ -119,7 +119,7 @@
 
 @contextlib.contextmanager
 def observe_leases(digest: EventDigest) -> Iterator[None]:
-    """Digest every lease taken or lost and every write confirmed, with the virtual time in microseconds."""
+    """Adds each lease that is acquired or lost and each committed record, with the virtual time in us."""
 
     def changed(original: Any, runner: EffectRunner, effect: Any) -> None:
         time_us = round(runner.net.monotonic() * 1000.0)
@@ -146,7 +146,10 @@
 
 
 def failover_record(fault: str, seed: int) -> Record:
-    """Whole nodes with one lease on the virtual network; its holder leaves, dies, stalls or is cut off."""
+    """Returns digest and timing of the failover of one lease between complete nodes on the virtual network.
+
+    The leader receives SIGTERM, is killed, stalls, or is cut off from the network, according to `fault`.
+    """
     digest = EventDigest()
     with without_collector(), observe_network(digest), observe_leases(digest):
         result, sha256, events = virtual_time.run(
--- a/tests/compatibility/leadership_messages.py
+++ b/tests/compatibility/leadership_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the leader election, by their neutral case names."""
+"""Messages of the leader election, by the case names of the recorded data."""
 
 from __future__ import annotations
 
@@ -46,12 +46,12 @@
 
 
 def status_query() -> Any:
-    """The message that asks whether a lease is free."""
+    """Returns the message that asks an acceptor whether a lease is free."""
     return leadership_protocol.StatusQuery(role="rollout", version=2, queried_at_ms=11)
 
 
 def rejection(reason: Any) -> Any:
-    """A voter's refusal for one reason."""
+    """Returns an acceptor's refusal for a reason of REFUSAL_REASONS."""
     return leadership_protocol.Reject(
         role="rollout",
         version=2,
@@ -66,7 +66,7 @@
 
 
 def leadership_messages() -> dict[str, Any]:
-    """Messages between the nodes that elect holders of duties."""
+    """Returns messages between candidates and acceptors, by case."""
     release = leadership_protocol.Release(role="rollout", version=2, ballot=BALLOT, was_leader=True)
     return {
         "look": status_query(),
--- a/tests/compatibility/meanings.py
+++ b/tests/compatibility/meanings.py
@@ -1,6 +1,7 @@
-"""What the program reads from files of nodes, planners and rules, as plain JSON with neutral keys.
+"""Settings that the program reads from files of nodes, planners and routing rules, as plain JSON.
 
-A rename in the program changes the Python names here, never a neutral key.
+The keys of this JSON are independent of the program's names. A rename in the program changes the Python names
+in this module, never a key.
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
 
 
 def read_config(path: Path) -> JsonObject:
-    """The meaning of a node's or a planner's file."""
+    """Returns the settings that the program reads from a node's or a planner's file."""
     if planner_file.is_planner_file(msgspec.json.decode(path.read_bytes())):
         return planner(planner_file.read_config(str(path)))
     return node(edge_node.read({"EDGE_CONFIG": str(path)}))
 
 
 def planner(read: planner_file.PlannerConfig) -> JsonObject:
-    """A planner's settings."""
+    """Returns a planner's settings."""
     return {
         "name": read.name,
         "listen": list(read.listen),
@@ -45,7 +46,7 @@
 
 
 def node(read: NodeConfig) -> JsonObject:
-    """An edge node's settings."""
+    """Returns an edge node's settings."""
     known = read.known_endpoints
     return {
         "name": read.name,
@@ -81,7 +82,7 @@
 
 
 def server(row: types.EndpointStatus) -> JsonObject:
-    """A row of the server list."""
+    """Returns an entry of the list of app servers."""
     return {
         "name": row.server,
         "zone": row.zone,
@@ -93,7 +94,7 @@
 
 
 def deployment(read: Any) -> JsonObject:
-    """The part of a node's file that the simulator gives too."""
+    """Returns the settings that a node's file and the simulator's first event have in common."""
     allowed = read.limits
     slow_start = read.slow_start
     return {
@@ -127,7 +128,7 @@
 
 
 def frontend(read: types.Frontend) -> JsonObject:
-    """A frontend's settings."""
+    """Returns a frontend's settings."""
     return {
         "name": read.name,
         "response target ms": read.latency_objective_ms,
@@ -143,7 +144,7 @@
 
 
 def plan(read: types.Plan) -> JsonObject:
-    """A plan's quota."""
+    """Returns a plan's quota and hard limit."""
     return {
         "name": read.name,
         "rate": read.rate,
@@ -156,20 +157,20 @@
 
 
 def planners(read: PlannerClientConfig) -> JsonObject:
-    """Who grants a node its allowances."""
+    """Returns the planners from which a node leases quota."""
     members = {name: list(address) for name, address in read.members.items()}
     return {"membership version": read.membership_version, "members": members, "own share": read.safe_share}
 
 
 def fleet(read: Any) -> JsonObject:
-    """Whom a node has links to."""
+    """Returns the cluster members to which a node connects."""
     members = {name: list(address) for name, address in read.membership.members.items()}
     version = read.membership.version
     return {"listen": list(read.listen), "membership version": version, "members": members}
 
 
 def leases(read: LeadershipConfig) -> JsonObject:
-    """Who votes on which leases, and by which times."""
+    """Returns roles, acceptors, nodes and timing of the leader election."""
     return {
         "membership version": read.acceptors.version,
         "voters": list(read.acceptors.names),
@@ -187,7 +188,7 @@
 
 
 class Server:
-    """What rules look at in a server."""
+    """App server with the attributes that routing rules select by."""
 
     def __init__(self, name: str, zone: str, cell: int) -> None:
         self.id = name
@@ -200,7 +201,10 @@
 
 
 def decisions(read: NodeConfig) -> list[list[Any]]:
-    """What the rules leave to customers: servers, attempts and the share of the window."""
+    """Returns what the routing rules allow to sample customers of each frontend and plan.
+
+    Each row names the allowed app servers, the largest number of attempts and the allowed share of capacity.
+    """
     found = []
     assert read.routing_rules is not None
     for one in read.deployment.frontends:
@@ -215,13 +219,13 @@
 
 
 def rules(data: bytes) -> JsonObject:
-    """The meaning of a rules' file by itself."""
+    """Returns the content of a file of routing rules."""
     read = schema.parse(data)
     return {"version": read.version, "zones": read.zones, "rules": [rule(one) for one in read.rules]}
 
 
 def rule(read: schema.Rule) -> JsonObject:
-    """One routing rule."""
+    """Returns one routing rule."""
     customers = read.customers
     servers = read.servers
     return {
@@ -239,7 +243,7 @@
 
 
 def choice(read: schema.ServerChoice) -> JsonObject:
-    """Servers by zone, cell and name."""
+    """Returns a choice of app servers by zone, cell and name."""
     cells: Any = read.cells
     if isinstance(cells, dict):
         cells = {str(cell): weight for cell, weight in cells.items()}
--- a/tests/compatibility/metrics_messages.py
+++ b/tests/compatibility/metrics_messages.py
@@ -1,4 +1,4 @@
-"""Snapshots of request counters, by their neutral case names."""
+"""Snapshots of request counters, by the case names of the recorded data."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def counts_messages() -> dict[str, Any]:
-    """Snapshots of a node's counts on a version on trial."""
+    """Returns snapshots of a node's request counters during the rollout of a version, by case."""
     tally = counts.RequestCounters(
         requests=100,
         succeeded=80,
@@ -39,7 +39,7 @@
 
 
 def split_counts() -> list[bytes]:
-    """A snapshot too large for one frame, in the parts that are sent."""
+    """Returns the parts in which a snapshot too large for one frame is sent."""
     tally = counts.RequestCounters(requests=2**52, succeeded=2**51, latencies={k: 2**50 for k in range(64)})
     entries = [counts.StratumCounters(f"frontend-{i}", "p" * 64, tally, tally) for i in range(60)]
     snapshot = counts.MetricsSnapshot(
--- a/tests/compatibility/network_observer.py
+++ b/tests/compatibility/network_observer.py
@@ -1,4 +1,4 @@
-"""Digests every event on any virtual network."""
+"""Adds all events on virtual networks to a digest."""
 
 from __future__ import annotations
 
@@ -24,16 +24,17 @@
 
 
 class NetworkObserver:
-    """Adds each event to a digest: its time in microseconds, its endpoints, its bytes.
+    """Adds each event to a digest, with its time in microseconds, its endpoints and its bytes.
 
-    Each method is called in place of a method of the network, with the original before its arguments.
+    Each method replaces a method of the virtual network. It receives the original method as its first
+    argument.
     """
 
     def __init__(self, digest: EventDigest) -> None:
         self._digest = digest
 
     async def dial(self, original: Any, network: Network, host: str, address: Any, limit: int) -> Any:
-        """Observes a connection that is opened or refused."""
+        """Records an attempt to connect, and whether the connection is accepted or refused."""
         host_number = self._host(host)
         self._add(network.loop, "connect", host_number, *address)
         try:
@@ -46,60 +47,60 @@
         return dialed
 
     def carry(self, original: Any, connection: Connection, end: ConnectionEnd, data: bytes) -> None:
-        """Observes bytes that are written."""
+        """Records bytes that are written."""
         self._add_at_end("write", end, data)
         original(connection, end, data)
 
     def receive(self, original: Any, end: ConnectionEnd, data: bytes) -> None:
-        """Observes bytes that are read."""
+        """Records bytes that are read."""
         self._add_at_end("read", end, data)
         original(end, data)
 
     def close(self, original: Any, end: ConnectionEnd) -> None:
-        """Observes the first close of an end."""
+        """Records that an end is closed; later calls are not recorded."""
         if not end.is_shut:
             self._add_at_end("close", end)
         original(end)
 
     def abort(self, original: Any, end: ConnectionEnd) -> None:
-        """Observes the abort of an end that is not closed."""
+        """Records that an end is aborted, unless the end is already closed."""
         if not end.is_shut:
             self._add_at_end("abort", end)
         original(end)
 
     def lose(self, original: Any, end: ConnectionEnd, error: Exception | None) -> None:
-        """Observes that an end has lost its connection."""
+        """Records that an end has lost its connection, and whether through an error."""
         self._add_at_end("lost", end, int(error is not None))
         original(end, error)
 
     def send_datagram(
         self, original: Any, network: Network, host: str, source: Any, data: bytes, address: Any
     ) -> None:
-        """Observes a datagram that is sent."""
+        """Records a datagram that is sent."""
         self._add(network.loop, "datagram", self._host(host), *source, data, *address)
         original(network, host, source, data, address)
 
     def deliver_datagram(
         self, original: Any, network: Network, source: Any, data: bytes, address: Any
     ) -> None:
-        """Observes a datagram that arrives."""
+        """Records a datagram that arrives."""
         self._add(network.loop, "datagram-read", *source, data, *address)
         original(network, source, data, address)
 
     def kill_host(self, original: Any, network: Network, host: str) -> None:
-        """Observes that a host is killed."""
+        """Records that a host is killed."""
         self._add(network.loop, "host-died", self._host(host))
         original(network, host)
 
     async def listen(
         self, original: Any, host: VirtualHost, serve: Any, address: Any, limit: int, accepts: int
     ) -> Any:
-        """Observes a listener that opens."""
+        """Records that a host starts to listen."""
         self._add(host.network.loop, "listen", self._host(host.name), *address)
         return await original(host, serve, address, limit, accepts)
 
     def stop_listening(self, original: Any, listener: VirtualListener) -> None:
-        """Observes a listener that closes."""
+        """Records that a listener is closed."""
         self._add(listener.table.loop, "stop-listening", *listener.address)
         original(listener)
 
@@ -117,7 +118,7 @@
 
 @contextlib.contextmanager
 def observe_network(digest: EventDigest) -> Iterator[None]:
-    """Digests every event on any virtual network while the context lasts."""
+    """Adds all events on virtual networks to the digest while the context is open."""
     observer = NetworkObserver(digest)
     with contextlib.ExitStack() as stack:
         for owner, method_name, wrapper in (
--- a/tests/compatibility/planner_messages.py
+++ b/tests/compatibility/planner_messages.py
@@ -1,4 +1,4 @@
-"""Messages between forwarders and planners, by their neutral case names."""
+"""Messages between forwarders and planners, by the case names of the recorded data."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def forwarder_messages() -> dict[str, Any]:
-    """Messages from forwarders to planners."""
+    """Returns messages from forwarders to planners, by case."""
     holding = planner_protocol.HeldLease(customer=17, plan="team", units=40, remaining_ms=812.25)
     hello = planner_protocol.Hello(protocol=1, forwarder="f0", membership_version=3)
     return {
@@ -27,7 +27,7 @@
 
 
 def planner_messages() -> dict[str, Any]:
-    """Messages from planners to forwarders."""
+    """Returns messages from planners to forwarders, by case."""
     return {
         "welcome": planner_protocol.Welcome(
             protocol=1, planner="p0", epoch="e-1", membership_version=3, lease_duration_ms=2000.0
--- a/tests/compatibility/process_command_cases.py
+++ b/tests/compatibility/process_command_cases.py
@@ -1,4 +1,4 @@
-"""Commands of the simulations with real processes and sockets."""
+"""Commands of the simulations that use real processes and sockets."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def process_commands() -> dict[str, Command]:
-    """Of the simulation with real processes, none of which comes to start one."""
+    """Returns commands of the multiprocess simulation; each is refused before a process is started."""
     scenario = {"own.toml": PROCESSES_SCENARIO}
 
     def altered(before: str, after: str) -> Command:
@@ -69,14 +69,14 @@
 
 
 def replayed(arguments: str = "", **changes: Any) -> Command:
-    """The replay of a script with some keys changed."""
+    """Returns the command that replays a fault script with some keys changed."""
     script = {"scenario": "edge-cuts", "seed": 7, "nodes": 3, "seconds": 4.0, "faults": [], "version": 1}
     files = {"script.json": json.dumps({**script, **changes})}
     return Command(f"lab rig --replay FOLDER/script.json {arguments}", files)
 
 
 def replay_commands() -> dict[str, Command]:
-    """Of fault scripts that cannot be replayed."""
+    """Returns replays of fault scripts that are invalid."""
     fault: dict[str, Any] = {"at": 1.0, "kind": "cut", "whom": "n0>n1", "lasts": 1.0}
     return {
         "script with an unknown key": replayed(unknown=1),
@@ -99,7 +99,7 @@
 
 
 def load_commands() -> dict[str, Command]:
-    """Of the load, none of which comes to be sent."""
+    """Returns commands of the load generator; each is refused before a request is sent."""
     node = inputs.changed("node", lambda f: f)
 
     def sent(options: str = "", address: str = "127.0.0.1:HELD_PORT") -> Command:
@@ -135,7 +135,7 @@
 
 
 def stand_commands() -> dict[str, Command]:
-    """Of the stub upstreams; nothing of them stays."""
+    """Returns commands of the stub upstreams, which stop after a tenth of a second where they start."""
     node = inputs.changed("node", lambda f: f)
 
     def stood(options: str = "", faults: str = STUB_FAULTS, discovery: str = "127.0.0.1:0") -> Command:
@@ -174,7 +174,7 @@
 
 
 def planner_cluster_commands() -> dict[str, Command]:
-    """Of the planner cluster, none of which comes to start a process."""
+    """Returns commands of the planner cluster; each is refused before a process is started."""
     options = {
         "seconds none": "--seconds 0",
         "too many seconds": "--seconds 600.5",
--- a/tests/compatibility/record.py
+++ b/tests/compatibility/record.py
@@ -1,6 +1,6 @@
-"""Records what the tests here compare with: `python -m tests.compatibility.record`, from the root.
+"""Records the data of the compatibility tests: `python -m tests.compatibility.record`, run from the root.
 
-An existing file is never written again: recorded data stays as the build wrote it that it was recorded from.
+An existing file is never overwritten, so the recorded data stays as the recorded build wrote it.
 """
 
 from __future__ import annotations
@@ -35,30 +35,33 @@
 
 
 def protocol_records() -> dict[str, Any]:
-    """Each protocol's messages in hexadecimal digits, and what is refused."""
+    """Returns the messages of each protocol in hexadecimal, and the byte strings that each refuses."""
     return {name: protocol_record(protocol) for name, protocol in values.protocols().items()}
 
 
 def protocol_record(protocol: values.Protocol) -> dict[str, Any]:
-    """One protocol's messages and refusals."""
+    """Returns the messages and refused byte strings of one protocol.
+
+    Prints each invalid byte string that the protocol nevertheless decodes; it is not recorded.
+    """
     encoded = {case: protocol.encode(message) for case, message in protocol.messages.items()}
     rejected: dict[str, dict[str, str]] = {}
     for case, data in encoded.items():
         if protocol.framed:
-            wrong = refused.wrong_frames(data, protocol.frame_limit)
+            wrong = refused.invalid_frames(data, protocol.frame_limit)
         else:
-            wrong = refused.wrong_bodies(data)
+            wrong = refused.invalid_bodies(data)
         for name, bad in wrong.items():
             reason = refusal_kinds.refusal_of(partial(protocol.decode, bad))
             if reason is not None:
                 rejected[f"{case}: {name}"] = {"bytes": bad.hex(), "refusal": reason}
             else:
-                print(f"taken, not recorded as refused: {case}: {name}")
+                print(f"decoded without an error, not recorded as refused: {case}: {name}")
     return {"messages": {case: data.hex() for case, data in encoded.items()}, "refused": rejected}
 
 
 def hello_records() -> dict[str, Any]:
-    """Hellos in hexadecimal digits, and how each is judged."""
+    """Returns first messages of a connection in hexadecimal, and how each is refused."""
     found = {}
     for case, hello in cluster_messages.fleet_hellos().items():
         data = values.protocols()["fleet"].encode(hello)
@@ -67,7 +70,7 @@
 
 
 def gossip_records() -> dict[str, Any]:
-    """Datagrams of each case with what a receiver makes of them, and datagrams that are not taken."""
+    """Returns the datagrams of each case with their effect on a receiver, and invalid datagrams."""
     sent = {}
     received_datagrams = {}
     for case in gossip_datagrams.gossip_senders():
@@ -95,14 +98,14 @@
 
 
 def split_records() -> list[dict[str, Any]]:
-    """The parts of a large snapshot of counts: they are too long to be kept here whole."""
+    """Returns lengths and digests of the parts of a large snapshot, which are too long to be recorded."""
     return [
         {"length": len(part), "sha256": sha256(part).hexdigest()} for part in metrics_messages.split_counts()
     ]
 
 
 def config_records() -> dict[str, Any]:
-    """The shipped files and richer rules, with what each means."""
+    """Returns the shipped files and files with more routing rules, with the settings read from each."""
     texts = {f"example-{name}.json": (inputs.DEPLOY / f"example-{name}.json") for name in inputs.EXAMPLES}
     files = {name: path.read_text() for name, path in texts.items()}
     files["example-rules.toml"] = (inputs.DEPLOY / "example-rules.toml").read_text()
@@ -119,18 +122,22 @@
 
 
 def rules_of(text: str) -> Any:
-    """The meaning of a rules' file."""
+    """Returns the content of a file of routing rules."""
     return meanings.rules(text.encode())
 
 
 def write_files(folder: Path, files: dict[str, str]) -> None:
-    """Puts the files of a case into a folder."""
+    """Writes the files of a case to a folder."""
     for name, text in files.items():
         (folder / name).write_text(text, encoding="utf-8")
 
 
 def refused_record(files: dict[str, str], arguments: list[str]) -> dict[str, Any]:
-    """Exit code, place and remedy of a command, in which FOLDER stands for where the files are."""
+    """Returns exit code, location and remedy of a refused command; FOLDER stands for the folder of its files.
+
+    Raises:
+        SystemExit: the command succeeded, or its output has no remedy.
+    """
     with tempfile.TemporaryDirectory() as folder:
         write_files(Path(folder), files)
         code, output = command_refusals.run_command(
@@ -138,13 +145,13 @@
         )
     remedy = command_refusals.remedy_in(output)
     if code == 0 or remedy is None:
-        raise SystemExit(f"not refused with a remedy: {arguments} {output}")
+        raise SystemExit(f"expected a refusal with a remedy, got exit code {code}: {arguments} {output}")
     location = command_refusals.error_location(output)
     return {"files": files, "command": arguments, "exit code": code, "place": location, "remedy": remedy}
 
 
 def refused_records() -> dict[str, Any]:
-    """What the command line refuses, by the command and the case."""
+    """Returns the files that the command line refuses, by `command: case`."""
     emulated = result_meanings.emulator_results().decode()
     script = result_meanings.fault_script_bytes().decode()
     compare = ["lab", "compare", "FOLDER/results.jsonl", "FOLDER/results.jsonl"]
@@ -161,7 +168,7 @@
 
 
 def voter_file_records() -> dict[str, Any]:
-    """A voter's files in hexadecimal digits, with what a voter that starts reads from each."""
+    """Returns log files of acceptors in hexadecimal, with the state that an acceptor reads from each."""
     found: dict[str, Any] = {"written": {}, "read": {}}
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "voter")
@@ -178,7 +185,7 @@
 
 
 def result_records() -> dict[str, Any]:
-    """Results of the laboratory and a kept fault script, with what each means."""
+    """Returns result files of the simulations and a fault script, with the values read from each."""
     files = {
         "emulator": result_meanings.emulator_results(),
         "real processes": result_meanings.process_results(),
@@ -210,11 +217,11 @@
 
 
 def main() -> int:
-    """Writes the files that are not there yet; 1 where all of them are."""
+    """Writes the missing files; returns 0 if there were any, else 1."""
     DATA.mkdir(exist_ok=True)
     missing = {name: make for name, make in RECORDS.items() if not (DATA / name).exists()}
     for name in RECORDS.keys() - missing.keys():
-        print(f"kept as it was recorded: {name}")
+        print(f"exists, not overwritten: {name}")
     for name, make in missing.items():
         text = json.dumps(make(), indent=1, ensure_ascii=False) + "\n"
         with (DATA / name).open("x", encoding="utf-8") as file:
--- a/tests/compatibility/record_http_and_wire.py
+++ b/tests/compatibility/record_http_and_wire.py
@@ -1,7 +1,10 @@
-"""Records the data of `test_http_bytes.py` and `test_simulator_wire.py`, once, from a build to be kept to.
+"""Records the data of `test_http_bytes.py` and `test_simulator_wire.py`.
 
-Run from the repository's root: `python -m tests.compatibility.record_http_and_wire`. A file that is there is
-never overwritten: what was recorded is what must not change.
+Run on the build to be compatible with, from the repository's root:
+
+    python -m tests.compatibility.record_http_and_wire
+
+An existing file is never overwritten, because later builds have to agree with the recorded data.
 """
 
 from __future__ import annotations
@@ -69,7 +72,7 @@
 
 
 def main() -> None:
-    """Record what is not there yet."""
+    """Records the files that do not exist yet."""
     if not http.DATA.exists():
         record_http(http.DATA)
     for name, scenario in SCENARIOS.items():
--- a/tests/compatibility/record_simulation_digests.py
+++ b/tests/compatibility/record_simulation_digests.py
@@ -1,12 +1,12 @@
-"""Record what the deterministic simulations do, as digests of bytes, numbers and times.
+"""Records digests of the bytes, numbers and times that the deterministic simulations produce.
 
-Run once on the build whose behavior is to be kept:
+Run once on the build to be compatible with:
 
     python -m tests.compatibility.record_simulation_digests
 
-An existing record is never overwritten. Where a value has to be read from the code under test, exactly one
-class or function per simulation does it (`*_digests.py`, `network_observer.py`): after a rename of attributes
-only that one is adapted, and the recorded data stays as it is.
+An existing record is never overwritten. For each simulation, one class or function (`*_digests.py`,
+`network_observer.py`) reads values from the code under test. If an attribute is renamed, only this class or
+function changes, and the recorded data stays as it is.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def all_records() -> dict[str, dict[str, Record]]:
-    """Everything that is pinned, by simulation and run."""
+    """Returns the records of all runs, by simulation and run."""
     return {
         "cluster": {str(seed): cluster_record(seed) for seed in CLUSTER_SEEDS},
         "emulator": {f"{name}/{seed}": emulator_record(name, seed) for name, seed in emulator_runs()},
@@ -39,7 +39,7 @@
 
 
 def write_new(path: Path, records: dict[str, dict[str, Record]]) -> None:
-    """Write the record. Raises FileExistsError where there is one."""
+    """Writes the records to a new file; raises FileExistsError if the file exists."""
     path.parent.mkdir(exist_ok=True)
     with path.open("x", encoding="utf-8") as file:
         json.dump(records, file, indent=1)
@@ -47,7 +47,7 @@
 
 
 def main(path: Path = DATA) -> int:
-    """Record everything, unless there is a record already."""
+    """Records all runs and returns 0; returns 1 if the file exists."""
     if path.exists():
         print(f"{path} exists and is not overwritten", file=sys.stderr)
         return 1
--- a/tests/compatibility/record_simulations.py
+++ b/tests/compatibility/record_simulations.py
@@ -1,7 +1,7 @@
-"""Records of the simulations: drawn fault scripts, refused commands, results and kept scripts.
+"""Records of the simulations: drawn fault scripts, refused commands, results and saved fault scripts.
 
-`record` writes them down. What a simulation draws or writes is read by `simulation_meanings`, commands are
-run by `command_line`; a rename changes those two.
+`record` writes the records to files. `simulation_meanings` reads the output of the simulations and
+`command_line` runs commands; after a rename in the program, only these two modules change.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from tests.compatibility import command_cases, command_line, simulation_command_cases, simulation_meanings
 from tests.compatibility.simulation_meanings import ScriptDraw
 
-KEPT_SEEDS = range(1, 4)  # scripts that are kept whole
-DIGEST_SEEDS = range(50)  # scripts of which the digest is kept
+KEPT_SEEDS = range(1, 4)  # seeds of the scripts that are recorded completely
+DIGEST_SEEDS = range(50)  # seeds of the scripts that are recorded as digests
 SIZES: tuple[tuple[int | None, float | None], ...] = (
     (1, None), (2, None), (3, 4.0), (7, 60.0), (64, 600.0), (None, 2.0),
 )  # fmt: skip
@@ -34,7 +34,7 @@
     + "".join(f"{kind} = {{ per_minute = 22.0, lasts_s = [0.3, 1.7] }}\n" for kind in ALL_KINDS.split())
     for stage, roles in (("edge", 0), ("duties", 3))
 }
-# Real runs in which a mutation is found at once: (scenario, seconds, mutation, faults).
+# Runs of real processes whose only fault exposes a mutation: (scenario, nodes, seconds, mutation, faults).
 KEPT_RUNS: dict[str, tuple[str, int, float, str, str]] = {
     "edge": (
         "edge-cuts", 3, 2.5, "deaf-to-drains",
@@ -57,12 +57,12 @@
 
 
 def digests(texts: list[bytes]) -> dict[str, str]:
-    """The digest of each script, by its seed from 0."""
+    """Returns the digest of each script by seed; the seeds are consecutive and start at 0."""
     return {str(seed): sha256(text).hexdigest() for seed, text in enumerate(texts)}
 
 
 def drawn_for(scenario: str) -> dict[str, Any]:
-    """Scripts of one scenario: of many seeds, of other sizes, and with a mutation."""
+    """Returns scripts of one scenario: for many seeds, for other sizes, and with a mutation."""
     drawn = simulation_meanings.drawn_script
     sizes = []
     for nodes, seconds in SIZES:
@@ -77,7 +77,7 @@
 
 
 def fault_script_records() -> dict[str, Any]:
-    """Scripts for real processes by scenario, and scripts of the deterministic simulation."""
+    """Returns scripts for real processes by scenario, and scripts of the deterministic simulation by seed."""
     found: dict[str, Any] = {name: drawn_for(name) for name in simulation_meanings.shipped_scenarios()}
     with tempfile.TemporaryDirectory() as folder:
         for name, text in OWN_SCENARIOS.items():
@@ -99,7 +99,7 @@
 
 
 def command_records() -> dict[str, Any]:
-    """Exit code and refusal of each command."""
+    """Returns each command with its exit code and refusal."""
     found = {}
     for name, command in command_cases.commands().items():
         case = command.case()
@@ -108,18 +108,22 @@
     return found
 
 
-# --- results and kept scripts -----------------------------------------------------------------------------
+# --- results and saved scripts ----------------------------------------------------------------------------
 
 
-def run_lab(arguments: list[str], wanted_exit_code: int) -> None:
-    """Runs a command whose results are kept. Ends the recording where it does not go as expected."""
+def run_lab(arguments: list[str], expected_exit_code: int) -> None:
+    """Runs a command whose results are recorded; raises SystemExit if its exit code is another."""
     result = command_line.run(["lab", *arguments])
-    if result.exit_code != wanted_exit_code:
-        raise SystemExit(f"{arguments}: {result}")
+    if result.exit_code != expected_exit_code:
+        raise SystemExit(f"{arguments}: expected exit code {expected_exit_code}, got {result}")
 
 
 def kept_run(folder: Path, name: str) -> dict[str, Any]:
-    """A run of real processes in which a rule was broken: what it was given, kept and wrote."""
+    """Returns the given script, saved script and results of a run of real processes with a violation.
+
+    Raises:
+        SystemExit: the run found no violation.
+    """
     scenario, nodes, seconds, mutation, faults = KEPT_RUNS[name]
     given = (
         f'{{"scenario": "{scenario}", "seed": 3, "nodes": {nodes}, "seconds": {seconds},'
@@ -132,7 +136,7 @@
     arguments = ["rig", "--replay", str(script), "--kept", str(kept), "--out", str(out)]
     result = command_line.run_process(["lab", *arguments])
     if result.exit_code != 1:
-        raise SystemExit(f"{arguments}: {result}")
+        raise SystemExit(f"{arguments}: expected exit code 1, got {result}")
     kept_script = (kept / f"{scenario}-3" / "script.json").read_text(encoding="utf-8")
     return {
         "given": given,
@@ -143,7 +147,7 @@
 
 
 def build_result_records() -> dict[str, Any]:
-    """Files that commands of this build wrote, and what they are read as."""
+    """Returns files that commands of this build wrote, and the values read from them."""
     with tempfile.TemporaryDirectory() as folder_path:
         folder = Path(folder_path)
         runs = {name: kept_run(folder, name) for name in KEPT_RUNS}
--- a/tests/compatibility/recorded.py
+++ b/tests/compatibility/recorded.py
@@ -10,5 +10,5 @@
 
 
 def load(name: str) -> Any:
-    """The recorded JSON file of that name."""
+    """Returns the content of a JSON file of the recorded data."""
     return json.loads((DATA / name).read_text(encoding="utf-8"))
--- a/tests/compatibility/refusal_kinds.py
+++ b/tests/compatibility/refusal_kinds.py
@@ -1,6 +1,6 @@
-"""Neutral names of the errors with which messages and files are refused.
+"""Names that the recorded data uses for the errors with which messages and files are refused.
 
-A rename of an error changes this module, never a neutral name.
+A rename of an error changes the Python names in this module, never a name in the recorded data.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     from collections.abc import Callable
 
 MALFORMED = "malformed"
-# The first type that matches names the refusal.
+# The first entry whose type matches an error gives the name of the refusal.
 REFUSALS: dict[type[Exception], str] = {
     cluster_errors.MalformedFrameError: MALFORMED,
     leadership_errors.MalformedMessageError: MALFORMED,
@@ -37,7 +37,7 @@
 
 
 def refusal(error: Exception) -> str:
-    """The neutral name of a refusal; an error that is none is raised again."""
+    """Returns the recorded name of a refusal; raises an error again that is no refusal."""
     for kind, name in REFUSALS.items():
         if isinstance(error, kind):
             return name
@@ -45,7 +45,7 @@
 
 
 def refusal_of(call: Callable[[], Any]) -> str | None:
-    """The neutral name of the refusal that the call ends with, or None where it returns."""
+    """Returns the recorded name of the refusal that a call raises, or None if the call returns."""
     try:
         call()
     except Exception as error:
--- a/tests/compatibility/refused.py
+++ b/tests/compatibility/refused.py
@@ -1,4 +1,4 @@
-"""Byte strings that no decoder must take, made from the bytes of a valid message. No use of the program."""
+"""Invalid byte strings, made from the bytes of a valid message without use of the program."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 import msgspec
 
-Wrong = dict[str, bytes]
+InvalidBytes = dict[str, bytes]
 
 
 def framed(body: bytes) -> bytes:
-    """A message with its length before it."""
+    """Returns a message with its length before it, as four big-endian bytes."""
     return len(body).to_bytes(4, "big") + body
 
 
-def wrong_bodies(body: bytes) -> Wrong:
-    """Message bodies close to a valid one, each wrong in one way."""
+def invalid_bodies(body: bytes) -> InvalidBytes:
+    """Returns message bodies that each differ from a valid one by one error, by case."""
     value: Any = msgspec.msgpack.decode(body)
-    wrong = {
+    invalid = {
         "cut short": body[:-1],
         "bytes after the end": body + b"\x00",
         "no MessagePack": b"\xc1",
@@ -25,32 +25,32 @@
         "nothing": b"",
     }
     if isinstance(value, list):
-        wrong["unknown kind"] = msgspec.msgpack.encode(["unknown", *value[1:]])
-        wrong["one field more"] = msgspec.msgpack.encode([*value, 0])
-        wrong["one field fewer"] = msgspec.msgpack.encode(value[:-1])
-        wrong["field of another type"] = msgspec.msgpack.encode([*value[:-1], {"x": 1}])
-        return wrong
-    wrong["unknown kind"] = msgspec.msgpack.encode({**value, "say": "unknown"})
-    wrong["no kind"] = msgspec.msgpack.encode({k: v for k, v in value.items() if k != "say"})
-    wrong["unknown field"] = msgspec.msgpack.encode({**value, "unknown": 0})
-    for name, held in value.items():
+        invalid["unknown kind"] = msgspec.msgpack.encode(["unknown", *value[1:]])
+        invalid["one field more"] = msgspec.msgpack.encode([*value, 0])
+        invalid["one field fewer"] = msgspec.msgpack.encode(value[:-1])
+        invalid["field of another type"] = msgspec.msgpack.encode([*value[:-1], {"x": 1}])
+        return invalid
+    invalid["unknown kind"] = msgspec.msgpack.encode({**value, "say": "unknown"})
+    invalid["no kind"] = msgspec.msgpack.encode({k: v for k, v in value.items() if k != "say"})
+    invalid["unknown field"] = msgspec.msgpack.encode({**value, "unknown": 0})
+    for name, content in value.items():
         if name == "say":
             continue
-        wrong[f"field of another type: {name}"] = msgspec.msgpack.encode({**value, name: {"x": [held]}})
-        if isinstance(held, int) and not isinstance(held, bool):
-            wrong[f"negative: {name}"] = msgspec.msgpack.encode({**value, name: -1})
-            wrong[f"too large: {name}"] = msgspec.msgpack.encode({**value, name: 2**53})
+        invalid[f"field of another type: {name}"] = msgspec.msgpack.encode({**value, name: {"x": [content]}})
+        if isinstance(content, int) and not isinstance(content, bool):
+            invalid[f"negative: {name}"] = msgspec.msgpack.encode({**value, name: -1})
+            invalid[f"too large: {name}"] = msgspec.msgpack.encode({**value, name: 2**53})
         if name not in ("record", "holds", "whole"):
-            fewer = {k: v for k, v in value.items() if k != name}
-            wrong[f"missing: {name}"] = msgspec.msgpack.encode(fewer)
-    return wrong
-
-
-def wrong_frames(frame: bytes, limit: int) -> Wrong:
-    """Frames that are wrong, by their body or their length."""
-    found = {name: framed(body) for name, body in wrong_bodies(frame[4:]).items()}
-    found["end inside the length"] = frame[:3]
-    found["end inside the body"] = frame[:-1]
-    found["length of zero"] = bytes(4)
-    found["length above the limit"] = (limit + 1).to_bytes(4, "big") + frame[4:]
-    return found
+            remaining = {k: v for k, v in value.items() if k != name}
+            invalid[f"missing: {name}"] = msgspec.msgpack.encode(remaining)
+    return invalid
+
+
+def invalid_frames(frame: bytes, limit: int) -> InvalidBytes:
+    """Returns frames with an invalid body or length, by case; `limit` is the longest body in bytes."""
+    invalid = {name: framed(body) for name, body in invalid_bodies(frame[4:]).items()}
+    invalid["end inside the length"] = frame[:3]
+    invalid["end inside the body"] = frame[:-1]
+    invalid["length of zero"] = bytes(4)
+    invalid["length above the limit"] = (limit + 1).to_bytes(4, "big") + frame[4:]
+    return invalid
--- a/tests/compatibility/result_meanings.py
+++ b/tests/compatibility/result_meanings.py
@@ -1,4 +1,7 @@
-"""Result files and fault scripts: written as the program writes them, and read with neutral keys."""
+"""Result files and fault scripts as the program writes them, and the values that the program reads from them.
+
+The keys of these values are independent of the program's names.
+"""
 
 from __future__ import annotations
 
@@ -23,12 +26,12 @@
 
     from tests.compatibility.json_types import JsonObject
 
-# The recorded results name this invariant, which no checker has; result files may hold any name.
+# The recorded results name this invariant, which no checker has. Result files may contain any name.
 RECORDED_INVARIANT = cast("Invariant", "once")
 
 
 def emulator_results() -> bytes:
-    """A short run of the emulator with few nodes, and two broken rules as it would write them."""
+    """Returns results of a short run of the discrete-event simulation, with a line for a violation added."""
     scenario = msgspec.structs.replace(resize_scenario(load_scenario("calm"), 4, 4), seconds=2.0, events=[])
     data = run_seed(encode_scenario(scenario), 1, {}).data
     lines = data.splitlines(keepends=True)
@@ -38,7 +41,7 @@
 
 
 def read_results(path: Path) -> JsonObject:
-    """Results by line and as the comparison reads them, or the place and remedy of their refusal."""
+    """Returns the lines and compared columns of a result file, or location and remedy of its refusal."""
     try:
         lines = results.read(path)
         compared = report.compare(report.read_runs(path), report.read_runs(path)) if is_run(lines) else []
@@ -49,7 +52,7 @@
 
 
 def is_run(lines: list[JsonObject]) -> bool:
-    """Of the emulator, not of real processes."""
+    """Returns whether results are of the discrete-event simulation, and not of real processes."""
     return any(line["kind"] == "run" for line in lines)
 
 
@@ -67,7 +70,7 @@
 
 
 def process_results() -> bytes:
-    """Results of a play with real processes."""
+    """Returns results of a run of real processes with a violation, and of one without."""
     violation = Violation(invariant="once", seed=7, at_ms=812.5, node="n0", description="ran twice")
     played = {"cut": 1, "groups": 1}
     broken = RunResult(SCRIPT, [violation], {"requests": 120, "answers": [100, 20]}, played, 1.26)
@@ -77,12 +80,12 @@
 
 
 def fault_script_bytes() -> bytes:
-    """A kept fault script."""
+    """Returns a fault script in the form in which it is saved."""
     return encode_script(SCRIPT)
 
 
 def read_fault_script(data: bytes) -> JsonObject:
-    """The meaning of a kept fault script."""
+    """Returns the values that the program reads from a saved fault script."""
     read = decode_script(data, "script")
     faults = [
         {
--- a/tests/compatibility/rollout_digests.py
+++ b/tests/compatibility/rollout_digests.py
@@ -1,4 +1,4 @@
-"""Digests of the decision on a rollout."""
+"""Digests of the decisions on simulated rollouts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def rollout_scenarios() -> dict[str, Scenario]:
-    """Clusters with even and uneven traffic, with an outage, and with regressions."""
+    """Returns clusters with even traffic, bursty traffic, an outage, and regressions, by case."""
     return {
         "even": Scenario(8, duration_s=180.0),
         "bursty": Scenario(8, duration_s=180.0, bursty=True, cluster_size=5),
@@ -25,7 +25,7 @@
 
 
 def rollout_record(name: str, seed: int) -> Record:
-    """The decision on one emulated stage, and a digest of the counters that it was given."""
+    """Returns the decision on one simulated stage, and a digest of the counters on which it is based."""
     scenario = rollout_scenarios()[name]
     digest = EventDigest()
     outcomes = {Outcome.HALT: "halt", Outcome.ADVANCE: "advance", Outcome.HOLD: "hold"}
@@ -54,5 +54,5 @@
 
 
 def rollout_runs() -> list[tuple[str, int]]:
-    """All pinned rollouts."""
+    """Returns scenario and seed of each recorded rollout."""
     return [(name, seed) for name in rollout_scenarios() for seed in ROLLOUT_SEEDS]
