--- a/tests/compatibility/serving_command_cases.py
+++ b/tests/compatibility/serving_command_cases.py
@@ -1,4 +1,4 @@
-"""Commands of the program itself, of nodes and of planners."""
+"""Commands of the main program, of edge nodes, of planners and of `check`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def main_commands() -> dict[str, Command]:
-    """Of the command line as a whole."""
+    """Returns commands that concern the command line as a whole."""
     return {
         "no command": Command([]),
         "unknown command": Command("unknown"),
@@ -27,7 +27,7 @@
 
 
 def serve_commands() -> dict[str, Command]:
-    """Of a node; its file and variables are read before anything listens."""
+    """Returns commands of an edge node, which reads its file and variables before it listens on a port."""
     named = {"EDGE_CONFIG": "FOLDER/config.json"}
     good = inputs.changed("node", lambda f: f)
     held = inputs.changed("node", hold_node_port)
@@ -58,7 +58,7 @@
 
 
 def plan_commands() -> dict[str, Command]:
-    """Of a planner."""
+    """Returns commands of a planner."""
     planner = "plan FOLDER/config.json"
     held = inputs.changed("planner", hold_planner_port)
     return {
@@ -77,24 +77,24 @@
 
 
 def without_peers(fields: dict[str, Any]) -> None:
-    """Takes the peers' fixed port out of a node's file: another process may hold it."""
+    """Removes the peers' fixed port from a node's file, because another process may use this port."""
     del fields["peer_listen"], fields["peers"]
 
 
 def hold_node_port(fields: dict[str, Any]) -> None:
-    """Puts a port that is in use into a node's file."""
+    """Makes a node's file listen on a port that is in use."""
     without_peers(fields)
     fields["listen"] = "127.0.0.1:HELD_PORT"
 
 
 def hold_planner_port(fields: dict[str, Any]) -> None:
-    """Puts a port that is in use into a planner's file."""
+    """Makes a planner's file listen on a port that is in use."""
     fields["listen"] = "127.0.0.1:HELD_PORT"
     fields["planners"]["members"]["p0"] = "127.0.0.1:HELD_PORT"
 
 
 def check_commands() -> dict[str, Command]:
-    """Of `check`, beside the files that `refused-files.json` has."""
+    """Returns commands of `check`, except those with the invalid files of `refused-files.json`."""
     found = {
         f"shipped {name}": Command(
             "check FOLDER/config.json",
@@ -127,5 +127,5 @@
 
 
 def example_rules() -> str:
-    """The rules' file that is shipped."""
+    """Returns the shipped file of routing rules."""
     return (inputs.DEPLOY / "example-rules.toml").read_text(encoding="utf-8")
--- a/tests/compatibility/simulated_servers.py
+++ b/tests/compatibility/simulated_servers.py
@@ -1,4 +1,4 @@
-"""App servers of the simulated world: their condition, their load, and how attempts at them end."""
+"""Simulated app servers: their condition, their load, and the results of attempts at them."""
 
 from __future__ import annotations
 
@@ -12,45 +12,47 @@
 
     from tests.compatibility.http_requests import Fields
 
-DELIVERED_SHARE = 0.965  # of the attempts at a server without a fault
-LOAD_SLOWDOWN = 0.15  # of an attempt, for each attempt in flight at its server
+DELIVERED_SHARE = 0.965  # share of the attempts at a server without a fault that are delivered
+LOAD_SLOWDOWN = (
+    0.15  # increase of an attempt's duration, as a share, for each attempt in flight at the server
+)
 FAILURES = ["app_error", "shed", "dropped", "dial_failed", "unused"]
 
 
 class AttemptEnd(NamedTuple):
-    """How an attempt will end, and after how long."""
+    """The result of an attempt, and the time after which it ends."""
 
     result: str
     duration_us: float
 
 
 class SimulatedServers:
-    """The servers by name; all are ready at first."""
+    """App servers `s0`, `s1` and so on, all of which are ready at first."""
 
     def __init__(self, count: int) -> None:
         self.up_since = {f"s{number}": 0 for number in range(count)}
         self.condition = dict.fromkeys(self.up_since, READY)
-        self.load: Counter[str] = Counter()  # attempts in flight, by server
-        self.failing: dict[str, str] = {}  # servers that fail, and how
+        self.load: Counter[str] = Counter()  # attempts in flight by server
+        self.failing: dict[str, str] = {}  # result of all attempts by failing server
         self.slowness = 1.0
 
     def row(self, server: str) -> Fields:
-        """Returns the server's row in a list."""
+        """Returns the entry of a server in an endpoint list."""
         number = int(server[1:])
         row: Fields = {"server": server, "zone": f"z{number % 3}", "cohort": number % 2}
         row |= {"condition": self.condition[server], "up_since_us": self.up_since[server]}
         return row | ({"scale": 1.5} if number % 2 else {})
 
-    def fail(self, server: str, how: str) -> None:
-        """Lets all attempts at the server end in one way; "": no longer."""
-        self.failing[server] = how
+    def fail(self, server: str, result: str) -> None:
+        """Sets the result of all attempts at a server; "" ends the fault."""
+        self.failing[server] = result
 
     def slow(self, slowness: float) -> None:
-        """Makes all attempts slower by a factor."""
+        """Sets the factor by which the duration of all attempts is multiplied."""
         self.slowness = slowness
 
     def draw_end(self, rng: Random, server: str, timeout_us: int) -> AttemptEnd:
-        """Returns how an attempt ends. The recorded transcripts depend on the order of the draws."""
+        """Draws the end of an attempt. The recorded transcripts depend on the order of the draws."""
         draw = rng.random()
         result = self.failing.get(server) or ("delivered" if draw < DELIVERED_SHARE else "")
         result = result or rng.choice(FAILURES)
--- a/tests/compatibility/simulation_command_cases.py
+++ b/tests/compatibility/simulation_command_cases.py
@@ -1,4 +1,4 @@
-"""Commands of the simulations that run in one process, and of their results."""
+"""Commands of the simulations that run in one process, and of the comparison of their results."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def lab_commands() -> dict[str, Command]:
-    """Of the simulations' command as a whole."""
+    """Returns commands that concern the command group of the simulations as a whole."""
     names = ("scenarios", "run", "compare", "seeds", "load", "stand", "town", "rig")
     found = {f"help of {name}": Command(f"lab {name} --help") for name in names}
     found |= {f"{name}, unknown option": Command(f"lab {name} --unknown") for name in names}
@@ -110,7 +110,10 @@
 
 
 def emulator_commands() -> dict[str, Command]:
-    """Of the emulator. One process: it is not what is tried here."""
+    """Returns commands of the discrete-event simulation.
+
+    They use one process, because these cases do not test the distribution of seeds over processes.
+    """
     short = {"short.toml": SHORT_SCENARIO}
 
     def played(arguments: str) -> Command:
@@ -134,7 +137,7 @@
 
 
 def compare_commands() -> dict[str, Command]:
-    """Of the comparison, beside the files that `refused-files.json` has."""
+    """Returns commands of the comparison, except those with the invalid files of `refused-files.json`."""
     run = {"kind": "run", "scenario": "short", "seed": 1, "nodes": 4, "servers": 4, "seconds": 3.0}
     head = {key: value for key, value in run.items() if key != "kind"}
     columns = (
@@ -163,7 +166,7 @@
 
 
 def seeds_commands() -> dict[str, Command]:
-    """Of the deterministic simulation."""
+    """Returns commands of the deterministic simulation."""
     return {
         "seeds are no numbers": Command("lab seeds --seeds x"),
         "seeds in the wrong order": Command("lab seeds --seeds 9-1"),
--- a/tests/compatibility/simulation_meanings.py
+++ b/tests/compatibility/simulation_meanings.py
@@ -1,6 +1,7 @@
-"""Fault scripts and results of the simulations, as bytes that the program itself writes or with neutral keys.
+"""Fault scripts and results of the simulations, as the program writes them and as plain JSON.
 
-As `meanings` for files: a rename changes the Python names here, never a recorded value.
+The keys of this JSON are independent of the program's names. A rename in the program changes the Python names
+in this module, never a recorded value.
 """
 
 from __future__ import annotations
@@ -22,38 +23,46 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-RECORDED_ENVIRONMENTS = {"edge": "edge", "leadership": "duties"}  # by their name today
+RECORDED_ENVIRONMENTS = {"edge": "edge", "leadership": "duties"}  # recorded name by current name
 
 
 class ScriptDraw(NamedTuple):
-    """What a script for real processes is drawn from."""
+    """Parameters from which a fault script for real processes is drawn.
 
-    scenario: str  # the name of a shipped one, or the path of a file
+    Attributes:
+        scenario: the name of a shipped scenario, or the path of a scenario file.
+        seed: the seed of the draw.
+        nodes: the number of nodes; None for the scenario's own number.
+        seconds: the duration; None for the scenario's own duration.
+        mutation: the mutation that the nodes run with; "" for none.
+    """
+
+    scenario: str
     seed: int
-    nodes: int | None = None  # None: the scenario's own
+    nodes: int | None = None
     seconds: float | None = None
     mutation: str = ""
 
 
 def drawn_script(draw: ScriptDraw) -> bytes:
-    """The script that `lab rig` plays, as it is kept; under the name by which the scenario was asked for."""
+    """Returns the script that `lab rig` runs, as the program saves it, with the scenario's requested name."""
     scenario = scenarios.with_size(scenarios.load_scenario(draw.scenario), draw.nodes, draw.seconds)
     script = scenarios.draw_script(scenario, draw.seed, draw.mutation)
     return encode_script(msgspec.structs.replace(script, scenario=Path(draw.scenario).stem))
 
 
 def shipped_scenarios() -> list[str]:
-    """Names of the scenarios for real processes."""
+    """Returns the names of the shipped scenarios for real processes."""
     return scenarios.shipped_scenarios()
 
 
 def rewritten_script(data: bytes) -> bytes:
-    """A kept script, read and written again."""
+    """Returns a saved script after it was decoded and encoded again."""
     return encode_script(decode_script(data, "script"))
 
 
 def replayed_scenario(data: bytes) -> dict[str, Any]:
-    """The scenario that a kept script is played in."""
+    """Returns the scenario in which a saved script is replayed."""
     script = decode_script(data, "script")
     scenario = scenarios.with_size(scenarios.load_scenario(script.scenario), script.nodes, script.seconds)
     return {
@@ -69,14 +78,20 @@
 
 
 def deterministic_line(seed: int) -> bytes:
-    """The line of `lab seeds --out` for a seed that failed: the only one with the faults that were drawn."""
+    """Returns the line of `lab seeds --out` for a seed with a violation.
+
+    Only lines of seeds with a violation contain the drawn faults.
+    """
     violation = Violation(result_meanings.RECORDED_INVARIANT, 12.5, "n0", "t1", "s-1", "ran twice")
     outcome = deterministic.Outcome(seed, [violation], draw_deterministic_faults(seed), 9, 8, 7, "0" * 16)
     return results.encode([outcome.to_record()])
 
 
 def load_result_lines(samples: Iterable[tuple[float, float, str]]) -> bytes:
-    """Results of `lab load --out`; a sample is when a request was due in s, ms to its answer, and its end."""
+    """Returns results of `lab load --out`.
+
+    A sample is the time at which a request was due in s, its latency in ms, and its outcome.
+    """
     load_results = LoadResults()
     for due_seconds, latency_ms, outcome in samples:
         load_results.add(due_seconds, latency_ms, outcome)
@@ -87,5 +102,5 @@
 
 
 def read_results(path: Path) -> dict[str, Any]:
-    """Results by line and as the comparison reads them."""
+    """Returns the lines and compared columns of a result file, or location and remedy of its refusal."""
     return result_meanings.read_results(path)
--- a/tests/compatibility/simulator_program.py
+++ b/tests/compatibility/simulator_program.py
@@ -1,4 +1,4 @@
-"""The simulator's program as a process, and the timetable of what happens around it."""
+"""The simulator host in a process of its own, and the schedule of the events that it receives."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class SimulatorProgram:
-    """Exchanges batches with the real program, and keeps each batch and reply in `lines`."""
+    """Exchanges batches with the simulator host, and stores each batch and reply in `lines`."""
 
     def __init__(self) -> None:
         self.lines: list[bytes] = []
@@ -25,7 +25,7 @@
         )
 
     def exchange(self, now_us: int, events: list[Fields]) -> list[Fields]:
-        """Sends the events of one moment; returns the actions of the reply."""
+        """Sends all events of one time as a batch; returns the actions of the reply."""
         assert self._process.stdin is not None
         assert self._process.stdout is not None
         batch = {"at_time_us": now_us, "news": events}
@@ -38,14 +38,14 @@
         return actions
 
     def close(self) -> None:
-        """Ends the program's input; its exit code must be 0."""
+        """Closes the program's standard input and checks that the program then exits with 0."""
         assert self._process.stdin is not None
         self._process.stdin.close()
         assert self._process.wait() == 0
 
 
-class Timetable:
-    """Calls that are due, in the order of their time, and of their entry where the time is equal."""
+class CallSchedule:
+    """Scheduled calls, ordered by time; calls of the same time keep the order in which they were added."""
 
     def __init__(self) -> None:
         self.now_us = 0
@@ -53,16 +53,16 @@
         self._entry_count = 0
 
     def call_at(self, at_us: float, call: Callable[[], None]) -> None:
-        """Enters a call, at the earliest in the next microsecond."""
+        """Schedules a call, at the earliest for the next microsecond."""
         self._entry_count += 1
         heapq.heappush(self._due, (max(round(at_us), self.now_us + 1), self._entry_count, call))
 
     def call_after(self, delay_us: float, call: Callable[[], None]) -> None:
-        """Enters a call for a time from now."""
+        """Schedules a call after a delay."""
         self.call_at(self.now_us + delay_us, call)
 
     def run_next(self, end_us: float) -> bool:
-        """Makes all calls of the next moment; returns whether there was one until `end_us`."""
+        """Makes all calls of the next scheduled time; returns False if none is scheduled up to `end_us`."""
         if not self._due or self._due[0][0] > end_us:
             return False
         self.now_us = self._due[0][0]
--- a/tests/compatibility/simulator_scenarios.py
+++ b/tests/compatibility/simulator_scenarios.py
@@ -1,4 +1,4 @@
-"""Runs of the simulator whose wire is recorded."""
+"""Scenarios of the recorded transcripts of the simulator's host protocol."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 if TYPE_CHECKING:
     from tests.compatibility.http_requests import Fields
 
-SECOND = 1_000_000  # simulated time is in whole microseconds
-# Conditions of a server.
+MICROSECONDS_PER_SECOND = 1_000_000
+# Conditions of an app server.
 GONE = 0
 READY = 1
 DRAINING = 2
-# Scopes of a list of servers.
+# Scopes of an endpoint list.
 CHANGES = 0
 COMPLETE = 1
 FAILED = 3
@@ -45,7 +45,10 @@
 
 
 class Scenario:
-    """One run of the simulator: its size, what it allows, and its load."""
+    """One run of the simulator: its size, duration, load, and the limits that the settings give to nodes.
+
+    `rate` is the number of requests per second, `spread` the number of nodes that one customer uses.
+    """
 
     def __init__(
         self, seed: int, instances: int, servers: int, seconds: float, rate: float, *, spread: int = 3,
@@ -61,6 +64,7 @@
         self.bounds = BOUNDS | bounds
 
     def settings(self, ordinal: int) -> Fields:
+        """Returns the settings of the node with this index."""
         return {
             "ordinal": ordinal,
             "n_instances": self.instances,
@@ -72,9 +76,9 @@
             "packages": PLANS,
             "rules": {
                 "start_capacity": 0.2,
-                "cold_us": 3 * SECOND,
+                "cold_us": 3 * MICROSECONDS_PER_SECOND,
                 "fall_multiple": 4.0,
-                "fall_us": SECOND,
+                "fall_us": MICROSECONDS_PER_SECOND,
                 "drain_grace_us": 100_000,
             },
         }
--- a/tests/compatibility/simulator_world.py
+++ b/tests/compatibility/simulator_world.py
@@ -1,4 +1,4 @@
-"""Clients, app servers and messages around the simulator's program."""
+"""Simulated clients, app servers and peer messages that drive the simulator host."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from tests.compatibility.simulated_servers import SimulatedServers
-from tests.compatibility.simulator_program import SimulatorProgram, Timetable
+from tests.compatibility.simulator_program import CallSchedule, SimulatorProgram
 from tests.compatibility.simulator_scenarios import (
     CHANGES,
     COMPLETE,
@@ -16,9 +16,9 @@
     FAILED,
     FRONTENDS,
     GONE,
+    MICROSECONDS_PER_SECOND,
     PLANS,
     READY,
-    SECOND,
     Scenario,
 )
 
@@ -27,24 +27,24 @@
 
 
 class Request:
-    """A client's request at one instance."""
+    """A client's request to one node."""
 
     def __init__(self, node: int, ref: str, streamed: bool) -> None:
         self.node = node
         self.ref = ref
         self.streamed = streamed
         self.answered = False
-        self.attempts: list[bool] = []  # whether each is out
+        self.attempts: list[bool] = []  # whether each attempt is in flight
 
 
 class World:
-    """Clients, app servers and messages around the real program, by a seed."""
+    """Drives the simulator host with clients, app servers and peer messages drawn from a seed."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
         self.random = Random(scenario.seed)
-        self.timetable = Timetable()
-        self.refs = 0
+        self.schedule = CallSchedule()
+        self.request_count = 0
         self.events: list[Fields] = []
         self.requests: dict[tuple[int, str], Request] = {}
         self.alive: set[int] = set()
@@ -57,50 +57,50 @@
 
     def run(self) -> None:
         """Runs the whole scenario."""
-        self.plan()
-        while self.timetable.run_next(self.scenario.seconds * SECOND):
+        self.schedule_run()
+        while self.schedule.run_next(self.scenario.seconds * MICROSECONDS_PER_SECOND):
             if self.events:
                 self.exchange()
         self.program.close()
 
     def exchange(self) -> None:
-        """Sends the events of this moment, and does what the program decides."""
+        """Sends the events of the current time, and executes the actions of the reply."""
         events = self.events
         self.events = []
-        for action in self.program.exchange(self.timetable.now_us, events):
+        for action in self.program.exchange(self.schedule.now_us, events):
             ((name, fields),) = action.items()
-            self.obey(name, fields)
+            self.execute_action(name, fields)
 
-    def plan(self) -> None:
-        """The whole run's timetable: starts, load, and troubles by their share of the run."""
+    def schedule_run(self) -> None:
+        """Schedules the run: starts of nodes, load, and faults at given shares of the run's duration."""
         scenario = self.scenario
-        length = scenario.seconds * SECOND
+        duration_us = scenario.seconds * MICROSECONDS_PER_SECOND
         for node in range(scenario.instances):
-            self.timetable.call_at(10 + node * 7000, partial(self.start, node))
-        self.timetable.call_at(200_000, self.arrive)
+            self.schedule.call_at(10 + node * 7000, partial(self.start_node, node))
+        self.schedule.call_at(200_000, self.send_request)
         servers = list(self.servers.up_since)
-        for share, what in (
+        for share, call in (
             (0.10, lambda: self.servers.fail(servers[0], "app_error")),
             (0.18, lambda: self.servers.fail(servers[0], "")),
             (0.20, lambda: self.servers.fail(servers[1], "dial_failed")),
             (0.32, lambda: self.servers.fail(servers[1], "")),
             (0.34, lambda: self.servers.fail(servers[2], "dropped")),
             (0.42, lambda: self.servers.fail(servers[2], "")),
-            (0.44, lambda: self.change(servers[3], DRAINING)),
-            (0.48, lambda: self.change(servers[3], GONE)),
+            (0.44, lambda: self.change_condition(servers[3], DRAINING)),
+            (0.48, lambda: self.change_condition(servers[3], GONE)),
             (0.52, lambda: self.restart_server(servers[3])),
             (0.55, lambda: self.servers.slow(14.0)),
             (0.70, lambda: self.servers.slow(1.0)),
             (0.75, lambda: self.restart_node(scenario.instances - 1)),
             (0.80, lambda: self.servers.fail(servers[0], "expired")),
             (0.86, lambda: self.servers.fail(servers[0], "")),
-            (0.90, lambda: self.list_all()),
+            (0.90, lambda: self.send_lists_without_s2()),
         ):
-            self.timetable.call_at(share * length, what)
+            self.schedule.call_at(share * duration_us, call)
 
-    # Instances and lists
+    # Nodes and endpoint lists
 
-    def start(self, node: int) -> None:
+    def start_node(self, node: int) -> None:
         self.alive.add(node)
         self.incarnations[node] += 1
         seed = self.scenario.seed * 100 + node * 10 + self.incarnations[node]
@@ -110,7 +110,7 @@
     def restart_node(self, node: int) -> None:
         self.alive.discard(node)
         self.send_event("Teardown", node)
-        self.timetable.call_after(300_000, lambda: self.start(node))
+        self.schedule.call_after(300_000, lambda: self.start_node(node))
 
     def send_list(self, node: int, scope: int, servers: list[str]) -> None:
         if node not in self.alive:
@@ -121,36 +121,41 @@
         rows = [self.servers.row(server) for server in servers]
         self.send_event("Sync", node, scope=scope, rows=rows)
 
-    def change(self, server: str, condition: int) -> None:
+    def change_condition(self, server: str, condition: int) -> None:
         self.servers.condition[server] = condition
         for node in range(self.scenario.instances):
-            self.timetable.call_after(3000 * (node + 1), partial(self.send_list, node, CHANGES, [server]))
+            self.schedule.call_after(3000 * (node + 1), partial(self.send_list, node, CHANGES, [server]))
 
     def restart_server(self, server: str) -> None:
-        self.servers.up_since[server] = self.timetable.now_us
-        self.change(server, READY)
+        self.servers.up_since[server] = self.schedule.now_us
+        self.change_condition(server, READY)
 
-    def list_all(self) -> None:
+    def send_lists_without_s2(self) -> None:
+        """Sends all nodes a complete list without s2, which thereby counts as removed."""
         for node in sorted(self.alive):
             self.send_list(node, COMPLETE, [s for s in self.servers.condition if s != "s2"])
 
     # Clients
 
-    def arrive(self) -> None:
-        surge = 3.0 if 0.55 < self.timetable.now_us / SECOND / self.scenario.seconds < 0.65 else 1.0
-        pause = self.random.expovariate(self.scenario.rate * surge) * SECOND
-        self.timetable.call_after(pause, self.arrive)
+    def send_request(self) -> None:
+        surge = (
+            3.0
+            if 0.55 < self.schedule.now_us / MICROSECONDS_PER_SECOND / self.scenario.seconds < 0.65
+            else 1.0
+        )
+        pause = self.random.expovariate(self.scenario.rate * surge) * MICROSECONDS_PER_SECOND
+        self.schedule.call_after(pause, self.send_request)
         node = self.random.randrange(self.scenario.instances)
         if node not in self.alive:
             return
         frontend = self.random.choice(FRONTENDS)
         customer = self.random.randrange(15)
         plan = PLANS[customer % len(PLANS)]["name"]
-        self.refs += 1
-        request = Request(node, str(self.refs), frontend.get("streamed", False))
+        self.request_count += 1
+        request = Request(node, str(self.request_count), frontend.get("streamed", False))
         self.requests[node, request.ref] = request
         fields: Fields = {
-            "give_up_at_us": self.timetable.now_us + frontend["deadline_us"],
+            "give_up_at_us": self.schedule.now_us + frontend["deadline_us"],
             "cls": frontend["name"],
         }
         fields |= {
@@ -163,81 +168,96 @@
             "Accept", node, ref=request.ref, **fields, spread=spread, first_door=customer % spread
         )
         if self.random.random() < 0.06:
-            self.timetable.call_after(self.random.randrange(2000, 60_000), lambda: self.leave(request))
+            self.schedule.call_after(
+                self.random.randrange(2000, 60_000), lambda: self.cancel_request(request)
+            )
 
-    def leave(self, request: Request) -> None:
+    def cancel_request(self, request: Request) -> None:
         if request.node in self.alive and not request.answered:
             request.answered = True
             self.send_event("CancelledByClient", request.node, ref=request.ref)
 
-    # What the program decides
+    # Actions of the program
 
-    def obey(self, name: str, fields: Fields) -> None:
+    def execute_action(self, name: str, fields: Fields) -> None:
         node = fields["node_id"]
         match name:
             case "SubmitTo":
-                self.attempt(self.requests[node, fields["ref"]], fields["server"], fields["give_up_after_us"])
+                self.start_attempt(
+                    self.requests[node, fields["ref"]], fields["server"], fields["give_up_after_us"]
+                )
             case "Reject" | "EndFailed":
                 self.requests[node, fields["ref"]].answered = True
             case "UndoSend":
                 request = self.requests[node, fields["ref"]]
                 number = fields["round_no"]
-                late = self.random.randrange(200, 3000)
-                self.timetable.call_after(late, lambda: self.end(request, number, "revoked", late))
+                delay_us = self.random.randrange(200, 3000)
+                self.schedule.call_after(
+                    delay_us, lambda: self.end_attempt(request, number, "revoked", delay_us)
+                )
             case "Post" if self.random.random() < 0.95:
                 peer = fields["peer"]
                 message = {"src_peer": node, "body": fields["body"]}
-                self.timetable.call_after(self.random.randrange(500, 4000), lambda: self.hear(peer, message))
+                self.schedule.call_after(
+                    self.random.randrange(500, 4000), lambda: self.deliver_message(peer, message)
+                )
             case "After":
                 incarnation = self.incarnations[node]
                 nonce = fields["nonce"]
-                self.timetable.call_after(fields["offset_us"], lambda: self.fire(node, incarnation, nonce))
+                self.schedule.call_after(
+                    fields["offset_us"], lambda: self.fire_timer(node, incarnation, nonce)
+                )
             case "KeepInformed":
                 scope = FAILED if self.random.random() < 0.4 else COMPLETE
-                self.timetable.call_after(
+                self.schedule.call_after(
                     20_000, lambda: self.send_list(node, scope, list(self.servers.condition))
                 )
 
-    def hear(self, peer: int, message: Fields) -> None:
+    def deliver_message(self, peer: int, message: Fields) -> None:
         if peer in self.alive:
             self.send_event("Message", peer, **message)
             if self.random.random() < 0.02:
                 self.send_event("Message", peer, src_peer=message["src_peer"], body="ffff 1:2:zz")
 
-    def fire(self, node: int, incarnation: int, nonce: int) -> None:
+    def fire_timer(self, node: int, incarnation: int, nonce: int) -> None:
         if node in self.alive and self.incarnations[node] == incarnation:
             self.send_event("TimeoutFired", node, nonce=nonce)
 
-    def attempt(self, request: Request, server: str, timeout_us: int) -> None:
-        """How an attempt will end, and when."""
+    def start_attempt(self, request: Request, server: str, timeout_us: int) -> None:
+        """Draws the end of an attempt and schedules the events that follow from it."""
         number = len(request.attempts)
         request.attempts.append(True)
         self.servers.load[server] += 1
         result, duration_us = self.servers.draw_end(self.random, server, timeout_us)
         if result == "delivered" and request.streamed:
-            self.timetable.call_after(duration_us / 2.0, lambda: self.stream(request, number))
-        waited = round(duration_us)
+            self.schedule.call_after(duration_us / 2.0, lambda: self.send_headers(request, number))
+        latency_us = round(duration_us)
 
         def ended() -> None:
             self.servers.load[server] -= 1
-            self.end(request, number, result, waited)
+            self.end_attempt(request, number, result, latency_us)
 
-        self.timetable.call_after(duration_us, ended)
+        self.schedule.call_after(duration_us, ended)
 
-    def stream(self, request: Request, number: int) -> None:
+    def send_headers(self, request: Request, number: int) -> None:
         if request.node in self.alive and request.attempts[number] and not request.answered:
             self.send_event("Headers", request.node, ref=request.ref)
 
-    def end(self, request: Request, number: int, result: str, waited: int) -> None:
+    def end_attempt(self, request: Request, number: int, result: str, latency_us: int) -> None:
         if not request.attempts[number]:
             return
         request.attempts[number] = False
         if request.node not in self.alive:
             return
         request.answered = request.answered or result == "delivered"
-        fields: Fields = {"ref": request.ref, "round_no": number, "rc": result, "wait_time_us": waited}
+        fields: Fields = {
+            "ref": request.ref,
+            "round_no": number,
+            "rc": result,
+            "wait_time_us": latency_us,
+        }
         if result == "delivered" and self.random.random() < 0.15:
             fields["actual"] = self.random.choice([1, 2, 4])
         self.send_event("Completed", request.node, **fields, settled=request.answered)
         if self.random.random() < 0.01:
-            self.send_event("Total", request.node, total=1)  # the program passes it over
+            self.send_event("Total", request.node, total=1)  # an event that the program ignores
--- a/tests/compatibility/test_build_results.py
+++ b/tests/compatibility/test_build_results.py
@@ -1,4 +1,8 @@
-"""Results and kept scripts that the recorded build wrote are read, and written again, as they were."""
+"""Results and fault scripts written by the recorded build are read and reproduced unchanged.
+
+A changed key or order in a result file makes earlier results unreadable or incomparable. A changed script
+replays faults other than those that exposed a violation.
+"""
 
 from __future__ import annotations
 
@@ -14,18 +18,18 @@
 
 BUILD: dict[str, Any] = recorded.load("build-results.json")
 RUNS: dict[str, Any] = BUILD["real processes"]
-# Beside the figures: a digest of log lines, whose wording may change.
+# Keys whose values depend on log lines, whose wording may change.
 UNPINNED_KEYS = ("digest", "modes")
 
 
 def pinned_lines(text: str) -> list[dict[str, Any]]:
-    """The lines of a results' file, without what a change of wording may change."""
+    """Returns the lines of a result file without the keys that depend on the wording of log lines."""
     lines: list[dict[str, Any]] = [json.loads(line) for line in text.splitlines()]
     return [{key: value for key, value in line.items() if key not in UNPINNED_KEYS} for line in lines]
 
 
-def written_again(arguments: list[str], out: Path, exit_code: int) -> str:
-    """What a command writes to `out` now."""
+def new_results(arguments: list[str], out: Path, exit_code: int) -> str:
+    """Returns the results that a command of the current build writes to `out`."""
     result = command_line.run(["lab", *arguments, "--jobs", "1", "--out", str(out)])
     assert result.exit_code == exit_code, result
     return out.read_text(encoding="utf-8")
@@ -66,7 +70,7 @@
 def test_emulator_results_of_the_recorded_build_equal_those_of_this_one(tmp_path: Path) -> None:
     scenario = tmp_path / "short.toml"
     scenario.write_text(BUILD["emulator"]["scenario"], encoding="utf-8")
-    now = written_again(["run", str(scenario), "--seeds", "1-3"], tmp_path / "out.jsonl", 0)
+    now = new_results(["run", str(scenario), "--seeds", "1-3"], tmp_path / "out.jsonl", 0)
     assert pinned_lines(now) == pinned_lines(BUILD["emulator"]["text"])
     assert [list(json.loads(line)) for line in now.splitlines()] == [
         list(json.loads(line)) for line in BUILD["emulator"]["text"].splitlines()
@@ -77,7 +81,7 @@
     scenario, before, now = (tmp_path / name for name in ("short.toml", "before.jsonl", "now.jsonl"))
     scenario.write_text(BUILD["emulator"]["scenario"], encoding="utf-8")
     before.write_text(BUILD["emulator"]["text"], encoding="utf-8")
-    written_again(["run", str(scenario), "--seeds", "1-3"], now, 0)
+    new_results(["run", str(scenario), "--seeds", "1-3"], now, 0)
     result = command_line.run(["lab", "compare", str(before), str(now)])
     assert result.exit_code == 0
     assert result.output.count(command_line.current_wording("the same")) == len(
@@ -93,7 +97,7 @@
     case: str, options: list[str], exit_code: int, tmp_path: Path
 ) -> None:
     for seeds, text in BUILD[case].items():
-        now = written_again(["seeds", "--seeds", seeds, *options], tmp_path / "out.jsonl", exit_code)
+        now = new_results(["seeds", "--seeds", seeds, *options], tmp_path / "out.jsonl", exit_code)
         assert pinned_lines(now) == pinned_lines(command_line.current_wording(text))
         assert [list(json.loads(line)) for line in now.splitlines()] == [
             list(json.loads(line)) for line in text.splitlines()
--- a/tests/compatibility/test_commands.py
+++ b/tests/compatibility/test_commands.py
@@ -1,4 +1,8 @@
-"""Each command ends with the recorded exit code, and refuses what it refused in the recorded words."""
+"""Each command ends with the recorded exit code, and prints the recorded text for a refusal.
+
+`command_line.REWORDED` lists the texts that were reworded on purpose; any other difference is an unintended
+change of the command line.
+"""
 
 from __future__ import annotations
 
--- a/tests/compatibility/test_fault_scripts.py
+++ b/tests/compatibility/test_fault_scripts.py
@@ -1,4 +1,8 @@
-"""Equal seeds draw, byte for byte, the fault scripts that were recorded."""
+"""Equal seeds draw the recorded fault scripts byte for byte.
+
+An additional or reordered draw would change the faults of every seed, so that a seed that exposed a violation
+would no longer reproduce it.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +25,7 @@
 
 @pytest.fixture
 def scenario(request: pytest.FixtureRequest, tmp_path: Path) -> str:
-    """The name of a shipped scenario, or the path of one that is recorded with the scripts."""
+    """Returns the name of a shipped scenario, or the path of a scenario that is part of the recorded data."""
     name: str = request.param
     if name not in SCRIPTS["own scenarios"]:
         return name
@@ -31,7 +35,7 @@
 
 
 def pairs(part: str) -> list[Any]:
-    """A scenario with each of its records of one part."""
+    """Returns each scenario with each key of one part of its records; the key of a list is an index."""
     return [
         pytest.param(name, key, id=f"{name}-{key}")
         for name, found in DRAWN.items()
--- a/tests/compatibility/test_http_bytes.py
+++ b/tests/compatibility/test_http_bytes.py
@@ -1,10 +1,12 @@
-"""Pins the HTTP of an edge node as bytes: what app servers receive and what clients are answered.
+"""An edge node sends the recorded HTTP bytes to app servers and clients.
 
-The recorded exchanges in `data/http_exchanges.json` hold the clients' bytes, the app servers' answers and all
-that came of them. Each is played by a whole edge node on the virtual network, whose clock and delays are
-fixed, so nothing is normalised: also X-Expires-In and the moments at which connections end are compared.
+The recorded exchanges in `data/http_exchanges.json` contain the clients' bytes, the app servers' answers, the
+bytes received by both sides, and the times at which connections end. Each exchange runs with a complete edge
+node on the virtual network. Its clock and delays are fixed, so the comparison is exact and also covers
+X-Expires-In and the times of closed connections.
 
-The data was recorded from the build before the renaming, and never changes; see `record_http_and_wire.py`.
+The data was recorded before the names of the program were changed, and never changes; see
+`record_http_and_wire.py`.
 """
 
 from __future__ import annotations
@@ -22,18 +24,18 @@
 import pytest
 
 Address = tuple[str, int]
-Pieces = list[list[Any]]  # of bytes: a latin-1 text and how many times it is repeated
-Case = dict[str, Any]  # one recorded exchange, as JSON
+Pieces = list[list[Any]]  # bytes as pairs of a latin-1 text and the number of its repetitions
+Case = dict[str, Any]  # one recorded exchange as JSON
 
 DATA = Path(__file__).parent / "data" / "http_exchanges.json"
 NODE_ADDRESS: Address = ("10.0.0.1", 8081)
-START_SECONDS = 1.0  # of virtual time, after which the node serves
-READ_SIZE = 65536
+START_SECONDS = 1.0  # virtual time at which an exchange begins, when the node already serves
+READ_SIZE_BYTES = 65536
 LONG_RUN = re.compile(rb"(.)\1{199,}", re.DOTALL)
 
 
 class Connection(NamedTuple):
-    """A connection dialled on the virtual network."""
+    """A connection on the virtual network."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -43,7 +45,7 @@
 
 
 class Network(Protocol):
-    """What an exchange needs of the virtual network and of the edge node on it."""
+    """Interface of an exchange to the virtual network and to the edge node on it."""
 
     async def listen(self, address: Address, serve: Serve) -> None: ...
     async def connect(self, address: Address) -> Connection: ...
@@ -51,7 +53,7 @@
 
 
 class ConstantRandom(Random):
-    """Stands in for `random.Random`: the virtual network's delays are then always the same."""
+    """Random numbers with a constant value, which make the delays of the virtual network constant."""
 
     def uniform(self, a: float, b: float) -> float:
         return (a + b) / 2.0
@@ -63,9 +65,9 @@
 def run_with_node(
     node_file: dict[str, Any], play: Callable[[Network], Awaitable[dict[str, Any]]]
 ) -> dict[str, Any]:
-    """Run `play` beside a whole edge node on the virtual clock.
+    """Runs `play` while a complete edge node runs on the virtual clock.
 
-    The only place of this module that uses names of the product.
+    Only this function of the module uses names of the program.
     """
     from onyxpost.node import config
     from onyxpost.node.edge_node import EdgeNode
@@ -78,10 +80,10 @@
 
         class VirtualNetwork:
             async def listen(self, address: Address, serve: Serve) -> None:
-                await network.host("servers").listen(serve, address, READ_SIZE, 16)
+                await network.host("servers").listen(serve, address, READ_SIZE_BYTES, 16)
 
             async def connect(self, address: Address) -> Connection:
-                line = await network.dial("client", address, READ_SIZE)
+                line = await network.dial("client", address, READ_SIZE_BYTES)
                 return Connection(line.reader, line.writer)
 
             def stop_node(self) -> None:
@@ -103,7 +105,7 @@
 
 
 def packed(data: bytes) -> Pieces:
-    """Bytes as JSON keeps them: long runs of one byte are shortened."""
+    """Returns bytes in the form of the recorded JSON, in which long runs of one byte are shortened."""
     pieces: Pieces = []
     end = 0
     for run in LONG_RUN.finditer(data):
@@ -121,16 +123,17 @@
 
 
 async def read_request(reader: asyncio.StreamReader) -> bytes:
-    """One request, as it came: its head, then the body that Content-Length tells of."""
+    """Returns the bytes of one request: its head, and a body of the length given by Content-Length."""
     head = await reader.readuntil(b"\r\n\r\n")
     length = re.search(rb"(?i)\r\ncontent-length: *(\d+)", head)
     return head + (await reader.readexactly(int(length[1])) if length else b"")
 
 
 class AppServer:
-    """Keeps each request that comes, and gives the scripted answers in turn.
+    """Stores the received requests by connection, and sends the scripted answers in order.
 
-    An answer is its bytes and what follows: "keep" the connection, "close" it, "reset" it or "hang".
+    An answer consists of its bytes and an action: "keep" keeps the connection open, "close" closes it,
+    "reset" aborts it, and "hang" waits for the other side to close it.
     """
 
     def __init__(self, answers: list[Any]) -> None:
@@ -155,9 +158,9 @@
 
 
 async def play_client(network: Network, script: dict[str, Any], until_ms: float) -> dict[str, Any]:
-    """Connect, write each part at its time, and keep all that comes until the end of the exchange.
+    """Connects, writes each part at its time, and returns the bytes received until the end of the exchange.
 
-    Times are ms from the beginning of the exchange.
+    Times are in ms from the start of the exchange. `ended` is None if the connection is open at its end.
     """
     loop = asyncio.get_running_loop()
 
@@ -180,7 +183,7 @@
     writing = loop.create_task(write_all())
     try:
         async with asyncio.timeout_at(START_SECONDS + until_ms / 1000.0):
-            while data := await connection.reader.read(READ_SIZE):
+            while data := await connection.reader.read(READ_SIZE_BYTES):
                 received += data
             ended = {"how": "closed", "at_ms": now_ms()}
     except TimeoutError:
@@ -193,7 +196,7 @@
 
 
 def play(case: Case) -> dict[str, Any]:
-    """Play one exchange; what clients were answered and what app servers received."""
+    """Runs one exchange; returns the answers to clients and the requests that app servers received."""
 
     async def exchange(network: Network) -> dict[str, Any]:
         servers = [AppServer(answers) for answers in case["servers"]]
@@ -211,7 +214,7 @@
 
 
 def recorded() -> dict[str, Case]:
-    """The recorded exchanges by name; none before they are recorded."""
+    """Returns the recorded exchanges by name; empty if the data file does not exist yet."""
     if not DATA.exists():
         return {}
     data = json.loads(DATA.read_text())
@@ -230,7 +233,7 @@
 
 
 def statuses() -> dict[bytes, int]:
-    """How often each status line was answered in the recorded exchanges."""
+    """Returns how often each status occurs in the answers of the recorded exchanges."""
     found: dict[bytes, int] = {}
     for case in CASES.values():
         for client in case["expected"]["clients"]:
--- a/tests/compatibility/test_protocols.py
+++ b/tests/compatibility/test_protocols.py
@@ -1,4 +1,8 @@
-"""Messages between processes keep their bytes, and what was refused is still refused."""
+"""Messages between processes are encoded to the recorded bytes, and the recorded invalid bytes are refused.
+
+Processes of two builds exchange messages during an upgrade. A renamed field or tag would make one build
+refuse or misread messages of the other.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +29,7 @@
 
 
 def test_every_message_is_recorded() -> None:
-    """A builder without recorded bytes, or the reverse, pins nothing."""
+    """A message without recorded bytes, or bytes without a message, would not be tested."""
     built = {(name, case) for name, protocol in CURRENT.items() for case in protocol.messages}
     assert built == set(MESSAGES)
     assert set(HELLOS) == set(cluster_messages.fleet_hellos())
@@ -34,14 +38,14 @@
 
 @pytest.mark.parametrize(("protocol", "case"), MESSAGES)
 def test_message_is_encoded_to_the_recorded_bytes(protocol: str, case: str) -> None:
-    """What is sent has not changed by a byte."""
+    """An earlier build can decode the messages of this build."""
     encoded = CURRENT[protocol].encode(CURRENT[protocol].messages[case])
     assert encoded.hex() == PROTOCOLS[protocol]["messages"][case]
 
 
 @pytest.mark.parametrize(("protocol", "case"), MESSAGES)
 def test_recorded_bytes_are_decoded_to_the_message(protocol: str, case: str) -> None:
-    """What an earlier build sent is read as the same message."""
+    """Messages of an earlier build are decoded to the same values."""
     decoded = CURRENT[protocol].decode(bytes.fromhex(PROTOCOLS[protocol]["messages"][case]))
     assert type(decoded) is type(CURRENT[protocol].messages[case])
     assert decoded == CURRENT[protocol].messages[case]
@@ -49,7 +53,7 @@
 
 @pytest.mark.parametrize("protocol", PROTOCOLS)
 def test_recorded_bytes_are_refused(protocol: str) -> None:
-    """What an earlier build refused is refused for the same class of reason, every byte string of it."""
+    """Each byte string that an earlier build refused is refused with the same kind of error."""
     decode = CURRENT[protocol].decode
     refused = PROTOCOLS[protocol]["refused"]
     found = {
@@ -61,21 +65,21 @@
 
 @pytest.mark.parametrize("protocol", sorted(values.messages_over_the_limit()))
 def test_message_over_the_limit_is_not_sent(protocol: str) -> None:
-    """A message that no frame holds is refused before it is sent."""
+    """A message longer than a frame is refused before it is sent."""
     message = values.messages_over_the_limit()[protocol]
     assert refusal_kinds.refusal_of(lambda: CURRENT[protocol].encode(message)) == "too long"
 
 
 @pytest.mark.parametrize("case", HELLOS)
 def test_hello_is_encoded_and_judged_as_recorded(case: str) -> None:
-    """Who may begin a link has not changed."""
+    """The first message of a connection is accepted or refused as in the recorded build."""
     data = CURRENT["fleet"].encode(cluster_messages.fleet_hellos()[case])
     assert data.hex() == HELLOS[case]["bytes"]
     assert cluster_messages.fleet_hello_admission(data) == HELLOS[case]["refusal"]
 
 
 def test_large_counts_are_split_into_the_recorded_parts() -> None:
-    """A snapshot too large for a frame goes in the same parts."""
+    """A snapshot too large for one frame is split into the same parts."""
     parts = [
         {"length": len(part), "sha256": sha256(part).hexdigest()} for part in metrics_messages.split_counts()
     ]
@@ -84,13 +88,13 @@
 
 @pytest.mark.parametrize("case", GOSSIP["sent"])
 def test_gossip_sends_the_recorded_datagrams(case: str) -> None:
-    """A node tells its peers the same text of the same customers."""
+    """A node reports the same customers to its peers with the same bytes."""
     assert gossip_datagrams.gossip_datagrams(case) == GOSSIP["sent"][case]
 
 
 @pytest.mark.parametrize("case", GOSSIP["received"])
 def test_gossip_is_received_as_recorded(case: str) -> None:
-    """A recorded datagram has the same effect; one that was not taken is still not taken."""
+    """A recorded datagram has the same effect on a node; a datagram that was dropped is still dropped."""
     record = GOSSIP["received"][case]
     assert (
         gossip_datagrams.gossip_received(bytes.fromhex(record["bytes"]), record["peer"]) == record["received"]
@@ -98,7 +102,7 @@
 
 
 def test_incarnations_are_written_and_sorted_as_before() -> None:
-    """Of two starts of a node the order by text and token stays."""
+    """The order of incarnations decides which start of a node is the later one, also between builds."""
     texts = [
         cluster_messages.incarnation_text(now, token)
         for now, token in ((1700.9, "b"), (1700.0, "a"), (99.0, "z"))
--- a/tests/compatibility/test_simulation_digests.py
+++ b/tests/compatibility/test_simulation_digests.py
@@ -1,4 +1,7 @@
-"""The deterministic simulations do, byte for byte and microsecond for microsecond, what was recorded."""
+"""The deterministic simulations reproduce the recorded bytes and times exactly.
+
+A changed decision, an additional random draw or another order of events changes the digest of a run.
+"""
 
 from __future__ import annotations
 
@@ -23,24 +26,24 @@
 
 
 def chunks(seeds: range) -> list[range]:
-    """Seeds in parts that are small enough to be spread over test processes."""
+    """Splits seeds into parts small enough to be distributed evenly over the test processes."""
     return [seeds[start : start + SEEDS_PER_TEST] for start in range(0, len(seeds), SEEDS_PER_TEST)]
 
 
 def chunk_name(seeds: range) -> str:
-    """A readable test id."""
+    """Returns a readable test id: the first and the last seed."""
     return f"{seeds[0]}-{seeds[-1]}"
 
 
 @functools.cache
 def recorded() -> dict[str, dict[str, Record]]:
-    """What was recorded, by simulation and run."""
+    """Returns the recorded results by simulation and run."""
     found: dict[str, dict[str, Record]] = json.loads(recorder.DATA.read_text(encoding="utf-8"))
     return found
 
 
 def test_the_record_holds_every_pinned_run() -> None:
-    """No run is left out of the record, and none is in it that no test replays."""
+    """Each tested run is recorded, and each recorded run is tested."""
     assert {kind: list(runs) for kind, runs in recorded().items()} == {
         "cluster": [str(seed) for seed in range(100)],
         "emulator": [f"{name}/{seed}" for name, seed in emulator_runs()],
@@ -52,38 +55,41 @@
 
 @pytest.mark.parametrize("seeds", chunks(CLUSTER_SEEDS), ids=chunk_name)
 def test_cluster_of_edge_nodes(seeds: range) -> None:
-    """All bytes, connections, datagrams and exits of whole edge nodes under scripted faults."""
+    """Covers all bytes, connections, datagrams and exits of complete edge nodes under scripted faults."""
     for seed in seeds:
         assert cluster_record(seed) == recorded()["cluster"][str(seed)], f"seed {seed}"
 
 
 @pytest.mark.parametrize(("name", "seed"), emulator_runs())
 def test_emulator(name: str, seed: int) -> None:
-    """All attempts, answers and peer messages of an emulated fleet, and its figures to the last digit."""
+    """Covers all attempts, answers and peer messages of a simulated cluster, and its exact figures."""
     assert emulator_record(name, seed) == recorded()["emulator"][f"{name}/{seed}"]
 
 
 @pytest.mark.parametrize("seeds", chunks(LEASE_SEEDS), ids=chunk_name)
 def test_lease_random_walk(seeds: range) -> None:
-    """All messages, grants and confirmed writes of one lease under messages late, twice or never."""
+    """Covers all messages, grants and committed writes of one lease.
+
+    Messages are delayed, duplicated and lost.
+    """
     for seed in seeds:
         assert lease_record(seed) == recorded()["lease"][str(seed)], f"seed {seed}"
 
 
 @pytest.mark.parametrize(("fault", "seed"), FAILOVER_RUNS)
 def test_lease_failover(fault: str, seed: int) -> None:
-    """All bytes between nodes while a lease passes to another holder, and when it was lost and taken."""
+    """Covers all bytes between nodes during a failover, and the times at which leases change hands."""
     assert failover_record(fault, seed) == recorded()["failover"][f"{fault}/{seed}"]
 
 
 @pytest.mark.parametrize(("name", "seed"), rollout_runs())
 def test_rollout_verdict(name: str, seed: int) -> None:
-    """The verdict on an emulated rollout, when it was reached, and the counts that led to it."""
+    """Covers the decision on a simulated rollout, its time, and the counters on which it is based."""
     assert rollout_record(name, seed) == recorded()["rollout"][f"{name}/{seed}"]
 
 
 def test_the_recorder_does_not_overwrite(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    """An existing record stays as it is, whichever way it is written."""
+    """Neither `main` nor `write_new` replaces an existing record."""
     path = tmp_path / "digests.json"
     path.write_text("kept")
     assert recorder.main(path) == 1
--- a/tests/compatibility/values.py
+++ b/tests/compatibility/values.py
@@ -1,6 +1,7 @@
-"""The binary protocols, with their messages by the neutral case names of the recorded data.
+"""The binary protocols, with their messages by the case names of the recorded data.
 
-The messages are built in `*_messages.py`: a rename in the program changes these modules, never recorded data.
+The messages are built in `*_messages.py`. A rename in the program changes these modules, never the recorded
+data.
 """
 
 from __future__ import annotations
@@ -28,9 +29,14 @@
 
 @dataclass(frozen=True)
 class Protocol:
-    """One binary protocol: its messages by neutral case name, and how the program encodes and decodes them.
+    """One binary protocol, with the functions by which the program encodes and decodes its messages.
 
-    `framed`: a big-endian length of four bytes stands before each message.
+    Attributes:
+        messages: messages by case name.
+        encode: encodes a message, with its frame if the protocol is framed.
+        decode: the reverse of `encode`; raises an error for invalid bytes.
+        framed: whether a big-endian length of four bytes stands before each message.
+        frame_limit: largest valid length in bytes; 0 if the protocol is not framed.
     """
 
     messages: dict[str, Any]
@@ -41,7 +47,7 @@
 
 
 def messages_over_the_limit() -> dict[str, Any]:
-    """For each framed protocol a message that is longer than a frame."""
+    """Returns a message that is longer than a frame for each framed protocol."""
     holding = planner_protocol.HeldLease(customer=17, plan="p" * 64, units=40, remaining_ms=812.25)
     return {
         "fleet": cluster_protocol.Payload(topic="duties", body=bytes(frames.MAX_FRAME_BYTES)),
@@ -55,7 +61,7 @@
 
 
 def protocols() -> dict[str, Protocol]:
-    """Each binary protocol by its neutral name."""
+    """Returns the binary protocols by their names in the recorded data."""
     return {
         "fleet": Protocol(
             fleet_messages(),
--- a/tests/compatibility/voter_files.py
+++ b/tests/compatibility/voter_files.py
@@ -1,4 +1,4 @@
-"""Files of acceptors, called voters in the recorded data: what they write, and what they read of it."""
+"""Log files of acceptors, which the recorded data calls voters: how they are written and read."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def write_voter_file(case: str, path: Path) -> bytes:
-    """The file that a voter writes for a case of `VOTER_FILES`."""
+    """Returns the log file that an acceptor writes for a case of `VOTER_FILES`."""
     acceptor_log = AcceptorLog(str(path))
     for state in VOTER_FILES[case]:
         acceptor_log.append(state)
@@ -39,7 +39,7 @@
 
 
 def read_voter_file(path: Path) -> JsonObject:
-    """What a voter that starts knows from its file, or the place and remedy of its refusal."""
+    """Returns the state that a starting acceptor reads from its file, or location and remedy of a refusal."""
     try:
         acceptor_log = AcceptorLog(str(path))
     except AcceptorLogError as error:
@@ -50,7 +50,7 @@
 
 
 def voter_state(state: AcceptorState) -> JsonObject:
-    """What a voter must not forget of one lease."""
+    """Returns the state of one lease that an acceptor must keep over a restart."""
     ballot = state.promised
     record = state.record
     return {
