--- a/tests/compatibility/command_refusals.py
+++ b/tests/compatibility/command_refusals.py
@@ -10,8 +10,8 @@
 
 def error_location(text: str) -> str | None:
     """Returns the key, line or byte that a message names, or None if the message names none."""
-    found = re.search(r"`(\$[^`]*)`|(\bline \d+)|(\bbyte \d+)", text)
-    return None if found is None else next(group for group in found.groups() if group)
+    match = re.search(r"`(\$[^`]*)`|(\bline \d+)|(\bbyte \d+)", text)
+    return None if match is None else next(group for group in match.groups() if group)
 
 
 def run_command(arguments: list[str]) -> tuple[int, str]:
@@ -33,5 +33,5 @@
 
 def remedy_in(output: str) -> str | None:
     """Returns the remedy at the end of an output, or None if the output ends with no known remedy."""
-    fitting = [remedy for remedy in remedies() if output.rstrip().endswith(f"({remedy})")]
-    return max(fitting, key=len) if fitting else None
+    matching = [remedy for remedy in remedies() if output.rstrip().endswith(f"({remedy})")]
+    return max(matching, key=len) if matching else None
--- a/tests/compatibility/discrete_event_digests.py
+++ b/tests/compatibility/discrete_event_digests.py
@@ -149,25 +149,25 @@
 
 def emulator_figures(world: World) -> Record:
     """Returns the figures of a run's totals, except the counts of log lines, whose wording may change."""
-    found = run_totals(world)
+    totals = run_totals(world)
     return {
-        "passed value": found["passed_value"],
-        "worst 10 s": found["worst_10s"],
-        "denied with room": found["denied_with_room"],
-        "beyond quota": found["beyond_quota"],
-        "late": found["late"],
-        "mean ms": found["mean_ms"],
-        "attempts per try": found["attempts_per_try"],
-        "handshakes per attempt": found["handshakes_per_attempt"],
-        "most connections": found["connections_most"],
-        "messages per try": found["messages_per_try"],
-        "message bytes per try": found["message_bytes_per_try"],
-        "messages not taken in": found["unheard"],
-        "servers overloaded while cold": found["servers_fell"],
-        "most load while cold": found["cold_load_most"],
-        "violations": found["breaches"],
-        "tries": found["tries"],
-        "clock events": found["events"],
+        "passed value": totals["passed_value"],
+        "worst 10 s": totals["worst_10s"],
+        "denied with room": totals["denied_with_room"],
+        "beyond quota": totals["beyond_quota"],
+        "late": totals["late"],
+        "mean ms": totals["mean_ms"],
+        "attempts per try": totals["attempts_per_try"],
+        "handshakes per attempt": totals["handshakes_per_attempt"],
+        "most connections": totals["connections_most"],
+        "messages per try": totals["messages_per_try"],
+        "message bytes per try": totals["message_bytes_per_try"],
+        "messages not taken in": totals["unheard"],
+        "servers overloaded while cold": totals["servers_fell"],
+        "most load while cold": totals["cold_load_most"],
+        "violations": totals["breaches"],
+        "tries": totals["tries"],
+        "clock events": totals["events"],
     }
 
 
--- a/tests/compatibility/gossip_datagrams.py
+++ b/tests/compatibility/gossip_datagrams.py
@@ -73,14 +73,14 @@
 
 def gossip_senders() -> dict[str, dict[int, CustomerQuota]]:
     """Returns customers whose usage a node has to report to its peers, by case."""
-    giver = customer_of(0xABC, 0, 2, 3)
-    report_to(giver, 1, 50, 1)
-    giver.hard_limit.tokens = 40.0
+    sharing_customer = customer_of(0xABC, 0, 2, 3)
+    report_to(sharing_customer, 1, 50, 1)
+    sharing_customer.hard_limit.tokens = 40.0
     coordinator_customer = customer_of(0x10, 1, 8, 45)
     report_to(coordinator_customer, 3, 7, 2)
     return {
         "a count": {0x1F: customer_of(0x1F, 0, 3, 5)},
-        "a count, with units given": {0xABC: giver},
+        "a count, with units given": {0xABC: sharing_customer},
         "a count to the keeper": {0x11: customer_of(0x11, 1, 8, 30)},
         "corrections of the keeper": {0x10: coordinator_customer},
         "several customers": {key: customer_of(key, 0, 2, key % 7 + 1) for key in (1, 2, 0x1FFFFFFFF)},
--- a/tests/compatibility/http_cases.py
+++ b/tests/compatibility/http_cases.py
@@ -61,12 +61,12 @@
     chunked = request("toll", Content_Length="", Transfer_Encoding="chunked")
     yield "post chunked body", case(client(chunked + b"4\r\nabcd\r\n3;e=1\r\nefg\r\n0\r\nX-After: 1\r\n\r\n"))
     yield "post in parts", case(client(*(request("toll", b"abcdef")[i::1][:90] for i in range(0, 360, 90))))
-    hop = ["Connection: keep-alive, X-Hop", "Keep-Alive: 5", "Proxy-Connection: x", "TE: trailers",
+    hop_by_hop = ["Connection: keep-alive, X-Hop", "Keep-Alive: 5", "Proxy-Connection: x", "TE: trailers",
            "Trailer: X-After", "Upgrade: h2c", "X-Hop: 1"]  # fmt: skip
-    yield "hop-by-hop headers", case(client(with_lines(request(), *hop)))
-    kept = ["Accept: */*", "accept: text/x", "X-CASE-Kept: Value ", "Authorization: Basic eA==",
+    yield "hop-by-hop headers", case(client(with_lines(request(), *hop_by_hop)))
+    forwarded_headers = ["Accept: */*", "accept: text/x", "X-CASE-Kept: Value ", "Authorization: Basic eA==",
             "X-Forwarded-For: 1.2.3.4", "X-Never-Ran: 1", "Endpoint-Load-Metrics: cpu=1"]  # fmt: skip
-    yield "other headers and repeated ones", case(client(with_lines(request(), *kept)))
+    yield "other headers and repeated ones", case(client(with_lines(request(), *forwarded_headers)))
     yield "cookies", case(client(request(Cookie="a=1; key=000000010000000f; b=2")))
     yield "idempotency key on get", case(client(request(Idempotency_Key="k-9")))
     yield (
@@ -98,13 +98,13 @@
 
 def passed_cases() -> Iterator[tuple[str, Fields]]:
     """Yields answers of app servers that are passed on to the client, and answers that are not."""
-    hop = (
+    hop_by_hop = (
         b"HTTP/1.1 200 Fine\r\nconnection: keep-alive, X-Hop\r\nKeep-Alive: 9\r\nUpgrade: h2c\r\nTE: x\r\n"
         b"Trailer: X\r\nProxy-Connection: y\r\nX-Never-Ran: 1\r\nEndpoint-Load-Metrics: cpu=1\r\n"
         b"Set-Cookie: a=1\r\nSet-Cookie: b=2\r\nX-CASE: Kept \r\nX-Hop: 1\r\nDate: now\r\n"
         b"Content-Length: 2\r\n\r\nok"
     )
-    yield "answer with hop-by-hop headers", case(client(request()), servers=[[(hop, "keep")]])
+    yield "answer with hop-by-hop headers", case(client(request()), servers=[[(hop_by_hop, "keep")]])
     chunked = (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\nX-T: 1\r\n\r\n"
     )
@@ -129,19 +129,26 @@
 
     A second request whose trace ID is in use is answered with 502, as its outcome is unknown.
     """
-    one = "units=1,spread=1,first=0"
-    twice = [request(X_Trace_Id=f"t{i}", Plan="small", Quota_Info=one) for i in range(4)]
-    yield "quota used up", case(client(*twice))
-    yield "quota used up, no Retry-After", case(client(*twice), settings=WITHOUT_RETRY_AFTER)
+    single_node_quota = "units=1,spread=1,first=0"
+    small_plan_requests = [
+        request(X_Trace_Id=f"t{i}", Plan="small", Quota_Info=single_node_quota) for i in range(4)
+    ]
+    yield "quota used up", case(client(*small_plan_requests))
+    yield "quota used up, no Retry-After", case(client(*small_plan_requests), settings=WITHOUT_RETRY_AFTER)
     capped = [
         request(X_Trace_Id=f"t{i}", Plan="capped", Quota_Info="units=2,spread=1,first=0") for i in (1, 2, 3)
     ]
     yield "hard ceiling", case(*(client((5.0, data)) for data in capped))
-    limit = [request(X_Trace_Id=f"t{i}", Plan="one", Quota_Info=one) for i in range(2)]
+    concurrent_requests = [
+        request(X_Trace_Id=f"t{i}", Plan="one", Quota_Info=single_node_quota) for i in range(2)
+    ]
     yield (
         "concurrency limit",
         case(
-            client((5.0, limit[0])), client((50.0, limit[1])), servers=[[(b"", "hang")] * 4], until_ms=900.0
+            client((5.0, concurrent_requests[0])),
+            client((50.0, concurrent_requests[1])),
+            servers=[[(b"", "hang")] * 4],
+            until_ms=900.0,
         ),
     )
     yield "no server known", case(client(request()), servers=[])
@@ -152,7 +159,7 @@
             client((5.0, request())), client((50.0, request())), servers=[[(b"", "hang")] * 4], until_ms=900.0
         ),
     )
-    yield "denied, then passed", case(client(*twice[:2], request(X_Trace_Id="t9")))
+    yield "denied, then passed", case(client(*small_plan_requests[:2], request(X_Trace_Id="t9")))
 
 
 def refused_body_cases() -> Iterator[tuple[str, Fields]]:
@@ -180,8 +187,8 @@
     """Yields invalid and incomplete requests, and connections that time out."""
     for header in ("X-Trace-Id", "Plan", "Cookie", "Quota-Info"):
         yield f"missing {header}", case(client(request_with({header: ""})))
-        again = f"{header.lower()}: {HEADERS[header]}"
-        yield f"repeated {header}", case(client(with_lines(request(), again)))
+        repeated_header = f"{header.lower()}: {HEADERS[header]}"
+        yield f"repeated {header}", case(client(with_lines(request(), repeated_header)))
     yield "missing Host", case(client(request(Host="")))
     yield "missing Idempotency-Key", case(client(request("toll", Idempotency_Key="")))
     for name, headers in INVALID_HEADERS.items():
--- a/tests/compatibility/meanings.py
+++ b/tests/compatibility/meanings.py
@@ -205,17 +205,26 @@
 
     Each row names the allowed app servers, the largest number of attempts and the allowed share of capacity.
     """
-    found = []
+    rows = []
     assert read.routing_rules is not None
-    for one in read.deployment.frontends:
-        for offer in read.deployment.plans:
+    for frontend_settings in read.deployment.frontends:
+        for plan_settings in read.deployment.plans:
             for customer in CUSTOMER_HASHES:
-                left = read.routing_rules.constraint_for(one.name, offer.name, customer)
-                names = " ".join(server.id for server in left.select(SERVERS))
-                found.append(
-                    [one.name, offer.name, customer, names, str(left.max_attempts), left.capacity_share]
+                constraint = read.routing_rules.constraint_for(
+                    frontend_settings.name, plan_settings.name, customer
                 )
-    return found
+                names = " ".join(server.id for server in constraint.select(SERVERS))
+                rows.append(
+                    [
+                        frontend_settings.name,
+                        plan_settings.name,
+                        customer,
+                        names,
+                        str(constraint.max_attempts),
+                        constraint.capacity_share,
+                    ]
+                )
+    return rows
 
 
 def rules(data: bytes) -> JsonObject:
--- a/tests/compatibility/process_command_cases.py
+++ b/tests/compatibility/process_command_cases.py
@@ -55,13 +55,13 @@
     """Returns commands of the multiprocess simulation; each is refused before a process is started."""
     scenario = {"own.toml": PROCESSES_SCENARIO}
 
-    def altered(before: str, after: str) -> Command:
+    def changed_scenario(before: str, after: str) -> Command:
         assert before in PROCESSES_SCENARIO
         return Command("lab rig FOLDER/own.toml", {"own.toml": PROCESSES_SCENARIO.replace(before, after)})
 
-    found = {name: Command(f"lab rig {text}") for name, text in PROCESS_OPTIONS.items()}
-    found |= {name: altered(*change) for name, change in PROCESS_SCENARIO_CHANGES.items()}
-    return found | {
+    commands = {name: Command(f"lab rig {text}") for name, text in PROCESS_OPTIONS.items()}
+    commands |= {name: changed_scenario(*change) for name, change in PROCESS_SCENARIO_CHANGES.items()}
+    return commands | {
         "kept is a file": Command("lab rig edge-cuts --kept FOLDER/own.toml", scenario),
         "unknown scenario, own process": Command("lab rig unknown", own_process=True),
         **replay_commands(),
@@ -102,27 +102,27 @@
     """Returns commands of the load generator; each is refused before a request is sent."""
     node = inputs.changed("node", lambda f: f)
 
-    def sent(options: str = "", address: str = "127.0.0.1:HELD_PORT") -> Command:
+    def load_command(options: str = "", address: str = "127.0.0.1:HELD_PORT") -> Command:
         return Command(f"lab load {address} --node FOLDER/config.json {options}", node)
 
     return {
         "no argument": Command("lab load"),
         "no node's file": Command("lab load 127.0.0.1:1"),
-        "address elsewhere": sent(address="192.0.2.1:80"),
-        "address by name": sent(address="localhost:80"),
-        "address without a port": sent(address="127.0.0.1"),
-        "address with a bad port": sent(address="127.0.0.1:x"),
-        "rate none": sent("--rate 0"),
-        "rate negative": sent("--rate=-1"),
-        "rate no number": sent("--rate x"),
-        "too many requests": sent("--rate 200000 --seconds 10"),
-        "seconds none": sent("--seconds 0"),
-        "too many seconds": sent("--seconds 3600.5"),
-        "customers none": sent("--customers 0"),
-        "connections none": sent("--connections 0"),
-        "too many connections": sent("--connections 20001"),
-        "seed no number": sent("--seed x"),
-        "out is a folder": sent("--out FOLDER"),
+        "address elsewhere": load_command(address="192.0.2.1:80"),
+        "address by name": load_command(address="localhost:80"),
+        "address without a port": load_command(address="127.0.0.1"),
+        "address with a bad port": load_command(address="127.0.0.1:x"),
+        "rate none": load_command("--rate 0"),
+        "rate negative": load_command("--rate=-1"),
+        "rate no number": load_command("--rate x"),
+        "too many requests": load_command("--rate 200000 --seconds 10"),
+        "seconds none": load_command("--seconds 0"),
+        "too many seconds": load_command("--seconds 3600.5"),
+        "customers none": load_command("--customers 0"),
+        "connections none": load_command("--connections 0"),
+        "too many connections": load_command("--connections 20001"),
+        "seed no number": load_command("--seed x"),
+        "out is a folder": load_command("--out FOLDER"),
         "node's file is missing": Command("lab load 127.0.0.1:1 --node FOLDER/none.json"),
         "node's file is no JSON": Command(
             "lab load 127.0.0.1:1 --node FOLDER/config.json", {"config.json": "{"}
@@ -138,7 +138,7 @@
     """Returns commands of the stub upstreams, which stop after a tenth of a second where they start."""
     node = inputs.changed("node", lambda f: f)
 
-    def stood(options: str = "", faults: str = STUB_FAULTS, discovery: str = "127.0.0.1:0") -> Command:
+    def stub_command(options: str = "", faults: str = STUB_FAULTS, discovery: str = "127.0.0.1:0") -> Command:
         arguments = "lab stand FOLDER/out.json --example FOLDER/config.json --faults FOLDER/faults.toml"
         arguments += f" --discovery {discovery} --seconds 0.1 {options}"
         return Command(arguments, {**node, "faults.toml": faults})
@@ -154,22 +154,22 @@
         "example is no JSON": Command(
             f"lab stand FOLDER/out.json --example FOLDER/config.json {short}", {"config.json": "{"}
         ),
-        "servers none": stood("--servers 0"),
-        "too many servers": stood("--servers 201"),
-        "delay no number": stood("--delay x"),
-        "port too large": stood("--port 65001"),
-        "seconds too few": stood("--seconds 0.05"),
-        "seconds too many": stood("--seconds 3600.5"),
-        "discovery elsewhere": stood(discovery="192.0.2.1:80"),
-        "discovery without a port": stood(discovery="127.0.0.1"),
+        "servers none": stub_command("--servers 0"),
+        "too many servers": stub_command("--servers 201"),
+        "delay no number": stub_command("--delay x"),
+        "port too large": stub_command("--port 65001"),
+        "seconds too few": stub_command("--seconds 0.05"),
+        "seconds too many": stub_command("--seconds 3600.5"),
+        "discovery elsewhere": stub_command(discovery="192.0.2.1:80"),
+        "discovery without a port": stub_command(discovery="127.0.0.1"),
         "faults file is missing": Command(f"lab stand FOLDER/out.json --faults FOLDER/none.toml {short}"),
-        "faults are no TOML": stood(faults="[[faults"),
-        "unknown fault": stood(faults=STUB_FAULTS.replace("hang", "unknown")),
-        "fault with an unknown key": stood(faults=STUB_FAULTS + "unknown = 1\n"),
-        "fault of an unknown server": stood(faults=STUB_FAULTS + "server = 3\n"),
-        "fault before the start": stood(faults=STUB_FAULTS.replace("1.0", "-1.0")),
-        "fault without duration": stood(faults=STUB_FAULTS + "for_s = 0.0\n"),
-        "stands": stood(),
+        "faults are no TOML": stub_command(faults="[[faults"),
+        "unknown fault": stub_command(faults=STUB_FAULTS.replace("hang", "unknown")),
+        "fault with an unknown key": stub_command(faults=STUB_FAULTS + "unknown = 1\n"),
+        "fault of an unknown server": stub_command(faults=STUB_FAULTS + "server = 3\n"),
+        "fault before the start": stub_command(faults=STUB_FAULTS.replace("1.0", "-1.0")),
+        "fault without duration": stub_command(faults=STUB_FAULTS + "for_s = 0.0\n"),
+        "stands": stub_command(),
     }
 
 
@@ -192,5 +192,5 @@
         "an argument": "x",
     }
     node: Files = {"file": ""}
-    found = {name: Command(f"lab town {text}") for name, text in options.items()}
-    return found | {"logs is a file": Command("lab town --logs FOLDER/file", node)}
+    commands = {name: Command(f"lab town {text}") for name, text in options.items()}
+    return commands | {"logs is a file": Command("lab town --logs FOLDER/file", node)}
--- a/tests/compatibility/record.py
+++ b/tests/compatibility/record.py
@@ -45,7 +45,7 @@
     Prints each invalid byte string that the protocol nevertheless decodes; it is not recorded.
     """
     encoded = {case: protocol.encode(message) for case, message in protocol.messages.items()}
-    rejected: dict[str, dict[str, str]] = {}
+    refused_bytes: dict[str, dict[str, str]] = {}
     for case, data in encoded.items():
         if protocol.framed:
             wrong = refused.invalid_frames(data, protocol.frame_limit)
@@ -54,19 +54,19 @@
         for name, bad in wrong.items():
             reason = refusal_kinds.refusal_of(partial(protocol.decode, bad))
             if reason is not None:
-                rejected[f"{case}: {name}"] = {"bytes": bad.hex(), "refusal": reason}
+                refused_bytes[f"{case}: {name}"] = {"bytes": bad.hex(), "refusal": reason}
             else:
                 print(f"decoded without an error, not recorded as refused: {case}: {name}")
-    return {"messages": {case: data.hex() for case, data in encoded.items()}, "refused": rejected}
+    return {"messages": {case: data.hex() for case, data in encoded.items()}, "refused": refused_bytes}
 
 
 def hello_records() -> dict[str, Any]:
     """Returns first messages of a connection in hexadecimal, and how each is refused."""
-    found = {}
+    records = {}
     for case, hello in cluster_messages.fleet_hellos().items():
         data = values.protocols()["fleet"].encode(hello)
-        found[case] = {"bytes": data.hex(), "refusal": cluster_messages.fleet_hello_admission(data)}
-    return found
+        records[case] = {"bytes": data.hex(), "refusal": cluster_messages.fleet_hello_admission(data)}
+    return records
 
 
 def gossip_records() -> dict[str, Any]:
@@ -169,19 +169,19 @@
 
 def voter_file_records() -> dict[str, Any]:
     """Returns log files of acceptors in hexadecimal, with the state that an acceptor reads from each."""
-    found: dict[str, Any] = {"written": {}, "read": {}}
+    records: dict[str, Any] = {"written": {}, "read": {}}
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "voter")
         for case in voter_files.VOTER_FILES:
             data = voter_files.write_voter_file(case, path)
             path.unlink()
-            found["written"][case] = data.hex()
-        complete = bytes.fromhex(found["written"]["two leases"])
-        cases = {case: bytes.fromhex(data) for case, data in found["written"].items()}
+            records["written"][case] = data.hex()
+        complete = bytes.fromhex(records["written"]["two leases"])
+        cases = {case: bytes.fromhex(data) for case, data in records["written"].items()}
         for case, data in (cases | inputs.bad_voter_files(complete, len(complete) - 1)).items():
             path.write_bytes(data)
-            found["read"][case] = {"bytes": data.hex(), "meaning": voter_files.read_voter_file(path)}
-    return found
+            records["read"][case] = {"bytes": data.hex(), "meaning": voter_files.read_voter_file(path)}
+    return records
 
 
 def result_records() -> dict[str, Any]:
@@ -190,15 +190,15 @@
         "emulator": result_meanings.emulator_results(),
         "real processes": result_meanings.process_results(),
     }
-    found = {}
+    records = {}
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder, "results.jsonl")
         for case, data in files.items():
             path.write_bytes(data)
-            found[case] = {"text": data.decode(), "meaning": result_meanings.read_results(path)}
+            records[case] = {"text": data.decode(), "meaning": result_meanings.read_results(path)}
     script = result_meanings.fault_script_bytes()
-    found["fault script"] = {"text": script.decode(), "meaning": result_meanings.read_fault_script(script)}
-    return found
+    records["fault script"] = {"text": script.decode(), "meaning": result_meanings.read_fault_script(script)}
+    return records
 
 
 RECORDS: dict[str, Callable[[], Any]] = {
--- a/tests/compatibility/record_http_and_wire.py
+++ b/tests/compatibility/record_http_and_wire.py
@@ -33,16 +33,17 @@
 
 
 def record_http(path: Path) -> None:
+    """Writes the HTTP exchanges; equal node files are stored once, and exchanges refer to them by index."""
     cases: dict[str, Fields] = {}
     for group in (forwarded_cases, passed_cases, denied_cases, refused_cases, health_cases):
-        for name, one in group():
+        for name, exchange in group():
             assert name not in cases, name
-            cases[name] = one | {"expected": http.play(one)}
+            cases[name] = exchange | {"expected": http.play(exchange)}
     node_files: list[Fields] = []
-    for one in cases.values():
-        if one["node_file"] not in node_files:
-            node_files.append(one["node_file"])
-        one["node_file"] = node_files.index(one["node_file"])
+    for exchange in cases.values():
+        if exchange["node_file"] not in node_files:
+            node_files.append(exchange["node_file"])
+        exchange["node_file"] = node_files.index(exchange["node_file"])
     with path.open("x") as file:
         json.dump(
             {"node_files": node_files, "cases": cases},
@@ -55,6 +56,7 @@
 
 
 def record_wire(path: Path, scenario: Scenario) -> None:
+    """Writes the transcript of one scenario, and prints counts of its events, actions and log lines."""
     world = World(scenario)
     world.run()
     with path.open("xb") as file:
--- a/tests/compatibility/record_simulations.py
+++ b/tests/compatibility/record_simulations.py
@@ -78,15 +78,15 @@
 
 def fault_script_records() -> dict[str, Any]:
     """Returns scripts for real processes by scenario, and scripts of the deterministic simulation by seed."""
-    found: dict[str, Any] = {name: drawn_for(name) for name in simulation_meanings.shipped_scenarios()}
+    records: dict[str, Any] = {name: drawn_for(name) for name in simulation_meanings.shipped_scenarios()}
     with tempfile.TemporaryDirectory() as folder:
         for name, text in OWN_SCENARIOS.items():
             path = Path(folder, name)
             path.write_text(text, encoding="utf-8")
-            found[name] = drawn_for(str(path))
+            records[name] = drawn_for(str(path))
     line = simulation_meanings.deterministic_line
     return {
-        "real processes": found,
+        "real processes": records,
         "own scenarios": OWN_SCENARIOS,
         "deterministic": {
             "whole": {str(seed): line(seed).decode() for seed in DETERMINISTIC_KEPT_SEEDS},
@@ -100,12 +100,12 @@
 
 def command_records() -> dict[str, Any]:
     """Returns each command with its exit code and refusal."""
-    found = {}
+    records = {}
     for name, command in command_cases.commands().items():
         case = command.case()
         with tempfile.TemporaryDirectory() as folder:
-            found[name] = case | command_line.run_case(case, Path(folder))
-    return found
+            records[name] = case | command_line.run_case(case, Path(folder))
+    return records
 
 
 # --- results and saved scripts ----------------------------------------------------------------------------
--- a/tests/compatibility/serving_command_cases.py
+++ b/tests/compatibility/serving_command_cases.py
@@ -95,7 +95,7 @@
 
 def check_commands() -> dict[str, Command]:
     """Returns commands of `check`, except those with the invalid files of `refused-files.json`."""
-    found = {
+    commands = {
         f"shipped {name}": Command(
             "check FOLDER/config.json",
             {**inputs.changed(name, lambda f: f), "example-rules.toml": example_rules()},
@@ -103,7 +103,7 @@
         for name in inputs.EXAMPLES
     }
     good = inputs.changed("node", lambda f: f)
-    return found | {
+    return commands | {
         "no file named": Command("check"),
         "file named by a variable": Command("check", good, {"EDGE_CONFIG": "FOLDER/config.json"}),
         "no file that the variable names": Command("check", environment={"EDGE_CONFIG": "FOLDER/none.json"}),
--- a/tests/compatibility/simulated_servers.py
+++ b/tests/compatibility/simulated_servers.py
@@ -12,10 +12,10 @@
 
     from tests.compatibility.http_requests import Fields
 
-DELIVERED_SHARE = 0.965  # share of the attempts at a server without a fault that are delivered
-LOAD_SLOWDOWN = (
-    0.15  # increase of an attempt's duration, as a share, for each attempt in flight at the server
-)
+# Share of the attempts at a server without a fault that are delivered.
+DELIVERED_SHARE = 0.965
+# Relative increase of an attempt's duration for each attempt in flight at its server.
+LOAD_SLOWDOWN = 0.15
 FAILURES = ["app_error", "shed", "dropped", "dial_failed", "unused"]
 
 
--- a/tests/compatibility/simulation_command_cases.py
+++ b/tests/compatibility/simulation_command_cases.py
@@ -37,9 +37,9 @@
 def lab_commands() -> dict[str, Command]:
     """Returns commands that concern the command group of the simulations as a whole."""
     names = ("scenarios", "run", "compare", "seeds", "load", "stand", "town", "rig")
-    found = {f"help of {name}": Command(f"lab {name} --help") for name in names}
-    found |= {f"{name}, unknown option": Command(f"lab {name} --unknown") for name in names}
-    return found | {
+    commands = {f"help of {name}": Command(f"lab {name} --help") for name in names}
+    commands |= {f"{name}, unknown option": Command(f"lab {name} --unknown") for name in names}
+    return commands | {
         "no command": Command("lab"),
         "unknown command": Command("lab unknown"),
         "unknown option": Command("lab --unknown"),
@@ -116,17 +116,17 @@
     """
     short = {"short.toml": SHORT_SCENARIO}
 
-    def played(arguments: str) -> Command:
+    def short_run(arguments: str) -> Command:
         return Command(f"lab run FOLDER/short.toml --jobs 1 {arguments}", short)
 
-    def altered(before: str, after: str) -> Command:
+    def changed_scenario(before: str, after: str) -> Command:
         assert before in SHORT_SCENARIO
         files = {"short.toml": SHORT_SCENARIO.replace(before, after)}
         return Command("lab run FOLDER/short.toml --jobs 1", files)
 
-    found = {name: played(text) for name, text in {**EMULATOR_OPTIONS, **EMULATOR_RUNS}.items()}
-    found |= {name: altered(*change) for name, change in SCENARIO_CHANGES.items()}
-    return found | {
+    commands = {name: short_run(text) for name, text in {**EMULATOR_OPTIONS, **EMULATOR_RUNS}.items()}
+    commands |= {name: changed_scenario(*change) for name, change in SCENARIO_CHANGES.items()}
+    return commands | {
         "no scenario": Command("lab run"),
         "unknown scenario": Command("lab run unknown"),
         "no file": Command("lab run FOLDER/none.toml"),
--- a/tests/compatibility/test_commands.py
+++ b/tests/compatibility/test_commands.py
@@ -30,7 +30,7 @@
 def test_every_command_case_is_recorded() -> None:
     recorded_commands = {name: record["command"] for name, record in COMMANDS.items()}
     assert recorded_commands == {
-        name: one.case()["command"] for name, one in command_cases.commands().items()
+        name: command.case()["command"] for name, command in command_cases.commands().items()
     }
 
 
--- a/tests/compatibility/test_fault_scripts.py
+++ b/tests/compatibility/test_fault_scripts.py
@@ -34,16 +34,16 @@
     return str(path)
 
 
-def pairs(part: str) -> list[Any]:
+def scenario_keys(part: str) -> list[Any]:
     """Returns each scenario with each key of one part of its records; the key of a list is an index."""
     return [
         pytest.param(name, key, id=f"{name}-{key}")
-        for name, found in DRAWN.items()
-        for key in (found[part] if isinstance(found[part], dict) else range(len(found[part])))
+        for name, records in DRAWN.items()
+        for key in (records[part] if isinstance(records[part], dict) else range(len(records[part])))
     ]
 
 
-@pytest.mark.parametrize(("scenario", "seed"), pairs("whole"), indirect=["scenario"])
+@pytest.mark.parametrize(("scenario", "seed"), scenario_keys("whole"), indirect=["scenario"])
 def test_script_for_real_processes_is_drawn_as_recorded(
     scenario: str, seed: str, request: pytest.FixtureRequest
 ) -> None:
@@ -62,7 +62,7 @@
         assert sha256(drawn).hexdigest() == digest, f"seed {seed}"
 
 
-@pytest.mark.parametrize(("scenario", "index"), pairs("sizes"), indirect=["scenario"])
+@pytest.mark.parametrize(("scenario", "index"), scenario_keys("sizes"), indirect=["scenario"])
 def test_script_of_another_size_has_the_recorded_digest(
     scenario: str, index: int, request: pytest.FixtureRequest
 ) -> None:
--- a/tests/compatibility/test_http_bytes.py
+++ b/tests/compatibility/test_http_bytes.py
@@ -234,12 +234,12 @@
 
 def statuses() -> dict[bytes, int]:
     """Returns how often each status occurs in the answers of the recorded exchanges."""
-    found: dict[bytes, int] = {}
+    counts: dict[bytes, int] = {}
     for case in CASES.values():
         for client in case["expected"]["clients"]:
             for status in re.findall(rb"HTTP/1\.1 (\d{3})", unpacked(client["received"])):
-                found[status] = found.get(status, 0) + 1
-    return found
+                counts[status] = counts.get(status, 0) + 1
+    return counts
 
 
 def test_recorded_exchanges_cover_every_status() -> None:
--- a/tests/compatibility/test_protocols.py
+++ b/tests/compatibility/test_protocols.py
@@ -56,11 +56,11 @@
     """Each byte string that an earlier build refused is refused with the same kind of error."""
     decode = CURRENT[protocol].decode
     refused = PROTOCOLS[protocol]["refused"]
-    found = {
+    refusals = {
         case: refusal_kinds.refusal_of(partial(decode, bytes.fromhex(record["bytes"])))
         for case, record in refused.items()
     }
-    assert found == {case: record["refusal"] for case, record in refused.items()}
+    assert refusals == {case: record["refusal"] for case, record in refused.items()}
 
 
 @pytest.mark.parametrize("protocol", sorted(values.messages_over_the_limit()))
