--- a/tests/compatibility/gossip_datagrams.py
+++ b/tests/compatibility/gossip_datagrams.py
@@ -1,4 +1,4 @@
-"""Gossip datagrams between edge nodes: what is sent for a customer, and what a receiver learns."""
+"""Gossip datagrams between edge nodes: the datagrams sent for customers, and their effect on a receiver."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from onyxpost.core.customer_quota import CustomerQuota
 from onyxpost.core.customer_table import CustomerTable
 from onyxpost.core.options import GatewayOptions
-from onyxpost.core.usage_reports import PeerUsageReport, Placement
+from onyxpost.core.usage_reports import Placement, UsageReport
 from onyxpost.edge.messages import decode_datagram, encode_datagram
-from onyxpost.policy.gossip_messages import GossipMessenger
 from onyxpost.policy.peer_usage import PeerUsageAccounting
+from onyxpost.policy.quota_gossip import QuotaGossip
 from onyxpost.policy.quotas import QuotaPolicy
 
 if TYPE_CHECKING:
@@ -41,15 +41,15 @@
 
 
 def quota_policy(customers: dict[int, CustomerQuota]) -> QuotaPolicy:
-    """A node's quotas for its customers."""
+    """Returns the quota policy of a node with these customers."""
     table = CustomerTable(0.0)
     table.by_key = customers
     return QuotaPolicy(GOSSIP_OPTIONS, table)
 
 
-def gossip(customers: dict[int, CustomerQuota]) -> GossipMessenger:
-    """A node's gossip over its customers, none of them reported yet."""
-    exchange = GossipMessenger(GOSSIP_OPTIONS, quota_policy(customers))
+def gossip(customers: dict[int, CustomerQuota]) -> QuotaGossip:
+    """Returns the gossip of a node that has not yet reported any of these customers to its peers."""
+    exchange = QuotaGossip(GOSSIP_OPTIONS, quota_policy(customers))
     exchange.incarnation = INCARNATION
     for one in customers.values():
         exchange.changed[one] = None
@@ -57,7 +57,7 @@
 
 
 def customer_of(key: int, plan_index: int, set_size: int, units: int) -> CustomerQuota:
-    """A customer of node 0 that `units` were sent on for."""
+    """Returns a customer of node 0 that has consumed `units` units."""
     made = CustomerQuota(key, 0.0)
     quota_policy({}).assign_plan(made, 0.0, Placement(plan_index, 0, set_size))
     made.consume(units, 0)
@@ -66,21 +66,21 @@
 
 
 def report_to(customer: CustomerQuota, peer: int, units: int, in_flight: int) -> None:
-    """Applies a first report of a peer."""
-    report = PeerUsageReport(customer.key, units, in_flight, units, 0, Placement(0, 0, 0))
+    """Applies the first usage report of a peer to a customer."""
+    report = UsageReport(customer.key, units, in_flight, units, 0, Placement(0, 0, 0))
     PeerUsageAccounting().apply_report(customer, 0.0, peer, "19c00", report)
 
 
 def gossip_senders() -> dict[str, dict[int, CustomerQuota]]:
-    """Customers of a node that it has to tell its peers about, by case."""
-    giver = customer_of(0xABC, 0, 2, 3)
-    report_to(giver, 1, 50, 1)
-    giver.hard_limit.tokens = 40.0
+    """Returns customers whose usage a node has to report to its peers, by case."""
+    sharing_customer = customer_of(0xABC, 0, 2, 3)
+    report_to(sharing_customer, 1, 50, 1)
+    sharing_customer.hard_limit.tokens = 40.0
     coordinator_customer = customer_of(0x10, 1, 8, 45)
     report_to(coordinator_customer, 3, 7, 2)
     return {
         "a count": {0x1F: customer_of(0x1F, 0, 3, 5)},
-        "a count, with units given": {0xABC: giver},
+        "a count, with units given": {0xABC: sharing_customer},
         "a count to the keeper": {0x11: customer_of(0x11, 1, 8, 30)},
         "corrections of the keeper": {0x10: coordinator_customer},
         "several customers": {key: customer_of(key, 0, 2, key % 7 + 1) for key in (1, 2, 0x1FFFFFFFF)},
@@ -92,7 +92,7 @@
 
 
 def gossip_datagrams(case: str) -> list[list[Any]]:
-    """What a node sends in one round: pairs of a peer's number and a datagram in hexadecimal digits."""
+    """Returns the datagrams of one gossip round: pairs of a peer's index and a datagram in hexadecimal."""
     sent: list[list[Any]] = []
     gossip(gossip_senders()[case]).send(
         0.0, lambda peer, body: sent.append([peer, encode_datagram(body).hex()])
@@ -101,7 +101,10 @@
 
 
 def gossip_received(data: bytes, peer: int | None) -> JsonObject | None:
-    """What a node makes of a datagram; None: it is from a stranger or no text."""
+    """Returns the effect of a datagram on a node, or None if the node drops the datagram.
+
+    A datagram is dropped if its sender is no peer (`peer` is None) or its bytes are no valid text.
+    """
     datagram = decode_datagram(data, peer)
     if datagram is None:
         return None
@@ -112,7 +115,7 @@
 
 
 def customer_from_peers(customer: CustomerQuota) -> JsonObject:
-    """What is held of a customer of which only peers have told."""
+    """Returns the state of a customer that is known from reports of peers only."""
     usage_by_peer = {
         str(peer): {
             "incarnation": usage.incarnation,
--- a/tests/compatibility/http_cases.py
+++ b/tests/compatibility/http_cases.py
@@ -1,4 +1,4 @@
-"""The recorded HTTP exchanges, by case name."""
+"""HTTP exchanges by case name, as they were recorded."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-# An answer by its name: its bytes, and what the server does after them.
+# Answers that an edge node does not pass on: name, bytes, and what the app server does after sending them.
 UNFORWARDED_ANSWERS: tuple[tuple[str, bytes, str], ...] = (
     ("error", ERROR, "keep"), ("busy", BUSY, "keep"), ("cut", PAGE[:-2], "close"),
     ("reset", b"", "reset"),
@@ -47,7 +47,7 @@
 
 
 def forwarded_cases() -> Iterator[tuple[str, Fields]]:
-    """What is forwarded to an app server."""
+    """Yields requests that are forwarded to an app server."""
     yield "get", case(client(request()))
     yield "get without time left given", case(client(request(X_Expires_In="")))
     yield "get time left in microseconds", case(client(request(X_Expires_In="812345.5u")))
@@ -61,12 +61,12 @@
     chunked = request("toll", Content_Length="", Transfer_Encoding="chunked")
     yield "post chunked body", case(client(chunked + b"4\r\nabcd\r\n3;e=1\r\nefg\r\n0\r\nX-After: 1\r\n\r\n"))
     yield "post in parts", case(client(*(request("toll", b"abcdef")[i::1][:90] for i in range(0, 360, 90))))
-    hop = ["Connection: keep-alive, X-Hop", "Keep-Alive: 5", "Proxy-Connection: x", "TE: trailers",
+    hop_by_hop = ["Connection: keep-alive, X-Hop", "Keep-Alive: 5", "Proxy-Connection: x", "TE: trailers",
            "Trailer: X-After", "Upgrade: h2c", "X-Hop: 1"]  # fmt: skip
-    yield "hop-by-hop headers", case(client(with_lines(request(), *hop)))
-    kept = ["Accept: */*", "accept: text/x", "X-CASE-Kept: Value ", "Authorization: Basic eA==",
+    yield "hop-by-hop headers", case(client(with_lines(request(), *hop_by_hop)))
+    forwarded_headers = ["Accept: */*", "accept: text/x", "X-CASE-Kept: Value ", "Authorization: Basic eA==",
             "X-Forwarded-For: 1.2.3.4", "X-Never-Ran: 1", "Endpoint-Load-Metrics: cpu=1"]  # fmt: skip
-    yield "other headers and repeated ones", case(client(with_lines(request(), *kept)))
+    yield "other headers and repeated ones", case(client(with_lines(request(), *forwarded_headers)))
     yield "cookies", case(client(request(Cookie="a=1; key=000000010000000f; b=2")))
     yield "idempotency key on get", case(client(request(Idempotency_Key="k-9")))
     yield (
@@ -80,7 +80,7 @@
 
 
 def failing_server_cases(name: str, frontend: str, text: bytes, then: str) -> Iterator[tuple[str, Fields]]:
-    """An answer that is not forwarded, of all servers and of either one of two."""
+    """Yields exchanges with an answer that is not passed on, first from all servers, then from one of two."""
     client_script = client(request(frontend))
     until = 3000.0 if then == "hang" else 1500.0
     yield (
@@ -97,14 +97,14 @@
 
 
 def passed_cases() -> Iterator[tuple[str, Fields]]:
-    """Answers of app servers that are passed on, and those that are not."""
-    hop = (
+    """Yields answers of app servers that are passed on to the client, and answers that are not."""
+    hop_by_hop = (
         b"HTTP/1.1 200 Fine\r\nconnection: keep-alive, X-Hop\r\nKeep-Alive: 9\r\nUpgrade: h2c\r\nTE: x\r\n"
         b"Trailer: X\r\nProxy-Connection: y\r\nX-Never-Ran: 1\r\nEndpoint-Load-Metrics: cpu=1\r\n"
         b"Set-Cookie: a=1\r\nSet-Cookie: b=2\r\nX-CASE: Kept \r\nX-Hop: 1\r\nDate: now\r\n"
         b"Content-Length: 2\r\n\r\nok"
     )
-    yield "answer with hop-by-hop headers", case(client(request()), servers=[[(hop, "keep")]])
+    yield "answer with hop-by-hop headers", case(client(request()), servers=[[(hop_by_hop, "keep")]])
     chunked = (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\nX-T: 1\r\n\r\n"
     )
@@ -125,20 +125,30 @@
 
 
 def denied_cases() -> Iterator[tuple[str, Fields]]:
-    """429 by quotas and for want of servers; 502 where nothing is known."""
-    one = "units=1,spread=1,first=0"
-    twice = [request(X_Trace_Id=f"t{i}", Plan="small", Quota_Info=one) for i in range(4)]
-    yield "quota used up", case(client(*twice))
-    yield "quota used up, no Retry-After", case(client(*twice), settings=WITHOUT_RETRY_AFTER)
+    """Yields requests that are denied with 429, by a quota or for lack of an app server.
+
+    A second request whose trace ID is in use is answered with 502, as its outcome is unknown.
+    """
+    single_node_quota = "units=1,spread=1,first=0"
+    small_plan_requests = [
+        request(X_Trace_Id=f"t{i}", Plan="small", Quota_Info=single_node_quota) for i in range(4)
+    ]
+    yield "quota used up", case(client(*small_plan_requests))
+    yield "quota used up, no Retry-After", case(client(*small_plan_requests), settings=WITHOUT_RETRY_AFTER)
     capped = [
         request(X_Trace_Id=f"t{i}", Plan="capped", Quota_Info="units=2,spread=1,first=0") for i in (1, 2, 3)
     ]
     yield "hard ceiling", case(*(client((5.0, data)) for data in capped))
-    limit = [request(X_Trace_Id=f"t{i}", Plan="one", Quota_Info=one) for i in range(2)]
+    concurrent_requests = [
+        request(X_Trace_Id=f"t{i}", Plan="one", Quota_Info=single_node_quota) for i in range(2)
+    ]
     yield (
         "concurrency limit",
         case(
-            client((5.0, limit[0])), client((50.0, limit[1])), servers=[[(b"", "hang")] * 4], until_ms=900.0
+            client((5.0, concurrent_requests[0])),
+            client((50.0, concurrent_requests[1])),
+            servers=[[(b"", "hang")] * 4],
+            until_ms=900.0,
         ),
     )
     yield "no server known", case(client(request()), servers=[])
@@ -149,11 +159,11 @@
             client((5.0, request())), client((50.0, request())), servers=[[(b"", "hang")] * 4], until_ms=900.0
         ),
     )
-    yield "denied, then passed", case(client(*twice[:2], request(X_Trace_Id="t9")))
+    yield "denied, then passed", case(client(*small_plan_requests[:2], request(X_Trace_Id="t9")))
 
 
 def refused_body_cases() -> Iterator[tuple[str, Fields]]:
-    """Bodies that are malformed, too large or not permitted, and requests that are no HTTP/1."""
+    """Yields bodies that are malformed, too large or not permitted, and requests that are not HTTP/1."""
     yield "body on get", case(client(request("check", b"abc")))
     chunked = {"Content_Length": "", "Transfer_Encoding": "chunked"}
     yield "chunked body on get", case(client(request_with(chunked, "check") + b"0\r\n\r\n"))
@@ -174,11 +184,11 @@
 
 
 def refused_cases() -> Iterator[tuple[str, Fields]]:
-    """What is not taken."""
+    """Yields invalid and incomplete requests, and connections that time out."""
     for header in ("X-Trace-Id", "Plan", "Cookie", "Quota-Info"):
         yield f"missing {header}", case(client(request_with({header: ""})))
-        again = f"{header.lower()}: {HEADERS[header]}"
-        yield f"repeated {header}", case(client(with_lines(request(), again)))
+        repeated_header = f"{header.lower()}: {HEADERS[header]}"
+        yield f"repeated {header}", case(client(with_lines(request(), repeated_header)))
     yield "missing Host", case(client(request(Host="")))
     yield "missing Idempotency-Key", case(client(request("toll", Idempotency_Key="")))
     for name, headers in INVALID_HEADERS.items():
@@ -201,7 +211,7 @@
 
 
 def health_cases() -> Iterator[tuple[str, Fields]]:
-    """/healthz, a node that is told to stop, and one without room."""
+    """Yields requests for /healthz, requests to a stopping node, and more connections than a node allows."""
     get = b"GET /healthz HTTP/1.1\r\nHost: b\r\n\r\n"
     yield "healthz", case(client(get, get))
     yield "healthz head", case(client(get.replace(b"GET", b"HEAD")))
--- a/tests/compatibility/record_http_and_wire.py
+++ b/tests/compatibility/record_http_and_wire.py
@@ -1,7 +1,10 @@
-"""Records the data of `test_http_bytes.py` and `test_simulator_wire.py`, once, from a build to be kept to.
+"""Records the data of `test_http_bytes.py` and `test_simulator_wire.py`.
 
-Run from the repository's root: `python -m tests.compatibility.record_http_and_wire`. A file that is there is
-never overwritten: what was recorded is what must not change.
+Run on the build to be compatible with, from the repository's root:
+
+    python -m tests.compatibility.record_http_and_wire
+
+An existing file is never overwritten, because later builds have to agree with the recorded data.
 """
 
 from __future__ import annotations
@@ -30,16 +33,17 @@
 
 
 def record_http(path: Path) -> None:
+    """Writes the HTTP exchanges; equal node files are stored once, and exchanges refer to them by index."""
     cases: dict[str, Fields] = {}
     for group in (forwarded_cases, passed_cases, denied_cases, refused_cases, health_cases):
-        for name, one in group():
+        for name, exchange in group():
             assert name not in cases, name
-            cases[name] = one | {"expected": http.play(one)}
+            cases[name] = exchange | {"expected": http.play(exchange)}
     node_files: list[Fields] = []
-    for one in cases.values():
-        if one["node_file"] not in node_files:
-            node_files.append(one["node_file"])
-        one["node_file"] = node_files.index(one["node_file"])
+    for exchange in cases.values():
+        if exchange["node_file"] not in node_files:
+            node_files.append(exchange["node_file"])
+        exchange["node_file"] = node_files.index(exchange["node_file"])
     with path.open("x") as file:
         json.dump(
             {"node_files": node_files, "cases": cases},
@@ -52,6 +56,7 @@
 
 
 def record_wire(path: Path, scenario: Scenario) -> None:
+    """Writes the transcript of one scenario, and prints counts of its events, actions and log lines."""
     world = World(scenario)
     world.run()
     with path.open("xb") as file:
@@ -69,7 +74,7 @@
 
 
 def main() -> None:
-    """Record what is not there yet."""
+    """Records the files that do not exist yet."""
     if not http.DATA.exists():
         record_http(http.DATA)
     for name, scenario in SCENARIOS.items():
