--- a/tests/compatibility/gossip_datagrams.py
+++ b/tests/compatibility/gossip_datagrams.py
@@ -8,10 +8,10 @@
 from onyxpost.core.customer_quota import CustomerQuota
 from onyxpost.core.customer_table import CustomerTable
 from onyxpost.core.options import GatewayOptions
-from onyxpost.core.usage_reports import Placement, UsageReport
+from onyxpost.core.usage_reports import PeerUsageReport, Placement
 from onyxpost.edge.messages import decode_datagram, encode_datagram
+from onyxpost.policy.gossip_messages import GossipMessenger
 from onyxpost.policy.peer_usage import PeerUsageAccounting
-from onyxpost.policy.quota_gossip import QuotaGossip
 from onyxpost.policy.quotas import QuotaPolicy
 
 if TYPE_CHECKING:
@@ -47,9 +47,9 @@
     return QuotaPolicy(GOSSIP_OPTIONS, table)
 
 
-def gossip(customers: dict[int, CustomerQuota]) -> QuotaGossip:
+def gossip(customers: dict[int, CustomerQuota]) -> GossipMessenger:
     """Returns the gossip of a node that has not yet reported any of these customers to its peers."""
-    exchange = QuotaGossip(GOSSIP_OPTIONS, quota_policy(customers))
+    exchange = GossipMessenger(GOSSIP_OPTIONS, quota_policy(customers))
     exchange.incarnation = INCARNATION
     for one in customers.values():
         exchange.changed[one] = None
@@ -67,7 +67,7 @@
 
 def report_to(customer: CustomerQuota, peer: int, units: int, in_flight: int) -> None:
     """Applies the first usage report of a peer to a customer."""
-    report = UsageReport(customer.key, units, in_flight, units, 0, Placement(0, 0, 0))
+    report = PeerUsageReport(customer.key, units, in_flight, units, 0, Placement(0, 0, 0))
     PeerUsageAccounting().apply_report(customer, 0.0, peer, "19c00", report)
 
 
--- a/tests/compatibility/network_observer.py
+++ b/tests/compatibility/network_observer.py
@@ -33,12 +33,14 @@
     def __init__(self, digest: EventDigest) -> None:
         self._digest = digest
 
-    async def dial(self, original: Any, network: Network, host: str, address: Any, limit: int) -> Any:
+    async def dial(
+        self, original: Any, network: Network, host: str, address: Any, buffer_limit_bytes: int
+    ) -> Any:
         """Records an attempt to connect, and whether the connection is accepted or refused."""
         host_number = self._host(host)
         self._add(network.loop, "connect", host_number, *address)
         try:
-            dialed = await original(network, host, address, limit)
+            dialed = await original(network, host, address, buffer_limit_bytes)
         except OSError:
             self._add(network.loop, "refused", host_number, *address)
             raise
@@ -93,11 +95,17 @@
         original(network, host)
 
     async def listen(
-        self, original: Any, host: VirtualHost, serve: Any, address: Any, limit: int, accepts: int
+        self,
+        original: Any,
+        host: VirtualHost,
+        serve: Any,
+        address: Any,
+        buffer_limit_bytes: int,
+        max_accepts_per_turn: int,
     ) -> Any:
         """Records that a host starts to listen."""
         self._add(host.network.loop, "listen", self._host(host.name), *address)
-        return await original(host, serve, address, limit, accepts)
+        return await original(host, serve, address, buffer_limit_bytes, max_accepts_per_turn)
 
     def stop_listening(self, original: Any, listener: VirtualListener) -> None:
         """Records that a listener is closed."""
