--- a/onyxpost/core/customer_quota.py
+++ b/onyxpost/core/customer_quota.py
@@ -1,4 +1,4 @@
-"""A node's record of one customer: token buckets, leases and the usage of peers. No decisions here."""
+"""A node's record of one customer: token buckets, leases and the usage of peers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,8 @@
         incarnation: the peer's incarnation; a restarted peer counts from 0 again.
         units_used: the peer's cumulative count of units.
         in_flight: the peer's attempts in flight.
-        recent_units: units that the last report added to the count.
+        recent_units: units that the last report added to the count; negative if the peer's count has
+            decreased, for example because the peer has forgotten the customer or a message has arrived late.
         reported_at: when the last report was received, in ms.
     """
 
@@ -51,10 +52,12 @@
         in_flight: attempts in flight from this node.
         units_used: cumulative count of units that this node has used.
         units_reported: `units_used` as of the last report to all peers, or to the coordinator.
-        peers: the other nodes that serve the customer.
-        next_peer: number of peers that got a report in the current round; 0 if there is a coordinator.
+        peers: the other nodes that serve the customer; empty if planners grant leases.
+        reported_peer_count: number of peers that got a report in the current round of reports; 0 if there is
+            a coordinator.
         coordinator: index of the quota coordinator, or `NO_NODE`.
-        placement: plan and nodes of the customer; None until the plan is known and if planners grant leases.
+        placement: plan and nodes of the customer; None until the plan is known, and always None if planners
+            grant leases.
         peer_usage: usage reported by peers, by node index.
     """
 
@@ -69,7 +72,7 @@
         self.units_used = 0
         self.units_reported = 0
         self.peers: list[int] = []
-        self.next_peer = 0
+        self.reported_peer_count = 0
         self.coordinator = NO_NODE
         self.placement: Placement | None = None
         self.peer_usage: dict[int, PeerUsage] = {}
@@ -80,7 +83,15 @@
         return self.coordinator != NO_NODE
 
     def set_plan(self, plan: Plan, quota_share: float, hard_limit_share: float, max_debt_ms: float) -> None:
-        """Sets the plan, and the shares of its limits with which this node's buckets are refilled."""
+        """Sets the plan, and the shares of its limits with which this node's buckets are refilled.
+
+        Args:
+            plan: the plan.
+            quota_share: this node's share of the quota.
+            hard_limit_share: this node's share of the hard limit.
+            max_debt_ms: largest debt of the quota's bucket, as the time to refill it. The debt of the hard
+                limit's bucket is not bounded.
+        """
         self.plan = plan
         self.quota.configure(plan.rate * quota_share, plan.burst * quota_share, max_debt_ms)
         self.hard_limit.configure(
--- a/onyxpost/core/customer_table.py
+++ b/onyxpost/core/customer_table.py
@@ -1,4 +1,4 @@
-"""The table of customers that a node knows. No decisions here."""
+"""The table of customers that a node knows."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
     """Customers' quotas, by CRC-32 of the customer's key.
 
     Attributes:
-        started_at: start of this node, in ms; buckets of new customers are refilled from then on.
+        started_at: start of this node, in ms; a new customer's buckets get the tokens for the time since
+            then.
         by_key: all known customers.
     """
 
--- a/onyxpost/core/events.py
+++ b/onyxpost/core/events.py
@@ -19,13 +19,13 @@
 
 
 class EndpointPollFailed(NamedTuple):
-    """A poll of discovery has failed and must be repeated."""
+    """A poll of discovery has failed; the decision code answers with `DecisionSink.watch_endpoints`."""
 
 
 class EndpointsStale(NamedTuple):
     """Changes of endpoints may have been missed.
 
-    Until the next `EndpointsUpdated`, servers are trusted only for a limited time after a success.
+    Until the next `EndpointsUpdated`, servers are used only for a limited time after a success.
     """
 
 
@@ -34,7 +34,7 @@
 
     Attributes:
         request_id: the host's id of the request, unique among pending requests.
-        deadline: when the client gives up, in ms.
+        deadline: the time by which the answer has to be sent, in ms.
         frontend: name of the frontend that the request addresses.
         customer: the customer's key, as text.
         plan: name of the customer's plan.
@@ -54,7 +54,7 @@
 
 
 class RequestCancelled(NamedTuple):
-    """The client of a pending request has disconnected, so no answer is needed."""
+    """A request needs no answer any more: its client has disconnected, or the host has aborted it."""
 
     request_id: str
 
@@ -73,7 +73,7 @@
         attempt_index: 0 for the request's first attempt.
         result: how the attempt ended.
         latency_ms: time from the start of the attempt to its end.
-        is_request_finished: whether the request has its final answer.
+        is_request_finished: whether the request has its final answer or its client has disconnected.
         actual_units: units that the server reports as used; 0 where it reports none.
     """
 
--- a/onyxpost/core/gossip_codec.py
+++ b/onyxpost/core/gossip_codec.py
@@ -27,7 +27,10 @@
 
 
 def decode_message(body: str, plan_count: int) -> GossipMessage | None:
-    """Returns the decoded message, or None if an entry is malformed or its plan does not exist."""
+    """Returns the decoded message, or None if an entry is malformed or its plan does not exist.
+
+    Negative plan indexes down to `-plan_count` are accepted and count from the end of the list of plans.
+    """
     incarnation, *entries = body.split(" ")
     message = GossipMessage(incarnation, [], [])
     for entry in entries:
--- a/onyxpost/core/node_state.py
+++ b/onyxpost/core/node_state.py
@@ -1,4 +1,4 @@
-"""The state that the components of one node share. No decisions here."""
+"""The state that the components of one node share."""
 
 from __future__ import annotations
 
--- a/onyxpost/core/options.py
+++ b/onyxpost/core/options.py
@@ -12,7 +12,7 @@
     from onyxpost.core.events import RequestArrived
     from onyxpost.core.types import Frontend, GatewayLimits, Plan, SlowStartPolicy
 
-INCARNATION_MASK = 0xFFFF
+INCARNATION_MASK = 0xFFFF  # an incarnation has at most four hexadecimal digits in messages of limited size
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,10 @@
 
     @property
     def incarnation(self) -> str:
-        """Identifies this run of the node in messages to peers, to distinguish it from earlier runs."""
+        """Identifies this run of the node in messages to peers, to distinguish it from earlier runs.
+
+        It depends on the seed only, so the seed has to change at each start.
+        """
         return f"{crc32(f'{self.seed}/life'.encode()) & INCARNATION_MASK:x}"
 
     @property
--- a/onyxpost/core/requests.py
+++ b/onyxpost/core/requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients, their attempts, and the app servers that receive these. No decisions here."""
+"""Requests of clients, their attempts, and the app servers that receive these."""
 
 from __future__ import annotations
 
@@ -58,9 +58,9 @@
         self.latency.window = window
         self.circuit_breaker = CircuitBreaker()
 
-    def unexpired_attempts(self, now: float) -> int:
+    def timely_attempts(self, now: float) -> int:
         """Returns the number of attempts in flight whose latency deadline has not passed."""
-        return sum(1 for attempt in self.in_flight if not attempt.is_expired(now))
+        return sum(1 for attempt in self.in_flight if not attempt.is_past_latency_deadline(now))
 
     def scope_key(self, scope: DeduplicationScope) -> str | int:
         """Returns a key that is equal for servers in the same deduplication scope."""
@@ -87,7 +87,7 @@
     in_flight: bool = True
     possibly_executed: bool = True
 
-    def is_expired(self, now: float) -> bool:
+    def is_past_latency_deadline(self, now: float) -> bool:
         """Returns whether the request's latency deadline has passed."""
         return now >= self.request.latency_deadline
 
@@ -104,7 +104,7 @@
     Attributes:
         id: the host's id of the request.
         arrived_at: when the request arrived, in ms.
-        deadline: when the client gives up, in ms.
+        deadline: the time by which the answer has to be sent, in ms.
         latency_deadline: the time until which an answer meets the frontend's latency objective, in ms.
         units: units that the request takes from its customer's quota.
         admitted_at: when the request was admitted, in ms; equal to `arrived_at` before admission.
--- a/onyxpost/core/server_records.py
+++ b/onyxpost/core/server_records.py
@@ -1,4 +1,4 @@
-"""A node's records of one app server: latency, circuit breaker and slow start. No decisions here.
+"""A node's records of one app server: latency, circuit breaker and slow start.
 
 `onyxpost.policy.latency_estimates`, `onyxpost.policy.outlier_detection` and `onyxpost.policy.slow_start`
 update and use these records.
@@ -32,7 +32,8 @@
     Attributes:
         window: recent results.
         mean_latency_ms: mean latency within the window, slow attempts in flight included; 0 if unknown.
-        mean_in_flight: mean number of attempts in flight within the window, plus 1.
+        mean_in_flight: mean number of attempts in flight within the window, computed from the latencies of
+            `AnswerCounts.answers`, plus 1 for the request whose latency is estimated.
     """
 
     __slots__ = ("mean_in_flight", "mean_latency_ms", "window")
@@ -47,7 +48,8 @@
     """Whether a server is ejected.
 
     Attributes:
-        open_until: the time until which the server gets no attempts, in ms.
+        open_until: the time until which the server gets no attempts, in ms, unless all eligible servers are
+            ejected.
         successes_to_close: number of successful trial attempts until the circuit breaker closes; 0 if it is
             closed. Each trip adds one.
     """
--- a/onyxpost/core/server_registry.py
+++ b/onyxpost/core/server_registry.py
@@ -1,4 +1,4 @@
-"""The registry of the app servers that discovery reports. No decisions here."""
+"""The registry of the app servers that discovery reports."""
 
 from __future__ import annotations
 
@@ -58,9 +58,9 @@
             server for server in self.known.values() if server.endpoint.state is EndpointState.READY
         ]
 
-    def unexpired_attempts(self, now: float) -> int:
+    def timely_attempts(self, now: float) -> int:
         """Returns the number of attempts in flight, at all servers, whose latency deadline has not passed."""
-        return sum(server.unexpired_attempts(now) for server in self.active)
+        return sum(server.timely_attempts(now) for server in self.active)
 
     def attempts_in_flight(self) -> list[Attempt]:
         """Returns the attempts in flight at all servers."""
--- a/onyxpost/core/sink.py
+++ b/onyxpost/core/sink.py
@@ -39,16 +39,16 @@
         """Starts a timer: the host passes `TimerFired(token)` after `delay_ms`."""
 
     def log(self, line: str) -> None:
-        """Logs a change of mode: load shedding or the ejection of a server."""
+        """Logs a change of mode: load shedding, the ejection of a server or the end of its ejection."""
 
     def watch_endpoints(self) -> None:
-        """Asks discovery for changes of endpoints; a failure is passed back as `EndpointPollFailed`."""
+        """Makes sure that the host watches discovery; it reports a failed poll as `EndpointPollFailed`."""
 
     def record_units_spent(self, customer: int, plan: str, units: int, lease: int) -> None:
         """Reports to the planners the units that a request took from a lease.
 
-        Lease 0 stands for this node's own share. Units that a request rejected over quota lacked are reported
-        with lease 0, too.
+        Lease 0 stands for this node's own share. The units of a request that is rejected over a limit are
+        reported with lease 0, too, as demand. `customer` is the CRC-32 of the customer's key.
         """
 
     def return_lease(self, lease: int, units: int) -> None:
--- a/onyxpost/core/sliding_window.py
+++ b/onyxpost/core/sliding_window.py
@@ -1,4 +1,4 @@
-"""Sums over a sliding window of time. No decisions here."""
+"""Sums over a sliding window of time."""
 
 from __future__ import annotations
 
--- a/onyxpost/core/stable_hash.py
+++ b/onyxpost/core/stable_hash.py
@@ -4,6 +4,7 @@
 
 from zlib import crc32
 
+# The multiplier and the two mixing rounds are those of Thomas Mueller's integer hash function for 32 bits.
 _MIX_MULTIPLIER = 0x45D9F3B
 _MIX_ROUNDS = 2
 
--- a/onyxpost/core/token_bucket.py
+++ b/onyxpost/core/token_bucket.py
@@ -1,4 +1,4 @@
-"""The arithmetic of a token bucket. No decisions here."""
+"""The arithmetic of a token bucket."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         self._min_tokens = -inf
 
     def configure(self, rate: float, burst: float, max_debt_ms: float = inf) -> None:
-        """Sets rate and burst; refilling cancels any debt beyond the tokens of `max_debt_ms`."""
+        """Sets rate and burst; refilling cancels any debt beyond what `max_debt_ms` refills."""
         self.rate = rate
         self.burst = burst
         self._min_tokens = -inf if max_debt_ms == inf else -rate * max_debt_ms / MS_PER_SECOND
--- a/onyxpost/core/types.py
+++ b/onyxpost/core/types.py
@@ -1,4 +1,4 @@
-"""Types that the decision code (`onyxpost.policy`) and its hosts share. No decisions here.
+"""Types that the decision code (`onyxpost.policy`) and its hosts share.
 
 A host creates one `onyxpost.policy.gateway.Gateway` for each incarnation of an edge node and calls
 `handle(now, events, sink)` when events have arrived. `onyxpost.core.events` defines the events, and
@@ -16,7 +16,10 @@
 
 
 class Idempotency(Enum):
-    """Whether a request of a frontend may be executed more than once."""
+    """Whether a request of a frontend may be executed more than once.
+
+    The values are the words of simulated scenarios (`onyxpost.simulation.discrete_event.scenario_sections`).
+    """
 
     IDEMPOTENT = "replayable"
     IDEMPOTENCY_KEY = "keyed"
@@ -77,7 +80,7 @@
         idempotency: whether requests may be executed more than once.
         deduplication_scope: the servers that drop duplicates of requests with an idempotency key.
         deduplication_window_ms: how long these servers drop duplicates.
-        priority_weight: value of an answer within the latency objective.
+        priority_weight: value of an answer within the latency objective, which decisions do not use.
         late_weight: value of a later answer; 0 if late answers are worthless.
         latency_objective_stretch: value from the settings, which decisions do not use.
         is_streamed: whether responses are streamed.
@@ -103,7 +106,7 @@
         rate: the quota, in units a second; 0 if there is no quota.
         burst: the largest number of unused units of the quota.
         concurrency_limit: the largest number of attempts in flight; 0 if there is no limit.
-        priority_factor: factor by which the value of an answer is multiplied.
+        priority_factor: factor by which the value of an answer is multiplied, which decisions do not use.
         hard_limit_rate: units a second that may never be exceeded; 0 if there is no hard limit.
         hard_limit_burst: the largest number of unused units of the hard limit.
     """
@@ -140,13 +143,13 @@
 
     Attributes:
         max_attempts: the largest number of attempts for one request.
-        may_overlap_attempts: whether attempts for one request may overlap.
+        may_overlap_attempts: whether attempts for one request may overlap, which decisions do not use.
         may_cancel_attempts: whether attempts can be cancelled.
         may_send_peer_messages: whether nodes can send each other messages.
         max_retry_after_ms: upper bound of `Retry-After`.
         peer_messages_per_second: messages that a node can receive from its peers.
         safe_share: 0 if there are no planners. Above 0, planners grant leases, and the buckets of all nodes
-            together are refilled with this share of each limit.
+            together are refilled with this share of each limit, which they may spend without a lease.
         drain_grace_ms: time after the start of a server's drain in which attempts may still start.
     """
 
@@ -162,7 +165,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointStatus:
-    """The status of one app server, as reported by discovery; `started_at` is 0 for a start long ago."""
+    """The status of one app server, as reported by discovery.
+
+    Attributes:
+        server: the server's id.
+        zone: the server's zone.
+        cell: the server's cell.
+        state: the server's state.
+        weight: value from discovery, which decisions do not use.
+        started_at: when the server was started, in ms; 0 for a start long ago.
+    """
 
     server: str
     zone: str
--- a/onyxpost/policy/concurrency.py
+++ b/onyxpost/policy/concurrency.py
@@ -40,7 +40,9 @@
     INITIAL_LIMIT = 8.0  # attempts in flight per server, of all edge nodes together
     MAX_LIMIT_FACTOR = 8.0  # upper bound of the limit, as a multiple of the initial limit
     MIN_LIMIT = 0.5  # lower bound: attempts in flight per server, of all edge nodes together
-    MIN_TOTAL_LIMIT = 2.0  # attempts in flight at all servers; fewer give too few answers to measure
+    # Lower bound: attempts in flight of this node, at the servers in question together. Fewer give too few
+    # answers to measure.
+    MIN_TOTAL_LIMIT = 2.0
     PERIOD_FRACTION = 0.25  # time between two updates, as a fraction of the shortest latency objective
     WINDOW_PERIODS = 4  # number of update periods over which answers are counted
     LATE_FRACTION = 0.4  # answers that take a larger fraction of the latency objective count as late
@@ -93,14 +95,17 @@
     def on_timer(self, now: float, _event: TimerFired, _sink: DecisionSink) -> None:
         """Updates the limit at the end of each period.
 
-        Attempts in flight that are late already count as late answers.
+        Attempts in flight that are late already count as late answers, unless their latency deadline has
+        passed. `LoadBalancer.pick` does not count those towards the limit, either.
         """
         if now < self._next_update_at:
             return
         self._next_update_at = now + self._period_ms
         in_flight = self._servers.attempts_in_flight()
         late_in_flight = sum(
-            self._is_late(each, now - each.sent_at) for each in in_flight if not each.is_expired(now)
+            self._is_late(each, now - each.sent_at)
+            for each in in_flight
+            if not each.is_past_latency_deadline(now)
         )
         recent = self._answers.totals(now)
         late_answers = late_in_flight + recent.late
--- a/onyxpost/policy/endpoint_updates.py
+++ b/onyxpost/policy/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Applies endpoint updates from discovery, and bounds the trust in servers while endpoints are stale."""
+"""Applies endpoint updates from discovery, and limits the use of servers while endpoints are stale."""
 
 from __future__ import annotations
 
@@ -18,34 +18,35 @@
 
 
 class StaleEndpointPolicy:
-    """Bounds how long a server gets attempts after its last success while endpoints are stale.
+    """Limits how long after its last success a server is used while endpoints are stale.
 
     Attributes:
-        max_success_age_ms: time for which a server is trusted after its last successful attempt was sent;
-            `inf` while endpoints are not stale.
+        max_success_age_ms: time for which a server is used after its last successful attempt was sent; `inf`
+            while endpoints are not stale.
     """
 
-    # Assumed delay until a node notices a change of polled endpoints: 5 s of the 6 s within which it must.
+    # Longest delay that is assumed until a node notices a change of polled endpoints: 5 s of the 6 s that the
+    # discovery protocol permits.
     MAX_NOTICE_DELAY_MS = 5000.0
 
     def __init__(self, drain_grace_ms: float, *, polls_endpoints: bool) -> None:
         # The server may have begun to drain since its last success without notice. Half of the drain grace
         # period is left for connecting.
         notice_delay_ms = polls_endpoints * self.MAX_NOTICE_DELAY_MS
-        self._stale_trust_ms = drain_grace_ms / 2.0 + notice_delay_ms
+        self._stale_max_success_age_ms = drain_grace_ms / 2.0 + notice_delay_ms
         self.max_success_age_ms = inf
 
     def on_endpoints_updated(self, _now: float, _event: EndpointsUpdated, _sink: DecisionSink) -> None:
-        """Trusts all ready servers again."""
+        """Permits all ready servers again."""
         self.max_success_age_ms = inf
 
     def on_endpoints_stale(self, _now: float, _event: EndpointsStale, _sink: DecisionSink) -> None:
-        """Trusts only servers that have answered successfully within the stale trust time."""
-        self.max_success_age_ms = self._stale_trust_ms
+        """Permits only servers whose last successful attempt was sent recently enough."""
+        self.max_success_age_ms = self._stale_max_success_age_ms
 
 
 class EndpointUpdates:
-    """Polls discovery, where needed, and applies its updates to the server registry."""
+    """Has the host watch discovery, where needed, and applies its updates to the server registry."""
 
     def __init__(
         self,
@@ -63,12 +64,12 @@
         self._order = order
 
     def start(self, sink: DecisionSink) -> None:
-        """Starts the first poll of discovery if discovery does not push changes."""
+        """Makes sure that the host watches discovery if discovery does not push changes."""
         if self._polls_endpoints:
             sink.watch_endpoints()
 
     def on_endpoint_poll_failed(self, _now: float, _event: EndpointPollFailed, sink: DecisionSink) -> None:
-        """Starts the next poll of discovery."""
+        """Makes sure that the host watches discovery."""
         sink.watch_endpoints()
 
     def on_endpoints_updated(self, _now: float, event: EndpointsUpdated, _sink: DecisionSink) -> None:
--- a/onyxpost/policy/gateway.py
+++ b/onyxpost/policy/gateway.py
@@ -44,8 +44,8 @@
         self.handling = RequestHandling(
             self.state, self.random, self.shedder, self.execution, self.quota_control, self.selection
         )
-        first_round_at = now + GossipScheduler.GOSSIP_INTERVAL_MS * self.random.next()
-        self.gossip_scheduler = GossipScheduler(first_round_at, self.quota_control, self.handling.admission)
+        first_send_at = now + GossipScheduler.GOSSIP_INTERVAL_MS * self.random.next()
+        self.gossip_scheduler = GossipScheduler(first_send_at, self.quota_control, self.handling.admission)
         self._timer = NodeTimer()
         self._is_started = False
         self.dispatcher = EventDispatcher()
@@ -55,12 +55,16 @@
         """Registers the handlers of each event type; handlers of one type run in the order given here."""
         register = self.dispatcher.register
         endpoints = self.selection.endpoints
-        trust = self.selection.trust
+        stale_endpoints = self.selection.stale_endpoints
         handling = self.handling
         leases = self.quota_control.leases
-        register(event_types.EndpointsUpdated, endpoints.on_endpoints_updated, trust.on_endpoints_updated)
+        register(
+            event_types.EndpointsUpdated,
+            endpoints.on_endpoints_updated,
+            stale_endpoints.on_endpoints_updated,
+        )
         register(event_types.EndpointPollFailed, endpoints.on_endpoint_poll_failed)
-        register(event_types.EndpointsStale, trust.on_endpoints_stale)
+        register(event_types.EndpointsStale, stale_endpoints.on_endpoints_stale)
         register(
             event_types.RequestArrived,
             self.shedder.on_request_arrived,
--- a/onyxpost/policy/gossip_messages.py
+++ b/onyxpost/policy/gossip_messages.py
@@ -86,7 +86,8 @@
 
     def _entries(self, customer: CustomerQuota, now: float) -> Iterator[AddressedEntry]:
         # In a large set, reports to one peer after the other arrive too late to keep the total within the
-        # quota. Instead, all nodes report their usage to the quota coordinator, which sends them corrections.
+        # quota. If the plan has no hard limit, all nodes report their usage to the quota coordinator instead,
+        # which sends them corrections.
         if not customer.peers:
             customer.units_reported = customer.units_used
         elif customer.coordinator == self._options.node_index:
@@ -101,21 +102,25 @@
         customer.refill(now)
         missing_tokens = plan.burst - customer.quota.tokens
         is_under_pressure = missing_tokens >= self._quotas.LOW_TOKENS_FRACTION * plan.burst > 0.0
+        # Corrections are also sent while more than half of the concurrency limit is in use.
         if is_under_pressure or 2 * peer_usage.total_in_flight(customer, now) > plan.concurrency_limit > 0:
             for peer in customer.peers:
                 in_flight = peer_usage.total_in_flight(customer, now, peer)
                 yield peer, QuotaCorrection(customer.key, int(missing_tokens), in_flight)
 
     def _report(self, customer: CustomerQuota, now: float) -> Iterator[AddressedEntry]:
-        """Yields a report to the coordinator or to the next peer; a round ends with the last peer."""
-        peer_position = customer.next_peer % len(customer.peers)
+        """Yields a report to the coordinator or to the next peer.
+
+        A round of reports ends when each peer has got one; each send reports to one peer.
+        """
+        peer_position = customer.reported_peer_count % len(customer.peers)
         peer = customer.coordinator if customer.has_coordinator else customer.peers[peer_position]
         new_units = customer.units_used - customer.units_reported
         transferred_units = self._transfer_tokens(customer, now, peer, new_units)
         if not new_units and not transferred_units and not peer_position:
             return
-        customer.next_peer = 0 if customer.has_coordinator else peer_position + 1
-        if customer.next_peer in (0, len(customer.peers)):
+        customer.reported_peer_count = 0 if customer.has_coordinator else peer_position + 1
+        if customer.reported_peer_count in (0, len(customer.peers)):
             customer.units_reported = customer.units_used
         yield peer, customer.report(new_units, transferred_units)
 
--- a/onyxpost/policy/gossip_schedule.py
+++ b/onyxpost/policy/gossip_schedule.py
@@ -1,4 +1,4 @@
-"""Schedules gossip: sends rounds of usage reports, and releases queued requests when reports arrive."""
+"""Schedules gossip: sends usage reports regularly, and releases queued requests when reports arrive."""
 
 from onyxpost.core.customer_quota import CustomerQuota
 from onyxpost.core.events import PeerMessageReceived, TimerFired
@@ -8,12 +8,12 @@
 
 
 class GossipScheduler:
-    """Applies peer messages as they arrive and sends a round of messages at fixed intervals."""
+    """Applies peer messages as they arrive and sends messages at fixed intervals."""
 
-    GOSSIP_INTERVAL_MS = 50.0  # time between two rounds
+    GOSSIP_INTERVAL_MS = 50.0  # time between two sends
 
-    def __init__(self, first_round_at: float, quota_control: QuotaControl, admission: Admission) -> None:
-        self._next_round_at = first_round_at
+    def __init__(self, first_send_at: float, quota_control: QuotaControl, admission: Admission) -> None:
+        self._next_send_at = first_send_at
         self._quotas = quota_control.quota_policy
         self._gossip = quota_control.gossip
         self._queue = quota_control.queue
@@ -28,9 +28,12 @@
         self._gossip.receive(now, event.peer, event.body, on_report)
 
     def on_timer(self, now: float, _event: TimerFired, sink: DecisionSink) -> None:
-        """Forgets unused customers and sends a round of messages, once per interval."""
-        if now < self._next_round_at:
+        """Sends messages about changed customers, once per interval.
+
+        Before each send, the quotas may drop unused customers, for which they have their own interval.
+        """
+        if now < self._next_send_at:
             return
-        self._next_round_at = now + self.GOSSIP_INTERVAL_MS
+        self._next_send_at = now + self.GOSSIP_INTERVAL_MS
         self._quotas.forget_unused(now, self._queue)
         self._gossip.send(now, sink.send_peer_message)
--- a/onyxpost/policy/hard_limit_wait.py
+++ b/onyxpost/policy/hard_limit_wait.py
@@ -18,7 +18,7 @@
 
 
 class HardLimitWait:
-    """Queues requests that lack only hard-limit tokens.
+    """Queues requests that lack only hard-limit tokens, of customers whose plan has a quota.
 
     Args:
         quotas: decides whether a customer has capacity.
@@ -30,7 +30,9 @@
     # Margin between the latest start of a queued request and its latency deadline, in mean latencies, so that
     # the answer is in time.
     START_MARGIN_LATENCIES = 2.0
-    MAX_WAIT_FRACTION = 0.5  # longest wait, as a fraction of the time that the client waits
+    # Must be 0.5: this factor of the sum of a request's arrival and deadline is the middle between the two. A
+    # queued request must start by then, so that attempts have the second half of the client's time.
+    MAX_WAIT_FRACTION = 0.5
 
     def __init__(
         self, quotas: QuotaPolicy, queue: HardLimitQueue, latency: LatencyEstimator, *, may_wait: bool
@@ -55,7 +57,10 @@
         return self._queue.customers()
 
     def should_wait(self, now: float, request: Request) -> bool:
-        """Returns whether a request lacks only hard-limit tokens and would get them by its latest start."""
+        """Returns whether a request lacks only hard-limit tokens and would get them by its latest start.
+
+        Always False for a plan without a quota, whose quota bucket never holds tokens.
+        """
         if not self._may_wait:
             return False
         deferral_ms = self._quotas.deferral_ms(now, request, self._queue.units(request.customer))
--- a/onyxpost/policy/latency_estimates.py
+++ b/onyxpost/policy/latency_estimates.py
@@ -65,8 +65,8 @@
     def _update_means(self, now: float, server: UpstreamServer, results: AnswerCounts) -> None:
         """Updates a server's means, with `PRIOR_ANSWERS` assumed answers at the mean latency of all servers.
 
-        An attempt that has been in flight for longer than this mean counts as an answer with its age as
-        latency, because the answers of a slow server are few and arrive late.
+        An attempt that has been in flight for longer than the mean of all servers counts as an answer with
+        its age as latency, because the answers of a slow server are few and arrive late.
         """
         overall_mean_ms = self.mean_latency_ms
         overdue_ages_ms = [
--- a/onyxpost/policy/latency_model.py
+++ b/onyxpost/policy/latency_model.py
@@ -35,7 +35,7 @@
 
 
 # The paper's a1, a2 and b. Latency is a ratio to its objective here, so b is divided by the paper's target of
-# 0.02 s; b is positive because the model subtracts its term.
+# 0.02 s; b's slope is positive because the model subtracts b's term.
 PUBLISHED_COEFFICIENTS = [
     Coefficient(0.3464, 0.1313),
     Coefficient(0.2527, 0.1187),
@@ -47,7 +47,8 @@
     """Model (11) of Qin and Wang, "Feedback Performance Control for Computer Systems".
 
     The next ratio of latency to its objective is a1(r) times this period's, plus a2(r) times the previous
-    period's, less b(r) times the rejection probability; all three are affine in the load r.
+    period's, less b(r) times this period's rejection probability. All three are affine in the load r, and
+    each is taken at the load of the period whose value it multiplies.
 
     Args:
         coefficients: a1, a2 and b.
--- a/onyxpost/policy/leases.py
+++ b/onyxpost/policy/leases.py
@@ -50,7 +50,7 @@
 
 
 class LeaseHolder:
-    """Holds the leases that planners grant, and reports the units that requests spend.
+    """Holds the leases that planners grant, and reports the units that requests spend or ask for.
 
     Args:
         customers: the customers that this node knows.
@@ -80,8 +80,8 @@
         for use in spend(request.customer, now, request.units):
             self._report(request, use, sink)
 
-    def report_shortage(self, request: Request, sink: DecisionSink) -> None:
-        """Reports the units that a request rejected over quota lacked, with `OWN_SHARE_LEASE_ID`."""
+    def report_rejected_units(self, request: Request, sink: DecisionSink) -> None:
+        """Reports all units of a rejected request as demand, with `OWN_SHARE_LEASE_ID`."""
         self._report(request, LeaseUse(OWN_SHARE_LEASE_ID, request.units), sink)
 
     def _report(self, request: Request, use: LeaseUse, sink: DecisionSink) -> None:
--- a/onyxpost/policy/load_balancing.py
+++ b/onyxpost/policy/load_balancing.py
@@ -33,9 +33,9 @@
         self._eligibility = eligibility
 
     def pick(self, now: float, request: Request) -> UpstreamServer | None:
-        """Returns the server for the request's next attempt; None if no server has capacity for it."""
+        """Returns the server for the request's next attempt; None if no eligible server has capacity."""
         preferred = self._order.servers_for(request.customer)
-        if self._limit.is_reached(preferred, self._servers.unexpired_attempts(now)):
+        if self._limit.is_reached(preferred, self._servers.timely_attempts(now)):
             return None
         warming_servers = {each for each in preferred if self._slow_start.warmup_fraction(now, each) < 1.0}
         due_servers = [
@@ -45,7 +45,7 @@
         constraint = request.constraint
         if constraint is not UNRESTRICTED:  # the limit of all servers would overload the selected ones
             candidates = constraint.select(candidates)
-            in_flight = sum(each.unexpired_attempts(now) for each in candidates)
+            in_flight = sum(each.timely_attempts(now) for each in candidates)
             if self._limit.is_reached(candidates, in_flight, constraint.capacity_share):
                 return None
         self._slow_start.record_request(now)
--- a/onyxpost/policy/load_shedding.py
+++ b/onyxpost/policy/load_shedding.py
@@ -21,7 +21,8 @@
     """Integral control of the rejection probability (the paper's theta), gain-scheduled by the load r.
 
     Attributes:
-        rejection_probability: of each request in the current period; set by `on_timer` only.
+        rejection_probability: the probability with which each request of the current period is rejected; set
+            by `on_timer` only.
     """
 
     PERIOD_MS = 500.0  # time between two updates of the rejection probability
@@ -63,7 +64,11 @@
         self._record_latency(request.frontend, now - request.admitted_at)
 
     def record_unanswered(self, request: Request, since: float) -> None:
-        """Counts a request as answered at its deadline; leaving it out would hide an overload."""
+        """Counts a request as answered at its deadline; leaving it out would hide an overload.
+
+        The latency counts from `since`: the admission of a request for which no server was found, or the
+        arrival of one that got no final answer.
+        """
         self._record_latency(request.frontend, request.deadline - since)
 
     def _record_latency(self, frontend: Frontend, latency_ms: float) -> None:
@@ -73,7 +78,8 @@
     def on_timer(self, now: float, _event: TimerFired, sink: DecisionSink) -> None:
         """Updates the rejection probability at the end of each period.
 
-        The probability stays the same after a period in which no request ended.
+        The probability stays the same after a period in which no request was answered or counted as
+        unanswered.
         """
         if now < self._next_update_at:
             return
--- a/onyxpost/policy/peer_usage.py
+++ b/onyxpost/policy/peer_usage.py
@@ -17,7 +17,10 @@
     MAX_AGE_MS = 3000.0  # age from which on a peer's report of attempts in flight is ignored
 
     def total_in_flight(self, customer: CustomerQuota, now: float, excluded_peer: int | None = None) -> int:
-        """Returns the customer's attempts in flight at this node, plus those in recent reports of peers."""
+        """Returns the customer's attempts in flight at this node, plus those in recent reports of peers.
+
+        The reports of `excluded_peer` are left out.
+        """
         return customer.in_flight + sum(
             usage.in_flight
             for peer, usage in customer.peer_usage.items()
@@ -43,7 +46,8 @@
             units = report.units_used - usage.units_used
         else:
             units = report.units_used if usage.incarnation else report.new_units
-        # The peer has forgotten the customer in the meantime and counts from 0 again.
+        # If the count has decreased to just the new units, the peer has forgotten the customer and counts
+        # from 0 again.
         is_count_restarted = units < 0 and report.units_used == report.new_units
         customer.last_seen_at = now
         customer.refill(now)
@@ -54,7 +58,7 @@
     def apply_correction(
         self, customer: CustomerQuota, now: float, peer: int, correction: QuotaCorrection
     ) -> None:
-        """Sets the bucket to the coordinator's count, less the units that are not yet reported to it."""
+        """Sets the quota's tokens to the coordinator's, less the units that are not yet reported to it."""
         usage = customer.peer_usage.setdefault(peer, PeerUsage())
         usage.in_flight = correction.in_flight
         usage.reported_at = now
--- a/onyxpost/policy/possible_execution.py
+++ b/onyxpost/policy/possible_execution.py
@@ -29,14 +29,15 @@
     """Decides whether a second attempt or a retry by the client could execute a request twice.
 
     Attributes:
-        first_possible_execution: the rule in force; by default the function `first_possible_execution`.
+        first_possible_execution: the rule that returns a request's first possibly executed attempt, or None;
+            the function of the same name in this module unless `replace_execution_rule` has replaced it.
     """
 
     def __init__(self) -> None:
         self.first_possible_execution: ExecutionRule = first_possible_execution
 
     def replace_execution_rule(self, rule: ExecutionRule) -> None:
-        """Replaces `first_possible_execution`; used by mutation testing only."""
+        """Replaces the rule `first_possible_execution`; used by mutation testing only."""
         self.first_possible_execution = rule
 
     def safe_to_reject(self, request: Request) -> bool:
--- a/onyxpost/policy/preference_order.py
+++ b/onyxpost/policy/preference_order.py
@@ -18,8 +18,9 @@
 class PreferenceOrder:
     """Orders the ready servers for each customer; orders are cached until endpoints change.
 
-    In a large set of nodes, which has a quota coordinator, each node has its own order. With a common order,
-    all nodes would use the same server, and each would see only a small part of that server's load.
+    For a customer with a quota coordinator (a large set of nodes, and a plan without a hard limit), each node
+    has its own order. With a common order, all nodes would use the same server, and each would see only a
+    small part of that server's load.
     """
 
     HASH_MULTIPLIER = 2654435761  # 2**32 divided by the golden ratio, for Knuth's multiplicative hashing
--- a/onyxpost/policy/quotas.py
+++ b/onyxpost/policy/quotas.py
@@ -25,7 +25,9 @@
     FORGET_AFTER_MS = 20000.0  # time since a customer was last seen after which it is dropped if unused
     SWEEP_FRACTION = 0.25  # time between two searches for unused customers, as a fraction of that time
     MAX_DEBT_MS = 1000.0  # largest debt of a bucket due to peers' usage, as the time to refill it
-    MAX_GOSSIP_PEERS = 4  # largest number of peers that get reports in turn; a larger set has a coordinator
+    # Largest number of peers that get reports in turn. A larger set has a coordinator, unless the plan has a
+    # hard limit.
+    MAX_GOSSIP_PEERS = 4
     # Fraction of the burst: the coordinator sends corrections once this much is used, and nodes admit at
     # random once less than this is left.
     LOW_TOKENS_FRACTION = 0.5
@@ -45,19 +47,21 @@
         plan = self._options.plans[placement.plan_index]
         share = 1.0 / max(1, placement.set_size)
         if safe_share := self._options.limits.safe_share:
-            # The buckets start empty, as an earlier incarnation may have spent this share. Planners grant
-            # leases of the rest.
+            # The buckets start with only the tokens since this node's start, as an earlier incarnation may
+            # have spent earlier ones. Planners grant leases of the rest.
             customer.set_plan(plan, share * safe_share, share * safe_share, self.MAX_DEBT_MS)
             return
         node_count = self._options.node_count
         customer.peers = placement.peers_of(self._options.node_index, node_count)
+        # A plan with a hard limit has no coordinator: spare hard-limit tokens are transferred in the reports
+        # that nodes send to each of their peers, and with a coordinator nodes report to it only.
         if len(customer.peers) > self.MAX_GOSSIP_PEERS and not plan.hard_limit_rate:
             customer.coordinator = placement.member_for_key(customer.key, node_count)
         customer.placement = placement
         customer.set_plan(plan, 1.0, share, self.MAX_DEBT_MS)
         # A new bucket starts with this node's share of the burst. In a large set, where a share may be less
         # than one request, it starts with the whole burst, which the coordinator soon corrects. The hard
-        # limit starts empty because its tokens may have been spent.
+        # limit starts with only the tokens since this node's start, as earlier ones may have been spent.
         customer.quota.tokens += plan.burst * (1.0 if customer.has_coordinator else share)
         customer.refill(now)
 
@@ -95,7 +99,9 @@
         return has_units and not self.peer_usage.at_concurrency_limit(customer, now)
 
     def quota_admission_probability(self, customer: CustomerQuota) -> float:
-        """Returns the probability of admission, less than 1 if a large set has few tokens left.
+        """Returns the probability of admission, below 1 if there is a coordinator and few tokens are left.
+
+        Values above 1 mean 1, and values below 0 mean 0.
 
         This is independent of the load shedder's rejection probability.
         """
@@ -105,12 +111,20 @@
         return customer.quota.tokens / pressure_tokens if pressure_tokens else 1.0
 
     def deferral_ms(self, now: float, request: Request, queued_units: int) -> float | None:
-        """Returns the time until the hard limit holds queued and own units; None if waiting is of no use."""
+        """Returns the time until the hard limit holds a request's units and the queued ones before it.
+
+        Returns None if the request must not wait.
+
+        Args:
+            now: the time, in ms.
+            request: the request that would wait.
+            queued_units: units of the customer's requests that are queued already.
+        """
         customer = request.customer
         customer.refill(now)
         bucket = customer.hard_limit
         units = request.units + queued_units
-        is_deferred = bucket.rate and customer.quota.tokens >= units and request.units <= bucket.burst
-        if not is_deferred or self.peer_usage.at_concurrency_limit(customer, now):
+        could_wait = bucket.rate and customer.quota.tokens >= units and request.units <= bucket.burst
+        if not could_wait or self.peer_usage.at_concurrency_limit(customer, now):
             return None
         return bucket.wait_ms(units)
--- a/onyxpost/policy/request_completion.py
+++ b/onyxpost/policy/request_completion.py
@@ -19,7 +19,7 @@
         self._may_cancel = state.options.limits.may_cancel_attempts
 
     def on_request_cancelled(self, _now: float, event: RequestCancelled, sink: DecisionSink) -> None:
-        """Finishes a request whose client has disconnected."""
+        """Finishes a request whose client has disconnected or that the host has aborted."""
         request = self._requests.get(event.request_id)
         if request is not None and not request.is_finished:
             self.finish(request, sink)
--- a/onyxpost/policy/request_rejection.py
+++ b/onyxpost/policy/request_rejection.py
@@ -20,7 +20,11 @@
         self._leases = leases
 
     def reject_for_capacity(self, request: Request, sink: DecisionSink) -> None:
-        """Rejects a request for lack of capacity; after a longer wait, a retry could not be in time."""
+        """Rejects a request for lack of capacity.
+
+        `Retry-After` is short, so that the client's retry can still be answered within the latency objective
+        of the first request.
+        """
         self._reject(request, self.RETRY_AFTER_FRACTION * request.frontend.latency_objective_ms, sink)
 
     def reject_over_limit(self, request: Request, sink: DecisionSink) -> None:
@@ -30,7 +34,7 @@
         already, because another limit or random admission is the reason, the time is 0 and the answer has no
         `Retry-After`.
         """
-        self._leases.report_shortage(request, sink)
+        self._leases.report_rejected_units(request, sink)
         self._reject(request, request.customer.quota.wait_ms(request.units), sink)
 
     def _reject(self, request: Request, retry_after_ms: float, sink: DecisionSink) -> None:
--- a/onyxpost/policy/retries.py
+++ b/onyxpost/policy/retries.py
@@ -52,7 +52,8 @@
     def attempt_timeout_ms(self, request: Request, now: float) -> float:
         """Returns the timeout of an attempt.
 
-        It ends before the latency deadline if late answers are worthless, else at the client's deadline.
+        It ends before the latency deadline if late answers are worthless, but is at least one tick if the
+        request's deadline permits. Otherwise it ends at the request's deadline.
         """
         timeout_ms = request.deadline - now
         if request.frontend.late_weight > 0.0:
--- a/onyxpost/policy/server_assessment.py
+++ b/onyxpost/policy/server_assessment.py
@@ -14,7 +14,8 @@
 class ServerAssessment:
     """Updates latency estimates, the concurrency limit and circuit breakers by the results of attempts."""
 
-    ASSESS_INTERVAL_MS = 100.0  # between updates of all estimates, which are too expensive per request
+    # Time between two updates of the estimates, which would cost too much at each request.
+    ASSESS_INTERVAL_MS = 100.0
 
     def __init__(
         self,
--- a/onyxpost/policy/server_eligibility.py
+++ b/onyxpost/policy/server_eligibility.py
@@ -8,12 +8,12 @@
 
 
 class ServerEligibility:
-    """Filters servers by trust, deduplication scope, earlier attempts and circuit breakers."""
+    """Filters servers by last success, deduplication scope, earlier attempts and circuit breakers."""
 
     def __init__(
-        self, trust: StaleEndpointPolicy, execution: ExecutionSafety, outliers: OutlierDetector
+        self, stale_endpoints: StaleEndpointPolicy, execution: ExecutionSafety, outliers: OutlierDetector
     ) -> None:
-        self._trust = trust
+        self._stale_endpoints = stale_endpoints
         self._execution = execution
         self._outliers = outliers
 
@@ -23,12 +23,12 @@
         return [each for each in eligible if self._outliers.may_attempt(now, each)] or eligible
 
     def _eligible(self, now: float, servers: list[UpstreamServer], request: Request) -> list[UpstreamServer]:
-        """Returns trusted servers in the deduplication scope.
+        """Returns the servers in the deduplication scope whose last success is recent enough.
 
         Servers that were tried before are included only if there are no others and the request was certainly
         never executed.
         """
-        max_success_age_ms = self._trust.max_success_age_ms
+        max_success_age_ms = self._stale_endpoints.max_success_age_ms
         servers = [each for each in servers if now - each.last_success_sent_at < max_success_age_ms]
         first_execution = self._execution.first_possible_execution(request)
         if first_execution is not None and request.frontend.idempotency is Idempotency.IDEMPOTENCY_KEY:
--- a/onyxpost/policy/server_selection.py
+++ b/onyxpost/policy/server_selection.py
@@ -16,14 +16,14 @@
 
 
 class ServerSelection:
-    """The components that deal with app servers.
+    """The components that assess app servers and select one for each attempt.
 
     Attributes:
         latency: estimates each server's latency.
         slow_start: decides when a server that warms up is due for a request.
         concurrency: the limit on attempts in flight.
         order: orders the servers for each customer.
-        trust: bounds the trust in servers while endpoints are stale.
+        stale_endpoints: limits how long after its last success a server is used while endpoints are stale.
         endpoints: applies updates from discovery.
         assessment: applies the results of attempts.
         balancer: picks the server for an attempt.
@@ -44,14 +44,14 @@
         self.latency = LatencyEstimator(options.shortest_latency_objective_ms)
         self.slow_start = SlowStart(now, options, servers)
         self.concurrency = ConcurrencyLimit(now, options, servers, shedder)
-        self.trust = StaleEndpointPolicy(
+        self.stale_endpoints = StaleEndpointPolicy(
             options.limits.drain_grace_ms, polls_endpoints=options.polls_endpoints
         )
         self.endpoints = EndpointUpdates(state, random, self.latency, self.slow_start, self.order)
         self.assessment = ServerAssessment(
             now, servers, self.latency, self.slow_start, outliers, self.concurrency
         )
-        eligibility = ServerEligibility(self.trust, execution, outliers)
+        eligibility = ServerEligibility(self.stale_endpoints, execution, outliers)
         self.balancer = LoadBalancer(
             servers, self.order, self.concurrency, self.latency, self.slow_start, eligibility
         )
--- a/onyxpost/policy/slow_start.py
+++ b/onyxpost/policy/slow_start.py
@@ -10,7 +10,7 @@
 
 
 class RequestCounts(NamedTuple):
-    """Count of the attempts that this node was about to send, to any server."""
+    """Count of the attempts for which a server was looked for within the concurrency limit."""
 
     requests: float = 0.0
 
@@ -22,10 +22,12 @@
     """Decides when a server that warms up gets its next request from this node.
 
     Attributes:
-        attempts_sent: counts the recent attempts that this node was about to send.
+        attempts_sent: counts the recent attempts for which a server was looked for within the concurrency
+            limit, including those for which none was found.
     """
 
-    GOLDEN_RATIO = 0.6180339887  # its successive multiples modulo 1 are spread evenly from 0 to 1
+    # Reciprocal of the golden ratio. Its successive multiples modulo 1 are spread evenly from 0 to 1.
+    GOLDEN_RATIO = 0.6180339887
     JITTER_PARTS = 20.0  # a node's phase is shifted at random by up to 1 / JITTER_PARTS of an interval
     MIN_WINDOW_MS = 1000.0  # shortest time over which a node that has just started measures its request rate
 
@@ -53,7 +55,7 @@
         server.slow_start.intervals_left = (phase + random_number / self.JITTER_PARTS) % 1.0
 
     def record_request(self, now: float) -> None:
-        """Counts an attempt that is about to be sent, to any server."""
+        """Counts an attempt for which a server is looked for within the concurrency limit."""
         self.attempts_sent.add(now, ONE_REQUEST)
 
     def on_attempt_started(self, server: UpstreamServer) -> None:
@@ -61,7 +63,10 @@
         server.slow_start.intervals_left = 1.0
 
     def advance(self, now: float, elapsed_ms: float) -> None:
-        """Reduces each server's remaining intervals by `elapsed_ms`, divided by the current interval."""
+        """Reduces each server's remaining intervals by `elapsed_ms`, divided by the server's interval.
+
+        A server's interval is that of a warm server, divided by the server's own warm-up fraction.
+        """
         request_count = self.attempts_sent.totals(now).requests
         window_ms = min(self._window_ms, max(self.MIN_WINDOW_MS, now - self._started_at))
         server_fractions = [(server, self.warmup_fraction(now, server)) for server in self._servers.ready]
--- a/onyxpost/policy/usage.py
+++ b/onyxpost/policy/usage.py
@@ -19,7 +19,14 @@
         self._gossip.mark_changed(request.customer)
 
     def record_actual_units(self, request: Request, units: int) -> None:
-        """Corrects the count to the units that the server reports as used; 0 means that it reports none."""
+        """Corrects the quota's tokens and the count of used units to the units that the server reports.
+
+        Neither the hard limit nor a lease from which the units were taken is corrected.
+
+        Args:
+            request: the request.
+            units: units that the server reports as used; 0 means that it reports none.
+        """
         if units:
             request.customer.consume(int(units) - request.units, 0)
             self._gossip.mark_changed(request.customer)
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -19,7 +19,7 @@
     # Less than half of the drain grace period has passed since the successful attempt was sent.
     ((_, second_request_id, second_server, _),) = host.arrive()
     assert second_server == server
-    assert kinds(host.end(second_request_id, AttemptResult.ERROR)) == ["reject"]  # no other server is trusted
+    assert kinds(host.end(second_request_id, AttemptResult.ERROR)) == ["reject"]  # no other may be used
     host.now += 65.0
     assert kinds(host.arrive()) == ["reject"]
     host.update_endpoints(complete=False)
@@ -27,9 +27,9 @@
 
 
 def test_where_endpoints_are_polled_a_success_counts_as_recent_for_longer() -> None:
-    """Polls may report a drain late, so a node that polls must trust servers for longer than the drain grace.
+    """Polls may report a drain late, so a node that polls must use servers for longer than the drain grace.
 
-    Without this, most nodes whose polls an overloaded discovery had refused rejected nearly all requests.
+    Otherwise a node whose polls are refused by an overloaded discovery would reject nearly all requests.
     """
     host = Host(servers=1, drain_grace_ms=250.0, polls_endpoints=True)
     ((_, request_id, _, _),) = host.arrive()
--- a/tests/policy/test_policy_package.py
+++ b/tests/policy/test_policy_package.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("module", MODULES, ids=lambda module: module.name)
-def test_a_module_imports_only_the_standard_library_and_records(module: Path) -> None:
+def test_a_module_imports_only_the_standard_library_and_the_decision_packages(module: Path) -> None:
     imported = set()
     for node in ast.walk(ast.parse(module.read_text())):
         if isinstance(node, ast.Import):
