--- a/onyxpost/edge/client_closing.py
+++ b/onyxpost/edge/client_closing.py
@@ -46,7 +46,7 @@
         the node is killed.
         """
         for connection in idle_connections(self._connections.open.values()):
-            if connection.has_no_unread_input(self._transport):
+            if connection.is_input_read(self._transport):
                 self._connections.begin_closing(connection)
         if self._clock() >= self._reject_incomplete_at:
             self._close_incomplete()
@@ -55,7 +55,7 @@
         for connection in [c for c in self._connections.open.values() if not c.has_unanswered_request]:
             if connection.has_partial_request:
                 self._http.reject_overloaded(connection)
-            elif connection.has_no_unread_input(self._transport):
+            elif connection.is_input_read(self._transport):
                 self._connections.begin_closing(connection)
 
     def close_expired(self) -> None:
@@ -66,14 +66,14 @@
         """
         now = self._clock()
         for connection in [c for c in self._connections.closing.values() if now > c.deadline]:
-            if connection.is_deadline_extended or connection.has_no_unread_input(self._transport):
+            if connection.is_deadline_extended or connection.is_input_read(self._transport):
                 self._connections.abort(connection)
             else:
                 connection.extend_deadline(now + LINGER_MS)
         expired = [
             connection
             for connection in self._connections.open.values()
-            if now > connection.deadline and connection.has_no_unread_input(self._transport)
+            if now > connection.deadline and connection.is_input_read(self._transport)
         ]
         for connection in expired:
             if connection.has_partial_request:
--- a/onyxpost/edge/client_connection.py
+++ b/onyxpost/edge/client_connection.py
@@ -19,7 +19,8 @@
 # Time for a new connection to send its first request, and for any request to arrive completely.
 REQUEST_TIMEOUT_MS = 2_500.0
 IDLE_TIMEOUT_MS = 5_000.0  # maximum time between two requests
-# A connection whose expected request is not complete after this time may be evicted.
+# A connection whose expected request is not complete after this time may be evicted. The same time limits the
+# wait for incomplete requests at shutdown, and the time to empty the accept queue before the listener closes.
 INCOMPLETE_REQUEST_GRACE_MS = 100.0
 
 
@@ -79,7 +80,7 @@
         """Returns whether the connection is between two requests."""
         return not self.has_unanswered_request and not self.has_partial_request and not self.is_new
 
-    def has_awaited_request_since(self, time: float) -> bool:
+    def is_request_awaited_since(self, time: float) -> bool:
         """Returns whether a request has been expected since before `time` (ms) and is not complete."""
         is_expected = self.is_new or self.has_partial_request
         return not self.has_unanswered_request and is_expected and self.waiting_since < time
@@ -92,8 +93,8 @@
         """Returns whether the transport is being closed."""
         return self.writer.transport.is_closing()
 
-    def has_no_unread_input(self, transport: Transport) -> bool:
-        """Returns whether neither bytes nor an end of stream are unread, in the kernel or in the reader."""
+    def is_input_read(self, transport: Transport) -> bool:
+        """Returns whether no bytes and no end of stream are unread, in the kernel or in the reader."""
         all_read = self.reader.bytes_received == self.bytes_read
         return all_read and transport.unread_input(self.writer.transport) is UnreadInput.NOTHING
 
@@ -143,7 +144,7 @@
     def on_closing(self, now: float, linger_ms: float) -> None:
         """Sets the deadline for closing, and discards a partly received body.
 
-        The deadline is in `linger_ms`, or in `IDLE_TIMEOUT_MS` if answers are still to be sent.
+        The deadline is after `linger_ms`, or after `IDLE_TIMEOUT_MS` if answers are still to be sent.
         """
         self.deadline = now + (IDLE_TIMEOUT_MS if self.unsent_bytes() else linger_ms)
         self.body = bytearray()
@@ -180,6 +181,6 @@
     Connections whose request has been expected since before `time` (ms) and is incomplete come first, then
     idle connections.
     """
-    slow = [connection for connection in connections if connection.has_awaited_request_since(time)]
+    slow = [connection for connection in connections if connection.is_request_awaited_since(time)]
     slow.sort(key=lambda connection: connection.waiting_since)
     return [*slow, *idle_connections(connections)]
--- a/onyxpost/edge/client_eviction.py
+++ b/onyxpost/edge/client_eviction.py
@@ -30,7 +30,7 @@
         expected_before = self._transport.clock() - INCOMPLETE_REQUEST_GRACE_MS
         candidates = eviction_candidates(self._connections.open.values(), expected_before)
         evicted = next(
-            (connection for connection in candidates if connection.has_no_unread_input(self._transport)), None
+            (connection for connection in candidates if connection.is_input_read(self._transport)), None
         )
         if evicted is None:
             return False
--- a/onyxpost/edge/client_http.py
+++ b/onyxpost/edge/client_http.py
@@ -145,7 +145,8 @@
     def _handle_head(self, connection: ClientConnection, head: h11.Request) -> None:
         connection.on_request_head(head)
         if head.target != HEALTH_CHECK_TARGET or head.method not in HEALTH_CHECK_METHODS:
-            # The client timeout counts from the first byte, as it began when the client sent the request.
+            # The client timeout counts from the first byte, as the client's own timer started when it sent
+            # the request.
             connection.on_request_decoded(
                 decode_request(connection.connection_id, connection.waiting_since, head, self._deployment)
             )
--- a/onyxpost/edge/client_listener.py
+++ b/onyxpost/edge/client_listener.py
@@ -22,7 +22,7 @@
 # protocol and the reading task take one turn each; the other turns are a margin.
 ACCEPT_TURNS = 8
 MAX_OVER_CAPACITY_CONNECTIONS = 16  # open connections beyond the node's capacity; further ones are aborted
-# Per turn of the event loop. More accepts could exceed the node's limit before they are counted.
+# Connections accepted per turn of the event loop; more could exceed the node's limit before they are counted.
 MAX_ACCEPTS_PER_TURN = 16
 
 
@@ -111,7 +111,7 @@
         except OSError:
             pass
         except Exception as err:
-            self._report_fault("client connection", err)
+            self._report_fault(f"client connection {connection.connection_id}", err)
         finally:
             try:
                 await self._connections.finish_closing(connection)
--- a/onyxpost/edge/descriptor_budget.py
+++ b/onyxpost/edge/descriptor_budget.py
@@ -11,8 +11,8 @@
     from onyxpost.edge.client_components import Clients
     from onyxpost.edge.upstream_pool import UpstreamPool
 
+# Descriptors for files, listeners, discovery, peers, planners and connections being accepted or rejected.
 MAX_RESERVED_DESCRIPTORS = 48
-"""Descriptors for files, listeners, discovery, peers, planners and connections being accepted or rejected."""
 
 DESCRIPTOR_EXHAUSTION_ERRNOS = (errno.EMFILE, errno.ENFILE)
 EXHAUSTION_LOG_INTERVAL_MS = 10_000.0  # minimum time between two log lines about exhausted descriptors
@@ -57,13 +57,13 @@
         )
 
     def has_client_capacity(self) -> bool:
-        """Returns whether one more client may connect; may close an idle client connection to allow it.
+        """Returns whether one more client may connect; may close another connection to allow it.
 
-        The load balancer in front opens at most a third of the descriptors, and a client that has sent a
-        request keeps its connection. So once clients hold a quarter of the descriptors, each new client
-        replaces one that is idle or slow to send a request, if there is one. Clients may hold at most three
-        fifths of the descriptors that are not reserved. The others are left for upstream connections, as a
-        request without one cannot be forwarded.
+        The load balancer in front opens at most as many connections as a third of this node's descriptor
+        limit, and a client that has sent a request keeps its connection. So once clients hold a quarter of
+        the descriptors, each new client replaces one that is idle or slow to send a request, if there is one.
+        Clients may hold at most three fifths of the descriptors that are not reserved. The others are left
+        for upstream connections, as a request without one cannot be forwarded.
         """
         limit = self.descriptor_limit()
         client_count = len(self.clients.connections.open)
@@ -72,7 +72,7 @@
         return client_count < (limit - self.reserved_count()) * 3 // 5 and self.has_upstream_capacity()
 
     def has_upstream_capacity(self) -> bool:
-        """Returns whether one more descriptor may be opened.
+        """Returns whether one more descriptor may be opened, for a client or an app server.
 
         At the limit, this aborts a closing client connection or else closes an idle upstream connection.
         """
@@ -92,7 +92,8 @@
         """Returns whether `error` reports exhausted descriptors and such an error was logged recently.
 
         asyncio reports each connection that it could not accept, and retries once a second. If this returns
-        False for exhausted descriptors, the caller is expected to log them.
+        False for exhausted descriptors, it also records `now_ms` as the time of the log line that the caller
+        is expected to write.
         """
         if not isinstance(error, OSError) or error.errno not in DESCRIPTOR_EXHAUSTION_ERRNOS:
             return False
--- a/onyxpost/edge/discovery_address.py
+++ b/onyxpost/edge/discovery_address.py
@@ -9,8 +9,9 @@
 if TYPE_CHECKING:
     from onyxpost.config.address import Address
 
-FAILURES_AFTER_CONNECTION = (PollFailure.OVERLOADED, PollFailure.MALFORMED_ANSWER)
-"""Failures that occur after a connection to discovery, which may then hold a change unknown to this node."""
+# Failures that show that discovery was up and may have had a change that this node lacks. A single connection
+# that was closed before an answer does not show this.
+DISCOVERY_UP_FAILURES = (PollFailure.OVERLOADED, PollFailure.MALFORMED_ANSWER)
 
 
 class AddressChoice:
@@ -30,7 +31,7 @@
         self.address = address
         self.alternative = alternative
         self._is_polling_second = False
-        # The failure of the first address in this round, if discovery was reached there.
+        # The failure of the first address in this turn of both, if it shows that discovery was up.
         self._first_failure: PollFailure | None = None
 
     def on_poll_failed(self, failure: PollFailure) -> PollFailure | None:
@@ -38,7 +39,8 @@
 
         Returns:
             The failure to report, or None if the other address has to be polled first. If both addresses
-            failed, this is the failure of the first one if discovery was reached there, else of the second.
+            failed, this is the failure of the first one if that shows that discovery was up, else of the
+            second.
         """
         if self.alternative is None:
             return failure
@@ -47,7 +49,7 @@
         self.alternative = failed_address
         self._is_polling_second = not self._is_polling_second
         if self._is_polling_second:
-            self._first_failure = failure if failure in FAILURES_AFTER_CONNECTION else None
+            self._first_failure = failure if failure in DISCOVERY_UP_FAILURES else None
             return None
         reported = self._first_failure or failure
         self._first_failure = None
--- a/onyxpost/edge/discovery_client.py
+++ b/onyxpost/edge/discovery_client.py
@@ -14,7 +14,7 @@
 from onyxpost.edge.discovery_watch import DiscoveryWatch
 from onyxpost.edge.messages import EdgeEvent, EndpointUpdate, EndpointUpdateFailed
 from onyxpost.edge.poll_schedule import PollFailure, PollSchedule
-from onyxpost.errors import InvalidInputError
+from onyxpost.errors import MAX_LOGGED_ERROR_CHARS, InvalidInputError
 from onyxpost.runtime.log_event import LogEvent
 
 if TYPE_CHECKING:
@@ -27,7 +27,6 @@
 # Minimum time between two log lines about outages. An agent that alternates between answers and resets would
 # otherwise cause ten lines a second.
 OUTAGE_LOG_INTERVAL_MS = 1000.0
-MAX_LOGGED_CAUSE_CHARS = 200  # limits the logged text of an error, which may quote an answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,8 +38,8 @@
         alternative_address: a second address that discovery may have, until one of the two has answered.
         generation: the generation of the endpoints in the node's file.
         seed: the seed of the jitter between polls.
-        is_shared_service: whether the discovery service itself is polled, rather than an agent that lists
-            are pushed to.
+        is_shared_service: True if the node polls the discovery service, which all nodes share; False if it
+            polls an agent, which the service pushes lists to.
     """
 
     address: Address
@@ -166,6 +165,7 @@
         if answered.address == self.address:  # the old address cannot end an outage of the new one
             self._end_outage(update.generation)
         if answered.is_after_move:
+            # `held` is the generation of the list that this node has.
             fields = {"generation": update.generation, "held": self.generation}
             self._log(LogEvent("discovery moved", fields))
         if update.generation < self.generation and (answered.is_after_move or not update.is_complete):
@@ -203,7 +203,8 @@
         if not self._is_outage_logged and now >= self._next_outage_log_at:
             self._is_outage_logged = True
             self._next_outage_log_at = now + OUTAGE_LOG_INTERVAL_MS
-            fields: dict[str, Any] = {"cause": f"{type(cause).__name__}: {cause}"[:MAX_LOGGED_CAUSE_CHARS]}
+            # The text is limited because it may quote an answer.
+            fields: dict[str, Any] = {"cause": f"{type(cause).__name__}: {cause}"[:MAX_LOGGED_ERROR_CHARS]}
             if isinstance(cause, InvalidInputError):
                 fields["remedy"] = cause.remedy
             self._log(LogEvent("discovery down", fields, logging.WARNING))
--- a/onyxpost/edge/discovery_watch.py
+++ b/onyxpost/edge/discovery_watch.py
@@ -42,7 +42,17 @@
 
 
 class WatchFailed(NamedTuple):
-    """A poll of a watch failed with the error `cause`; not reported for timeouts on reused connections."""
+    """A poll of a watch failed.
+
+    A timeout on a reused connection is not reported, as the connection may be at fault.
+
+    Attributes:
+        watch: the watch.
+        address: the address that the watch polls next. With two possible addresses, a failure is reported
+            once both have failed in turn, so this may not be the one that `cause` belongs to.
+        failure: the kind of failure; it may be that of the first of two addresses.
+        cause: the error of the latest failed poll.
+    """
 
     watch: DiscoveryWatch
     address: Address
@@ -171,7 +181,9 @@
             await asyncio.sleep(self.schedule.retry_pause_ms() / MS_PER_SECOND)
 
     async def _handle_timeout(self) -> None:
-        timeout = TimeoutError("discovery did not answer in time")
+        timeout = TimeoutError(
+            "discovery at {}:{} did not answer in time".format(*self._open_polls[-1].address)
+        )
         pause_ms = self._handle_failure(self._open_polls[-1], PollFailure.TIMEOUT, timeout)
         if self.schedule.max_open_polls == 1:
             close_polls(self._open_polls)
@@ -184,7 +196,8 @@
             return 0.0
         now = self._transport.clock()
         if reported_failure is PollFailure.TIMEOUT and not self.schedule.is_reconnecting:
-            # Possibly only the reused connection has failed; the next poll, on a new connection, shows it.
+            # Possibly only the reused connection has failed; the next poll, on a new connection, shows
+            # whether discovery is down.
             return self.schedule.on_poll_failed(now, reported_failure)
         pause_ms = self.schedule.on_poll_failed(now, reported_failure, poll.started_at)
         self._listener.on_watch_failed(WatchFailed(self, self._addresses.address, reported_failure, cause))
--- a/onyxpost/edge/effect_sink.py
+++ b/onyxpost/edge/effect_sink.py
@@ -152,7 +152,7 @@
         self.effects.append(WatchEndpoints())
 
     def record_units_spent(self, customer: int, plan: str, units: int, lease_id: int) -> None:
-        """Reports the units that a request spent from a lease, or from this node's own share (lease 0)."""
+        """Reports the units of a request; see `RecordUnitsSpent`."""
         self.effects.append(RecordUnitsSpent(customer, plan, units, lease_id))
 
     def return_lease(self, lease_id: int, units: int) -> None:
--- a/onyxpost/edge/errors.py
+++ b/onyxpost/edge/errors.py
@@ -19,10 +19,14 @@
 class DiscoveryOverloadedError(InvalidInputError):
     """Discovery answered with a status other than 200, usually because it receives too many polls.
 
-    Nodes have to wait before the next poll, as discovery stays overloaded if all nodes poll again at once.
+    An overloaded discovery answers with 503; other statuses have other causes, but are handled alike. Nodes
+    have to wait before the next poll, as discovery stays overloaded if all nodes poll again at once.
     """
 
-    remedy = "wait 20 s while the node polls again; if the error persists, increase the capacity of discovery"
+    remedy = (
+        "status 503: wait 20 s while the node polls again; if it persists, increase the capacity of "
+        "discovery; other statuses: check that `discovery` is the address of a discovery agent or service"
+    )
 
 
 class RequestRejectedError(Exception):
--- a/onyxpost/edge/messages/effects.py
+++ b/onyxpost/edge/messages/effects.py
@@ -61,7 +61,7 @@
 
 
 class FinalAnswer(Enum):
-    """The kind of a final answer."""
+    """The kind of a final answer; the values are external names."""
 
     FORWARDED = "passed"
     REJECTED = "denied"
@@ -99,7 +99,10 @@
 
 
 class RecordUnitsSpent(NamedTuple):
-    """Reports that a request has spent units of a lease, or of this node's own share (lease 0)."""
+    """Reports the units that a request has spent from a lease, or from this node's own share (lease 0).
+
+    The units of a rejected request, which spends nothing, are reported with lease 0, too, as demand.
+    """
 
     customer: int
     plan: str
--- a/onyxpost/edge/messages/events.py
+++ b/onyxpost/edge/messages/events.py
@@ -36,7 +36,7 @@
         frontend: the name of the requested frontend.
         customer: the customer's key, as hexadecimal digits.
         plan: the name of the customer's plan.
-        units: the number of units that the request costs of the customer's quota.
+        units: the number of units that the request takes from the customer's quota.
         set_size: the number of nodes that serve this customer.
         first_node_index: the index of the first of these nodes.
         timeout_ms: the client timeout, counted from `received_at`.
@@ -97,7 +97,11 @@
 
 
 class EndpointUpdateFailed(NamedTuple):
-    """A poll of discovery failed; `stale` is whether changes of endpoints may have been missed."""
+    """A poll of discovery failed or, if `is_stale`, changes of endpoints may have been missed.
+
+    With `is_stale`, it is posted when the staleness timeout expires, and after an answer that does not end
+    the staleness.
+    """
 
     is_stale: bool = False
 
--- a/onyxpost/edge/messages/forwarded_headers.py
+++ b/onyxpost/edge/messages/forwarded_headers.py
@@ -13,7 +13,9 @@
 if TYPE_CHECKING:
     from onyxpost.edge.messages.events import ClientRequest
 
-# Besides hop-by-hop headers, app servers do not get the headers that are only for edge nodes.
+# Not forwarded to app servers: hop-by-hop headers, those that this node sets itself (Content-Length,
+# X-Expires-In), Expect, which this node answers, and those with the customer's key, plan and quota. Cookie
+# contains the key and is dropped as a whole, including any cookies of the app.
 HEADERS_NOT_FORWARDED = HOP_BY_HOP_HEADERS | {
     b"content-length",
     b"expect",
@@ -51,7 +53,7 @@
 def attempt_result(response: h11.Response) -> AttemptResult:
     """Returns the result of an attempt from its complete response.
 
-    Only the header X-Never-Ran proves that the server has not executed the request.
+    Only the header X-Never-Ran with status 503 or 504 proves that the server has not executed the request.
     """
     if response.status_code == STATUS_OK:
         return AttemptResult.OK
--- a/onyxpost/edge/messages/request_headers.py
+++ b/onyxpost/edge/messages/request_headers.py
@@ -31,7 +31,8 @@
         b"upgrade",
     }
 )
-# Besides hop-by-hop headers, clients do not get the headers that app servers send only to edge nodes.
+# Not returned to clients: hop-by-hop headers, Content-Length, which this node sets itself, and the headers
+# that app servers send only to edge nodes.
 HEADERS_NOT_RETURNED = HOP_BY_HOP_HEADERS | {b"content-length", b"x-never-ran", b"endpoint-load-metrics"}
 NON_REPEATABLE_HEADERS = (
     b"x-trace-id",
--- a/onyxpost/edge/pending_requests.py
+++ b/onyxpost/edge/pending_requests.py
@@ -36,7 +36,8 @@
     Attributes:
         received_count: requests received since the start of the node.
         attempt_count: attempts since the start of the node, including those that were never sent.
-        by_id: all requests, until the end of the round in which they finish.
+        by_id: all requests, until the end of the round in which they are finished and have no attempts in
+            flight.
         by_connection: the requests that have no final answer, by connection id.
         by_trace_id: the requests without a final answer or with attempts in flight.
         attempts_in_flight: the request and the attempt index, by attempt id.
@@ -108,7 +109,7 @@
             self.by_trace_id.pop(request.client_request.trace_id, None)
 
     def remove_finished(self) -> None:
-        """Removes the requests that finished in the current round."""
+        """Removes the requests that became finished and without attempts in flight in the current round."""
         for request in self._finished:
             if not request.in_flight:
                 self.by_id.pop(request.request_id, None)
--- a/onyxpost/edge/poll_schedule.py
+++ b/onyxpost/edge/poll_schedule.py
@@ -3,9 +3,10 @@
 There is no I/O here. The arguments are times and the results durations, both in milliseconds. A poll that is
 not answered in time is followed by another one on a new connection.
 
-The discovery protocol sets the limits. Whether or not its polls were answered, a node has to act on a change
-within 6 s of the time at which discovery had the change and could be reached, or within 2 s of the end of its
-long poll if that is later. After SIGHUP has set the address of another agent, the limit is 4 s.
+The discovery protocol limits the time within which a node has to act on a change. The limit is 6 s, which
+begin once discovery has the change and can be reached. If the node's long poll ends more than 4 s after that,
+the limit is 2 s after the end of the long poll. After SIGHUP has set the address of another agent, the limit
+is 4 s. The limits hold even if polls are not answered.
 
 An agent on this machine, to which the lists are pushed, answers at once and serves no other node. A discovery
 service is shared by all nodes, and each abandoned poll is wasted work for the service.
@@ -23,16 +24,17 @@
 STALE_AFTER_LONG_POLL_MS = 2000.0  # from the end of a long poll; applies if it is later
 STALE_AFTER_RELOAD_MS = 4000.0  # replaces the 6 s if SIGHUP has just set the address
 ANSWER_TIMEOUT_MS = 2000.0  # a shared discovery service itself abandons a poll after this time
-# Mean pause before a poll is retried. With jitter it stays below the 200 ms for which discovery is assumed to
-# keep a watch without a poll.
+# Pause before a poll is retried, without jitter. With jitter it stays below the 200 ms for which discovery is
+# assumed to remember a node that has no open poll.
 RETRY_PAUSE_MS = 100.0
 AGENT_ANSWER_MARGIN_MS = 250.0  # time for an agent's answer after the end of a long poll
 AGENT_LONG_POLL_MS = 1000.0  # how long an agent may hold a poll open while nothing changes
-# Two answers and the pauses before them fit into STALE_AFTER_MS.
+# The long poll, two answers and two pauses without jitter take STALE_AFTER_MS; the highest jitter adds 50 ms.
 SHARED_LONG_POLL_MS = STALE_AFTER_MS - 2.0 * ANSWER_TIMEOUT_MS - 2.0 * RETRY_PAUSE_MS
 SHARED_RECONNECT_LONG_POLL_MS = 400.0  # used after a failure, as the list may become stale meanwhile
-# Upper bound of the pause after the first overloaded answer of an agent; doubles with each further one.
-AGENT_BACKOFF_MIN_MS = 200.0
+# Upper bound of the pause after an agent's first overloaded answer; doubles with each further one, up to
+# AGENT_BACKOFF_MAX_MS.
+AGENT_FIRST_MAX_BACKOFF_MS = 200.0
 AGENT_BACKOFF_MAX_MS = 1000.0
 IMMEDIATE_LONG_POLL_MS = 1.0  # requests an immediate answer
 
@@ -49,7 +51,7 @@
     UNREACHABLE = "unreachable"  # no connection, so this failure cannot have hidden a change
     CONNECTION_CLOSED = "connection closed"  # closed before the first byte of an answer
     MALFORMED_ANSWER = "malformed answer"  # malformed or truncated; the sender may have a change
-    OVERLOADED = "overloaded"  # a status other than 200, sent when discovery has no capacity
+    OVERLOADED = "overloaded"  # any status other than 200; discovery sends one when it has no capacity
     LOCAL_RESOURCES = "local resources"  # this node could not open a connection; discovery may be up
 
 
@@ -65,19 +67,20 @@
 
         Args:
             rng: source of the jitter of pauses.
-            is_shared_service: whether the discovery service itself is polled, rather than an agent that
-                lists are pushed to.
+            is_shared_service: True if the node polls the discovery service, which all nodes share; False if
+                it polls an agent, which the service pushes lists to.
         """
         self.is_reconnecting = True
         self._rng = rng
         self._is_shared = is_shared_service
-        self._backoff_ms = AGENT_BACKOFF_MIN_MS
+        self._backoff_ms = AGENT_FIRST_MAX_BACKOFF_MS
         self._polled_at = 0.0
         self._is_first_poll = True
         self._has_timed_out = False  # whether the last poll timed out
         self._consecutive_closes = 0
         self._stale_after_ms = STALE_AFTER_MS
-        self._may_have_missed_changes = False  # whether a discovery was reached that may have a change
+        # Whether discovery was up while a poll failed, so that it may have had a change.
+        self._may_have_missed_changes = False
         # Time by which this node has to know all changes since the last answer; None right after an answer.
         self._stale_at: float | None = None
 
@@ -124,7 +127,7 @@
 
     def on_poll_answered(self) -> None:
         """Resets all failures, as the list is now the one that discovery has."""
-        self._backoff_ms = AGENT_BACKOFF_MIN_MS
+        self._backoff_ms = AGENT_FIRST_MAX_BACKOFF_MS
         self._has_timed_out = False
         self.is_reconnecting = False
         self._stale_at = None
--- a/onyxpost/edge/upstream_connection.py
+++ b/onyxpost/edge/upstream_connection.py
@@ -30,7 +30,7 @@
         self.reader = connection.reader
         self.writer = connection.writer
         self.idle_since = 0.0
-        self._is_input_drained = connection.has_no_unread_input
+        self._is_input_read = connection.is_input_read
         self._is_flushed = connection.is_flushed
         self._http = h11.Connection(h11.CLIENT)
         self._is_request_written = False  # whether the request was passed to the transport
@@ -51,9 +51,9 @@
         ended = reader.at_eof() or reader.exception() is not None or self.writer.transport.is_closing()
         return ended or reader.bytes_received > self._bytes_read
 
-    def has_no_unread_input(self) -> bool:
+    def is_input_read(self) -> bool:
         """Returns whether there are no unread bytes and the server has not closed the connection."""
-        return not self.is_unusable() and self._is_input_drained()
+        return not self.is_unusable() and self._is_input_read()
 
     async def exchange(
         self, request: h11.Request, body: bytes
--- a/onyxpost/edge/upstream_pool.py
+++ b/onyxpost/edge/upstream_pool.py
@@ -111,7 +111,7 @@
     def retire_endpoint(self, endpoint: Endpoint) -> None:
         """Closes the idle connections to an endpoint that is draining, gone or has another address.
 
-        Another server may get the address, so that the connections must not be reused. Busy connections are
+        Another server may get the address, so the connections must not be reused. Busy connections are
         closed once they are released.
         """
         for connection in self.idle_connections.pop(endpoint, []):
@@ -130,7 +130,7 @@
         try:
             async with asyncio.timeout(timeout_ms / MS_PER_SECOND if timeout_ms else None):
                 connection = await self.open_connection(endpoint)
-            if connection.has_no_unread_input():
+            if connection.is_input_read():
                 return connection
             connection.abort()
             raise OSError("server closed or sent bytes before a request")  # noqa: TRY301 - handled below
@@ -236,7 +236,7 @@
         for index in range(len(connections) - 1, -1, -1):
             if connections[index].idle_since <= latest_release:
                 connection = connections.pop(index)
-                if self._is_usable(connection) and connection.has_no_unread_input():
+                if self._is_usable(connection) and connection.is_input_read():
                     return connection
                 self.close_connection(connection)
         return None
--- a/onyxpost/errors.py
+++ b/onyxpost/errors.py
@@ -18,12 +18,12 @@
 
 
 class OperatorError(Exception):
-    """An error with a remedy for the operator.
+    """An error for the operator, usually with a remedy; base classes have none.
 
     Attributes:
         message: what went wrong; an error in a file ends with the path of the key (`with_key_path`).
-        location: the file, peer or option that the error concerns; empty if none.
-        remedy: what the operator can do; the same for all errors of a type.
+        location: the file, peer, option or process that the error concerns; empty if none.
+        remedy: what the operator can do; the same for all errors of a type, empty for base classes.
     """
 
     remedy: ClassVar[str] = ""
@@ -102,6 +102,9 @@
 
 
 class OperatingSystemError(OperatorError):
-    """The operating system refused a resource that a process needs."""
+    """The operating system refused something that a process needs; any `OSError` not handled elsewhere."""
 
-    remedy = "check this process's limits on file descriptors (`ulimit -n`) and memory"
+    remedy = (
+        "check this process's limits on file descriptors (`ulimit -n`) and memory, its file permissions "
+        "and the free disk space"
+    )
--- a/onyxpost/runtime/errors.py
+++ b/onyxpost/runtime/errors.py
@@ -7,4 +7,7 @@
 
 
 class TruncatedResponseError(OSError):
-    """The connection ended before a complete response was received, or its end cannot be determined."""
+    """No complete response to the request was received, or the end of the response cannot be determined.
+
+    Also raised for bytes that arrive before the request was sent completely, as they cannot be its response.
+    """
--- a/onyxpost/runtime/http1.py
+++ b/onyxpost/runtime/http1.py
@@ -41,8 +41,9 @@
     """Reads one complete response and returns its head and body.
 
     Raises:
-        TruncatedResponseError: the connection ended before the head or within a response without framing
-            headers, or more than `MAX_INFORMATIONAL_RESPONSES` 1xx responses arrived.
+        TruncatedResponseError: the connection ended before the head was complete or during a response without
+            framing headers, whose end is therefore unknown, or more than `MAX_INFORMATIONAL_RESPONSES` 1xx
+            responses arrived.
         h11.RemoteProtocolError: the response is malformed or truncated, or its body exceeds
             `max_body_bytes`.
     """
@@ -71,7 +72,10 @@
         ):
             informational_responses += 1
         else:
-            raise TruncatedResponseError("connection ended or too many 1xx arrived before the final response")
+            raise TruncatedResponseError(
+                f"connection ended, or more than {MAX_INFORMATIONAL_RESPONSES} 1xx responses arrived, "
+                "before the final response"
+            )
 
 
 def start_next_cycle(http: h11.Connection) -> bool:
@@ -89,7 +93,8 @@
     values = [value for name, value in response.headers if name in FRAMING_HEADERS]
     if len(values) > 1 or (values and values[0].isdigit() and int(values[0]) > max_body_bytes):
         raise h11.RemoteProtocolError(
-            f"response has several framing headers, or its body exceeds {max_body_bytes} bytes"
+            f"response has {len(values)} framing headers instead of at most 1, or its body exceeds "
+            f"{max_body_bytes} bytes"
         )
 
 
--- a/onyxpost/runtime/log_event.py
+++ b/onyxpost/runtime/log_event.py
@@ -27,7 +27,7 @@
     """Returns the log event of an unexpected exception, with its traceback.
 
     Args:
-        operation: what the program was doing.
+        operation: what the program was doing; logged with the key `where`.
         error: the exception, or None if asyncio reported a problem without one.
     """
     cause = "".join(traceback.format_exception(error)) if error is not None else ""
--- a/onyxpost/runtime/socket_transport.py
+++ b/onyxpost/runtime/socket_transport.py
@@ -64,7 +64,7 @@
     async def dial(self, address: Address, buffer_limit_bytes: int) -> DialedConnection:
         """Opens a TCP connection.
 
-        The socket is created here, not by asyncio, because `has_no_unread_input` peeks at its receive buffer.
+        The socket is created here, not by asyncio, because `is_input_read` peeks at its receive buffer.
         """
         loop = asyncio.get_running_loop()
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
@@ -127,6 +127,8 @@
         """Ignores SIGHUP and SIGTERM while the process ends.
 
         The event loop removes its own handlers before the process exits, so a later signal would kill it.
+        SIGTERM is therefore taken from the loop first; its new handler does nothing, as child processes would
+        inherit an ignored SIGTERM. SIGHUP has no handler in the loop. SIGINT stays with the loop.
         """
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
         asyncio.get_running_loop().remove_signal_handler(signal.SIGTERM)
--- a/onyxpost/runtime/transport.py
+++ b/onyxpost/runtime/transport.py
@@ -60,9 +60,9 @@
     """A connection that this process opened.
 
     Attributes:
-        reader: the received bytes.
-        writer: the bytes to send.
-        has_no_unread_input: returns whether the event loop has read everything that arrived, so that neither
+        reader: the input stream.
+        writer: the output stream.
+        is_input_read: returns whether the event loop has read everything that arrived, so that neither
             bytes nor an end of stream are pending in the kernel.
         is_flushed: returns whether the kernel has accepted the last byte written, even if the connection has
             ended since.
@@ -70,7 +70,7 @@
 
     reader: ByteCountingReader
     writer: asyncio.StreamWriter
-    has_no_unread_input: Callable[[], bool]
+    is_input_read: Callable[[], bool]
     is_flushed: Callable[[], bool]
 
 
--- a/tests/edge/test_attempt_start.py
+++ b/tests/edge/test_attempt_start.py
@@ -1,4 +1,4 @@
-"""Attempts are checked right before their first byte, and know whether their last byte was sent.
+"""Attempts are checked right before their first byte, and it is recorded whether their last byte was sent.
 
 Without the check, a request is executed for a client that has disconnected, or after its deduplication
 window. With a wrong state of the last byte, a request that is not idempotent may be executed twice.
--- a/tests/edge/test_client_flow_control.py
+++ b/tests/edge/test_client_flow_control.py
@@ -31,7 +31,7 @@
 
 
 @in_event_loop
-async def test_a_client_that_reads_no_answers_is_not_read_on_for_ever() -> None:
+async def test_a_client_that_reads_no_answers_is_disconnected() -> None:
     page = b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n" + b"x" * 60000
     async with StubAppServer(*[(page, False)] * 400) as server, RunningNode(server.address) as edge:
         edge.writer.close()
--- a/tests/edge/test_discovery_faults.py
+++ b/tests/edge/test_discovery_faults.py
@@ -20,7 +20,8 @@
 )
 from tests.edge.faulty_discovery import REACHED_FAULTS, Fault, FaultTiming, run_with_fault
 
-# The shortest drain grace period of all sites. It begins at once if an agent has a change when it returns.
+# The shortest drain grace period of all sites. It begins as soon as an agent that was down and has a change
+# can be reached.
 DRAIN_GRACE_MS = 250.0
 DURATIONS_MS = (700.0, 2500.0, 9000.0)
 CASES = [
@@ -33,13 +34,13 @@
     return STALE_AFTER_RELOAD_MS if timing is FaultTiming.AFTER_MOVE else STALE_AFTER_MS
 
 
-def is_change_hidden(fault: Fault, timing: FaultTiming, duration_ms: float) -> bool:
+def becomes_stale_during_fault(fault: Fault, timing: FaultTiming, duration_ms: float) -> bool:
     """Returns whether the list counts as stale before the fault ends."""
     return fault in REACHED_FAULTS and duration_ms > stale_after_ms(timing)
 
 
 @pytest.mark.parametrize(("fault", "timing", "duration_ms"), CASES)
-def test_a_pushed_change_arrives_within_the_drain_grace_and_an_outage_hides_none(
+def test_a_pushed_change_arrives_within_the_drain_grace_and_an_outage_hides_no_change(
     fault: Fault, timing: FaultTiming, duration_ms: float
 ) -> None:
     result = run_with_fault(fault, timing, duration_ms, shared=False)
@@ -52,9 +53,9 @@
     if fault in (Fault.SILENT, Fault.LATE):
         poll_ends_at = began_at + AGENT_LONG_POLL_MS + AGENT_ANSWER_MARGIN_MS
     assert result.changes_at[0] < max(result.fault_ended_at, poll_ends_at) + DRAIN_GRACE_MS + backoff_ms
-    is_hidden = is_change_hidden(fault, timing, duration_ms)
-    assert len(result.stale_at) == is_hidden
-    if is_hidden:
+    becomes_stale = becomes_stale_during_fault(fault, timing, duration_ms)
+    assert len(result.stale_at) == becomes_stale
+    if becomes_stale:
         assert result.stale_at[0] <= began_at + stale_after_ms(timing) + 10.0
 
 
@@ -66,7 +67,7 @@
     assert result.has_occurred
     limit_ms = stale_after_ms(timing)
     assert result.changes_at[0] < result.fault_ended_at + limit_ms - ANSWER_TIMEOUT_MS
-    if is_change_hidden(fault, timing, duration_ms):
+    if becomes_stale_during_fault(fault, timing, duration_ms):
         assert result.stale_at[0] <= result.fault_ended_at - duration_ms + limit_ms + 10.0
     else:
         assert not result.stale_at
--- a/tests/edge/test_discovery_over_sockets.py
+++ b/tests/edge/test_discovery_over_sockets.py
@@ -1,7 +1,7 @@
 """An edge node with a discovery agent on real sockets: start, reload, and failed polls.
 
-A node that starts with the list in its file, or follows a reload too early, could forward requests to servers
-that drain or are gone.
+A node that serves with only the list in its file, or leaves the old agent too early after a reload, could
+forward requests to servers that drain or are gone.
 """
 
 import asyncio
--- a/tests/edge/test_peer_socket.py
+++ b/tests/edge/test_peer_socket.py
@@ -30,7 +30,7 @@
     ]
     for peers, address in zip(nodes, [*free_addresses, ("127.0.0.1", 0)], strict=True):
         await peers.listen(address)
-        assert peers.transport is not None
+        assert peers.datagram_transport is not None
     nodes[2].send(SendPeerMessage(1, b"stranger"))
     nodes[0].send(SendPeerMessage(1, "caf\u00e9".encode()))
     nodes[0].send(SendPeerMessage(1, b"x" * 257))
--- a/tests/edge/test_poll_schedule.py
+++ b/tests/edge/test_poll_schedule.py
@@ -12,7 +12,7 @@
 
 from onyxpost.edge.poll_schedule import (
     AGENT_BACKOFF_MAX_MS,
-    AGENT_BACKOFF_MIN_MS,
+    AGENT_FIRST_MAX_BACKOFF_MS,
     ANSWER_TIMEOUT_MS,
     RETRY_PAUSE_MS,
     STALE_AFTER_MS,
@@ -141,9 +141,9 @@
     for _ in range(4):
         schedule.on_poll_failed(1.0, PollFailure.OVERLOADED)
     backoffs = [schedule.on_poll_failed(1.0, PollFailure.OVERLOADED) for _ in range(40)]
-    assert max(backoffs) > AGENT_BACKOFF_MIN_MS
+    assert max(backoffs) > AGENT_FIRST_MAX_BACKOFF_MS
     schedule.on_poll_answered()
     for _ in range(40):
         schedule.on_poll_started(0.0, 1.0)
-        assert schedule.on_poll_failed(1.0, PollFailure.OVERLOADED) <= AGENT_BACKOFF_MIN_MS
+        assert schedule.on_poll_failed(1.0, PollFailure.OVERLOADED) <= AGENT_FIRST_MAX_BACKOFF_MS
         schedule.on_poll_answered()
--- a/tests/edge/test_upstream_responses.py
+++ b/tests/edge/test_upstream_responses.py
@@ -95,9 +95,9 @@
     with socket.create_server(("127.0.0.1", 0)) as listener:
         connection = await pool.connect(Endpoint("s", listener.getsockname()))
         with listener.accept()[0] as server_side:
-            assert connection.has_no_unread_input()
+            assert connection.is_input_read()
             server_side.send(UPSTREAM_ANSWER)
-            assert (connection.is_unusable(), connection.has_no_unread_input()) == (False, False)
+            assert (connection.is_unusable(), connection.is_input_read()) == (False, False)
         pool.close_connection(connection)
 
 
