--- a/onyxpost/rollout/analysis/__init__.py
+++ b/onyxpost/rollout/analysis/__init__.py
@@ -1,1 +1,1 @@
-"""Sequential analysis of a rollout (docs/rollouts-analysis.md). Does no I/O; valid at every evaluation."""
+"""Sequential analysis of a rollout (docs/rollouts-analysis.md). No I/O; valid at every evaluation."""
--- a/onyxpost/rollout/analysis/baseline.py
+++ b/onyxpost/rollout/analysis/baseline.py
@@ -34,13 +34,19 @@
     max_failure_rates: Mapping[GroupMeasure, float]
 
     def max_failure_rate(self, group_name: str, measure: Measure) -> float:
-        """Returns the bound for a group; the bound for all requests if the group was never observed."""
+        """Returns the bound for a group; if it has none, the bound over all requests.
+
+        Groups of the level `DIMENSION`, and strata that were not tested against control, have none.
+        """
         over_all_requests = self.max_failure_rates.get(GroupMeasure(ALL_REQUESTS.name, measure), 1.0)
         return self.max_failure_rates.get(GroupMeasure(group_name, measure), over_all_requests)
 
 
 def max_baseline_rate(counts: PairedCounts, cluster_size: float, thresholds: Thresholds) -> float:
-    """Returns control's failure rate plus its standard errors, for clustered failures, and allowed drift."""
+    """Returns control's failure rate plus `ADDED_STANDARD_ERRORS` standard errors and the allowed drift.
+
+    The standard error takes failures as clustered.
+    """
     requests = max(1.0, counts.control_requests)
     rate = counts.control_rate
     standard_errors = ADDED_STANDARD_ERRORS * math.sqrt(cluster_size * (rate + 1.0 / requests) / requests)
--- a/onyxpost/rollout/analysis/decision.py
+++ b/onyxpost/rollout/analysis/decision.py
@@ -1,4 +1,4 @@
-"""Decides whether a stage halts, advances or holds. Does no I/O.
+"""Decides whether a stage halts, advances or holds. No I/O.
 
 A stage holds as long as the evidence is insufficient for another outcome.
 """
@@ -41,7 +41,10 @@
 
 
 def decide(evidence: Evidence, activity: NodeActivity, stage_duration_ms: float) -> Decision:
-    """Returns the decision on a stage; the error probabilities hold however often this is called.
+    """Returns the decision on a stage.
+
+    The probabilities of a false halt by e-values and of a false advance do not exceed their limits, however
+    often this is called.
 
     Args:
         evidence: the evidence of the stage so far.
@@ -84,7 +87,10 @@
     if evidence.baseline is not None:
         max_rate = evidence.baseline.max_failure_rate(group_name, measure)
         rates = f"{_format_candidate_rate(counts)}, baseline at most {100 * max_rate:.2f} %"
-    return f"{measure} in {group_name}: {rates}; e-value {e_value:.3g}"
+    return (
+        f"{measure}, {group_name}: {rates}; "
+        f"e-value {e_value:.3g}, halts at {math.exp(log_halt_threshold(evidence)):.3g}"
+    )
 
 
 def _failure_rate_limit_reason(evidence: Evidence) -> str | None:
@@ -95,7 +101,7 @@
         return None
     if recent.candidate_rate < limit or recent.control_rate >= limit / 2:
         return None
-    return f"{Measure.FAILED_REQUESTS} over the limit of {100 * limit:.0f} %: {_format_rates(recent)}"
+    return f"{Measure.FAILED_REQUESTS} at or above the limit of {100 * limit:.0f} %: {_format_rates(recent)}"
 
 
 def _hold_reason(evidence: Evidence, activity: NodeActivity, stage_duration_ms: float) -> str | None:
@@ -110,13 +116,21 @@
         return f"only {activity.active} of {activity.expected} nodes are active ({inactive})"
     requests = _requests_per_side(evidence)
     if requests < thresholds.min_requests:
-        return f"{requests:.0f} requests per side, expected at least {thresholds.min_requests}"
+        return f"one side has only {requests:.0f} requests, expected at least {thresholds.min_requests}"
     if _has_outage(evidence):
-        return f"an outage: recent failure rates are {_format_rates(evidence.recent_failures)}"
+        return (
+            f"an outage: recent failure rates are {_format_rates(evidence.recent_failures)}, "
+            f"limit {100 * thresholds.outage_failure_rate:g} %; "
+            f"{evidence.recent_outage_requests:.0f} recent requests in cells with an outage, "
+            f"limit {100 * thresholds.max_outage_fraction:g} % of {evidence.recent_failures.requests:.0f}"
+        )
     if evidence.regression_tests:
         log_e_value = evidence.log_e_value()
         if log_e_value > log_halt_threshold(evidence) - math.log(SUSPICION_FACTOR):
-            return f"a regression is suspected: e-value {math.exp(log_e_value):.3g}"
+            return (
+                f"a regression is suspected: e-value {math.exp(log_e_value):.3g}, "
+                f"halts at {math.exp(log_halt_threshold(evidence)):.3g}"
+            )
     return _inferiority_reason(evidence)
 
 
@@ -136,9 +150,10 @@
 
 
 def _inferiority_reason(evidence: Evidence) -> str | None:
-    """Returns the reason to hold for the first measure by which the candidate may be worse by the margin.
+    """Returns the reason to hold if the candidate may still be worse by a measure's margin, else None.
 
-    Returns None if no measure is left. In the last stage, without control, non-inferiority is not tested.
+    The reason names the first such measure. The last stage has no control and is not tested for
+    non-inferiority.
     """
     if evidence.baseline is not None:
         return None
@@ -147,5 +162,8 @@
         test = evidence.non_inferiority_tests.get(measure)
         if test is None or test.log_value() < required_log_value:
             counts = evidence.total_counts(measure)
-            return f"{measure} may be {100 * margin:.1f} percentage points worse: {_format_rates(counts)}"
+            return (
+                f"{measure} may still be {100 * margin:.1f} percentage points worse than control: "
+                f"{_format_rates(counts)}"
+            )
     return None
--- a/onyxpost/rollout/analysis/evidence.py
+++ b/onyxpost/rollout/analysis/evidence.py
@@ -1,4 +1,4 @@
-"""The evidence of one stage: one test for each group of strata and each measure. Does no I/O."""
+"""The evidence of one stage: one test for each group of strata and each measure. No I/O."""
 
 from __future__ import annotations
 
@@ -102,9 +102,10 @@
             self._update_groups(stratum, measure, update)
 
     def on_period_end(self) -> None:
-        """Reduces the weight of recent counts and releases a part of each test's reserve.
+        """Reduces the weight of recent counts and releases a part of the reserve of each regression test.
 
-        Must be called once per minute of the stage, at times that do not depend on results.
+        Also updates the latency thresholds. Must be called once per minute of the stage, at times that do not
+        depend on results.
         """
         for test in self.regression_tests.values():
             test.release_reserve()
@@ -142,7 +143,11 @@
         return max(self.regression_tests, key=contribution).group_measure
 
     def as_baseline(self) -> Baseline:
-        """Returns the baseline against which the last stage, which has no control, is tested."""
+        """Returns the baseline against which the last stage, which has no control, is tested.
+
+        Groups of the level `DIMENSION` get no bound: the last stage tests each cell against the bound of its
+        stratum, or against the bound over all requests if the stratum has none.
+        """
         rates = {}
         for key in self.regression_tests:
             if key.group.level is not Level.DIMENSION:
@@ -152,9 +157,10 @@
         return Baseline(self._latency.all_thresholds(), rates)
 
     def _observe_outage(self, failures: PairedCounts) -> bool:
-        """Returns whether control's failure rate in a cell indicates an outage; counts the cell's requests.
+        """Returns whether control's failure rate in a cell indicates an outage.
 
-        Such a cell is no evidence against the candidate.
+        Adds the requests of a cell with an outage to `recent_outage_requests`. Such a cell cannot raise the
+        e-value.
         """
         outage_failures = self.thresholds.outage_failure_rate * max(1, failures.control_requests)
         is_outage = failures.control_failures >= outage_failures
--- a/onyxpost/rollout/analysis/latency_thresholds.py
+++ b/onyxpost/rollout/analysis/latency_thresholds.py
@@ -14,7 +14,7 @@
     from onyxpost.rollout.metrics.protocol import RequestCounters
 
 MIN_REQUESTS = 200
-"""Control requests after which a stratum's first thresholds are set."""
+"""Number of control's succeeded requests after which a stratum's first thresholds are set."""
 
 SLOW_QUANTILE = 0.8
 """Quantile of control's latencies above which a request is slow."""
@@ -47,9 +47,9 @@
 class LatencyThresholdEstimator:
     """Latency thresholds by stratum name.
 
-    Thresholds are set once control has had `MIN_REQUESTS` requests. They are updated at the end of a period
-    if the number of control's requests has doubled since the last update. A cell is always measured by
-    thresholds that were set before it.
+    Thresholds are set once control has had `MIN_REQUESTS` succeeded requests. At the end of a period they are
+    updated if the number of control's succeeded requests has doubled since the last such update; the first is
+    due at twice `MIN_REQUESTS`. A cell is always measured by thresholds that were set before it.
     """
 
     def __init__(self, initial: Mapping[str, LatencyThresholds]) -> None:
@@ -72,7 +72,10 @@
             self._update_thresholds(stratum_name, latencies)
 
     def on_period_end(self) -> None:
-        """Updates the thresholds of strata whose control requests have doubled since the last update."""
+        """Updates the thresholds of strata in which control's succeeded requests have doubled.
+
+        They have doubled since the last update by this method, or from `MIN_REQUESTS` if there was none.
+        """
         for stratum_name, latencies in self._latencies.items():
             if latencies.has_doubled():
                 latencies.record_update()
--- a/onyxpost/rollout/analysis/measures.py
+++ b/onyxpost/rollout/analysis/measures.py
@@ -33,8 +33,8 @@
 ) -> Mapping[Measure, PairedCounts]:
     """Returns both sides' requests and failures by measure.
 
-    The latency thresholds must be set from earlier requests. Requests rejected by quota are excluded, because
-    routing rules do not affect them.
+    The latency thresholds must be set from earlier requests. Requests rejected by quota or by load shedding
+    are excluded, because routing rules do not affect them; only `LOAD_SHEDDING` includes the latter.
     """
     candidate_counts = _count_failures(candidate, latency)
     control_counts = _count_failures(control, latency)
--- a/onyxpost/rollout/analysis/overdispersion.py
+++ b/onyxpost/rollout/analysis/overdispersion.py
@@ -26,7 +26,7 @@
 
 
 class Overdispersion:
-    """The ratio of the squared surplus of the candidate's failures to its variance if they were independent.
+    """The ratio of the squared surplus of the candidate's failures to its variance with independent failures.
 
     The surplus is the difference from control's failures, scaled to the candidate's requests. It is taken
     relative to each stratum's mean, so that a lasting difference between candidate and control does not
--- a/onyxpost/rollout/analysis/sequential_test.py
+++ b/onyxpost/rollout/analysis/sequential_test.py
@@ -1,4 +1,7 @@
-"""Sequential tests by betting: e-processes that grow if candidate and control differ.
+"""Sequential tests by betting: one-sided e-processes.
+
+That of a regression test grows if the candidate is worse than control by more than the tolerances, that of a
+non-inferiority test if it is worse by less than the margin, or not worse.
 
 The derivation is in docs/rollouts-analysis.md, after "testing by betting" by Shafer and by Waudby-Smith and
 Ramdas. A cell holds the counts of one node in one stratum between two of its snapshots: N requests of the
@@ -9,9 +12,9 @@
 
 has a mean of at most one if the candidate's failure rate is at most (1 + relative tolerance) times control's
 plus the absolute tolerance, whatever control's rate is and however it changes. If failures come in clusters
-of up to c, the same is true of e^(1/c). The limit on a cell's gain only lowers the mean, and prevents a
-single cell from halting a rollout. By Ville's inequality, the probability that the product over cells ever
-exceeds 1/alpha is at most alpha.
+of up to c failures, the same is true of e^(1/c). The limit on a cell's gain only lowers the mean, and
+prevents a single cell from halting a rollout. By Ville's inequality, the probability that the product over
+cells ever exceeds 1/alpha is at most alpha.
 """
 
 from __future__ import annotations
@@ -27,7 +30,10 @@
 """Logarithms of the gains of one cell, in the order of `STAKES`."""
 
 STAKES = (0.05, 0.2, 0.5, 0.9)
-"""Stakes among which the capital is split equally; small stakes suit small regressions, large ones large."""
+"""Stakes among which the capital is split equally.
+
+Small stakes suit small regressions, large stakes large regressions.
+"""
 
 MAX_LOG_GAIN = math.log(4.0)
 """Upper limit on the logarithm of the gain of one cell."""
@@ -104,13 +110,13 @@
         self._log_reserve = math.log(1.0 - INITIAL_FRACTION)
 
     def update(self, log_gains: LogGains) -> None:
-        """Multiplies the capital on each stake by its gain in a cell."""
+        """Multiplies the capital on each stake by its gain in one or several cells."""
         self._log_capital = [
             capital + log_gain for capital, log_gain in zip(self._log_capital, log_gains, strict=True)
         ]
 
     def release_reserve(self) -> None:
-        """Moves a part of the reserve to the stakes; when it is called must not depend on results."""
+        """Moves a part of the reserve to the stakes. The times of the calls must not depend on results."""
         released = self._log_reserve + math.log(RELEASED_FRACTION / len(STAKES))
         self._log_reserve += math.log1p(-RELEASED_FRACTION)
         self._log_capital = [log_sum_exp((capital, released)) for capital in self._log_capital]
--- a/onyxpost/rollout/analysis/strata.py
+++ b/onyxpost/rollout/analysis/strata.py
@@ -27,7 +27,7 @@
     name: str
 
 
-ALL_REQUESTS = Group(Level.ALL, "all")
+ALL_REQUESTS = Group(Level.ALL, "all requests")
 
 
 def stratum_name(stratum: Stratum) -> str:
--- a/onyxpost/rollout/analysis/thresholds.py
+++ b/onyxpost/rollout/analysis/thresholds.py
@@ -63,7 +63,10 @@
     """The limits that the operator sets. Rates are fractions of requests between 0 and 1."""
 
     max_false_halt_probability: float = 0.005
-    """Maximum probability that a rollout without a regression halts at any stage."""
+    """Maximum probability that the e-values halt a rollout without a regression, over all stages together.
+
+    Halts by `failure_rate_limit` are not included.
+    """
     stages: int = 4
     """Number of stages, which share the false halt probability equally."""
     max_false_advance_probability: float = 0.05
@@ -77,15 +80,18 @@
     absolute_tolerance: float = 0.0005
     """Excess of the candidate's failure rate that is tolerated in addition to the relative tolerance."""
     failure_margin: float = 0.005
-    """A stage advances only once an excess of the candidate's rate of failed requests by this is excluded."""
+    """Limit on the excess of the candidate's rate of failed requests over control's.
+
+    A stage with control advances only once the excess is shown to be less than this.
+    """
     slow_margin: float = 0.05
-    """A stage advances only once an excess of the candidate's rate of slow requests by this is excluded."""
+    """The same limit for the rate of slow requests."""
 
     min_cluster_size: float = 2.0
     """Minimum size of the clusters in which failures are assumed to come."""
 
     outage_failure_rate: float = 0.2
-    """Failure rate of control from which a cell is an outage and no evidence against the candidate.
+    """A cell in which control's failure rate is at least this is an outage and cannot raise the e-value.
 
     A stage also holds while either side's recent failure rate reaches this rate.
     """
@@ -111,5 +117,5 @@
 
     @property
     def non_inferiority_margins(self) -> Mapping[Measure, float]:
-        """The measures in which a regression must be excluded before a stage advances, with its size."""
+        """The margins of the measures in which a stage with control must show non-inferiority to advance."""
         return {Measure.FAILED_REQUESTS: self.failure_margin, Measure.SLOW: self.slow_margin}
--- a/onyxpost/rollout/metrics/aggregation.py
+++ b/onyxpost/rollout/metrics/aggregation.py
@@ -1,4 +1,4 @@
-"""Aggregation of the nodes' snapshots. Does no I/O and reads no clock: the caller passes the time.
+"""Aggregation of the nodes' snapshots. No I/O and no clock: the caller passes the time.
 
 Snapshots are merged by maximum into one state for each incarnation of a node. A snapshot with impossible
 counters is rejected with a reason and changes nothing. The requests that a snapshot adds to the state are
@@ -66,7 +66,7 @@
 
     @property
     def expected(self) -> int:
-        """The number of nodes that should report."""
+        """The number of nodes that should report; more if more nodes reported."""
         return self.active + self.stalled + self.silent
 
 
@@ -121,9 +121,11 @@
         return [increment for increment in merged if increment is not None]
 
     def activity(self, now_ms: float, expected_nodes: int) -> NodeActivity:
-        """Returns how many of the expected nodes are active, stalled and silent.
+        """Returns how many nodes are active, stalled and silent.
 
-        Nodes that never reported are silent. Only active nodes show how the version behaves.
+        All nodes that reported lately count as active or stalled, even more than `expected_nodes`; the other
+        expected nodes, also those that never reported, are silent. Only active nodes show how the version
+        behaves.
         """
         active = 0
         stalled = 0
@@ -140,7 +142,10 @@
     def totals(
         self, is_included: Callable[[Stratum], bool] = _every_stratum
     ) -> tuple[RequestCounters, RequestCounters]:
-        """Returns the candidate's and control's counters over all nodes, in the included strata."""
+        """Returns the candidate's and control's counters in the included strata.
+
+        They are sums over the kept incarnations of all nodes, and fall when an incarnation is discarded.
+        """
         candidate = NO_COUNTERS
         control = NO_COUNTERS
         for state in self._states.values():
@@ -156,7 +161,9 @@
                 f"another version: expected {self.version!r}, got {snapshot.version!r}"
             )
         if snapshot.node not in self._incarnations and len(self._incarnations) >= MAX_NODES:
-            raise InvalidSnapshotError(f"too many nodes: expected at most {MAX_NODES}")
+            raise InvalidSnapshotError(
+                f"expected at most {MAX_NODES} nodes, got {snapshot.node!r} in addition"
+            )
 
     def _forget_old_incarnations(self, node: str) -> None:
         for incarnation in sorted(self._incarnations[node])[:-MAX_INCARNATIONS_PER_NODE]:
--- a/onyxpost/rollout/metrics/counters.py
+++ b/onyxpost/rollout/metrics/counters.py
@@ -1,4 +1,4 @@
-"""The request counters of one node during the rollout of a version. Does no I/O and reads no clock."""
+"""The request counters of one node during the rollout of a version. No I/O and no clock."""
 
 from __future__ import annotations
 
--- a/onyxpost/rollout/metrics/protocol.py
+++ b/onyxpost/rollout/metrics/protocol.py
@@ -1,6 +1,6 @@
 """The message in which a node reports its request counters.
 
-A snapshot holds cumulative counters, which only grow within one incarnation of the node, never differences.
+A snapshot holds cumulative counters, not differences; they only grow within one incarnation of the node.
 A lost, late, duplicated or reordered snapshot therefore delays the receiver's totals, but cannot make them
 wrong. Candidate and control counters of a stratum are sent in one entry, so both cover the same time on the
 same node.
@@ -17,7 +17,10 @@
     from collections.abc import Iterable, Iterator
 
 MAX_SNAPSHOT_BYTES = 56 * 1024
-"""Maximum size of one snapshot in MessagePack; a frame between nodes holds 64 KiB."""
+"""Maximum size of one snapshot in MessagePack.
+
+Both a message body between nodes (72 KiB) and a frame of the planner's protocol (64 KiB) have room for it.
+"""
 
 MAX_STRATA_PER_NODE = 64
 """Maximum number of strata that a node counts separately; further ones count as `OTHER_STRATUM_NAME`."""
@@ -26,7 +29,10 @@
 """The frontend and plan under which a node counts the strata beyond `MAX_STRATA_PER_NODE`."""
 
 MAX_LATENCY_BUCKETS = 256
+"""Maximum number of latency buckets of one side; must be at least `metrics.latency.BUCKET_COUNT`."""
+
 MAX_ATTEMPTS_PER_REQUEST = 8
+"""Maximum number of failed attempts that a snapshot may report for each request, on average."""
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Count = Annotated[int, Meta(ge=0, lt=2**53)]
--- a/onyxpost/rollout/metrics/validation.py
+++ b/onyxpost/rollout/metrics/validation.py
@@ -17,8 +17,11 @@
 MAX_REQUEST_BURST = 20_000.0
 """Requests allowed in addition to `MAX_REQUESTS_PER_MS`, because requests may have waited in queues."""
 
-MAX_STRATA_PER_VERSION = 128
-"""Maximum number of strata that one incarnation of a node may report for one version."""
+MAX_STRATA_PER_INCARNATION = 128
+"""Maximum number of strata that one incarnation of a node may report for one version.
+
+A node reports at most 65: `MAX_STRATA_PER_NODE`, and the one for all others.
+"""
 
 
 class InvalidSnapshotError(ValueError):
@@ -64,9 +67,14 @@
         raise InvalidSnapshotError(f"zone changed: expected {state.zone!r}, got {snapshot.zone!r}")
     reported = {entry.key: entry for entry in snapshot.strata}
     if len(reported) != len(snapshot.strata):
-        raise InvalidSnapshotError("a stratum occurs twice in the snapshot")
-    if len(reported.keys() | state.strata.keys()) > MAX_STRATA_PER_VERSION:
-        raise InvalidSnapshotError(f"too many strata: expected at most {MAX_STRATA_PER_VERSION}")
+        raise InvalidSnapshotError(
+            f"a stratum occurs twice: {len(snapshot.strata)} entries for {len(reported)} strata"
+        )
+    if len(reported.keys() | state.strata.keys()) > MAX_STRATA_PER_INCARNATION:
+        raise InvalidSnapshotError(
+            f"expected at most {MAX_STRATA_PER_INCARNATION} strata of one incarnation, "
+            f"got {len(reported.keys() | state.strata.keys())}"
+        )
     for entry in snapshot.strata:
         _check_counters(entry.candidate)
         _check_counters(entry.control)
@@ -82,22 +90,33 @@
 
 def _check_counters(counters: RequestCounters) -> None:
     if counters.has_negative():
-        raise InvalidSnapshotError("a counter is negative")
+        raise InvalidSnapshotError("a counter or the count of a latency bucket is negative")
     if counters.finished() > counters.requests:
-        raise InvalidSnapshotError(f"more requests finished than the {counters.requests} that arrived")
+        raise InvalidSnapshotError(
+            f"more requests finished than arrived: {counters.finished()} of {counters.requests}"
+        )
     if counters.late > counters.succeeded or sum(counters.latencies.values()) > counters.succeeded:
-        raise InvalidSnapshotError("more late responses or latencies than succeeded requests")
+        raise InvalidSnapshotError(
+            f"more late responses or latencies than succeeded requests: {counters.late} late responses, "
+            f"{sum(counters.latencies.values())} latencies, {counters.succeeded} succeeded requests"
+        )
     if counters.failed_attempts > MAX_ATTEMPTS_PER_REQUEST * counters.requests:
-        raise InvalidSnapshotError(f"more than {MAX_ATTEMPTS_PER_REQUEST} failed attempts per request")
+        raise InvalidSnapshotError(
+            f"more than {MAX_ATTEMPTS_PER_REQUEST} failed attempts per request: "
+            f"{counters.failed_attempts} for {counters.requests} requests"
+        )
     if not all(map(is_bucket_upper_bound, counters.latencies)):
-        raise InvalidSnapshotError("a latency is in no bucket")
+        raise InvalidSnapshotError("a latency is the upper bound of no bucket")
 
 
 def _check_monotonic(*, earlier: StratumCounters, later: StratumCounters) -> None:
     """Checks that no counter decreases from the earlier to the later time of the node's clock."""
     for before, after in ((earlier.candidate, later.candidate), (earlier.control, later.control)):
         if after.minus(before).has_negative() or before.latencies.keys() - after.latencies.keys():
-            raise InvalidSnapshotError("a counter decreased within an incarnation")
+            raise InvalidSnapshotError(
+                f"a counter of frontend {earlier.frontend!r} and plan {earlier.plan!r} "
+                "decreased within an incarnation"
+            )
 
 
 def _check_rate(
@@ -119,9 +138,12 @@
     elapsed_ms = snapshot.clock_ms - min(snapshot.clock_ms, previous_clock_ms)
     if added_requests > MAX_REQUESTS_PER_MS * elapsed_ms + MAX_REQUEST_BURST:
         raise InvalidSnapshotError(
-            f"{added_requests} requests since the node's last snapshot "
-            f"exceed the limit for {elapsed_ms:.0f} ms"
+            f"{added_requests} requests in the {elapsed_ms:.0f} ms since these strata were last reported "
+            f"exceed the limit of {MAX_REQUESTS_PER_MS * elapsed_ms + MAX_REQUEST_BURST:.0f}"
         )
     total_requests = added_requests + state.request_count()
     if total_requests > MAX_REQUESTS_PER_MS * max(snapshot.clock_ms, state.clock_ms) + MAX_REQUEST_BURST:
-        raise InvalidSnapshotError(f"{total_requests} requests in this incarnation exceed the node's limit")
+        raise InvalidSnapshotError(
+            f"{total_requests} requests in the {max(snapshot.clock_ms, state.clock_ms):.0f} ms of this "
+            f"incarnation exceed {MAX_REQUESTS_PER_MS:g} per ms and a burst of {MAX_REQUEST_BURST:.0f}"
+        )
--- a/onyxpost/rollout/routing_rules/compiled_rules.py
+++ b/onyxpost/rollout/routing_rules/compiled_rules.py
@@ -1,6 +1,6 @@
 """Routing rules compiled to a table by frontend and plan, which holds the few rules that can match a request.
 
-Does no I/O.
+No I/O.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class CompiledConstraint(RoutingConstraint):
-    """The restrictions of one rule for the customers that its weights assign to one value."""
+    """The restrictions of one rule for the customers whose hash under its `weight_salt` is in one range."""
 
     __slots__ = ("capacity_share", "filters", "max_attempts")
 
@@ -33,7 +33,7 @@
         self.capacity_share = rule.capacity_share or UNRESTRICTED.capacity_share
 
     def select(self, servers: list[ServerType]) -> list[ServerType]:
-        """Returns the servers that pass the first filter that any server passes; all servers if none do."""
+        """Applies the filters in order and returns the first result that is not empty, else all servers."""
         for is_permitted in self.filters:
             if permitted := [server for server in servers if is_permitted(server)]:
                 return permitted
--- a/onyxpost/rollout/routing_rules/errors.py
+++ b/onyxpost/rollout/routing_rules/errors.py
@@ -6,9 +6,12 @@
 
 
 class InvalidRulesError(InvalidInputError):
-    """The file is not TOML or too long, or a key in it is unknown, of the wrong type or out of range."""
+    """The file is not TOML, is too long, or has a key that is unknown, of the wrong type or out of range.
 
-    remedy = "correct that place, then run `onyxpost check NODE-FILE`; see docs/rollouts-routing-rules.md"
+    Also raised for a choice of servers without a criterion, or with weights for more than one criterion.
+    """
+
+    remedy = "correct the file, then run `onyxpost check NODE-FILE`; see docs/rollouts-routing-rules.md"
 
 
 class UnknownNameError(InvalidInputError):
--- a/onyxpost/rollout/routing_rules/reachability.py
+++ b/onyxpost/rollout/routing_rules/reachability.py
@@ -1,4 +1,4 @@
-"""Finds rules that never apply, because earlier rules match all of their requests. Does no I/O."""
+"""Finds rules that never apply, because earlier rules match all of their requests. No I/O."""
 
 from __future__ import annotations
 
@@ -64,7 +64,8 @@
             earlier = ", ".join(f"`$.rules[{covering}]`" for covering in sorted(covering_rules))
             raise UnreachableRuleError(
                 with_key_path(
-                    f"this rule never applies: {earlier} match all of its requests", f"rules[{index}]"
+                    f"this rule never applies: all requests that it matches are matched by {earlier}",
+                    f"rules[{index}]",
                 )
             )
 
--- a/onyxpost/rollout/routing_rules/server_filter.py
+++ b/onyxpost/rollout/routing_rules/server_filter.py
@@ -1,4 +1,4 @@
-"""Compiles the server choices of a rule to filters, predicates on one server. Does no I/O."""
+"""Compiles the server choices of a rule to filters, predicates on one server. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxpost/rollout/routing_rules/validation.py
+++ b/onyxpost/rollout/routing_rules/validation.py
@@ -1,4 +1,4 @@
-"""Checks a rules file against the node's context. Each error names its place in the file. Does no I/O."""
+"""Checks a rules file against the node's context. Each error names its place in the file. No I/O."""
 
 from __future__ import annotations
 
@@ -105,7 +105,10 @@
             continue
         for attribute in choice.criteria():
             if attribute is not SCOPE_ATTRIBUTES[scope]:
-                message = f"frontend {name!r} deduplicates by {scope.value}; this may select a part of one"
+                message = (
+                    f"frontend {name!r} deduplicates by {scope.value}; "
+                    f"selecting by {attribute} may select only a part of a {scope.value}"
+                )
                 raise SplitsDeduplicationScopeError(with_key_path(message, f"{path}.{attribute}"))
 
 
@@ -115,7 +118,7 @@
         attribute = next(iter(choice.criteria()))
         raise MissingFallbackError(
             with_key_path(
-                'these may all be unavailable; expected "any" as last fallback',
+                'the servers selected here may all be unavailable; expected "any" as the last fallback',
                 f"{path}{subpath}.{attribute}",
             )
         )
--- a/onyxpost/simulation/deterministic/observer.py
+++ b/onyxpost/simulation/deterministic/observer.py
@@ -74,7 +74,7 @@
         )
 
     def on_endpoints_sent(self, node_index: int, rows: list[dict[str, Any]]) -> None:
-        """Reports that a node is sent these rows."""
+        """Reports that an agent sends these rows to a node."""
         for row in rows:
             state = LIFECYCLE_STATES[row["lifecycle"]]
             now_ms = self._clock.monotonic()
--- a/onyxpost/simulation/multiprocess/edge_invariants.py
+++ b/onyxpost/simulation/multiprocess/edge_invariants.py
@@ -194,7 +194,10 @@
             self.checker.excuse_answer(event.node, event.trace)
 
     def _on_request_unanswered(self, event: RequestUnanswered) -> None:
-        """Excuses errors, which `connections_are_answered` checks; the deadline check finds timeouts."""
+        """Passes on disconnects of clients, and excuses the answer after an error.
+
+        `connections_are_answered` checks errors; timeouts are left to the deadline check.
+        """
         node = self.requests[event.trace].node
         if event.cause == DISCONNECTED:
             self.checker.on_client_disconnected(event.at_ms, node, event.trace)
--- a/onyxpost/simulation/multiprocess/lag_monitor.py
+++ b/onyxpost/simulation/multiprocess/lag_monitor.py
@@ -1,4 +1,4 @@
-"""Measures scheduling lag, which the machine causes and not a fault.
+"""Measures scheduling lag: delays that the machine causes, not an injected fault.
 
 Lag of the simulation is lateness of its event loop, lag of a node is the time its process waits for a core.
 """
--- a/onyxpost/simulation/multiprocess/leadership_environment.py
+++ b/onyxpost/simulation/multiprocess/leadership_environment.py
@@ -34,7 +34,8 @@
 SKEW_MS = 200.0  # maximum difference between two clocks, as set in the nodes' files
 DRIFT = 0.01  # maximum relative error of a clock's rate, as set in the nodes' files
 CALL_INTERVAL_MS = 200.0  # interval between the fenced calls of a leader
-REPORT_VALIDITY_LEASES = 3.0  # an acceptor uses another one's report for this many times lease plus skew
+# How long an acceptor is assumed to use another one's `RecoveryReply`, in units of lease plus skew.
+RECOVERY_REPLY_VALIDITY_LEASES = 3.0
 # A node must know an app server, although no request is sent.
 UNUSED_SERVER = {
     "instanceId": "s-1",
@@ -83,10 +84,10 @@
         """Returns at once, because leaders call the fenced resource without requests from clients."""
 
     def resolve_target(self, name: str) -> str:
-        """Returns the current leader of role 1 for `h1`, by the calls that the resource accepted.
+        """Returns the leader of role 1 for `h1`: the node whose call for it the resource accepted last.
 
-        If no call has been accepted for the role, a fixed node takes the leader's place. Other names are
-        returned unchanged.
+        Role numbers beyond the last role start again at 0. If no call has been accepted for the role, a fixed
+        node takes the leader's place. Other names are returned unchanged.
         """
         if not name.startswith("h"):
             return name
@@ -103,7 +104,7 @@
 
     def invariants(self) -> Sequence[Invariant]:
         """Returns the invariants of leader election, and the one of process failures."""
-        report_validity_ms = REPORT_VALIDITY_LEASES * (self.lease_ms + SKEW_MS)
+        report_validity_ms = RECOVERY_REPLY_VALIDITY_LEASES * (self.lease_ms + SKEW_MS)
         epochs = RecoveryEpochsJustified(self.acceptors, report_validity_ms)
         return no_process_failures, *LEADERSHIP_INVARIANTS, epochs
 
--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -153,7 +153,7 @@
     # Remedies of rules files.
     (
         "mend that place; `onyxpost check NODE-FILE` tries it; docs/rollouts-rules.md has their form",
-        "correct that place, then run `onyxpost check NODE-FILE`; see docs/rollouts-routing-rules.md",
+        "correct the file, then run `onyxpost check NODE-FILE`; see docs/rollouts-routing-rules.md",
     ),
     (
         "mend the name; a new zone goes into the rules' `zones`, the node's own into `zone` of its file",
--- a/tests/rollout/test_advance_and_hold.py
+++ b/tests/rollout/test_advance_and_hold.py
@@ -22,6 +22,7 @@
 
 
 def check_holds_without_exposure(activity: NodeActivity, duration_ms: float, times: int) -> None:
+    """Checks that a stage holds without enough exposure: requests, time and active nodes."""
     evidence = evidence_of([HEALTHY_CELL], times)
     is_exposed = times * 500 >= 2000 and duration_ms >= 120_000.0 and activity.active >= 8
     assert is_exposed or decided(evidence, activity, duration_ms).outcome is Outcome.HOLD
@@ -34,7 +35,7 @@
     check_holds_without_exposure(NodeActivity(active, stalled, 10 - active - stalled), duration_ms, times)
 
 
-def test_a_decision_without_exposure_is_detected() -> None:
+def test_an_advance_without_enough_requests_time_and_active_nodes_is_detected() -> None:
     with mock.patch.object(decision, "_hold_reason", return_value=None), pytest.raises(AssertionError):
         check_holds_without_exposure(NodeActivity(active=2, stalled=8, silent=0), LONG_ENOUGH_MS, 10)
 
--- a/tests/rollout/test_halt.py
+++ b/tests/rollout/test_halt.py
@@ -36,7 +36,7 @@
     evidence = evidence_of([HEALTHY_CELL], 2)
     for _ in range(20):
         evidence.update([cell((400, 2, 400, 2)), cell((100, 0, 100, 0), candidate_ms=223)])
-    assert "slow requests in" in decided(evidence).reason
+    assert "slow requests, " in decided(evidence).reason
 
 
 def test_a_regression_that_begins_late_is_found_within_a_few_snapshots() -> None:
@@ -62,7 +62,7 @@
 
 def test_the_failure_rate_limit_halts_at_any_time() -> None:
     evidence = evidence_of([cell((600, 200, 600, 30))])
-    assert "over the limit" in decided(evidence, duration_ms=0.0).reason
+    assert "at or above the limit" in decided(evidence, duration_ms=0.0).reason
 
 
 def test_the_failure_rate_limit_holds_if_control_is_near_it() -> None:
--- a/tests/rollout/test_metrics.py
+++ b/tests/rollout/test_metrics.py
@@ -133,7 +133,7 @@
         (snapshot_of(110, 6000.0, failed_attempts=881), "attempts"),
         (snapshot_of(110, 6000.0, latencies={5: 111}), "latencies"),
         (snapshot_of(110, 6000.0, latencies={104: 1}), "no bucket"),
-        (snapshot_of(10**6, 6000.0), "since the node's last snapshot"),
+        (snapshot_of(10**6, 6000.0), "since these strata were last reported"),
         (snapshot_of(110, 6000.0, "v3"), "another version"),
     ):
         result = aggregator.handle_snapshot(0.0, snapshot)
--- a/tests/rollout/test_routing_rules_decisions.py
+++ b/tests/rollout/test_routing_rules_decisions.py
@@ -79,7 +79,7 @@
     assert servers.count("s0") in range(3, 40)
 
 
-def test_a_server_in_slow_start_that_is_left_alone_gets_no_more_than_its_share() -> None:
+def test_a_server_in_slow_start_that_is_the_only_one_left_gets_no_more_than_its_share() -> None:
     host = host_with_rules(rule_preferring_zones("h0"), servers=4, warmup_ms=20_000.0)
     host.update_endpoints(
         host.endpoint(0, started_at=host.now), *(host.endpoint(index) for index in (1, 2, 3))
--- a/tests/rollout/test_routing_rules_deterministic.py
+++ b/tests/rollout/test_routing_rules_deterministic.py
@@ -75,9 +75,9 @@
 
 @contextlib.contextmanager
 def widening_constraints() -> Iterator[None]:
-    """Makes constraints permit servers that an earlier call was offered, but that are not available now.
+    """Makes constraints return servers that an earlier call was offered and the current one is not.
 
-    The edge node offers no draining servers, so such a constraint sends requests to them.
+    The edge node does not offer draining servers, so these constraints send requests to draining servers.
     """
     select = CompiledConstraint.select
     # Keyed by the loop, not by its id(): a later loop may reuse the id() of a deleted loop, and its servers.
@@ -104,7 +104,7 @@
 
 
 def test_rules_that_widen_are_detected(tmp_path: Path) -> None:
-    with widening_constraints():  # of the first 300 seeds, 165, 232, 233 and 270 detect them
+    with widening_constraints():  # of the first 300 seeds, 165, 232, 233 and 270 find the bug
         outcomes = (run_with_reloads(tmp_path, seed).outcome for seed in range(160, 240))
         failed = next((outcome for outcome in outcomes if outcome.failed), None)
     if failed is None:
