--- a/onyxpost/cluster/connections.py
+++ b/onyxpost/cluster/connections.py
@@ -119,13 +119,14 @@
         return None if connection is None else connection.incarnation
 
     def descriptor_count(self) -> int:
-        """Returns the number of open descriptors, which count against the limit of the process."""
+        """Returns the number of connections' descriptors, of members and of peers without a hello."""
         return len(self.established) + len(self.listener.unidentified)
 
     def update_membership(self, membership: Membership) -> bool:
-        """Applies a membership of a later version; logs why an invalid one is rejected.
+        """Applies a membership of a later version; logs why an earlier or conflicting one is rejected.
 
-        Returns whether it was applied. Called when the node's file is reloaded after SIGHUP.
+        Returns whether it was applied, which it is not while this node is leaving. Called when the node's
+        file is reloaded after SIGHUP.
         """
         try:
             if self._is_leaving or not is_later_version(membership, self.membership):
@@ -164,7 +165,7 @@
         self.dialer.cancel_all()
 
     def close(self) -> None:
-        """Aborts all connections and stops listening; messages that were read already are not delivered."""
+        """Aborts all connections and stops listening; received messages not handled yet are dropped."""
         self._stop()
         self.listener.close()
         if self._peer_check_task is not None:
@@ -226,7 +227,7 @@
     async def _run_connection(
         self, hello: Hello, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Runs a connection until it ends; it is aborted when the same member opens a later one."""
+        """Runs a connection until it ends; a later connection to the same member aborts and replaces it."""
         connection = PeerConnection(hello, writer)
         name = connection.member
         replaced = self.established.get(name)
--- a/onyxpost/cluster/errors.py
+++ b/onyxpost/cluster/errors.py
@@ -18,13 +18,16 @@
 class FrameTooLongError(ClusterError, ValueError):
     """A message of this node exceeds the largest frame and is not sent."""
 
-    remedy = "report the cause: a component sends a message or writes a record above its size limit"
+    remedy = "report this bug with its log line: a component sends a message or record above its size limit"
 
 
 class UnknownSenderError(ClusterError):
-    """The sender of a hello is not a member of the cluster, or this node is not."""
+    """The sender of a hello is not another member of the cluster, or this node is not a member."""
 
-    remedy = "give this node the file with the latest fleet.version, which lists the sender; send SIGHUP"
+    remedy = (
+        "install the file with the latest fleet.version on both nodes and send SIGHUP; stop a node that it"
+        " does not list"
+    )
 
 
 class ProtocolVersionError(ClusterError):
--- a/onyxpost/cluster/failure_detector.py
+++ b/onyxpost/cluster/failure_detector.py
@@ -58,8 +58,8 @@
         self.name = name
         self.state = PeerState.GONE
         self.state_since_ms = now_ms
-        # Whether a change to GONE has been returned. A peer starts in that state without a change; it
-        # is returned when the first dial fails or `GONE_TIMEOUT_MS` passes without a connection.
+        # Whether a change to GONE has been returned. A peer starts as GONE; that change is returned later,
+        # when the first dial fails or `GONE_TIMEOUT_MS` passes without a connection.
         self.is_gone_reported = False
         self.last_check_at_ms = now_ms
         self.last_message_at_ms = now_ms
@@ -108,7 +108,7 @@
         since_last_check_ms = now_ms - self.last_check_at_ms
         self.last_check_at_ms = now_ms
         if self.state is PeerState.GONE:
-            return CheckResult(change=self._check_never_connected(now_ms))
+            return CheckResult(change=self._check_unreported_gone(now_ms))
         if since_last_check_ms > HEARTBEAT_INTERVAL_MS:
             self._shift_times_by_pause(now_ms, since_last_check_ms)
         idle_ms = now_ms - self.last_message_at_ms
@@ -128,7 +128,7 @@
             unanswered_ms = 0.0
         return CheckResult(ping_number, change=self._evaluate(now_ms, idle_ms, unanswered_ms))
 
-    def _check_never_connected(self, now_ms: float) -> PeerStateChange | None:
+    def _check_unreported_gone(self, now_ms: float) -> PeerStateChange | None:
         if now_ms - self.state_since_ms > GONE_TIMEOUT_MS:
             return self.on_disconnected(now_ms, "no connection established")
         return None
--- a/onyxpost/cluster/log_rate_limit.py
+++ b/onyxpost/cluster/log_rate_limit.py
@@ -18,10 +18,9 @@
         self.suppressed: dict[str, int] = {}
 
     def allow(self, now_ms: float, kind: str) -> int:
-        """Returns 0 if the line must be suppressed.
+        """Returns how many events the line stands for; 0 if it must be suppressed.
 
-        Otherwise returns the number of events that the line stands for: itself and the lines of its kind
-        suppressed since the last one that was allowed.
+        The events are its own and the lines of its kind suppressed since the last one that was allowed.
         """
         if now_ms - self.last_allowed_at_ms.get(kind, -self.interval_ms) < self.interval_ms:
             self.suppressed[kind] = self.suppressed.get(kind, 0) + 1
--- a/onyxpost/cluster/membership.py
+++ b/onyxpost/cluster/membership.py
@@ -79,7 +79,7 @@
         message = f"version {new.version} is earlier than version {current.version}, which is in force"
         raise StaleMembershipError(message, "fleet.version")
     if new.version == current.version and new.members != current.members:
-        message = f"version {new.version} is in force with other members"
+        message = f"version {new.version} is in force with other members or addresses"
         raise MembershipConflictError(message, "fleet.members")
     return new.version > current.version
 
--- a/onyxpost/cluster/peer_log.py
+++ b/onyxpost/cluster/peer_log.py
@@ -46,7 +46,10 @@
         self._log(LogEvent(f"cluster peer {change.current.value}", fields, level))
 
     def log_rejected_connection(self, now_ms: float, err: ClusterError) -> None:
-        """Logs why a connection was rejected or ended, at a limited rate per type of error."""
+        """Logs why a connection was rejected or ended, at a limited rate per type of error.
+
+        The event is the same for both: a timeout or a malformed frame also ends an established connection.
+        """
         kind = type(err).__name__
         if occurrences := self._rate_limiter.allow(now_ms, kind):
             fields = {"kind": kind, **err.log_fields(), "times": occurrences}
--- a/onyxpost/cluster/protocol.py
+++ b/onyxpost/cluster/protocol.py
@@ -105,7 +105,8 @@
 
     Raises:
         ProtocolVersionError: the sender uses another version of the protocol.
-        UnknownSenderError: the sender is not a member, or this node is no longer a member.
+        UnknownSenderError: the sender is not a member or uses this node's name, or this node is no longer a
+            member.
         MemberNameMismatchError: the hello is addressed to another member.
         StaleIncarnationError: this connection or a later one of the sender was accepted before.
         MalformedFrameError: the incarnation cannot be parsed.
@@ -120,7 +121,8 @@
         raise UnknownSenderError(message, hello.sender)
     if hello.sender not in membership.members or hello.sender == own_name:
         message = (
-            f"not a member in version {membership.version}; the sender has version {hello.membership_version}"
+            f"not the name of another member in version {membership.version};"
+            f" the sender has version {hello.membership_version}"
         )
         raise UnknownSenderError(message, hello.sender)
     if hello.receiver != own_name:
--- a/onyxpost/cluster/reconnect.py
+++ b/onyxpost/cluster/reconnect.py
@@ -28,7 +28,7 @@
         self._next_seconds = INITIAL_DELAY_SECONDS
 
     def reset(self) -> None:
-        """Sets the next delay to the initial one; called after a connection that lasted long enough."""
+        """Sets the next delay to the initial one, after a connection of at least `GONE_TIMEOUT_MS`."""
         self._next_seconds = INITIAL_DELAY_SECONDS
 
     def next_delay_seconds(self) -> float:
--- a/onyxpost/cluster/unidentified_connections.py
+++ b/onyxpost/cluster/unidentified_connections.py
@@ -9,7 +9,7 @@
     from collections.abc import Iterator
 
 
-# The number of connections that a listener accepts in one iteration of the event loop.
+# How many connections a listener of peers or forwarders accepts in one turn (iteration) of the event loop.
 MAX_ACCEPTS_PER_TURN = 128
 
 
--- a/onyxpost/leadership/acceptor.py
+++ b/onyxpost/leadership/acceptor.py
@@ -114,9 +114,11 @@
             return self._handle_proposal(now_ms, sender, message)
         if message.version != self.acceptors.version:
             return []
-        return self._handle_current(now_ms, sender, message)
+        return self._handle_message_of_current_version(now_ms, sender, message)
 
-    def _handle_current(self, now_ms: float, sender: str, message: Message) -> list[Effect]:
+    def _handle_message_of_current_version(
+        self, now_ms: float, sender: str, message: Message
+    ) -> list[Effect]:
         match message:
             case StatusQuery():
                 return [SendMessage(sender, self._status(now_ms, sender, message.queried_at_ms))]
--- a/onyxpost/leadership/acceptor_log.py
+++ b/onyxpost/leadership/acceptor_log.py
@@ -113,7 +113,9 @@
                 return
             data = _encode_entry(state)
             if os.write(self.descriptor, data) != len(data):
-                raise AcceptorLogError(f"incomplete write of {len(data)} bytes: the disk is full", self.path)
+                raise AcceptorLogError(
+                    f"incomplete write of {len(data)} bytes; the disk may be full", self.path
+                )
             os.fsync(self.descriptor)
             self.size += len(data)
         except OSError as error:
@@ -129,7 +131,7 @@
         flags = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_APPEND
         new_descriptor = os.open(new_path, flags, FILE_MODE)
         if os.write(new_descriptor, data) != len(data):
-            raise AcceptorLogError(f"incomplete write of {len(data)} bytes: the disk is full", new_path)
+            raise AcceptorLogError(f"incomplete write of {len(data)} bytes; the disk may be full", new_path)
         os.fsync(new_descriptor)
         Path(new_path).replace(self.path)
         self._sync_directory()
--- a/onyxpost/leadership/acceptor_recovery.py
+++ b/onyxpost/leadership/acceptor_recovery.py
@@ -4,8 +4,8 @@
 `required_replies` acceptors with state, which is one more, at least one has it.
 
 Replies to queries sent before the end of the restart wait do not count. Until then, a message in which this
-acceptor accepted a write before its restart may still be on its way to the leader, and commit a write that no
-other acceptor has accepted yet.
+acceptor accepted a write before its restart may still be on its way to the leader. It could complete the
+majority for a write that the acceptors which replied had not accepted when they replied.
 """
 
 from __future__ import annotations
--- a/onyxpost/leadership/acceptor_set.py
+++ b/onyxpost/leadership/acceptor_set.py
@@ -79,5 +79,5 @@
             f"{section}.before",
         )
     if not are_records_committed:
-        message = f"version {old.version} is not known to be in force for all records yet"
+        message = f"no majority of version {old.version} is known to have accepted all records yet"
         raise MembershipChangeError(message, f"{section}.version")
--- a/onyxpost/leadership/ballots.py
+++ b/onyxpost/leadership/ballots.py
@@ -1,6 +1,7 @@
 """Ballots, as in Paxos: a number, which is also the fencing token, and the node that proposes it. Pure.
 
-Acceptors compare only the numbers, and promise each number to at most one proposer, so no two leases have the
+Between different ballots acceptors compare only the numbers; a ballot that equals the promised one in all
+fields is accepted again. An acceptor promises each number to at most one proposer, so no two leases have the
 same fencing token. The number of a new ballot is the proposer's clock in Unix milliseconds, or the highest
 number known plus one if that is greater. So numbers increase even after all acceptors have lost their state,
 because the clock has advanced since the last ballot.
@@ -20,7 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeIdentity:
-    """A node's name and its incarnation, a number that increases with each restart."""
+    """A node's name and its incarnation: the Unix time of the process's start in ms.
+
+    The incarnation is lower than before if the clock was set back.
+    """
 
     name: str
     incarnation: int
--- a/onyxpost/leadership/candidate.py
+++ b/onyxpost/leadership/candidate.py
@@ -47,7 +47,7 @@
 
 
 class Candidate:
-    """Tries to get this node elected, once a majority reports that the role is free and it is its turn.
+    """Tries to get this node elected once a majority reports the role as free and its turn has come.
 
     `rejected_by` has the acceptors that rejected the ballot in the current phase. `free_since_ms` is when
     this node learned that the role is free; None if the role is not known to be free.
@@ -114,7 +114,7 @@
         self.schedule.set_rank(rank)
 
     def on_leader_resigned(self, now_ms: float) -> None:
-        """Schedules a query for this node's turn, if it is preferred: the leader has released the role."""
+        """Schedules a query for this node's turn if the node is preferred: the leader released the role."""
         if not self.has_open_ballot and self.schedule.is_preferred:
             self.free_since_ms = now_ms
             self.wait_until(now_ms, self.schedule.turn_at_ms(now_ms))
@@ -224,7 +224,7 @@
     def _abandon_ballot(self, now_ms: float) -> list[Effect]:
         """Releases the acceptors of a ballot that failed, and schedules the next query after a backoff."""
         release = Release(
-            role=self.role, version=self.acceptors.version, ballot=self.ballot, was_leader=False
+            role=self.role, version=self.acceptors.version, ballot=self.ballot, is_resignation=False
         )
         self.schedule.on_ballot_failed()
         self.free_since_ms = None
--- a/onyxpost/leadership/config.py
+++ b/onyxpost/leadership/config.py
@@ -87,7 +87,7 @@
     lists = {"voters": section.acceptors, "names": section.roles, "before": section.previous_acceptors}
     for key, names in lists.items():
         if len(set(names)) < len(names):
-            raise _error("a name occurs more than once", key)
+            raise _error(f"expected distinct names, got {', '.join(names)}", key)
     unknown = set(section.acceptors) - set(nodes)
     if unknown:
         raise _error(f"{min(unknown)} is not one of the members in `fleet.members`", "voters")
--- a/onyxpost/leadership/effect_runner.py
+++ b/onyxpost/leadership/effect_runner.py
@@ -118,7 +118,10 @@
         self.log.count_sent(effect.message, is_sent=is_sent)
 
     def _persist(self, state: AcceptorState) -> bool:
-        """Returns whether the state is durable; if not, stops the acceptors and resigns from all roles."""
+        """Returns whether the state is durable.
+
+        If not, stops the acceptors, resigns from all roles and takes part in no further election.
+        """
         if self.acceptor_log is None:
             return True
         try:
--- a/onyxpost/leadership/effects.py
+++ b/onyxpost/leadership/effects.py
@@ -31,7 +31,8 @@
     """Reports that this node has acquired the lease of the role.
 
     If `record_epoch_ms` is greater than `record.fencing_token`, a majority of acceptors has lost its state
-    since the record was written, and later committed writes may be missing.
+    since the record was written, and later committed writes may be missing. The two can be compared because
+    a fencing token is at least the Unix time in ms, by its leader's clock, of the leader's election.
     """
 
     role: str
@@ -45,7 +46,7 @@
     """Reports that this node no longer leads the role.
 
     `ended_at_ms` is the scheduled end of the lease by this node's clock: in the past if the lease expired, in
-    the future if the node resigned before.
+    the future if the node resigned before that end.
     """
 
     role: str
--- a/onyxpost/leadership/election_schedule.py
+++ b/onyxpost/leadership/election_schedule.py
@@ -11,8 +11,8 @@
     from onyxpost.leadership.ballots import NodeIdentity
     from onyxpost.leadership.role_lease_timing import RoleLeaseTiming
 
-# The three nodes of the lowest rank query again as soon as a lease may have ended. The others wait longer, so
-# that the number of messages grows slowly with the size of the cluster.
+# Rank 0 is the most preferred. The nodes of ranks 0 to 2 query again as soon as a lease may have ended. The
+# others wait longer, so that the number of messages grows slowly with the size of the cluster.
 PREFERRED_RANKS = 3
 NON_PREFERRED_QUERY_DELAY_LEASES = 4.0  # delay of nodes that are not preferred, in lease durations
 BACKOFF_DOUBLINGS_LIMIT = 5  # limits the backoff after failed ballots to 32 rank delays
@@ -46,7 +46,10 @@
         self.failed_ballots = 0
 
     def on_ballot_failed(self) -> None:
-        """Doubles the next backoff, up to its limit: too few acceptors accepted the ballot."""
+        """Doubles the limit of the next backoff, up to a maximum.
+
+        Called when too few acceptors promised or accepted the ballot.
+        """
         self.failed_ballots += 1
 
     def turn_at_ms(self, free_since_ms: float) -> float:
--- a/onyxpost/leadership/errors.py
+++ b/onyxpost/leadership/errors.py
@@ -16,21 +16,24 @@
 
 
 class MembershipChangeError(LeadershipError, InvalidInputError):
-    """An acceptor set must not replace the one in force, as their majorities might not intersect."""
+    """An acceptor set must not replace the one in force, or not yet; the message gives the reason."""
 
     remedy = "add or remove one voter at a time, with the next `version`, once the last change is in force"
 
 
 class MalformedMessageError(LeadershipError):
-    """A received message is not a message of this protocol version."""
+    """A received message is not a message of this protocol version; it is dropped."""
 
-    remedy = "run the same release on both nodes; the message was dropped"
+    remedy = "run the same release on this node and on the sender of the message"
 
 
 class AcceptorLogError(LeadershipError, InvalidInputError):
     """The log of a node's acceptors is damaged or cannot be written, so they must not vote."""
 
-    remedy = "check the disk; move a damaged file away while most other voters run, to recover from them"
+    remedy = (
+        "check the disk; if the file is damaged, move it away and restart while a majority of the other"
+        " voters runs: this node recovers its state from them"
+    )
 
 
 class RecordTooLongError(LeadershipError):
--- a/onyxpost/leadership/fenced_call.py
+++ b/onyxpost/leadership/fenced_call.py
@@ -1,8 +1,8 @@
 """Fenced calls: HTTP requests of a leader to a resource outside the cluster, with the fencing token.
 
 The request is `POST /acts/ROLE` with the token in the header `Fence` and the leader's name in `Holder`.
-Status 200 means that the call was executed. Status 409 with a higher `Fence` means that it was rejected, as
-the resource has received a call of a later leader.
+Status 200 means that the call was executed. Status 409 means that it was rejected, as the resource has
+received a call of a later leader; `Fence` has the highest token received, if the resource sends it.
 """
 
 from __future__ import annotations
@@ -69,12 +69,14 @@
             finally:
                 writer.transport.abort()
     except (TimeoutError, OSError, h11.ProtocolError) as error:
-        cause = f"no valid response: {type(error).__name__} {error}"[:MAX_CAUSE_CHARS]
+        cause = f"no valid response in {call.timeout_ms:.0f} ms: {type(error).__name__} {error}"[
+            :MAX_CAUSE_CHARS
+        ]
         raise FencedCallError(cause, location) from error
     if response.status_code == HTTPStatus.CONFLICT:
         higher = _fencing_token(response)
         raise HigherFencingTokenError(
-            f"fencing token {call.fencing_token} was rejected; the highest token received is {higher}",
+            f"fencing token {call.fencing_token} was rejected; the response names {higher} (0: no token)",
             location,
             higher,
         )
--- a/onyxpost/leadership/leader.py
+++ b/onyxpost/leadership/leader.py
@@ -115,10 +115,15 @@
         return [RecordCommitted(self.role, self.fencing_token, renewal.sequence)]
 
     def resign(self, reason: str) -> list[Effect]:
-        """Ends the lease immediately and releases the acceptors; `Participant.resign` notifies the others."""
+        """Ends the lease immediately and releases the acceptors.
+
+        `Participant.resign` notifies the nodes that are not acceptors.
+        """
         ended_at_ms = self.lease_ends_at_ms
         self.lease_ends_at_ms = float("-inf")
-        release = Release(role=self.role, version=self.acceptors.version, ballot=self.ballot, was_leader=True)
+        release = Release(
+            role=self.role, version=self.acceptors.version, ballot=self.ballot, is_resignation=True
+        )
         lost = LeadershipLost(self.role, self.fencing_token, reason, ended_at_ms)
         return [lost, *(SendMessage(name, release) for name in self.acceptors.names)]
 
--- a/onyxpost/leadership/leadership_log.py
+++ b/onyxpost/leadership/leadership_log.py
@@ -34,7 +34,10 @@
 
 @dataclass(slots=True)
 class LeadershipCounters:
-    """Counts since the start of the process; the statistics line has them under these names."""
+    """Counts since the start of the process; the statistics line has them under these names.
+
+    `ballots` counts Prepare messages to other nodes: one for each acceptor, also if sending it failed.
+    """
 
     acquired: int = 0
     lost: int = 0
@@ -100,7 +103,11 @@
         self.counters.calls += 1
 
     def log_diagnostic(self, diagnostic: Diagnostic, sender: str) -> None:
-        """Logs a diagnostic; `sender` sent the message that caused it, empty if no message did."""
+        """Logs a diagnostic; `sender` sent the message that caused it, empty if no message did.
+
+        Every kind is a warning, also the normal end of an acceptor's restart wait. Dropped messages of one
+        sender share one rate limit, whatever the reasons.
+        """
         is_drop = diagnostic.kind is DiagnosticKind.MESSAGE_DROPPED
         kind = f"dropped/{sender}" if is_drop else f"{diagnostic.role}/{diagnostic.reason}"
         fields = {
--- a/onyxpost/leadership/participant.py
+++ b/onyxpost/leadership/participant.py
@@ -48,7 +48,7 @@
         self.ranking = rank_nodes(settings.name, settings.nodes, settings.excluded_nodes)
         self.candidate = self._new_candidate(now_ms, BallotCounter())
         self.leader: Leader | None = None
-        self.resigned_at_ms: dict[str, float] = {}  # by node; one that resigned lately has a lower rank
+        self.resigned_at_ms: dict[str, float] = {}  # by node; one that resigned lately is less preferred
         self.is_leaving = False
 
     @property
@@ -71,10 +71,11 @@
         """Runs the leader's or candidate's periodic work.
 
         Nodes that are `unreachable` or resigned lately are ignored in the ranking. Each of the
-        `other_roles_led` by this node lowers its rank by one, so that roles spread over the nodes.
+        `other_roles_led` by this node adds one to its rank, which makes it less preferred, so that roles
+        spread over the nodes.
         """
         if self.leader is not None:
-            return self._demote_if_expired(now_ms, self.leader.tick(now_ms))
+            return self._demote_without_lease(now_ms, self.leader.tick(now_ms))
         if not self.is_eligible or self.is_leaving:
             return []
         self.resigned_at_ms = {
@@ -91,7 +92,7 @@
     def handle(self, now_ms: float, sender: str, message: Message) -> list[Effect]:
         """Handles an acceptor's reply, or a release by another node."""
         if self.leader is not None:
-            return self._demote_if_expired(now_ms, self.leader.handle(now_ms, sender, message))
+            return self._demote_without_lease(now_ms, self.leader.handle(now_ms, sender, message))
         if isinstance(message, Release):
             self._handle_release(now_ms, sender, message)
             return []
@@ -122,7 +123,7 @@
         if self.leader is None:
             return []
         ballot = self.leader.ballot
-        effects = self._demote_if_expired(now_ms, self.leader.resign(reason))
+        effects = self._demote_without_lease(now_ms, self.leader.resign(reason))
         return [*effects, *self._release_to_non_acceptors(ballot)]
 
     def leave(self, now_ms: float, reason: str) -> list[Effect]:
@@ -152,7 +153,7 @@
             self.leader.change_acceptors(acceptors)
 
     def _handle_release(self, now_ms: float, sender: str, release: Release) -> None:
-        if not release.was_leader or release.ballot.node != sender:
+        if not release.is_resignation or release.ballot.node != sender:
             return
         self.resigned_at_ms[sender] = now_ms
         if self.is_eligible and not self.is_leaving:
@@ -161,7 +162,7 @@
 
     def _release(self, ballot: Ballot) -> Release:
         return Release(
-            role=self.settings.name, version=self.acceptors.version, ballot=ballot, was_leader=True
+            role=self.settings.name, version=self.acceptors.version, ballot=ballot, is_resignation=True
         )
 
     def _release_to_non_acceptors(self, ballot: Ballot) -> list[Effect]:
@@ -173,10 +174,10 @@
         preferred = self.ranking[: self.ranking.index(self.identity.name)]
         return sum(node not in absent for node in preferred)
 
-    def _demote_if_expired(self, now_ms: float, effects: list[Effect]) -> list[Effect]:
-        """Makes a leader without a lease a candidate again, which waits so that other nodes try first.
+    def _demote_without_lease(self, now_ms: float, effects: list[Effect]) -> list[Effect]:
+        """Makes this node a candidate again if it is a leader without a lease.
 
-        Returns `effects` unchanged.
+        The candidate waits, so that other nodes try first. Returns `effects` unchanged.
         """
         if self.leader is not None and not self.leader.holds_lease(now_ms):
             ballot_numbers = BallotCounter(self.leader.fencing_token)
--- a/onyxpost/leadership/protocol.py
+++ b/onyxpost/leadership/protocol.py
@@ -140,13 +140,13 @@
 class Release(RoleMessage, tag="release", frozen=True, kw_only=True):
     """Gives up the sender's ballot and the lease granted to it.
 
-    A candidate that abandons its ballot sends it to the acceptors, with `was_leader` false. Otherwise
-    `was_leader` is true: a leader that resigns and a candidate whose node is leaving send it to all nodes, a
-    leader whose lease has expired to the acceptors only.
+    A candidate that abandons its ballot sends it to the acceptors, with `is_resignation` false. Otherwise
+    `is_resignation` is true: a leader that resigns and a candidate whose node is leaving send it to all
+    nodes, a leader whose lease has expired to the acceptors only.
     """
 
     ballot: Ballot
-    was_leader: bool = field(name="held")
+    is_resignation: bool = field(name="held")
 
 
 class RecoveryQuery(RoleMessage, tag="learn", frozen=True, kw_only=True):
--- a/onyxpost/leadership/registry.py
+++ b/onyxpost/leadership/registry.py
@@ -91,7 +91,8 @@
             return [_message_dropped(message.role, f"unknown role in a message from {sender}")]
         effects: list[Effect] = []
         own_version = self.acceptor_set.version
-        if message.version != own_version:  # still handled, so that a rejection tells the sender this version
+        # Still handled: the rejection of a Prepare or Accept tells the sender this node's version.
+        if message.version != own_version:
             reason = f"acceptor set version {message.version} from {sender}, expected {own_version}"
             effects.append(_message_dropped(message.role, reason))
         return effects + self._deliver_local(now_ms, self._dispatch(now_ms, sender, message))
@@ -108,23 +109,28 @@
         return self._deliver_local(now_ms, self.participants[role].write(now_ms, body))
 
     def resign_all(self, now_ms: float) -> list[Effect]:
-        """Resigns from all roles and takes part in no further election: the node is leaving."""
+        """Resigns from all roles and takes part in no further election.
+
+        Called when the node is leaving or the acceptors' log has failed.
+        """
         effects: list[Effect] = []
         for participant in self.participants.values():
-            effects += self._deliver_local(now_ms, participant.leave(now_ms, "this node is leaving"))
+            effects += self._deliver_local(
+                now_ms, participant.leave(now_ms, "this node is leaving or its acceptors' log failed")
+            )
         return effects
 
     def on_higher_fencing_token(self, now_ms: float, role: str, fencing_token: int) -> list[Effect]:
         """Resigns from the role, and makes this node's next ballot exceed the token of a fenced resource.
 
-        A token more than `skew_ms` ahead of the clock is reduced to that limit, as acceptors reject higher
-        ballot numbers.
+        A token more than `skew_ms` ahead of the clock is reduced to that limit, as acceptors would
+        reject a ballot number above it.
         """
         participant = self.participants[role]
         resignation = participant.resign(now_ms, "a fenced resource has received a higher fencing token")
         effects = self._deliver_local(now_ms, resignation)
-        plausible = min(fencing_token, int(now_ms + self.config.timing.skew_ms))
-        participant.raise_ballot_numbers(plausible)
+        limited_token = min(fencing_token, int(now_ms + self.config.timing.skew_ms))
+        participant.raise_ballot_numbers(limited_token)
         return effects
 
     def stop_acceptors(self) -> None:
@@ -135,7 +141,8 @@
         """Checks whether the acceptor set of `config` may replace the one in force; changes nothing.
 
         Raises:
-            MembershipChangeError: it must not, or not yet.
+            MembershipChangeError: the set must not replace the one in force, or not until its records are
+                committed.
         """
         are_records_committed = all(acceptor.is_record_committed for acceptor in self.acceptors.values())
         validate_transition(
@@ -146,7 +153,8 @@
         """Puts the acceptor set of `config` into force at this node.
 
         Raises:
-            MembershipChangeError: it must not replace the one in force, or not yet.
+            MembershipChangeError: the set must not replace the one in force, or not until its records are
+                committed.
         """
         self.validate_change(config)
         acceptors = config.acceptors
--- a/onyxpost/leadership/service.py
+++ b/onyxpost/leadership/service.py
@@ -42,7 +42,7 @@
 
 TICK_SECONDS = 0.05  # a quarter of the shortest lease that a node's file may set
 STATISTICS_INTERVAL_MS = 10_000.0
-REPORT_BODY = b"held"
+REPORT_BODY = b"held"  # constant; the token and the leader are in the request's headers
 
 
 class LeadershipService:
@@ -159,13 +159,16 @@
         """Checks whether the acceptor set of `config` may replace the one in force; changes nothing.
 
         Raises:
-            MembershipChangeError: it must not, or not yet.
+            MembershipChangeError: the set must not replace the one in force, or not until its records are
+                committed.
         """
         self.registry.validate_change(config)
 
     def reload(self, config: LeadershipConfig) -> bool:
         """Applies the acceptor set of a reloaded file, or logs why it must not be applied.
 
+        Other parts of the file may have been applied already, also if the log says `reload refused`.
+
         Returns whether the file has other changes in its section, which take effect only after a restart.
         """
         before = self.registry.acceptor_set
--- a/onyxpost/node/cluster_extension.py
+++ b/onyxpost/node/cluster_extension.py
@@ -54,7 +54,7 @@
         self.subscribe(LEADERSHIP_TOPIC, leadership.handle_message)
 
     def descriptor_count(self) -> int:
-        """Returns the number of connections to other members."""
+        """Returns the number of descriptors of connections, identified or not."""
         return self.connections.descriptor_count()
 
     async def start(self) -> None:
--- a/onyxpost/planner/config.py
+++ b/onyxpost/planner/config.py
@@ -1,4 +1,4 @@
-"""Decodes a planner's file into a typed configuration. Every error names the key at fault."""
+"""Decodes a planner's file into a typed configuration. Errors name the key at fault, if there is one."""
 
 from __future__ import annotations
 
--- a/onyxpost/planner/customer_account.py
+++ b/onyxpost/planner/customer_account.py
@@ -11,7 +11,7 @@
     from onyxpost.core.types import Plan
     from onyxpost.planner.lease import Lease
 
-REQUEST_RETENTION_MS = 3000.0  # a forwarder's last request counts in the fair share for this time
+FAIR_SHARE_WINDOW_MS = 3000.0  # a forwarder's last request counts in the fair share for this time
 IDLE_BEFORE_REVOCATION_MS = 300.0  # a lease unused for this long may be revoked for another forwarder
 ACCOUNT_RETENTION_MS = 60_000.0  # an unused account with full buckets is dropped after this time
 
@@ -73,7 +73,7 @@
             bucket.release(now_ms, lease.units, unused_units)
         del self.leases[lease.lease_id]
 
-    def available_units(self, now_ms: float) -> float:
+    def refill_and_count_available(self, now_ms: float) -> float:
         """Refills the buckets and returns the units that the strictest limit allows to lease now.
 
         Raises:
@@ -86,14 +86,17 @@
     def can_be_dropped(self, now_ms: float) -> bool:
         """Returns whether the account can be dropped: no leases, full buckets, and no recent message.
 
-        A new account would have the same state: its buckets refill from the time when granting started.
+        Dropping loses nothing: a new account's buckets refill from the time when granting started, so they
+        are full too.
         """
-        self.available_units(now_ms)
+        self.refill_and_count_available(now_ms)
         is_full = all(bucket.available >= bucket.burst for bucket in self.buckets)
         return is_full and not self.leases and now_ms - self.last_seen_at_ms > ACCOUNT_RETENTION_MS
 
     def fair_share(self, now_ms: float, units: int, min_units: int) -> float:
-        """Returns the units that may be granted to a request of `units`, already in `recent_requests`.
+        """Returns the units that may be granted to a request of `units`.
+
+        The caller has recorded the request in `recent_requests`.
 
         These are all available units if they suffice for all recent requests; otherwise each request gets a
         part in proportion to its units. A forwarder cannot use a lease below `min_units`, so a smaller part
@@ -102,10 +105,10 @@
         self.recent_requests = {
             forwarder: request
             for forwarder, request in self.recent_requests.items()
-            if now_ms - request.received_at_ms <= REQUEST_RETENTION_MS
+            if now_ms - request.received_at_ms <= FAIR_SHARE_WINDOW_MS
         }
         requested_units = sum(request.ungranted_units for request in self.recent_requests.values())
-        available = self.available_units(now_ms)
+        available = self.refill_and_count_available(now_ms)
         if requested_units <= available:
             return available
         return max(min(min_units, available), available * units / requested_units)
--- a/onyxpost/planner/lease_coordinator.py
+++ b/onyxpost/planner/lease_coordinator.py
@@ -19,7 +19,9 @@
 if TYPE_CHECKING:
     from onyxpost.planner.config import PlannerConfig
 
-MISCONFIGURED_RETRY_MS = 500.0  # retry time while files of planner and forwarder differ, as in a rollout
+MISCONFIGURED_RETRY_MS = (
+    500.0  # retry time while the files of planner and forwarder differ, as while a new one is installed
+)
 NO_QUORUM_RETRY_MS = 200.0  # retry time while this planner has no quorum of forwarders
 
 
@@ -143,13 +145,15 @@
         if planner_for_customer(self.config.planners, request.customer) != self.config.name:
             return [reject(MISCONFIGURED_RETRY_MS, "not this planner's customer")]
         # The wait for leases of other membership versions begins in the tick that establishes the quorum, so
-        # a majority alone does not suffice.
+        # a majority alone does not suffice. The reason is also sent until that tick, and if exactly half of
+        # the forwarders follow this membership version.
         if not (self.quorum.is_established and self.quorum.has_majority(now_ms)):
             return [reject(NO_QUORUM_RETRY_MS, "less than half follow")]
         result = self.ledger.request_lease(
             now_ms, forwarder, request.customer, request.plan, request.units, request.min_units
         )
         if isinstance(result, Rejection):
+            # The reason is also sent for an unknown plan, for 0 units, and during the wait after the start.
             answer = reject(result.retry_after_ms, "nothing is free")
             if result.revoked is None:
                 return [answer]
@@ -177,7 +181,9 @@
         fixed_settings = (config.lease_terms, config.safe_share, config.name)
         if fixed_settings != (self.config.lease_terms, self.config.safe_share, self.config.name):
             raise RestartRequiredError(
-                "lease_ms, drift, planners.share and name cannot change while the planner runs"
+                "lease_ms, drift, planners.share and name cannot change while the planner runs; in force are"
+                f" {self.config.lease_terms.duration_ms:g}, {self.config.lease_terms.clock_drift:g},"
+                f" {self.config.safe_share:g} and {self.config.name}"
             )
         self.config = config
         if self.quorum.update_membership(config.forwarders, config.membership_version):
--- a/onyxpost/planner/lease_ledger.py
+++ b/onyxpost/planner/lease_ledger.py
@@ -3,9 +3,9 @@
 There is no I/O and no clock here: times are arguments, in milliseconds.
 
 For each customer and rate limit (quota, hard limit) the ledger keeps `available + leased <= burst`, and only
-the refill at the limit's rate adds to `available`. In any time t all forwarders together therefore send at
-most `burst + rate * t` units, whenever they use their leases: each of these units was leased or available at
-the start of that time, or was refilled during it.
+the refill at the limit's rate adds to `available`. In any interval of length t all forwarders together
+therefore spend at most `burst + rate * t` leased units, whenever they use their leases: each of these units
+was leased or available at the start of the interval, or was refilled during it.
 
 A lease ends when its forwarder returns it or when it expires. It expires later at the planner than at the
 forwarder (`LeaseTerms.planner_duration_ms`). Units of an expired lease that were not reported count as spent.
@@ -46,7 +46,7 @@
 
 
 class Rejection(NamedTuple):
-    """Result of a lease request to which nothing is granted.
+    """A rejected lease request.
 
     `revoked` is an idle lease of another forwarder, to which the caller must send the revocation; None if no
     lease was revoked.
--- a/onyxpost/planner/lease_terms.py
+++ b/onyxpost/planner/lease_terms.py
@@ -10,7 +10,7 @@
 
     #: How long a forwarder may use a lease after it sent the lease request, by the forwarder's clock.
     duration_ms: float = 2000.0
-    #: Upper bound on the relative difference between the rates of two clocks.
+    #: Upper bound on the relative error of each clock's rate.
     clock_drift: float = 0.01
 
     @property
--- a/onyxpost/planner/leased_token_bucket.py
+++ b/onyxpost/planner/leased_token_bucket.py
@@ -21,8 +21,8 @@
     """Token bucket of one rate limit of one customer. It starts empty; times are in milliseconds.
 
     Invariant: `available + leased <= burst`, and only the refill at `rate` adds to `available`. Leased tokens
-    take up space in the bucket, so all lease holders together spend at most `burst + rate * t` tokens in any
-    time t.
+    take up space in the bucket, so all lease holders together spend at most `burst + rate * t` leased tokens
+    in any interval of length t.
     """
 
     def __init__(self, size: BucketSize, granting_starts_at_ms: float) -> None:
--- a/onyxpost/planner/planner.py
+++ b/onyxpost/planner/planner.py
@@ -1,4 +1,4 @@
-"""I/O of one planner: connections to forwarders, timer and signals. `LeaseCoordinator` decides."""
+"""I/O of one planner: connections to forwarders, timer, signals; `LeaseCoordinator` has the decisions."""
 
 from __future__ import annotations
 
@@ -146,10 +146,13 @@
     def _check_hello(self, message: protocol.ForwarderMessage) -> protocol.Hello:
         if not isinstance(message, protocol.Hello) or message.protocol != protocol.PROTOCOL_VERSION:
             raise MalformedFrameError(
-                f"first message is not a hello of protocol version {protocol.PROTOCOL_VERSION}"
+                f"first message is not a hello of protocol version {protocol.PROTOCOL_VERSION},"
+                f" got {type(message).__name__}"
             )
         if message.forwarder not in self.config.forwarders:
-            raise MalformedFrameError(f"forwarder {message.forwarder} is not listed in this planner's file")
+            raise MalformedFrameError(
+                f"forwarder {message.forwarder} is not listed in `forwarders` of this planner's file"
+            )
         return message
 
     def _register(self, hello: protocol.Hello, writer: asyncio.StreamWriter) -> None:
--- a/onyxpost/planner/quorum.py
+++ b/onyxpost/planner/quorum.py
@@ -31,7 +31,7 @@
         self.is_established = False  # `detect_gain` found a majority, and `detect_loss` no loss since
 
     def record_heartbeat(self, now_ms: float, forwarder: str, membership_version: int) -> bool:
-        """Records the version that a forwarder follows; returns whether it counts for this planner.
+        """Records the version that a forwarder follows; returns whether this planner counts the heartbeat.
 
         A heartbeat for another version removes the forwarder's last one.
         """
--- a/tests/compatibility/command_line.py
+++ b/tests/compatibility/command_line.py
@@ -111,7 +111,8 @@
     ),
     (
         "move the file away while most other voters run: the voter learns from them; look at the disk",
-        "check the disk; move a damaged file away while most other voters run, to recover from them",
+        "check the disk; if the file is damaged, move it away and restart while a majority of the other"
+        " voters runs: this node recovers its state from them",
     ),
     (
         "mend the named key; `onyxpost check FILE` says the same",
--- a/tests/leadership/test_races.py
+++ b/tests/leadership/test_races.py
@@ -80,7 +80,7 @@
         for role in cluster.config.roles:
             for message in (
                 StatusQuery(role=role, version=2, queried_at_ms=1),
-                Release(role=role, version=3, ballot=NO_BALLOT, was_leader=True),
+                Release(role=role, version=3, ballot=NO_BALLOT, is_resignation=True),
                 RecoveryQuery(role=role, version=4, queried_at_ms=1),
             ):
                 service.handle_message("n01", protocol.encode(message))
@@ -102,7 +102,7 @@
     acceptor.is_voting = True
     now_ms = 1_000_000.0
     acceptor.handle(now_ms, "n1", Prepare(role="d", version=1, ballot=ballot))
-    acceptor.handle(now_ms, "n1", Release(role="d", version=1, ballot=ballot, was_leader=True))
+    acceptor.handle(now_ms, "n1", Release(role="d", version=1, ballot=ballot, is_resignation=True))
     accept = Accept(
         role="d",
         version=1,
--- a/tests/planner/test_cluster_faults.py
+++ b/tests/planner/test_cluster_faults.py
@@ -21,6 +21,8 @@
 
     from tests.planner.forwarder_model import ForwarderModel
 
+# Above the extra wait of a new quorum, `HEARTBEAT_VALIDITY_MS` with a margin for clock drift (1530 ms), in
+# which planners of another membership version may still grant leases.
 QUORUM_WAIT_MS = 1600.0
 # After this time planners have waited until older leases expired, and their buckets have tokens.
 READY_SECONDS = (LEASE_TERMS.planner_duration_ms + QUORUM_WAIT_MS) / 1000.0 + 1.5
@@ -152,8 +154,9 @@
             await asyncio.sleep(0.02)
             for forwarder in cluster.forwarders:
                 forwarder.request("c", 1)
-        # `violations` are counted by the old hard limit. With the new one, at most the units that were leased
-        # before the change may be used in addition.
+        # `violations` are counted by the hard limit before the change. After it, forwarders may use at most
+        # the units leased before it (at most the old burst of 60) and those that the new plan allows in the
+        # 2 s of this loop (4 units per second).
         units_after_change = cluster.units_sent["c"] - before
 
     assert_limits_held(run_ready_cluster(scenario))
--- a/tests/planner/test_connections.py
+++ b/tests/planner/test_connections.py
@@ -32,7 +32,7 @@
             forwarder.send(HEARTBEAT)
 
 
-def test_request_read_with_the_hello_that_makes_the_majority_is_rejected() -> None:
+def test_request_read_with_the_hello_that_completes_the_majority_is_rejected() -> None:
     """A majority alone does not suffice: the wait for other leases begins in the next tick."""
 
     async def scenario(cluster: VirtualCluster, planner: Planner) -> None:
@@ -50,7 +50,7 @@
 def test_heartbeats_sent_before_a_pause_make_no_majority_after_it() -> None:
     """A planner that was paused reads old heartbeats, as if they were sent now.
 
-    Their senders may follow another membership version meanwhile, so they must not make a majority.
+    Their senders may follow another membership version by now, so they must not make a majority.
     """
 
     async def scenario(cluster: VirtualCluster, planner: Planner) -> None:
--- a/tests/planner/test_processes.py
+++ b/tests/planner/test_processes.py
@@ -26,7 +26,7 @@
     }
 
 
-def test_planners_killed_at_random_cost_no_answer_and_never_exceed_the_hard_limit(tmp_path: Path) -> None:
+def test_killed_planners_leave_no_request_unanswered_and_the_hard_limit_holds(tmp_path: Path) -> None:
     options = ClusterOptions(
         forwarders=4,
         planners=2,
@@ -55,6 +55,6 @@
 @pytest.mark.parametrize(
     "changes", [{"seconds": 1e9}, {"forwarders": 0}, {"planners": 99}, {"request_rate": 0.0}], ids=str
 )
-def test_run_out_of_bounds_is_rejected(changes: dict[str, Any]) -> None:
+def test_options_out_of_range_are_rejected(changes: dict[str, Any]) -> None:
     with pytest.raises(InvalidSimulationInputError):
         check_options(ClusterOptions()._replace(**changes))
