--- a/onyxpost/cli.py
+++ b/onyxpost/cli.py
@@ -17,7 +17,10 @@
 
 
 class LazySimulateGroup(click.Group):
-    """A command group that imports `simulate` only when it is run, because it needs additional libraries."""
+    """A command group that imports `simulate` only when that command is run.
+
+    The modules of `simulate` need additional libraries.
+    """
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
         """Returns the command; if `simulate` lacks a module, a usage error says how to install it."""
@@ -66,8 +69,8 @@
 def serve() -> None:
     """Run one edge node, configured by EDGE_CONFIG and the other EDGE_ variables.
 
-    Exit 0: stopped by a signal, all requests answered. Exit 1: an address cannot be bound. Exit 2: the file
-    is invalid.
+    Exit 0: stopped by a signal, all requests answered. Exit 1: an address cannot be bound, or the system
+    refused another resource. Exit 2: the file is invalid, or the log of the node's acceptors is damaged.
     """
     from onyxpost.node.serve import serve as run_node
 
@@ -81,6 +84,9 @@
 
     A planner leases parts of the customers' quotas to forwarders. On SIGHUP it reads the file again: plans,
     forwarders and a later version of the planners' membership take effect at once.
+
+    Exit 0: stopped by a signal. Exit 1: an address cannot be bound, or the system refused another resource.
+    Exit 2: the file is invalid.
     """
     from onyxpost.planner.serve import serve as run_planner
 
--- a/onyxpost/config/decoding.py
+++ b/onyxpost/config/decoding.py
@@ -1,4 +1,4 @@
-"""Decodes files and messages into typed values. Every error names its source and the key at fault."""
+"""Decodes files and messages into typed values. Errors name their source, and the key at fault if any."""
 
 from __future__ import annotations
 
--- a/onyxpost/config/settings.py
+++ b/onyxpost/config/settings.py
@@ -17,7 +17,7 @@
 
 
 class LimitSettings(Settings):
-    """Limits on attempts, retries and connections of a node, and features that it may use (`bounds`)."""
+    """The section `bounds`: limits on a node's attempts, retries and connections, and features it may use."""
 
     max_attempts: Annotated[int, Meta(ge=1)] = field(default=1, name="try_limit")
     allows_parallel_attempts: bool = field(default=False, name="parallel_tries")
@@ -30,14 +30,14 @@
 
 
 class NodeGroupSettings(Settings):
-    """Limits that are equal for all nodes of a deployment (`family_info`); 0 units: no limit."""
+    """The section `family_info`: limits that are equal for all nodes of a deployment; 0 units: no limit."""
 
     peer_messages_per_s: float = field(default=0.0, name="mail_per_s")
     max_request_units: int = field(default=0, name="most_units")
 
 
 class UpstreamSettings(Settings):
-    """Slow start, overload and drain of app servers (`rules`)."""
+    """The section `rules`: slow start, overload and drain of app servers."""
 
     initial_capacity: float = field(default=1.0, name="start_capacity")
     slow_start_us: float = field(default=0.0, name="cold_us")
@@ -47,7 +47,7 @@
 
 
 class FrontendSettings(Settings):
-    """One frontend: latency objective, deadline, idempotency and weights (an entry of `grades`)."""
+    """An entry of the list `grades`: a frontend's latency objective, deadline, idempotency and weights."""
 
     name: str
     latency_objective_us: Annotated[float, Meta(gt=0.0)] = field(name="aim_us")
@@ -62,7 +62,7 @@
 
 
 class PlanSettings(Settings):
-    """One plan: the quota and limits of its customers (an entry of `packages`); 0: no limit."""
+    """An entry of the list `packages`: the quota and limits of a plan's customers; 0: no limit."""
 
     name: str
     rate: float = field(default=0.0, name="refill")
--- a/onyxpost/forwarder/cached_lease.py
+++ b/onyxpost/forwarder/cached_lease.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from onyxpost.planner import protocol
 
-NOT_ACCEPTED = 0  # local id of all leases that were not accepted
+NOT_ACCEPTED = 0  # local id of leases that were not accepted, and of units used without a lease
 
 
 @dataclass(slots=True)
@@ -39,7 +39,7 @@
         )
 
     def spend(self, units: int) -> None:
-        """Subtracts units that a client request consumed; a race may make `units_left` negative."""
+        """Subtracts units that a client request consumed; more than were left make `units_left` negative."""
         self.units_left -= units
 
     def take_unreported_units(self) -> int:
--- a/onyxpost/forwarder/customer_usage.py
+++ b/onyxpost/forwarder/customer_usage.py
@@ -6,7 +6,8 @@
 from typing import NamedTuple
 
 RATE_WINDOW_MS = 2000.0  # window of the mean rate of use
-USAGE_RETENTION_MS = 10_000.0  # leases of a customer cover its largest request for this time
+# For this long after a customer's last request, its leases have to cover its largest request.
+USAGE_RETENTION_MS = 10_000.0
 
 
 class UsageSample(NamedTuple):
--- a/onyxpost/forwarder/lease_cache.py
+++ b/onyxpost/forwarder/lease_cache.py
@@ -73,7 +73,10 @@
     # Events of the policy
 
     def record_units_spent(self, now_ms: float, customer: int, plan: str, units: int, local_id: int) -> None:
-        """Handles that a client request consumed `units` of a lease, or lacked units (local id 0)."""
+        """Counts units that a client request consumed of a lease.
+
+        With local id 0 the request took them from the safe share, or lacked them.
+        """
         self.requester.record_use(now_ms, customer, plan, units)
         lease = self.leases.get(local_id)
         if lease is not None:
@@ -82,7 +85,7 @@
         self._request_if_needed(now_ms, customer)
 
     def return_lease(self, local_id: int, unused_units: int) -> None:
-        """Handles that the policy no longer uses a lease: returns it to its planner."""
+        """Returns a lease that the policy no longer uses to its planner."""
         lease = self.leases.pop(local_id, None)
         if lease is not None:
             self.counters.returned += unused_units
@@ -185,7 +188,10 @@
             self._messages.append(request)
 
     def unresponsive_planners(self, now_ms: float) -> set[str]:
-        """Returns the connected planners that did not answer a lease request within `ANSWER_TIMEOUT_MS`."""
+        """Returns the connected planners that did not answer a lease request within `ANSWER_TIMEOUT_MS`.
+
+        Only planners that sent nothing at all in that time are returned.
+        """
         return self.requester.unresponsive_planners(now_ms)
 
     # Membership and shutdown
--- a/onyxpost/forwarder/lease_requester.py
+++ b/onyxpost/forwarder/lease_requester.py
@@ -18,12 +18,14 @@
 
     from onyxpost.forwarder.planner_sessions import PlannerSessions
 
-REFILL_THRESHOLD = 0.5  # a lease is requested when less than this part of the needed units is left
+# A lease is requested when the units left are less than this part of the needed units, or less than the
+# largest recent client request.
+REQUEST_THRESHOLD = 0.5
 REQUEST_RETRY_MS = 500.0  # an unanswered lease request is repeated after this time
 REQUEST_RETENTION_MS = 10.0 * REQUEST_RETRY_MS  # an unanswered lease request is dropped after this time
 # A planner is unresponsive if it leaves a request unanswered, and sends nothing at all, for this time.
 ANSWER_TIMEOUT_MS = 3000.0
-MAX_RETRY_AFTER_MS = 10_000.0  # upper limit of the retry time; planners may send up to 60 s
+MAX_RETRY_DELAY_MS = 10_000.0  # upper limit of the retry time; planners may send up to 60 s
 
 
 class PendingRequest(NamedTuple):
@@ -75,7 +77,7 @@
         """Returns a lease request if `units_left` in the customer's leases are too few, otherwise None."""
         usage = self.usage[customer]
         needed = usage.units_needed(now_ms, self.sessions.lease_duration_ms(planner))
-        if units_left >= max(REFILL_THRESHOLD * needed, usage.largest_request):
+        if units_left >= max(REQUEST_THRESHOLD * needed, usage.largest_request):
             return None
         self.last_request_id += 1
         usage.on_request_sent(now_ms)
@@ -106,7 +108,7 @@
         if request is None:
             return False
         usage = self.usage[request.customer]
-        usage.on_request_rejected(now_ms + min(rejection.retry_after_ms, MAX_RETRY_AFTER_MS))
+        usage.on_request_rejected(now_ms + min(rejection.retry_after_ms, MAX_RETRY_DELAY_MS))
         return True
 
     def handle_connected(self, planner: str) -> None:
--- a/onyxpost/forwarder/planner_client.py
+++ b/onyxpost/forwarder/planner_client.py
@@ -1,4 +1,4 @@
-"""I/O of a forwarder: connections to planners, and the timer. `LeaseCache` makes the decisions."""
+"""I/O of a forwarder: connections to planners, and the timer; the decisions are in `LeaseCache`."""
 
 from __future__ import annotations
 
@@ -76,14 +76,14 @@
                 self._connection_tasks[planner] = self._keep_connected(planner)
 
     def record_units_spent(self, effect: RecordUnitsSpent) -> None:
-        """Handles that the policy spent units of a lease, or lacked units; may send a lease request."""
+        """Counts units that a client request consumed or lacked; may send a lease request."""
         self.cache.record_units_spent(
             self.transport.clock(), effect.customer, effect.plan, effect.units, effect.lease_id
         )
         self._deliver()
 
     def return_lease(self, effect: ReturnLease) -> None:
-        """Handles that the policy no longer uses a lease: returns it to its planner."""
+        """Returns a lease that the policy no longer uses to its planner."""
         self.cache.return_lease(effect.lease_id, effect.units)
         self._deliver()
 
@@ -118,7 +118,7 @@
             self._deliver()
             for planner in self.cache.unresponsive_planners(now_ms) & self.writers.keys():
                 error = PlannerUnavailableError(
-                    f"no answer to a lease request for {ANSWER_TIMEOUT_MS:.0f} ms"
+                    f"no answer to a lease request, nor any other message, for {ANSWER_TIMEOUT_MS:.0f} ms"
                 )
                 self._abort_connection(planner, error)
             if now_ms - logged_at_ms >= STATISTICS_INTERVAL_MS:
@@ -144,6 +144,7 @@
         return asyncio.get_running_loop().create_task(connecting)
 
     def _log_disconnect(self, planner: str, error: Exception) -> None:
+        """Logs the end of a connection, or that none could be established; the event is the same."""
         if not isinstance(error, MalformedFrameError):
             error = PlannerUnavailableError(f"{type(error).__name__}: {error}")
         self.log(
@@ -162,7 +163,8 @@
                 welcome = await protocol.read_planner_message(reader)
             if not isinstance(welcome, protocol.Welcome) or welcome.protocol != protocol.PROTOCOL_VERSION:
                 raise MalformedFrameError(
-                    f"first message is not a welcome of protocol version {protocol.PROTOCOL_VERSION}"
+                    f"first message is not a welcome of protocol version {protocol.PROTOCOL_VERSION},"
+                    f" got {type(welcome).__name__}"
                 )
             self.writers[planner] = writer
             self.cache.handle_connected(self.transport.clock(), planner, welcome)
--- a/onyxpost/node/cluster_extension.py
+++ b/onyxpost/node/cluster_extension.py
@@ -87,7 +87,8 @@
         """Checks the new set of acceptors.
 
         Raises:
-            MembershipChangeError: the acceptors must not change in this way, or not yet.
+            MembershipChangeError: the set must not replace the one in force, or not until its records are
+                committed.
         """
         if self.leadership is not None and new.leadership is not None:
             self.leadership.validate_reload(new.leadership)
--- a/onyxpost/node/config.py
+++ b/onyxpost/node/config.py
@@ -146,7 +146,9 @@
     if file.cluster.listen in (file.listen, file.peer_listen):
         raise ConflictingValuesError(
             with_key_path(
-                f"{file.cluster.listen} is also the address in listen or peer_listen", "fleet.listen"
+                f"{file.cluster.listen} is also the address in listen ({file.listen}) or peer_listen"
+                f" ({file.peer_listen})",
+                "fleet.listen",
             )
         )
     return cluster
--- a/onyxpost/node/config_file.py
+++ b/onyxpost/node/config_file.py
@@ -14,7 +14,7 @@
 from onyxpost.edge.messages import WireEndpointUpdate
 
 
-class LimitSettings(Settings):
+class DescriptorLimitSettings(Settings):
     """The section `limits` of a node's file."""
 
     sockets: Annotated[int, Meta(ge=8)] = 1024
@@ -23,8 +23,8 @@
 class NodeFile(Settings):
     """The keys of a node's config file. Unknown keys are ignored.
 
-    `seed` is a hexadecimal number. `discovery_too` is set by `config.read_config`, not by operators. `duties`
-    is decoded by `onyxpost.leadership.config`.
+    `seed` is a hexadecimal number. `discovery_too`, the alternative address of discovery, is set by
+    `config.read_config`, not by operators. `duties` is decoded by `onyxpost.leadership.config`.
     """
 
     name: str
@@ -33,7 +33,7 @@
     seed: str
     known: WireEndpointUpdate
     settings: DeploymentSettings
-    limits: LimitSettings = msgspec.field(default_factory=LimitSettings)
+    limits: DescriptorLimitSettings = msgspec.field(default_factory=DescriptorLimitSettings)
     peer_listen: str | None = None
     peers: list[str] = msgspec.field(default_factory=list)
     discovery_too: str | None = None
--- a/onyxpost/node/edge_node.py
+++ b/onyxpost/node/edge_node.py
@@ -32,7 +32,7 @@
 The node waits no longer than the drain grace period: app servers that the answer would report as draining may
 still receive requests until that period ends.
 """
-ACCEPT_AFTER_STOP_SECONDS = 0.6  # new connections may arrive for 0.4 s after SIGTERM
+ACCEPT_AFTER_STOP_SECONDS = 0.6  # new connections may arrive for 0.4 s after SIGTERM; the rest is margin
 DRAIN_POLL_SECONDS = 0.01  # interval between checks whether all requests have been answered
 
 
@@ -168,10 +168,11 @@
     # Reload
 
     def reload(self) -> None:
-        """Reads the configuration again and applies all changes that do not require a restart.
+        """Reads the configuration again and applies the changes that can take effect without a restart.
 
-        The whole configuration is read and checked before any change takes effect. An invalid configuration
-        is logged and changes nothing.
+        The node's file is read and checked first; if it is invalid, this is logged and nothing changes. The
+        rules file and the cluster's membership are checked on their own, and rejected without affecting the
+        rest. Changes of `log_level`, `seed` and `known` are ignored, see `compare_configs`.
         """
         try:
             new = self.read_config()
--- a/onyxpost/node/extension.py
+++ b/onyxpost/node/extension.py
@@ -11,7 +11,7 @@
 
 
 class Extension:
-    """An optional component of a node, which calls these methods in the course of its life cycle.
+    """An optional component of a node. The node calls these methods in the course of its life cycle.
 
     By default each method does nothing, except `apply_reload`, which every extension has to implement.
     """
--- a/onyxpost/node/planner_extension.py
+++ b/onyxpost/node/planner_extension.py
@@ -16,7 +16,7 @@
 
 
 class PlannerExtension(Extension):
-    """Leases from planners. The descriptors that `DescriptorBudget` reserves cover its few connections."""
+    """Leases from planners. `DescriptorBudget` reserves descriptors for this extension's few connections."""
 
     def __init__(self, client: PlannerClient) -> None:
         """Creates the extension with a client that has not been started."""
--- a/onyxpost/node/reload.py
+++ b/onyxpost/node/reload.py
@@ -9,7 +9,10 @@
     from onyxpost.node.node_config import NodeConfig
 
 RESTART_FIELDS = ("name", "listen", "peer_listen", "peers", "deployment", "zone")
-"""Fields of `NodeConfig` whose changes require a restart; the log lists them by these names."""
+"""Fields of `NodeConfig` whose changes require a restart; the log lists them by these names.
+
+The names are those of the file's keys, except `deployment`: its keys are `settings` and `planners.share`.
+"""
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +32,8 @@
     """Returns which changes in `new` take effect at once, and which require a restart.
 
     Planners, cluster members, acceptors and routing rules are versioned; the components that use them compare
-    their versions.
+    their versions. Changes of `log_level`, `seed` and `known` are in neither group: they are neither applied
+    nor listed, except that a reload of the rules accepts the zones in `known`.
 
     Args:
         running: the configuration in force.
--- a/onyxpost/simulator_host/encode.py
+++ b/onyxpost/simulator_host/encode.py
@@ -44,7 +44,7 @@
         self._write("After", offset_us=to_micros(delay_ms), nonce=token)
 
     def log(self, line: str) -> None:
-        """Logs a line, such as a change of mode."""
+        """Logs a line, such as a change of the load-shedding mode."""
         self._write("Emit", what=line)
 
     def watch_endpoints(self) -> None:
--- a/onyxpost/simulator_host/host.py
+++ b/onyxpost/simulator_host/host.py
@@ -36,7 +36,7 @@
             message: a time and a batch of events, which may be of several nodes.
 
         Raises:
-            WireError: the message is malformed.
+            WireError: the message is malformed, or the settings of a starting node are invalid.
         """
         try:
             now = to_millis(message["at_time_us"])
@@ -45,7 +45,9 @@
                 ((name, fields),) = event.items()
                 events_by_node.setdefault(fields["node_id"], []).append((name, fields))
         except (KeyError, TypeError, ValueError, AttributeError) as err:
-            raise WireError(f"not a time and a list of events ({type(err).__name__}: {err})") from err
+            raise WireError(
+                f"expected `at_time_us` and `news`, events with `node_id`: {type(err).__name__}: {err}"
+            ) from err
         output: list[Action] = []
         for node, events in events_by_node.items():
             self._handle_node_events(node, now, events, ActionWriter(node, output))
