--- a/onyxpost/node/cluster_extension.py
+++ b/onyxpost/node/cluster_extension.py
@@ -54,7 +54,7 @@
         self.subscribe(LEADERSHIP_TOPIC, leadership.handle_message)
 
     def descriptor_count(self) -> int:
-        """Returns the number of connections to other members."""
+        """Returns the number of descriptors of connections, identified or not."""
         return self.connections.descriptor_count()
 
     async def start(self) -> None:
@@ -87,7 +87,8 @@
         """Checks the new set of acceptors.
 
         Raises:
-            MembershipChangeError: the acceptors must not change in this way, or not yet.
+            MembershipChangeError: the set must not replace the one in force, or not until its records are
+                committed.
         """
         if self.leadership is not None and new.leadership is not None:
             self.leadership.validate_reload(new.leadership)
--- a/tests/compatibility/leadership_messages.py
+++ b/tests/compatibility/leadership_messages.py
@@ -67,7 +67,7 @@
 
 def leadership_messages() -> dict[str, Any]:
     """Returns messages between candidates and acceptors, by case."""
-    release = leadership_protocol.Release(role="rollout", version=2, ballot=BALLOT, was_leader=True)
+    release = leadership_protocol.Release(role="rollout", version=2, ballot=BALLOT, is_resignation=True)
     return {
         "look": status_query(),
         "seen, free": STATUS_REPLY,
