--- a/onyxpost/edge/discovery_client.py
+++ b/onyxpost/edge/discovery_client.py
@@ -14,7 +14,7 @@
 from onyxpost.edge.discovery_watch import DiscoveryWatch
 from onyxpost.edge.messages import EdgeEvent, EndpointUpdate, EndpointUpdateFailed
 from onyxpost.edge.poll_schedule import PollFailure, PollSchedule
-from onyxpost.errors import MAX_LOGGED_ERROR_CHARS, InvalidInputError
+from onyxpost.errors import InvalidInputError
 from onyxpost.runtime.log_event import LogEvent
 
 if TYPE_CHECKING:
@@ -27,6 +27,7 @@
 # Minimum time between two log lines about outages. An agent that alternates between answers and resets would
 # otherwise cause ten lines a second.
 OUTAGE_LOG_INTERVAL_MS = 1000.0
+MAX_LOGGED_CAUSE_CHARS = 200  # limits the logged text of an error, which may quote an answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -203,8 +204,7 @@
         if not self._is_outage_logged and now >= self._next_outage_log_at:
             self._is_outage_logged = True
             self._next_outage_log_at = now + OUTAGE_LOG_INTERVAL_MS
-            # The text is limited because it may quote an answer.
-            fields: dict[str, Any] = {"cause": f"{type(cause).__name__}: {cause}"[:MAX_LOGGED_ERROR_CHARS]}
+            fields: dict[str, Any] = {"cause": f"{type(cause).__name__}: {cause}"[:MAX_LOGGED_CAUSE_CHARS]}
             if isinstance(cause, InvalidInputError):
                 fields["remedy"] = cause.remedy
             self._log(LogEvent("discovery down", fields, logging.WARNING))
--- a/onyxpost/edge/discovery_poll.py
+++ b/onyxpost/edge/discovery_poll.py
@@ -150,9 +150,7 @@
     read = partial(connection.reader.read, READ_CHUNK_BYTES)
     response, body = await read_response(connection.http, read, MAX_ANSWER_BYTES)
     if response.status_code != STATUS_OK:
-        raise DiscoveryOverloadedError(
-            "expected status 200 from {}:{}, got {}".format(*address, response.status_code)
-        )
+        raise DiscoveryOverloadedError(f"expected status 200, got {response.status_code}")
     return decode_endpoint_update(body)
 
 
--- a/onyxpost/edge/discovery_watch.py
+++ b/onyxpost/edge/discovery_watch.py
@@ -181,9 +181,7 @@
             await asyncio.sleep(self.schedule.retry_pause_ms() / MS_PER_SECOND)
 
     async def _handle_timeout(self) -> None:
-        timeout = TimeoutError(
-            "discovery at {}:{} did not answer in time".format(*self._open_polls[-1].address)
-        )
+        timeout = TimeoutError("discovery did not answer in time")
         pause_ms = self._handle_failure(self._open_polls[-1], PollFailure.TIMEOUT, timeout)
         if self.schedule.max_open_polls == 1:
             close_polls(self._open_polls)
--- a/tests/compatibility/leadership_messages.py
+++ b/tests/compatibility/leadership_messages.py
@@ -89,7 +89,7 @@
         ),
         **{f"refuse, {reason}": rejection(reason) for reason in REFUSAL_REASONS},
         "release, held": release,
-        "release, not held": msgspec.structs.replace(release, was_leader=False),
+        "release, not held": msgspec.structs.replace(release, is_resignation=False),
         "learn": leadership_protocol.RecoveryQuery(role="rollout", version=2, queried_at_ms=11),
         "told": RECOVERY_REPLY,
         "told, does not vote": msgspec.structs.replace(RECOVERY_REPLY, is_voting=False, record=EMPTY_RECORD),
