--- a/onyxpost/cluster/connections.py
+++ b/onyxpost/cluster/connections.py
@@ -125,8 +125,7 @@
     def update_membership(self, membership: Membership) -> bool:
         """Applies a membership of a later version; logs why an earlier or conflicting one is rejected.
 
-        Returns whether it was applied, which it is not while this node is leaving. Called when the node's
-        file is reloaded after SIGHUP.
+        Returns whether it was applied; False while leaving. Called when SIGHUP reloads the node's file.
         """
         try:
             if self._is_leaving or not is_later_version(membership, self.membership):
--- a/onyxpost/cluster/failure_detector.py
+++ b/onyxpost/cluster/failure_detector.py
@@ -1,4 +1,4 @@
-"""Failure detector for one peer. Pure: the caller passes the time in, and state changes are returned.
+"""Failure detector for one peer. No I/O and no clock: time is an argument, and state changes are returned.
 
 A state tells how the peer can be reached from this node, not whether its process runs. A silent or gone
 peer may still be running and act as a leader; only a lease with a fencing token prevents that.
--- a/onyxpost/cluster/log_rate_limit.py
+++ b/onyxpost/cluster/log_rate_limit.py
@@ -1,4 +1,4 @@
-"""Limits the rate of log lines that any remote host can cause. Pure."""
+"""Limits the rate of log lines that any remote host can cause. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxpost/cluster/membership.py
+++ b/onyxpost/cluster/membership.py
@@ -1,4 +1,7 @@
-"""The members of a cluster: a versioned list in the nodes' files, replaced only by a later version. Pure."""
+"""The members of a cluster: a versioned list in the nodes' files, replaced only by a later version.
+
+No I/O.
+"""
 
 from __future__ import annotations
 
--- a/onyxpost/cluster/protocol.py
+++ b/onyxpost/cluster/protocol.py
@@ -95,13 +95,9 @@
 def validate_hello(
     hello: Hello, own_name: str, membership: Membership, latest: ConnectionOrder | None
 ) -> None:
-    """Checks whether the sender of this hello may connect to this node.
+    """Checks whether the sender of this hello may connect to this node, by the membership in force.
 
-    Args:
-        hello: the received hello.
-        own_name: the name of this node.
-        membership: the membership in force.
-        latest: the order of the sender's last accepted connection, or None if there was none.
+    `latest` is the order of the sender's last accepted connection, or None if there was none.
 
     Raises:
         ProtocolVersionError: the sender uses another version of the protocol.
--- a/onyxpost/edge/upstream_pool.py
+++ b/onyxpost/edge/upstream_pool.py
@@ -40,49 +40,31 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamPoolOptions:
-    """Timeouts and callbacks of the pool.
-
-    Attributes:
-        connect_timeout_ms: limit for establishing a connection; 0 means no limit.
-        keep_alive_ms: time for which app servers keep an idle connection open.
-        has_capacity: returns whether one more descriptor may be opened.
-        accepts_attempts: returns whether an endpoint accepts new attempts.
-        may_start_attempt: returns whether an attempt may still be sent, given its remaining time in ms.
-        report_fault: logs an unexpected exception.
-    """
+    """Timeouts and callbacks of the pool."""
 
-    connect_timeout_ms: float
-    keep_alive_ms: float
-    has_capacity: Callable[[], bool]
-    accepts_attempts: Callable[[Endpoint], bool]
+    connect_timeout_ms: float  # limit for establishing a connection; 0 means no limit
+    keep_alive_ms: float  # time for which app servers keep an idle connection open
+    has_capacity: Callable[[], bool]  # whether one more descriptor may be opened
+    accepts_attempts: Callable[[Endpoint], bool]  # whether an endpoint accepts new attempts
+    # Whether an attempt may still be sent, given its remaining time in ms.
     may_start_attempt: Callable[[SendAttempt, float], bool]
-    report_fault: Callable[[str, BaseException], None]
+    report_fault: Callable[[str, BaseException], None]  # logs an unexpected exception
 
 
 class UpstreamPool:
-    """Holds the connections to all app servers, and the attempts in flight.
-
-    Attributes:
-        post_event: receives the end of each attempt.
-        has_capacity: see `UpstreamPoolOptions`.
-        may_start_attempt: see `UpstreamPoolOptions`.
-        clock: the transport's clock, in ms.
-        connection_count: number of open connections, including idle ones.
-        idle_connections: the idle connections by endpoint, longest idle first.
-        tasks: the tasks of the attempts in flight, by attempt id.
-    """
+    """Holds the connections to all app servers, and the attempts in flight."""
 
     def __init__(
         self, transport: Transport, post_event: Callable[[EdgeEvent], None], options: UpstreamPoolOptions
     ) -> None:
         self.transport = transport
-        self.clock = transport.clock
-        self.post_event = post_event
+        self.clock = transport.clock  # in ms
+        self.post_event = post_event  # receives the end of each attempt
         self.has_capacity = options.has_capacity
         self.may_start_attempt = options.may_start_attempt
-        self.connection_count = 0
-        self.idle_connections: dict[Endpoint, list[UpstreamConnection]] = {}
-        self.tasks: dict[int, asyncio.Task[None]] = {}
+        self.connection_count = 0  # open connections, including idle ones
+        self.idle_connections: dict[Endpoint, list[UpstreamConnection]] = {}  # longest idle first
+        self.tasks: dict[int, asyncio.Task[None]] = {}  # of the attempts in flight, by attempt id
         self._options = options
         self._idle_timeout_ms = IDLE_TIMEOUT_FRACTION * options.keep_alive_ms
         self._withdrawn_attempt_ids: set[int] = set()
--- a/onyxpost/forwarder/lease_cache.py
+++ b/onyxpost/forwarder/lease_cache.py
@@ -1,7 +1,6 @@
 """Lease cache of a forwarder: accepts grants, reports the use of leases and returns them.
 
-There is no I/O and no clock here: times are arguments, in milliseconds by the forwarder's clock.
-
+No I/O and no clock: times are arguments, in milliseconds by the forwarder's clock.
 The duration of a lease begins when its *request* is sent, which is before the planner grants it, so it
 expires at the forwarder before it expires at the planner. A grant is discarded if it is a duplicate, late or
 already revoked, if it comes from another incarnation of its planner, or if it answers no pending request.
@@ -25,8 +24,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-# A forwarder stops using a lease this early, so that requests in flight arrive before the lease ends.
-EXPIRY_MARGIN_MS = 100.0
+EXPIRY_MARGIN_MS = 100.0  # use stops this early, so that requests in flight arrive before the lease ends
 # Revoked leases are kept in `SeenLeases` for this many lease durations longer; their grants may still arrive.
 REVOCATION_RETENTION_DURATIONS = 4.0
 
@@ -125,8 +123,7 @@
         if not (is_answer and is_current and is_usable) or key in self.seen_leases:
             self.counters.discarded += 1
             if is_current and key not in self.seen_leases:
-                # The grant is late, or its request was dropped, as after a change of membership: its units
-                # are returned unused.
+                # It is late or its request was dropped, as after a membership change: it is returned unused.
                 self.seen_leases.add(now_ms, key, NOT_ACCEPTED)
                 self._send(planner, protocol.LeaseReturn(grant.lease_id, grant.units, grant.epoch))
             return
@@ -213,10 +210,7 @@
         )
 
     def update_membership(self, planners: Sequence[str], membership_version: int) -> None:
-        """Follows a later membership version; an earlier one is ignored.
-
-        Leases of planners that are not members any more may be used until they expire.
-        """
+        """Follows only a later membership version; removed planners' leases may be used until they expire."""
         if membership_version > self.membership_version:
             self.requester.update_membership(planners, membership_version)
             self.last_heartbeat_at_ms = -math.inf
--- a/onyxpost/forwarder/lease_requester.py
+++ b/onyxpost/forwarder/lease_requester.py
@@ -1,6 +1,6 @@
 """Lease requests of a forwarder: their time, their planner and their units.
 
-There is no I/O and no clock here: times are arguments, in milliseconds by the forwarder's clock.
+No I/O and no clock: times are arguments, in milliseconds by the forwarder's clock.
 """
 
 from __future__ import annotations
--- a/onyxpost/leadership/acceptor.py
+++ b/onyxpost/leadership/acceptor.py
@@ -1,10 +1,8 @@
-"""An acceptor of one role: it promises ballots, grants the lease and accepts the record. Pure.
+"""An acceptor of one role: it promises ballots, grants the lease and accepts the record. No I/O.
 
 After a restart an acceptor does not vote until every lease that it may have granted before has ended. This
-time is its restart wait.
-
-Times are readings of the node's own clock in milliseconds: Unix time at the start of the process, counted
-monotonically from then on. docs/leadership.md proves that at most one node leads a role.
+time is its restart wait. Times are readings of the node's own clock in ms: Unix time at the start of the
+process, counted monotonically from then on. docs/leadership.md proves that at most one node leads a role.
 """
 
 from __future__ import annotations
@@ -160,9 +158,8 @@
         remaining_ms = self.lease.ends_at_ms - now_ms
         leader = self.lease.ballot.node
         if remaining_ms <= 0.0 and self.promised.node != sender:
-            # No lease is active, but another candidate may have just received a promise. The role is reported
-            # as taken for one response timeout after the promise, so that two candidates do not keep
-            # superseding each other's ballots.
+            # No lease is active, but another candidate may have a new promise. The role is reported as taken
+            # for one response timeout after it, so that they do not keep superseding each other's ballots.
             remaining_ms = self.promised_at_ms + self.timing.response_timeout_ms - now_ms
             leader = ""
         return StatusReply(
--- a/onyxpost/leadership/acceptor_recovery.py
+++ b/onyxpost/leadership/acceptor_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of an acceptor that restarted without state: after its restart wait it queries the others. Pure.
+"""Recovery of an acceptor that restarted without state: after its restart wait it queries the others. No I/O.
 
 A committed write was accepted by a majority, so at most `acceptors - majority` acceptors lack it. Of
 `required_replies` acceptors with state, which is one more, at least one has it.
--- a/onyxpost/leadership/acceptor_set.py
+++ b/onyxpost/leadership/acceptor_set.py
@@ -1,4 +1,4 @@
-"""The versioned set of acceptors, and the check whether one version may replace another. Pure."""
+"""The versioned set of acceptors, and the check whether one version may replace another. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxpost/leadership/acceptor_state.py
+++ b/onyxpost/leadership/acceptor_state.py
@@ -1,4 +1,4 @@
-"""The state of an acceptor that must survive a restart: the content of a log entry. Pure."""
+"""The state of an acceptor that must survive a restart: the content of a log entry. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxpost/leadership/ballots.py
+++ b/onyxpost/leadership/ballots.py
@@ -1,4 +1,4 @@
-"""Ballots, as in Paxos: a number, which is also the fencing token, and the node that proposes it. Pure.
+"""Ballots, as in Paxos: a number, which is also the fencing token, and the node that proposes it. No I/O.
 
 Between different ballots acceptors compare only the numbers; a ballot that equals the promised one in all
 fields is accepted again. An acceptor promises each number to at most one proposer, so no two leases have the
--- a/onyxpost/leadership/candidate.py
+++ b/onyxpost/leadership/candidate.py
@@ -1,4 +1,4 @@
-"""A node that tries to become the leader of a role: it queries, prepares and requests acceptance. Pure."""
+"""A node that tries to become the leader of a role: it queries, prepares and requests acceptance. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxpost/leadership/effects.py
+++ b/onyxpost/leadership/effects.py
@@ -1,4 +1,4 @@
-"""Effects: actions that the state machines return, for their caller to execute in the given order. Pure."""
+"""Effects: actions that the state machines return, for their caller to execute in the given order. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxpost/leadership/election.py
+++ b/onyxpost/leadership/election.py
@@ -1,4 +1,4 @@
-"""The result of an election, from which the leader is created. Pure."""
+"""The result of an election, from which the leader is created. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxpost/leadership/election_schedule.py
+++ b/onyxpost/leadership/election_schedule.py
@@ -1,4 +1,4 @@
-"""The times at which a candidate sends queries, prepares ballots and retries. Pure."""
+"""The times at which a candidate sends queries, prepares ballots and retries. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxpost/leadership/fenced_call.py
+++ b/onyxpost/leadership/fenced_call.py
@@ -44,8 +44,7 @@
 async def execute(transport: Transport, call: FencedCall, is_leading: Callable[[], bool]) -> None:
     """Makes the call, and returns when the resource has confirmed that it was executed.
 
-    `is_leading` is checked again immediately before the request is written, as the lease may end while the
-    connection is established.
+    `is_leading` is checked again immediately before the request is written: the lease may end while dialing.
 
     Raises:
         NotLeaderError: the lease ended before the request was written; nothing was sent.
--- a/onyxpost/leadership/granted_role_lease.py
+++ b/onyxpost/leadership/granted_role_lease.py
@@ -1,4 +1,4 @@
-"""The lease of a role that one acceptor granted last, measured by its own clock. Pure."""
+"""The lease of a role that one acceptor granted last, measured by its own clock. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxpost/leadership/leader.py
+++ b/onyxpost/leadership/leader.py
@@ -1,4 +1,4 @@
-"""The leader of a role: it renews its lease, writes the record, and resigns when the lease ends. Pure."""
+"""The leader of a role: it renews its lease, writes the record, and resigns when the lease ends. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxpost/leadership/participant.py
+++ b/onyxpost/leadership/participant.py
@@ -1,4 +1,7 @@
-"""A node's part in the election of one role: candidate until elected, then leader until it resigns. Pure."""
+"""A node's part in the election of one role: candidate until elected, then leader until it resigns.
+
+No I/O.
+"""
 
 from __future__ import annotations
 
--- a/onyxpost/leadership/proposal_validation.py
+++ b/onyxpost/leadership/proposal_validation.py
@@ -1,4 +1,4 @@
-"""The check whether an acceptor may promise or accept a ballot. Pure."""
+"""The check whether an acceptor may promise or accept a ballot. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxpost/leadership/registry.py
+++ b/onyxpost/leadership/registry.py
@@ -1,4 +1,4 @@
-"""The acceptors and participants of one node, for all roles, and the routing of messages to them. Pure."""
+"""The acceptors and participants of one node, for all roles, and the routing of messages to them. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxpost/leadership/rejections.py
+++ b/onyxpost/leadership/rejections.py
@@ -1,4 +1,4 @@
-"""The log diagnostics of rejected ballots. Pure."""
+"""The log diagnostics of rejected ballots. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxpost/leadership/rendezvous.py
+++ b/onyxpost/leadership/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing, which ranks the nodes of each role, and deterministic jitter. Pure."""
+"""Rendezvous hashing, which ranks the nodes of each role, and deterministic jitter. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxpost/leadership/role_lease_timing.py
+++ b/onyxpost/leadership/role_lease_timing.py
@@ -1,4 +1,4 @@
-"""The durations of leases and timeouts. They must be the same at all acceptors and leaders. Pure."""
+"""The durations of leases and timeouts. They must be the same at all acceptors and leaders. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxpost/leadership/status_poll.py
+++ b/onyxpost/leadership/status_poll.py
@@ -1,4 +1,4 @@
-"""The replies to one status query of a candidate, and their evaluation. Pure."""
+"""The replies to one status query of a candidate, and their evaluation. No I/O."""
 
 from __future__ import annotations
 
--- a/onyxpost/planner/lease_coordinator.py
+++ b/onyxpost/planner/lease_coordinator.py
@@ -1,6 +1,6 @@
 """State machine of a planner: handles messages of forwarders, lease recovery and configuration changes.
 
-There is no I/O and no clock here: times are arguments, in milliseconds, and messages to send are returned.
+No I/O and no clock: times are arguments, in milliseconds, and messages to send are returned.
 """
 
 from __future__ import annotations
--- a/onyxpost/planner/lease_ledger.py
+++ b/onyxpost/planner/lease_ledger.py
@@ -1,6 +1,6 @@
 """Lease ledger of one planner: the leases that it has granted and the units that it may still grant.
 
-There is no I/O and no clock here: times are arguments, in milliseconds.
+No I/O and no clock: times are arguments, in milliseconds.
 
 For each customer and rate limit (quota, hard limit) the ledger keeps `available + leased <= burst`, and only
 the refill at the limit's rate adds to `available`. In any interval of length t all forwarders together
--- a/onyxpost/planner/quorum.py
+++ b/onyxpost/planner/quorum.py
@@ -1,6 +1,6 @@
 """Quorum of forwarders that a planner needs to grant leases: a majority that follows its membership version.
 
-There is no I/O and no clock here: times are arguments, in milliseconds.
+No I/O and no clock: times are arguments, in milliseconds.
 
 Forwarders send heartbeats with the membership version that they follow. A forwarder follows one version at a
 time and never an earlier one again, so no two versions have a majority at the same time. A planner that gains
--- a/onyxpost/runtime/http1.py
+++ b/onyxpost/runtime/http1.py
@@ -44,8 +44,7 @@
         TruncatedResponseError: the connection ended before the head was complete or during a response without
             framing headers, whose end is therefore unknown, or more than `MAX_INFORMATIONAL_RESPONSES` 1xx
             responses arrived.
-        h11.RemoteProtocolError: the response is malformed or truncated, or its body exceeds
-            `max_body_bytes`.
+        h11.RemoteProtocolError: the response is malformed or truncated, or its body exceeds `max_body_bytes`.
     """
     response: h11.Response | None = None
     body = bytearray()
--- a/onyxpost/simulation/demo.py
+++ b/onyxpost/simulation/demo.py
@@ -168,9 +168,8 @@
 async def run_demo(environment: StubEnvironment, print_line: Callable[[str], None]) -> bool:
     """Runs the demonstration and returns whether each request was answered as expected.
 
-    `print_line` is called with each line of output.
-
-    Raises ProcessNotStartedError if the node does not serve in time.
+    `print_line` is called with each line of output. Raises ProcessNotStartedError if the node does not serve
+    in time.
     """
     fields = msgspec.json.decode(EXAMPLE_NODE_FILE.read_bytes())
     await environment.open()
